--- /dev/null
+++ b/tests/compatibility/gate_trace.py
@@ -0,0 +1,112 @@
+"""Drives the gate in front of the registry with scripted requests and readings of the process."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from random import Random
+from typing import cast
+
+from crowstand import interface as i
+from ringledge.core.clock import Clock
+from ringledge.core.gate import Caps, Gate
+from ringledge.decide.overload_messages import Reason
+from ringledge.decide.overload_settings import OverloadConfig
+from ringledge.memory.held import Held
+from ringledge.memory.vitals import Reading, Vitals
+from ringledge.observe.metrics import Metrics
+from tests.compatibility.rendering import render
+
+SEEDS = range(6)
+STEPS = 400
+MEMORY_BYTES = 200 * 1024 * 1024
+
+
+class _ScriptedClock:
+    def __init__(self) -> None:
+        self.reading_ms = 1000.0
+
+    def now_ms(self) -> float:
+        return self.reading_ms
+
+
+class _ScriptedVitals:
+    """What the gate asks of the process between two readings."""
+
+    def __init__(self) -> None:
+        self.lag_ms = self.cpu = 0.0
+        self.rss = 0
+        self.trims = 0
+
+    def behind_ms(self) -> float:
+        return self.lag_ms
+
+    def busy(self) -> float:
+        return self.cpu
+
+    def trim(self) -> None:
+        self.trims += 1
+
+
+def _steps(seed: int) -> Iterator[str]:
+    rng = Random(seed)
+    clock, vitals, held = _ScriptedClock(), _ScriptedVitals(), Held()
+    kept = [0]
+
+    def drop(size: int) -> int:
+        dropped = min(size, kept[0])
+        kept[0] -= dropped
+        return dropped
+
+    held.keeps(lambda: kept[0], drop)
+    classes = tuple(
+        i.RequestClass(1000.0, 5000.0, i.Effect.SAFE, worth) for worth in (2.0, 6.0, rng.choice([0.5, 6.0]))
+    )
+    tenants = (i.Tenant(0.7, rng.choice([None, 30.0])), i.Tenant(0.3, 6.0))
+    settings = i.Settings(
+        classes, (i.ServerKind(i.Role.MIXED),), tenants, routers=rng.choice([1, 3]), over_share_worth=0.1
+    )
+    gate = Gate(
+        OverloadConfig(),
+        Caps(1.0, MEMORY_BYTES, 500),
+        settings,
+        ("query", "booking", "report"),
+        cast(Clock, clock),
+        cast(Vitals, vitals),
+        held,
+        Metrics(),
+        seed,
+    )
+    for _ in range(STEPS):
+        clock.reading_ms += rng.uniform(0, 12)
+        vitals.lag_ms, vitals.cpu = rng.choice([0.0, 0.0, 3.0, 90.0]), rng.choice([0.1, 0.6, 1.2])
+        kept[0] += rng.choice([0, 0, 3 * 1024 * 1024])
+        match rng.randrange(10):
+            case 0 | 1 | 2:
+                span_ms = rng.uniform(50, 110)
+                reading = Reading(
+                    span_ms,
+                    span_ms * rng.choice([0.1, 0.7, 1.0, 1.3]),
+                    rng.choice([0.5, 4.0, 70.0]),
+                    rng.choice([0.0, 1.0, 50.0]),
+                    int(MEMORY_BYTES * rng.choice([0.3, 0.6, 0.85, 0.94])),
+                    rng.choice([50, 200, 499]),
+                )
+                gate.take(reading)
+                yield f"reading {render(reading)} -> {gate.sheds()} {held.bytes} {vitals.trims}"
+            case 3:
+                told = (gate.hopeless(), gate.worthiest("booking"), gate.worthiest("report"))
+                yield f"asked -> {render(told)}"
+            case 4:
+                rejection = gate.turn_away(rng.randrange(3), rng.choice(list(Reason)))
+                yield f"turned away -> {render(rejection)}"
+            case 5:
+                gate.share(rng.choice([1, 2]))
+            case _:
+                asked = (rng.randrange(3), rng.randrange(3), rng.choice([300, 4000, 90_000]))
+                yield f"{clock.reading_ms!r} {asked} -> {render(gate.ask(*asked))}"
+
+
+def gate_steps() -> Iterator[str]:
+    """The whole trace."""
+    for seed in SEEDS:
+        yield from _steps(seed)
--- /dev/null
+++ b/tests/compatibility/membership_trace.py
@@ -0,0 +1,75 @@
+"""Records all that membership and its facts say in a fleet with losses, cuts and restarts."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from random import Random
+
+from benchmarks.members_world import World
+from ringledge.decide.fleet import Tell
+from tests.compatibility.rendering import render
+
+SEEDS = range(6)
+PARTS = 12  # of a day
+PART_S = 4.0
+
+
+class _RecordedWorld(World):
+    """Members in virtual time whose datagrams are written down."""
+
+    def __init__(self, seed: int) -> None:
+        super().__init__(seed)
+        self.steps: list[str] = []
+
+    def _send(self, name: str, action: Tell) -> None:
+        self.steps.append(f"{self.now_s!r} {name}: {render(action)}")
+        super()._send(name, action)
+
+
+def _disturb(world: _RecordedWorld, rng: Random, names: list[str]) -> None:
+    """One change of the world between two parts of the day."""
+    name = rng.choice(names)
+    match rng.randrange(8):
+        case 0 if len(world.nodes) > 2 and name in world.nodes:
+            world.kill(name)
+        case 1 if len(world.nodes) > 2 and name in world.nodes:
+            world.leave(name)
+        case 2:
+            world.start(name, names[:3])
+        case 3:
+            world.loss, world.doubles = rng.choice([0.0, 0.2]), rng.choice([0.0, 0.1])
+        case 4:
+            some = set(rng.sample(names, len(names) // 2))
+            world.cut = lambda a, b: (a in some) != (b in some)
+        case 5:
+            world.cut = lambda a, b: False
+        case 6 if name in world.nodes and not world.nodes[name].stopped:
+            world.stop(name)
+            world.run(rng.uniform(0.2, 3.0))
+            if name in world.nodes:
+                world.go_on(name)
+    for each in sorted(world.nodes):
+        facts = world.nodes[each].facts
+        for _ in range(rng.randrange(4)):
+            key = f"server/s{rng.randrange(8)}"
+            if rng.random() < 0.2:
+                facts.drop(world.now_s, key)
+            else:
+                facts.put(world.now_s, key, rng.randbytes(rng.randrange(1, 60)))
+        world.poke(each)
+
+
+def membership_steps() -> Iterator[str]:
+    """The whole trace."""
+    for seed in SEEDS:
+        world, rng = _RecordedWorld(seed), Random(seed + 500)
+        names = [f"n{number}" for number in range(4 + seed)]
+        for name in names:
+            world.start(name, names[:2])
+        for _ in range(PARTS):
+            world.run(PART_S)
+            _disturb(world, rng, names)
+        yield from world.steps
+        for name, node in sorted(world.nodes.items()):
+            yield f"{name}: {render(node.changes)} {render(node.membership.alive())}"
+            yield f"{name}: {render(sorted(node.facts.values(world.now_s, '').items()))}"
--- /dev/null
+++ b/tests/compatibility/queue_files.py
@@ -0,0 +1,104 @@
+"""The queue's file: one with an entry in each state, at version 2, and one of version 1."""
+
+from __future__ import annotations
+
+import sqlite3
+import tempfile
+from collections.abc import Callable
+from functools import partial
+from pathlib import Path
+
+from ringledge.store import schema, seal, steps
+from ringledge.store.entry import Asked, End, Entry, State
+
+NOW_S = 1_000.0
+TOKEN = 7
+LIMITS = steps.Limits(entries=100, most_bytes=100_000, tenant_share=0.5, entry_bytes=10_000)
+
+ENTRIES = (
+    Asked("waits", "farm", "query", True, b"question 1", 10.0, NOW_S, NOW_S + 9000, "key-1"),
+    Asked("withdrawn", "farm", "query", True, b"question 2", 20.5, NOW_S, NOW_S + 9000),
+    Asked("begun", "farm", "booking", False, b"question 3", 30.0, NOW_S, NOW_S + 9000),
+    Asked("served", "fish", "query", True, b"question 4", 40.0, NOW_S, NOW_S + 9000),
+    Asked("failed", "fish", "query", True, b"question 5", 50.0, NOW_S, NOW_S + 9000),
+    Asked("unknown", "fish", "booking", False, b"question 6", 60.0, NOW_S, NOW_S + 9000),
+    Asked("expired", "rail", "query", True, b"question 7", 70.0, NOW_S, NOW_S + 5, "key-7"),
+    Asked("again", "rail", "query", True, b"question 8", 80.0, NOW_S, NOW_S + 9000),
+)
+
+
+def _within(db: sqlite3.Connection, step: Callable[[sqlite3.Connection], object]) -> None:
+    db.execute("BEGIN IMMEDIATE")
+    step(db)
+    db.execute("COMMIT")
+
+
+def fill(db: sqlite3.Connection) -> None:
+    """Bring each entry to the state that it is named for, by the program's own steps."""
+    for asked in ENTRIES:
+        _within(db, partial(steps.enqueue, asked=asked, now_s=NOW_S, limits=LIMITS))
+    _within(db, lambda db: steps.withdraw(db, "withdrawn", NOW_S + 1))
+    _within(db, lambda db: steps.adopt(db, TOKEN, NOW_S + 2))
+    for name in ("begun", "served", "failed", "unknown", "again"):
+        _within(db, partial(steps.begin, name=name, token=TOKEN, now_s=NOW_S + 3))
+    _within(db, lambda db: steps.finish(db, "served", TOKEN, End.SERVED, b"an answer", NOW_S + 4))
+    _within(db, lambda db: steps.give_back(db, "failed", TOKEN, True, 1, NOW_S + 4))
+    _within(db, lambda db: steps.give_back(db, "unknown", TOKEN, True, 8, NOW_S + 4))
+    _within(db, lambda db: steps.give_back(db, "again", TOKEN, False, 8, NOW_S + 4))
+    _within(db, lambda db: steps.expire(db, NOW_S + 6))
+
+
+def write_current(path: Path) -> None:
+    """A file as this program writes it."""
+    db = schema.connect(path, 1.0)
+    fill(db)
+    db.execute("PRAGMA journal_mode = DELETE")  # all of it in one file
+    db.close()
+
+
+def write_version_1(path: Path) -> None:
+    """A file of version 1: no idempotency keys and no totals."""
+    db = sqlite3.connect(path, isolation_level=None)
+    for statement in schema.STEPS[0]:
+        db.execute(statement)
+    db.execute("PRAGMA user_version = 1")
+    db.execute(f"PRAGMA application_id = {schema.MAGIC}")
+    columns = seal.COLUMNS.removesuffix(", key")
+    marks = ", ".join("?" * (len(columns.split(",")) + 1))
+    for asked in ENTRIES[:3]:
+        begun = asked.name == "begun"
+        keyless = Asked(
+            asked.name, asked.tenant, asked.kind, asked.safe, asked.question, asked.work, asked.created_s,
+            asked.expires_s,
+        )  # fmt: skip
+        entry = Entry(keyless, State.BEGUN if begun else State.WAITING, TOKEN if begun else 0, int(begun))
+        *row, _, sealed = seal.to_row(entry)
+        db.execute(f"INSERT INTO entries ({columns}, seal) VALUES ({marks})", (*row, sealed))
+    db.execute("UPDATE meta SET value = ? WHERE name = 'token'", (TOKEN,))
+    db.close()
+
+
+def dump(path: Path) -> str:
+    """All that a file holds, as SQL, with its version and its program."""
+    db = sqlite3.connect(f"{path.as_uri()}?mode=ro&immutable=1", uri=True)
+    lines = [
+        f"PRAGMA {name} = {db.execute(f'PRAGMA {name}').fetchone()[0]};"
+        for name in ("user_version", "application_id")
+    ]
+    text = "\n".join([*lines, *db.iterdump()]) + "\n"
+    db.close()
+    return text
+
+
+def write_queues() -> dict[str, bytes]:
+    """The golden files by name."""
+    with tempfile.TemporaryDirectory() as folder:
+        current, old = Path(folder) / "queue.db", Path(folder) / "old.db"
+        write_current(current)
+        write_version_1(old)
+        return {
+            "queue-2.db": current.read_bytes(),
+            "queue-1.db": old.read_bytes(),
+            "queue-2.sql": dump(current).encode(),
+            "queue-1.sql": dump(old).encode(),
+        }
--- /dev/null
+++ b/tests/compatibility/rendering.py
@@ -0,0 +1,38 @@
+"""Values as text that does not depend on the names of types and fields."""
+
+from __future__ import annotations
+
+import dataclasses
+from collections.abc import Iterable, Mapping
+from enum import Enum
+from typing import Any
+
+import msgspec
+
+# Types that have been renamed since the golden files were written: name now, name then.
+RENAMED_TYPES: dict[str, str] = {}
+
+
+def render(value: Any) -> str:
+    """The value as text: types by the names that they had in the golden files, fields by their order."""
+    match value:
+        case Enum():
+            text = render(value.value)
+        case msgspec.Struct():
+            text = _call(value, value.__struct_fields__)
+        case Mapping():
+            text = "{" + ",".join(f"{render(key)}:{render(each)}" for key, each in value.items()) + "}"
+        case frozenset() | set():
+            text = "{" + ",".join(sorted(map(render, value))) + "}"
+        case list() | tuple():
+            text = "[" + ",".join(map(render, value)) + "]"
+        case _ if dataclasses.is_dataclass(value) and not isinstance(value, type):
+            text = _call(value, [field.name for field in dataclasses.fields(value)])
+        case _:
+            text = repr(value)
+    return text
+
+
+def _call(value: Any, fields: Iterable[str]) -> str:
+    name = type(value).__name__
+    return f"{RENAMED_TYPES.get(name, name)}({','.join(render(getattr(value, field)) for field in fields)})"
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -59,6 +59,13 @@
     descriptors = 0  # that the system allows it; 0: as many as this process
 
     def start(self, folder: Path, *flags: str) -> None:
+        self.start_process(folder, *flags)
+        self.wait_until_ready()
+
+    def wait_until_ready(self) -> None:
+        self.listening = self.logged("ready")["listening"]
+
+    def start_process(self, folder: Path, *flags: str) -> None:
         environ = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "RINGLEDGE_"))}
         environ |= {"RELAY_CONFIG": str(folder / "config.json"), "RINGLEDGE_DEPLOY": str(folder)}
         environ["TMPDIR"] = str(folder)
@@ -67,7 +74,6 @@
         self.process = subprocess.Popen([*limit, *command], cwd=ROOT, env=environ, stderr=subprocess.PIPE)
         self.lines = queue.Queue[dict[str, Any]]()
         threading.Thread(target=self._read_log, daemon=True).start()
-        self.listening = self.logged("ready")["listening"]
 
     def kill(self) -> None:
         self.process.kill()
