--- a/ringledge/wire/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -7,23 +7,25 @@
 import anyio
 import anyio.abc
 
-from crowstand import interface as i
 from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
 from ringledge.core.records import Attempt
-from ringledge.decide.reachability import Reachability
+from ringledge.decide.servers.reachability import Reachability
 from ringledge.lifecycle.config import Names
-from ringledge.memory.pool import Pool
-from ringledge.memory.servers import ServerList
+from ringledge.memory.connection_pool import Pool
+from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
-from ringledge.wire.answers import reusable
-from ringledge.wire.connection import Connection
-from ringledge.wire.exchange import End, Exchanges
-from ringledge.wire.lines import Lines
-from ringledge.wire.releases import Releaser
-from ringledge.wire.silence import Silence
-from ringledge.wire.stream_relay import Live
+from ringledge.routing.interface import (
+    AttemptStatus,
+)
+from ringledge.wire.http.connection import Connection
+from ringledge.wire.servers.connections import Lines
+from ringledge.wire.servers.exchange import End, Exchanges
+from ringledge.wire.servers.releases import Releaser
+from ringledge.wire.servers.responses import reusable
+from ringledge.wire.servers.silence import Silence
+from ringledge.wire.servers.stream_relay import Live
 
 LET_GO_MS = 500.0  # that a state may be held, where the settings don't tell
 
@@ -132,12 +134,12 @@
         try:
             with live.scope:
                 if address is None:
-                    end = End(i.Status.NOT_SENT)
+                    end = End(AttemptStatus.NOT_SENT)
                 else:
                     end = await self._exchanges.run(attempt, live, address)
                     again = live.conn is not None and reusable(live.conn)
         except Exception as error:  # a fault of ours costs this attempt, not all the others
-            end = End(i.Status.RESET if attempt.written else i.Status.CONNECT_FAILED)
+            end = End(AttemptStatus.RESET if attempt.written else AttemptStatus.CONNECT_FAILED)
             log.fault("attempt_crashed", error, server=attempt.server, request=attempt.record.name)
         finally:
             self._live.pop(attempt, None)
@@ -148,9 +150,9 @@
                     self.pool.drop(live.conn)
         if end is None and attempt.began and attempt.out:
             log.warning("stream_silent", server=attempt.server, request=attempt.record.name)
-            end = End(i.Status.RESET)
+            end = End(AttemptStatus.RESET)
         if end is None:  # out of time; what was never written whole can't have run
-            end = End(i.Status.TIMEOUT if attempt.written else i.Status.CONNECT_FAILED)
+            end = End(AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.CONNECT_FAILED)
         self.conductor.outcome(attempt, *end)
 
     async def _probe(self, server: str) -> None:
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from ringledge.decide import facts_messages as records
-from ringledge.decide import lease_messages as leases
-from ringledge.decide import membership_messages as membership
-from ringledge.decide import role_rows
-from ringledge.decide.fleet import Backlog, Demand, PlanRow, ServerSeen
+from ringledge.decide.interface import Backlog, Demand, PlanRow, ServerSeen
+from ringledge.decide.leases import messages as leases
+from ringledge.decide.membership import messages as membership
 from ringledge.decide.paging import BUCKETS
-from ringledge.decide.replay_lend import Lend, Lending, Want
+from ringledge.decide.ratio import role_records as role_rows
+from ringledge.decide.records import messages as records
+from ringledge.decide.replay.capacity_loans import Lend, Lending, Want
 from ringledge.members.codec import Codec
 
 KEY = bytes(range(32))
--- a/tests/compatibility/gate_trace.py
+++ b/tests/compatibility/gate_trace.py
@@ -6,14 +6,21 @@
 from random import Random
 from typing import cast
 
-from crowstand import interface as i
 from ringledge.core.clock import Clock
 from ringledge.core.gate import Caps, Gate
-from ringledge.decide.overload_messages import Reason
-from ringledge.decide.overload_settings import OverloadConfig
-from ringledge.memory.held import Held
-from ringledge.memory.vitals import Reading, Vitals
+from ringledge.decide.overload.messages import Reason
+from ringledge.decide.overload.settings import OverloadConfig
+from ringledge.memory.buffered_bytes import Held
+from ringledge.memory.process_statistics import Reading, Vitals
 from ringledge.observe.metrics import Metrics
+from ringledge.routing.interface import (
+    Idempotency,
+    RequestClass,
+    Role,
+    RouterSettings,
+    ServerKind,
+    Tenant,
+)
 from tests.compatibility.rendering import render
 
 SEEDS = range(6)
@@ -59,11 +66,11 @@
 
     held.keeps(lambda: kept[0], drop)
     classes = tuple(
-        i.RequestClass(1000.0, 5000.0, i.Effect.SAFE, worth) for worth in (2.0, 6.0, rng.choice([0.5, 6.0]))
+        RequestClass(1000.0, 5000.0, Idempotency.SAFE, worth) for worth in (2.0, 6.0, rng.choice([0.5, 6.0]))
     )
-    tenants = (i.Tenant(0.7, rng.choice([None, 30.0])), i.Tenant(0.3, 6.0))
-    settings = i.Settings(
-        classes, (i.ServerKind(i.Role.MIXED),), tenants, routers=rng.choice([1, 3]), over_share_worth=0.1
+    tenants = (Tenant(0.7, rng.choice([None, 30.0])), Tenant(0.3, 6.0))
+    settings = RouterSettings(
+        classes, (ServerKind(Role.MIXED),), tenants, routers=rng.choice([1, 3]), over_share_worth=0.1
     )
     gate = Gate(
         OverloadConfig(),
--- a/tests/compatibility/lease_trace.py
+++ b/tests/compatibility/lease_trace.py
@@ -7,8 +7,8 @@
 from random import Random
 from typing import Any
 
-from ringledge.decide.fleet import Tell
-from ringledge.decide.leases import LeaseTerms
+from ringledge.decide.interface import Tell
+from ringledge.decide.leases.manager import LeaseTerms
 from tests.compatibility.rendering import render
 from tests.simulated.held import Held
 from tests.simulated.world import Process
--- a/tests/compatibility/membership_trace.py
+++ b/tests/compatibility/membership_trace.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from benchmarks.members_world import World
-from ringledge.decide.fleet import Tell
+from ringledge.decide.interface import Tell
 from tests.compatibility.rendering import render
 
 SEEDS = range(6)
--- a/tests/compatibility/overload_trace.py
+++ b/tests/compatibility/overload_trace.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from random import Random
 
-from ringledge.decide.overload import Overload
-from ringledge.decide.overload_messages import Limits, Sample
-from ringledge.decide.tenant_shares import TenantShare
+from ringledge.decide.overload.admission import Overload
+from ringledge.decide.overload.messages import Limits, Sample
+from ringledge.decide.overload.tenant_quotas import TenantShare
 from tests.compatibility.rendering import render
 
 SEEDS = range(8)
--- a/tests/compatibility/policy_trace.py
+++ b/tests/compatibility/policy_trace.py
@@ -6,52 +6,82 @@
 from heapq import heappop, heappush
 from random import Random
 
-from crowstand import interface as i
-from crowstand.policy import Policy
-from crowstand.view import server_views
+from ringledge.routing.interface import (
+    AttemptOutcome,
+    AttemptStatus,
+    Availability,
+    CancelAttempt,
+    ClientDisconnected,
+    DedupScope,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    FailRequest,
+    FirstToken,
+    Idempotency,
+    MembershipMode,
+    OperatorOverride,
+    ProbeResult,
+    RejectRequest,
+    Request,
+    RequestClass,
+    Role,
+    RolePlan,
+    RouterSettings,
+    RoutingEvent,
+    SendAttempt,
+    ServerEntry,
+    ServerKind,
+    SetTimer,
+    Shutdown,
+    Tenant,
+    TimerFired,
+    UnreachableServers,
+)
+from ringledge.routing.policy import Policy
+from ringledge.routing.server_views import server_views
 from tests.compatibility.rendering import render
 
 SEEDS = range(12)
 EVENTS = 900
-FINAL = (i.Refuse, i.Fail)
+FINAL = (RejectRequest, FailRequest)
 ENDS = [
-    i.Status.OK,
-    i.Status.ERROR,
-    i.Status.FULL,
-    i.Status.TIMEOUT,
-    i.Status.CONNECT_FAILED,
-    i.Status.RESET,
-    i.Status.NOT_SENT,
+    AttemptStatus.OK,
+    AttemptStatus.ERROR,
+    AttemptStatus.FULL,
+    AttemptStatus.TIMEOUT,
+    AttemptStatus.CONNECT_FAILED,
+    AttemptStatus.RESET,
+    AttemptStatus.NOT_SENT,
 ]
 
 
-def _settings(rng: Random) -> i.Settings:
+def _settings(rng: Random) -> RouterSettings:
     """Settings as different as deployments may be."""
     classes = tuple(
-        i.RequestClass(
+        RequestClass(
             target_ms=rng.choice([400.0, 1200.0, 2500.0]),
             deadline_ms=rng.choice([3000.0, 5000.0]),
             effect=effect,
             worth=rng.choice([1.0, 2.0, 6.0]),
-            dedup_scope=rng.choice(list(i.DedupScope)),
+            dedup_scope=rng.choice(list(DedupScope)),
             target_per_1000_tokens_ms=rng.choice([0.0, 40.0]),
             target_token_ms=rng.choice([0.0, 60.0]),
         )
-        for effect in i.Effect
+        for effect in Idempotency
     )
     kinds = (
-        i.ServerKind(i.Role.PREFILL, 400_000.0),
-        i.ServerKind(i.Role.DECODE, rng.choice([None, 60_000.0])),
-        i.ServerKind(i.Role.MIXED, rng.choice([None, 120_000.0])),
+        ServerKind(Role.PREFILL, 400_000.0),
+        ServerKind(Role.DECODE, rng.choice([None, 60_000.0])),
+        ServerKind(Role.MIXED, rng.choice([None, 120_000.0])),
     )
-    tenants = (i.Tenant(0.6, rng.choice([None, 8.0])), i.Tenant(0.4, 4.0))
-    return i.Settings(
+    tenants = (Tenant(0.6, rng.choice([None, 8.0])), Tenant(0.4, 4.0))
+    return RouterSettings(
         classes,
         kinds,
         tenants,
         router=rng.randrange(3),
         routers=rng.choice([1, 4, 30]),
-        membership=rng.choice(list(i.MembershipMode)),
+        membership=rng.choice(list(MembershipMode)),
         may_cancel=rng.random() < 0.7,
         retry_after=rng.random() < 0.7,
         max_retry_after_ms=1000.0,
@@ -77,7 +107,7 @@
         self.policy = Policy(self.settings, seed)
         self.now_ms = 50_000.0
         self.started_ms: dict[str, float] = {}
-        self.listed: dict[str, i.ServerEntry] = {}
+        self.listed: dict[str, ServerEntry] = {}
         self.timers: list[tuple[float, int, str]] = []
         self.in_flight: dict[str, tuple[int, str]] = {}  # by request: attempt and server
         self.attempts: dict[str, int] = {}
@@ -89,40 +119,40 @@
         """Each event with the actions that it brought, as text."""
         yield render(self.settings)
         fleet = tuple(self._entry(number) for number in range(10))
-        yield self._handle(i.Members(i.ListForm.PERSISTED, 1, fleet))
+        yield self._handle(EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, fleet))
         for _ in range(EVENTS):
             self.now_ms += self.rng.expovariate(1 / 12)
             while self.timers and self.timers[0][0] <= self.now_ms:
                 _, _, token = heappop(self.timers)
-                yield self._handle(i.Timer(token))
+                yield self._handle(TimerFired(token))
             yield self._handle(self._draw())
-        yield self._handle(i.Shutdown())
+        yield self._handle(Shutdown())
         yield render(server_views(self.policy, self.now_ms))
 
-    def _entry(self, number: int) -> i.ServerEntry:
+    def _entry(self, number: int) -> ServerEntry:
         kind = (0, 1, 2, 0, 1)[number % 5]
         started_ms = self.rng.choice([0.0, self.now_ms - 4000.0])
-        entry = i.ServerEntry(f"s{number}", number % 2, kind, number % 3, i.Availability.UP, 1.0, started_ms)
+        entry = ServerEntry(f"s{number}", number % 2, kind, number % 3, Availability.UP, 1.0, started_ms)
         self.listed[entry.server] = entry
         return entry
 
-    def _handle(self, event: i.Event) -> str:
+    def _handle(self, event: RoutingEvent) -> str:
         actions = self.policy.handle(self.now_ms, event)
         for action in actions:
             match action:
-                case i.Send(request, server, _):
+                case SendAttempt(request, server, _):
                     attempt = self.attempts.get(request, 0)
                     self.in_flight[request] = (attempt, server)
                     self.attempts[request] = attempt + 1
-                case i.SetTimer(at_ms, token):
+                case SetTimer(at_ms, token):
                     self.count += 1
                     heappush(self.timers, (at_ms, self.count, token))
-                case i.Cancel(request, attempt):
+                case CancelAttempt(request, attempt):
                     self.count += 1
                     heappush(self.timers, (self.now_ms + 3.0, self.count, f"cancelled:{request}:{attempt}"))
         return f"{self.now_ms!r} {render(event)} -> {render(actions)}"
 
-    def _draw(self) -> i.Event:
+    def _draw(self) -> RoutingEvent:
         """An event that may come now."""
         chance = self.rng.random()
         if self.timers and self.timers[0][2].startswith("cancelled:"):
@@ -134,20 +164,20 @@
             return self._request()
         return self._of_the_fleet()
 
-    def _cancelled(self, token: str) -> i.Event:
+    def _cancelled(self, token: str) -> RoutingEvent:
         _, request, attempt = token.split(":")
         held = self.in_flight.get(request)
         if held is None or held[0] != int(attempt):
-            return i.Probed("s0", i.Status.OK)
+            return ProbeResult("s0", AttemptStatus.OK)
         del self.in_flight[request]
-        return i.Outcome(request, held[0], held[1], i.Status.CANCELLED, self.rng.uniform(1, 900))
+        return AttemptOutcome(request, held[0], held[1], AttemptStatus.CANCELLED, self.rng.uniform(1, 900))
 
-    def _request(self) -> i.Event:
+    def _request(self) -> RoutingEvent:
         rng = self.rng
         self.count += 1
         prompt = float(rng.choice([40, 400, 3000, 12_000]))
         prefix = rng.choice([None, 0, 11, 12, 13])
-        return i.Request(
+        return Request(
             f"q{self.count}",
             rng.choice([800.0, 3000.0, 5000.0]),
             rng.randrange(4),
@@ -162,57 +192,57 @@
             rng.random() < 0.1,
         )
 
-    def _of_an_attempt(self) -> i.Event:
+    def _of_an_attempt(self) -> RoutingEvent:
         rng = self.rng
         request = rng.choice(sorted(self.in_flight))
         attempt, server = self.in_flight[request]
         latency_ms = rng.choice([5.0, 80.0, 700.0, 2500.0]) * rng.uniform(0.5, 1.5)
-        prefills = self.settings.kinds[self.listed[server].kind].role == i.Role.PREFILL
+        prefills = self.settings.kinds[self.listed[server].kind].role == Role.PREFILL
         if rng.random() < 0.08:
-            return i.ClientGone(request)
+            return ClientDisconnected(request)
         if not prefills and request not in self.streaming and rng.random() < 0.5:
             self.streaming.add(request)
-            return i.FirstToken(request, attempt, server, latency_ms)
+            return FirstToken(request, attempt, server, latency_ms)
         del self.in_flight[request]
-        good = i.Status.PREFILLED if prefills else i.Status.OK
+        good = AttemptStatus.PREFILLED if prefills else AttemptStatus.OK
         status = good if rng.random() < 0.8 else rng.choice(ENDS)
-        if prefills and status == i.Status.OK:
-            status = i.Status.PREFILLED
-        over = request in self.streaming or status == i.Status.OK
-        return i.Outcome(request, attempt, server, status, latency_ms, over, rng.choice([0, 0, 1, 300]))
+        if prefills and status == AttemptStatus.OK:
+            status = AttemptStatus.PREFILLED
+        over = request in self.streaming or status == AttemptStatus.OK
+        return AttemptOutcome(request, attempt, server, status, latency_ms, over, rng.choice([0, 0, 1, 300]))
 
-    def _of_the_fleet(self) -> i.Event:
+    def _of_the_fleet(self) -> RoutingEvent:
         rng = self.rng
         names = sorted(self.listed)
-        event: i.Event
+        event: RoutingEvent
         match rng.randrange(7):
             case 0:
-                states = [i.Availability.DRAINING, i.Availability.UP, i.Availability.GONE]
+                states = [Availability.DRAINING, Availability.UP, Availability.GONE]
                 event = self._change(rng.choice(names), rng.choice(states))
             case 1:
                 entries = tuple(each for each in self.listed.values() if rng.random() < 0.95)
-                event = i.Members(i.ListForm.FULL, 3, entries)
+                event = EndpointUpdate(EndpointUpdateKind.FULL, 3, entries)
             case 2:
-                event = i.Members(i.ListForm.FAILED)
+                event = EndpointUpdate(EndpointUpdateKind.FAILED)
             case 3:
-                event = i.OperatorOverride(rng.choice(names), rng.random() < 0.5)
+                event = OperatorOverride(rng.choice(names), rng.random() < 0.5)
             case 4:
-                event = i.Unreachable(frozenset(rng.sample(names, rng.randrange(3))))
+                event = UnreachableServers(frozenset(rng.sample(names, rng.randrange(3))))
             case 5:
                 some, others = rng.sample(names, rng.randrange(3)), rng.sample(names, rng.randrange(3))
-                event = i.RolePlan(frozenset(some), frozenset(others))
+                event = RolePlan(frozenset(some), frozenset(others))
             case _:
-                event = self._change(rng.choice(names), i.Availability.UP, restarted=True)
+                event = self._change(rng.choice(names), Availability.UP, restarted=True)
         return event
 
-    def _change(self, name: str, state: i.Availability, restarted: bool = False) -> i.Event:
+    def _change(self, name: str, state: Availability, restarted: bool = False) -> RoutingEvent:
         old = self.listed[name]
         started_ms = self.now_ms if restarted else old.started_ms
         here_ms = started_ms + 20.0 if restarted and self.rng.random() < 0.5 else None
-        entry = i.ServerEntry(name, old.zone, old.kind, old.cell, state, 1.0, started_ms, here_ms)
-        if state != i.Availability.GONE:
+        entry = ServerEntry(name, old.zone, old.kind, old.cell, state, 1.0, started_ms, here_ms)
+        if state != Availability.GONE:
             self.listed[name] = entry
-        return i.Members(i.ListForm.CHANGES, 2, (entry,))
+        return EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,))
 
 
 def policy_steps() -> Iterator[str]:
--- a/tests/compatibility/queue_files.py
+++ b/tests/compatibility/queue_files.py
@@ -8,7 +8,8 @@
 from functools import partial
 from pathlib import Path
 
-from ringledge.store import schema, seal, steps
+from ringledge.store import schema, seal
+from ringledge.store import transitions as steps
 from ringledge.store.entry import Asked, End, Entry, State
 
 NOW_S = 1_000.0
--- a/tests/compatibility/ratio_trace.py
+++ b/tests/compatibility/ratio_trace.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator
 from random import Random
 
-from ringledge.decide.fleet import Demand, PlanRow, ServerSeen
-from ringledge.decide.ratio import Heard, Listed, Ratio
-from ringledge.decide.ratio_settings import RatioConfig
-from ringledge.decide.roles import RoleBook
+from ringledge.decide.interface import Demand, PlanRow, ServerSeen
+from ringledge.decide.ratio.planner import Heard, Listed, Ratio
+from ringledge.decide.ratio.role_registry import RoleBook
+from ringledge.decide.ratio.settings import RatioConfig
 from tests.compatibility.rendering import render
 
 SEEDS = range(6)
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -10,7 +10,26 @@
 import msgspec
 
 # Types that have been renamed since the golden files were written: name now, name then.
-RENAMED_TYPES: dict[str, str] = {}
+RENAMED_TYPES = {
+    "AttemptOutcome": "Outcome",
+    "AttemptStatus": "Status",
+    "CancelAttempt": "Cancel",
+    "ClientDisconnected": "ClientGone",
+    "EndpointUpdate": "Members",
+    "FailRequest": "Fail",
+    "LoadReport": "Load",
+    "LogMessage": "Log",
+    "PollEndpoints": "AskMembers",
+    "ProbeResult": "Probed",
+    "ProbeServer": "Probe",
+    "RejectRequest": "Refuse",
+    "ReleaseCache": "Release",
+    "RouterSettings": "Settings",
+    "SendAttempt": "Send",
+    "TimerFired": "Timer",
+    "UnreachableServers": "Unreachable",
+    "WatchEndpoints": "Subscribe",
+}
 
 
 def render(value: Any) -> str:
--- a/tests/compatibility/replay_trace.py
+++ b/tests/compatibility/replay_trace.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from random import Random
 
-from ringledge.decide.replay import Head, Replay, Verdict
-from ringledge.decide.replay_lend import Lend, Lending, Want
-from ringledge.decide.replay_pace import Pace, Room, spare
+from ringledge.decide.replay.capacity_loans import Lend, Lending, Want
+from ringledge.decide.replay.rate_control import Pace, Room, spare
+from ringledge.decide.replay.scheduler import Head, Replay, Verdict
 from tests.compatibility.rendering import render
 
 SEEDS = range(6)
--- a/tests/compatibility/snapshots.py
+++ b/tests/compatibility/snapshots.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from crowstand.snapshot import dump
+from ringledge.routing.snapshot import dump
 from tests.compatibility.policy_trace import SEEDS, PolicyScript
 
 
--- a/tests/compatibility/test_formats.py
+++ b/tests/compatibility/test_formats.py
@@ -9,14 +9,20 @@
 import pytest
 from click.testing import CliRunner
 
-from crowstand import interface as i
-from crowstand import snapshot
-from crowstand.policy import Policy
 from ringledge.cli import main
-from ringledge.decide import lease_messages, role_rows
+from ringledge.decide.leases import messages as lease_messages
+from ringledge.decide.ratio import role_records as role_rows
 from ringledge.lifecycle import fingerprint as fingerprints
 from ringledge.members.codec import FIRST_KIND, Codec
-from ringledge.store import schema, seal, steps
+from ringledge.routing import snapshot
+from ringledge.routing.interface import (
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Role,
+)
+from ringledge.routing.policy import Policy
+from ringledge.store import schema, seal
+from ringledge.store import transitions as steps
 from tests.compatibility.command_line import command_line_text
 from tests.compatibility.datagrams import KEY, MESSAGES, TABLES, packed, record_rows, write_datagrams
 from tests.compatibility.golden import path
@@ -53,7 +59,7 @@
     script = learned(seed)
     fresh = Policy(script.settings, seed)
     entries = tuple(server.entry for server in script.policy.servers.values())
-    fresh.handle(script.now_ms, i.Members(i.ListForm.PERSISTED, 1, entries))
+    fresh.handle(script.now_ms, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, entries))
     for part in golden_parts(seed):
         snapshot.load(fresh, part)
     expected = [part for part in golden_parts(seed) if "peak" not in part]  # the larger count of both stays
@@ -81,7 +87,7 @@
 def test_a_changed_role_value_changes_the_fingerprint(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(i.Role.PREFILL, "_value_", "prefill")
+    monkeypatch.setattr(Role.PREFILL, "_value_", "prefill")
     assert settings_texts(tmp_path)["fingerprint.txt"] != path("fingerprint.txt").read_text()
 
 
--- a/tests/compatibility/test_traces.py
+++ b/tests/compatibility/test_traces.py
@@ -19,13 +19,13 @@
 
 # A constant of each subsystem with another value: module, name, value.
 MUTANTS: dict[str, tuple[str, str, object]] = {
-    "policy": ("crowstand.policy", "RETRY_AFTER_SHARE", 0.26),
-    "overload": ("ringledge.decide.overload", "REJECTING_WEIGHT", 0.41),
+    "policy": ("ringledge.routing.policy", "RETRY_AFTER_SHARE", 0.26),
+    "overload": ("ringledge.decide.overload.admission", "REJECTING_WEIGHT", 0.41),
     "gate": ("ringledge.core.gate", "GIVE_UP_PART", 0.11),
-    "leases": ("ringledge.decide.lease_seeker", "EXTEND", 0.26),
-    "membership": ("ringledge.decide.membership", "AGAIN", 4),
-    "ratio": ("ringledge.decide.ratio_estimate", "BEYOND", 1.2),
-    "replay": ("ringledge.decide.replay_pace", "FALL", 0.51),
+    "leases": ("ringledge.decide.leases.proposer", "EXTEND", 0.26),
+    "membership": ("ringledge.decide.membership.swim", "AGAIN", 4),
+    "ratio": ("ringledge.decide.ratio.demand_estimate", "BEYOND", 1.2),
+    "replay": ("ringledge.decide.replay.rate_control", "FALL", 0.51),
 }
 
 
--- a/tests/conformance/play.py
+++ b/tests/conformance/play.py
@@ -4,12 +4,18 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Availability,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    ServerEntry,
+)
 from tests.conformance.rows import At, Off, Row, Step
 from tests.world import MIXED, WRITER, World
 
 SEEDS = 12  # plays of a row, each at another router with a seed of its own
-LISTED = {"leaves": i.Availability.GONE, "drains": i.Availability.DRAINING, "up": i.Availability.UP}
+LISTED = {"leaves": Availability.GONE, "drains": Availability.DRAINING, "up": Availability.UP}
 
 
 @dataclass
@@ -22,7 +28,7 @@
     entries: int = 0
 
 
-def key_for(what: str, told: Any, fleet: tuple[i.ServerEntry, ...], reads: Mapping[str, str]) -> Any:
+def key_for(what: str, told: Any, fleet: tuple[ServerEntry, ...], reads: Mapping[str, str]) -> Any:
     """A key that the hash puts where it is wanted, told by a router that knows nothing else."""
     if not isinstance(told, At | Off):
         return told
@@ -63,21 +69,21 @@
                 world.request(name, **{k: key_for(k, told, fleet, reads) for k, told in step.told.items()})
                 self._look()
             case "read":
-                world.outcome(name, i.Status.PREFILLED)
+                world.outcome(name, AttemptStatus.PREFILLED)
             case "ends":
                 world.first(name)
-                world.outcome(name, i.Status.OK, over=True)
+                world.outcome(name, AttemptStatus.OK, over=True)
             case "serve":
                 for what in ("ask", "read", "ends"):
                     self._take(replace(step, what=what))
             case "cancelled":
-                world.outcome(name, i.Status.CANCELLED)
+                world.outcome(name, AttemptStatus.CANCELLED)
             case "rest":
                 world.wait(step.told["ms"])
             case _:
                 server = self.seen.reads[name[1:]] if name.startswith("@") else name  # who read that
                 entry = replace(self.entries[server], availability=LISTED[step.what])
-                world.give(i.Members(i.ListForm.CHANGES, 2, (entry,)))
+                world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,)))
 
 
 def failed(row: Row, seen: Seen) -> list[str]:
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -5,8 +5,10 @@
 from functools import partial
 from typing import Any
 
-from crowstand import interface as i
-from crowstand.membership import AFFINITY_TTL_MS, EXPIRY_CHECK_MS
+from ringledge.routing.interface import (
+    ServerEntry,
+)
+from ringledge.routing.membership import AFFINITY_TTL_MS, EXPIRY_CHECK_MS
 from tests.world import FLEET, MIXED, READER, WRITER, entry
 
 
@@ -40,7 +42,7 @@
     id: str
     says: str
     steps: tuple[Step, ...]
-    fleet: tuple[i.ServerEntry, ...] = FLEET
+    fleet: tuple[ServerEntry, ...] = FLEET
     same: tuple[tuple[str, ...], ...] = ()  # read at one server
     differ: tuple[tuple[str, str], ...] = ()  # read at two
     unless: tuple[str, tuple[tuple[str, str], ...]] = ("", ())  # pairs read at one, unless one is at that
@@ -72,7 +74,7 @@
 LONG = 100_000
 
 
-def place(cell: int, zone: int, reader: str, writer: str) -> tuple[i.ServerEntry, ...]:
+def place(cell: int, zone: int, reader: str, writer: str) -> tuple[ServerEntry, ...]:
     return tuple(replace(entry(n, kind, cell), zone=zone) for n, kind in ((reader, READER), (writer, WRITER)))
 
 
--- a/tests/conformance/test_policy.py
+++ b/tests/conformance/test_policy.py
@@ -5,10 +5,12 @@
 
 import pytest
 
-from crowstand import interface as i
-from crowstand.policy import Policy
-from crowstand.prefill import random_weight
-from crowstand.records import Job, Server
+from ringledge.routing.interface import (
+    Request,
+)
+from ringledge.routing.policy import Policy
+from ringledge.routing.prefill import random_weight
+from ringledge.routing.state import Job, Server
 from tests.conformance.play import play
 from tests.conformance.rows import BY_ID, ROWS, Row
 
@@ -28,23 +30,23 @@
         self.affinities[job.request.session] = before
 
 
-def by(key: Callable[[Any, i.Request], Any]) -> Any:
+def by(key: Callable[[Any, Request], Any]) -> Any:
     """A ranking by another key."""
 
-    def ranking(self: Any, request: i.Request) -> list[Server]:
+    def ranking(self: Any, request: Request) -> list[Server]:
         text = f"{key(self, request)}"
         return sorted(self.prefill_servers, key=lambda server: random_weight(text, server))
 
     return ranking
 
 
-def by_remainder(self: Any, request: i.Request) -> list[Server]:
+def by_remainder(self: Any, request: Request) -> list[Server]:
     """In place of the highest random weight."""
     first = (request.prefix or request.session or 0) % len(self.prefill_servers)
     return [*self.prefill_servers[first:], *self.prefill_servers[:first]]
 
 
-def chosen_ahead(self: Any, request: i.Request) -> None:
+def chosen_ahead(self: Any, request: Request) -> None:
     """The writer is chosen when the request comes, and kept to."""
     arrive(self, request)
     job = self.jobs[request.request]
--- a/tests/core/test_admit.py
+++ b/tests/core/test_admit.py
@@ -7,16 +7,23 @@
 
 import pytest
 
-from crowstand import interface as i
 from ringledge.core.invariants import Invariants
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, Record
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.stages import admit
-from ringledge.memory.servers import ServerList
+from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Idempotency,
+    RejectRequest,
+    Request,
+    RequestClass,
+    RouterSettings,
+)
 
-CLASSES = (i.RequestClass(1200, 5000, i.Effect.SAFE), i.RequestClass(1200, 5000, i.Effect.UNSAFE))
+CLASSES = (RequestClass(1200, 5000, Idempotency.SAFE), RequestClass(1200, 5000, Idempotency.UNSAFE))
 
 
 @pytest.mark.parametrize(
@@ -28,7 +35,7 @@
 ) -> None:
     given, metrics = list[str](), Metrics()
     clock: Any = SimpleNamespace(now_ms=lambda: 10.0)
-    settings = i.Settings(CLASSES, ())
+    settings = RouterSettings(CLASSES, ())
     caller: Any = SimpleNamespace(
         refuse=lambda _: given.append("refused"), fail=lambda: given.append("failed")
     )
@@ -41,12 +48,12 @@
         invariants=Invariants(settings, clock, ServerList(()), metrics),
     )
     record = Record(
-        i.Request("a", class_index=class_index, expires_in_ms=5000), Payload(b"/", b""), caller, 0.0
+        Request("a", class_index=class_index, expires_in_ms=5000), Payload(b"/", b""), caller, 0.0
     )
     attempt = Attempt(record, 0, "w0", False, True, 0.0, 5000.0)
-    attempt.written, attempt.outcome = written, i.Status.RESET
+    attempt.written, attempt.outcome = written, AttemptStatus.RESET
     record.attempts.append(attempt)
     at.registry.add(record)
-    admit.refuse(at, i.Refuse("a"))
+    admit.refuse(at, RejectRequest("a"))
     assert given == [answer]
     assert not sum(Metrics.read(metrics.violations).values())
--- a/tests/core/test_client_gone.py
+++ b/tests/core/test_client_gone.py
@@ -7,12 +7,16 @@
 
 import pytest
 
-from crowstand import interface as i
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, Record
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.stages.accept import client_gone
 from ringledge.observe.metrics import Metrics
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Request,
+    RoutingEvent,
+)
 
 # How far the attempt is: whether its request is written whole, whether its answer has begun.
 WAITS, WRITTEN, BEGUN = (False, False), (True, False), (True, True)
@@ -23,18 +27,18 @@
     stage: tuple[bool, bool], dropped: bool
 ) -> None:
     """One that waited for its connection was written after its client had gone."""
-    abandoned, told = list[Attempt](), list[i.Event]()
+    abandoned, told = list[Attempt](), list[RoutingEvent]()
     port = SimpleNamespace(abandon=abandoned.append, release=lambda *_: None, answered_since=lambda *_: True)
     clock = SimpleNamespace(now_ms=lambda: 10.0)
     at: Any = SimpleNamespace(
         port=port, clock=clock, metrics=Metrics(), registry=RequestRegistry(), tell=told.append, observer=None
     )
-    record = Record(i.Request("a", expires_in_ms=5000), Payload(b"/", b""), SimpleNamespace(), 0.0)
+    record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), SimpleNamespace(), 0.0)
     attempt = Attempt(record, 0, "r0", True, False, 0.0, 5000.0)
     attempt.written, attempt.began = stage
     record.attempts.append(attempt)
     at.registry.add(record)
     client_gone(at, record)
     assert abandoned == [attempt] * dropped
-    assert (attempt.outcome is i.Status.CANCELLED) == dropped
+    assert (attempt.outcome is AttemptStatus.CANCELLED) == dropped
     assert ("a" in at.registry.records) != dropped
--- a/tests/core/test_contained_faults.py
+++ b/tests/core/test_contained_faults.py
@@ -7,16 +7,26 @@
 
 import anyio
 
-from crowstand import interface as i
 from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
 from ringledge.core.invariants import Invariant
 from ringledge.core.port import Payload
-from ringledge.memory.servers import ServerList
+from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
-
-SAFE = i.RequestClass(1200, 5000, i.Effect.SAFE)
-KINDS = (i.ServerKind(i.Role.PREFILL),)
+from ringledge.routing.interface import (
+    Idempotency,
+    Request,
+    RequestClass,
+    Role,
+    RouterSettings,
+    RoutingAction,
+    RoutingEvent,
+    ServerKind,
+    TimerFired,
+)
+
+SAFE = RequestClass(1200, 5000, Idempotency.SAFE)
+KINDS = (ServerKind(Role.PREFILL),)
 WAIT_S = 10.0
 
 
@@ -31,13 +41,13 @@
         port.answered_since = lambda *_: True
         self.metrics = Metrics()
         self.conductor = Conductor(
-            i.Settings((SAFE,), KINDS, may_cancel=True), 1, Clock(), ServerList(KINDS), self.metrics, port
+            RouterSettings((SAFE,), KINDS, may_cancel=True), 1, Clock(), ServerList(KINDS), self.metrics, port
         )
         decide = self.conductor.policy.handle
 
-        def handle(now_ms: float, event: i.Event) -> list[i.Action]:
+        def handle(now_ms: float, event: RoutingEvent) -> list[RoutingAction]:
             if getattr(event, "request", "") == "bad" or (
-                isinstance(event, i.Timer) and "bad" in event.token
+                isinstance(event, TimerFired) and "bad" in event.token
             ):
                 raise ZeroDivisionError
             return decide(now_ms, event)
@@ -50,7 +60,7 @@
             fail=lambda: self.answers.append(f"{name} failed"),
             refuse=lambda _: self.answers.append(f"{name} refused"),
         )
-        request = i.Request(name, expires_in_ms=expires_in_ms)
+        request = Request(name, expires_in_ms=expires_in_ms)
         self.conductor.accept(request, Payload(b"/", b""), caller)
 
     def found(self, invariant: Invariant) -> float:
--- a/tests/core/test_hung_prefill.py
+++ b/tests/core/test_hung_prefill.py
@@ -12,14 +12,17 @@
 
 import pytest
 
-from crowstand import interface as i
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, Record
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.stages.record_outcome import record_outcome
-from ringledge.decide.reachability import Reachability
-from ringledge.decide.releases import Releases
+from ringledge.decide.servers.reachability import Reachability
+from ringledge.decide.servers.releases import Releases
 from ringledge.observe.metrics import Metrics
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Request,
+)
 
 SENT_MS, CANCELLED_MS, GOES_ON_MS, ENDED_MS = 0.0, 500.0, 700.0, 800.0
 
@@ -37,11 +40,11 @@
         observer=None,
     )
     caller: Any = SimpleNamespace()
-    record = Record(i.Request("a", expires_in_ms=5000), Payload(b"/", b""), caller, SENT_MS)
+    record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), caller, SENT_MS)
     attempt = Attempt(record, 0, "p0", True, False, SENT_MS, 5000.0)
     attempt.written = True
     record.attempts.append(attempt)
-    record_outcome(at, attempt, i.Status.CANCELLED)
+    record_outcome(at, attempt, AttemptStatus.CANCELLED)
     assert record.unseen == {"p0": unseen_ms}
 
 
--- a/tests/core/test_invariants.py
+++ b/tests/core/test_invariants.py
@@ -9,46 +9,59 @@
 
 import pytest
 
-from crowstand import interface as i
 from ringledge.core.invariants import HELD_SLACK_MS, OVERDUE_MS, TOLD_SLACK_MS, Invariant, Invariants
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, Record
-from ringledge.memory.servers import ServerList
+from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Availability,
+    DedupScope,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Idempotency,
+    Request,
+    RequestClass,
+    Role,
+    RouterSettings,
+    ServerEntry,
+    ServerKind,
+)
 
-SAFE = i.RequestClass(1200, 5000, i.Effect.SAFE)
-UNSAFE = replace(SAFE, effect=i.Effect.UNSAFE)
-KEYED = replace(SAFE, effect=i.Effect.KEYED, dedup_window_ms=300.0, dedup_scope=i.DedupScope.ZONE)
-KEYED_ALL = replace(KEYED, dedup_scope=i.DedupScope.ALL)
+SAFE = RequestClass(1200, 5000, Idempotency.SAFE)
+UNSAFE = replace(SAFE, effect=Idempotency.UNSAFE)
+KEYED = replace(SAFE, effect=Idempotency.KEYED, dedup_window_ms=300.0, dedup_scope=DedupScope.ZONE)
+KEYED_ALL = replace(KEYED, dedup_scope=DedupScope.ALL)
 HELD_MS = 500.0
 
 
 class Rig:
     """The checks of a conductor with one server, and a request of one class with two attempts."""
 
-    def __init__(self, request_class: i.RequestClass = UNSAFE) -> None:
+    def __init__(self, request_class: RequestClass = UNSAFE) -> None:
         self.now_ms, self.metrics = 1000.0, Metrics()
-        kinds = (i.ServerKind(i.Role.DECODE),)
+        kinds = (ServerKind(Role.DECODE),)
         self.servers = ServerList(kinds)
-        self.list_says(i.Availability.UP)
-        settings = i.Settings((request_class,), kinds, max_attempts=3, release_within_ms=HELD_MS)
+        self.list_says(Availability.UP)
+        settings = RouterSettings((request_class,), kinds, max_attempts=3, release_within_ms=HELD_MS)
         clock: Any = SimpleNamespace(now_ms=lambda: self.now_ms)
         self.checks = Invariants(settings, clock, self.servers, self.metrics)
         caller: Any = SimpleNamespace()
-        self.record = Record(i.Request("a", expires_in_ms=5000), Payload(b"/", b""), caller, self.now_ms)
+        self.record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), caller, self.now_ms)
         self.first, self.second = self.attempt(), self.attempt()
-        self.first.outcome = i.Status.CONNECT_FAILED
+        self.first.outcome = AttemptStatus.CONNECT_FAILED
 
-    def list_says(self, availability: i.Availability) -> None:
-        entry = i.ServerEntry("w0", 0, 0, 0, availability)
-        self.servers.apply(i.Members(i.ListForm.FULL, 1, (entry,)), {"w0": "127.0.0.1:9"})
+    def list_says(self, availability: Availability) -> None:
+        entry = ServerEntry("w0", 0, 0, 0, availability)
+        self.servers.apply(EndpointUpdate(EndpointUpdateKind.FULL, 1, (entry,)), {"w0": "127.0.0.1:9"})
 
     def attempt(self) -> Attempt:
         attempt = Attempt(self.record, len(self.record.attempts), "w0", False, True, self.now_ms, 6000.0)
         self.record.attempts.append(attempt)
         return attempt
 
-    def ran(self, status: i.Status | None = i.Status.RESET) -> None:
+    def ran(self, status: AttemptStatus | None = AttemptStatus.RESET) -> None:
         """The first attempt was written, and ended so."""
         self.first.written, self.first.outcome = True, status
 
@@ -73,11 +86,11 @@
 
 
 def drained(rig: Rig) -> None:
-    rig.list_says(i.Availability.DRAINING)
+    rig.list_says(Availability.DRAINING)
 
 
 def gone(rig: Rig) -> None:
-    rig.list_says(i.Availability.GONE)
+    rig.list_says(Availability.GONE)
 
 
 def many(rig: Rig) -> None:
@@ -130,7 +143,7 @@
     ],
 )
 def test_a_refusal_behind_what_may_have_run_is_found(
-    request_class: i.RequestClass, ran: bool, found: set[Invariant]
+    request_class: RequestClass, ran: bool, found: set[Invariant]
 ) -> None:
     rig = Rig(request_class)
     if ran:
--- a/tests/core/test_begin.py
+++ b/tests/core/test_send_guard.py
@@ -8,25 +8,34 @@
 
 import pytest
 
-from crowstand import interface as i
-from crowstand.records import PossibleRun
-from ringledge.core.begin import ARRIVAL_MS, LEAST_MS, Refusal, refusal
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, Record
+from ringledge.core.send_guard import ARRIVAL_MS, LEAST_MS, Refusal, refusal
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Availability,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Idempotency,
+    OperatorOverride,
+    Request,
+    RequestClass,
+)
+from ringledge.routing.state import PossibleRun
 from tests.world import FLEET, SAFE, UNSAFE, World
 
-KEYED = replace(SAFE, effect=i.Effect.KEYED, dedup_window_ms=300.0)
+KEYED = replace(SAFE, effect=Idempotency.KEYED, dedup_window_ms=300.0)
 
 
 class Asked:
     """A request whose decode attempt has a connection now; in a policy's world."""
 
-    def __init__(self, request_class: i.RequestClass = SAFE) -> None:
+    def __init__(self, request_class: RequestClass = SAFE) -> None:
         self.world = World(classes=(request_class,))
         self.world.read("a")
         self.gone = False
         caller: Any = SimpleNamespace(gone=lambda: self.gone)
-        self.record = Record(i.Request("a", expires_in_ms=5000), Payload(b"/", b""), caller, self.now_ms)
+        self.record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), caller, self.now_ms)
         self.attempt = self.next()
 
     @property
@@ -48,7 +57,7 @@
     def list_says(self, **changed: Any) -> None:
         """News of the server that the attempt goes to."""
         told = next(each for each in FLEET if each.server == self.attempt.server)
-        self.world.give(i.Members(i.ListForm.CHANGES, 2, (replace(told, **changed),)))
+        self.world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (replace(told, **changed),)))
 
 
 def test_one_that_nothing_speaks_against_may_begin() -> None:
@@ -67,7 +76,7 @@
     if how == "request over":
         asked.record.over = True
     else:
-        asked.attempt.outcome = i.Status.CANCELLED
+        asked.attempt.outcome = AttemptStatus.CANCELLED
     assert asked.refusal() is Refusal.ENDED
 
 
@@ -80,8 +89,8 @@
     assert asked.refusal() is (None if may else Refusal.OUT_OF_TIME)
 
 
-@pytest.mark.parametrize("state", [i.Availability.DRAINING, i.Availability.GONE])
-def test_one_to_a_server_that_drains_or_is_gone_may_not(state: i.Availability) -> None:
+@pytest.mark.parametrize("state", [Availability.DRAINING, Availability.GONE])
+def test_one_to_a_server_that_drains_or_is_gone_may_not(state: Availability) -> None:
     asked = Asked()
     asked.list_says(availability=state)
     assert asked.refusal() is Refusal.SERVER_CLOSED
@@ -95,9 +104,9 @@
 
 def test_one_to_a_server_that_operators_excluded_may_not_until_it_is_back() -> None:
     asked = Asked()
-    asked.world.give(i.OperatorOverride(asked.attempt.server, True))
+    asked.world.give(OperatorOverride(asked.attempt.server, True))
     assert asked.refusal() is Refusal.SERVER_CLOSED
-    asked.world.give(i.OperatorOverride(asked.attempt.server, False))
+    asked.world.give(OperatorOverride(asked.attempt.server, False))
     assert asked.refusal() is None
 
 
@@ -108,7 +117,7 @@
     assert asked.refusal() is Refusal.SERVER_RESTARTED
 
 
-def repeat(request_class: i.RequestClass, outcome: i.Status, after_ms: float) -> Refusal | None:
+def repeat(request_class: RequestClass, outcome: AttemptStatus, after_ms: float) -> Refusal | None:
     """A second decode attempt behind a first one that ended so; `after_ms`: when its connection is there."""
     asked = Asked(request_class)
     sent_ms = asked.now_ms
@@ -129,22 +138,22 @@
     ],
 )
 def test_a_repeat_has_to_arrive_within_the_window(after_ms: float, may: bool) -> None:
-    assert repeat(KEYED, i.Status.RESET, after_ms) is (None if may else Refusal.REPEAT_LATE)
+    assert repeat(KEYED, AttemptStatus.RESET, after_ms) is (None if may else Refusal.REPEAT_LATE)
 
 
-@pytest.mark.parametrize("outcome", [i.Status.CONNECT_FAILED, i.Status.NOT_SENT])
+@pytest.mark.parametrize("outcome", [AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT])
 @pytest.mark.parametrize("request_class", [KEYED, UNSAFE])
-def test_what_never_ran_is_no_repeat(request_class: i.RequestClass, outcome: i.Status) -> None:
+def test_what_never_ran_is_no_repeat(request_class: RequestClass, outcome: AttemptStatus) -> None:
     assert repeat(request_class, outcome, 2 * KEYED.dedup_window_ms) is None
 
 
 def test_what_may_run_twice_has_no_window() -> None:
-    assert repeat(SAFE, i.Status.RESET, 2 * KEYED.dedup_window_ms) is None
+    assert repeat(SAFE, AttemptStatus.RESET, 2 * KEYED.dedup_window_ms) is None
 
 
 def test_what_must_not_run_twice_may_not_begin_again_whoever_chose_it() -> None:
     asked = Asked(UNSAFE)
-    asked.world.outcome("a", i.Status.CONNECT_FAILED)
+    asked.world.outcome("a", AttemptStatus.CONNECT_FAILED)
     asked.attempt = asked.next()
     policy = asked.world.policy
     policy.jobs["a"].possible_runs.append(PossibleRun(policy.servers["w0"], asked.now_ms))
@@ -158,17 +167,19 @@
     assert asked.refusal() is Refusal.ANOTHER_OUT
 
 
-@pytest.mark.parametrize("outcome", [i.Status.RESET, i.Status.TIMEOUT, i.Status.CANCELLED, i.Status.ERROR])
-def test_one_behind_what_may_have_run_may_not_whatever_the_decisions_say(outcome: i.Status) -> None:
+@pytest.mark.parametrize(
+    "outcome", [AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.ERROR]
+)
+def test_one_behind_what_may_have_run_may_not_whatever_the_decisions_say(outcome: AttemptStatus) -> None:
     asked = Asked(UNSAFE)
     asked.attempt.written, asked.attempt.outcome = True, outcome
     asked.attempt = asked.next()
     assert asked.refusal() is Refusal.MAY_HAVE_RUN
 
 
-@pytest.mark.parametrize("outcome", [i.Status.CONNECT_FAILED, i.Status.FULL])
-def test_one_behind_what_never_ran_may(outcome: i.Status) -> None:
+@pytest.mark.parametrize("outcome", [AttemptStatus.CONNECT_FAILED, AttemptStatus.FULL])
+def test_one_behind_what_never_ran_may(outcome: AttemptStatus) -> None:
     asked = Asked(UNSAFE)
-    asked.attempt.written, asked.attempt.outcome = outcome is i.Status.FULL, outcome
+    asked.attempt.written, asked.attempt.outcome = outcome is AttemptStatus.FULL, outcome
     asked.attempt = asked.next()
     assert asked.refusal() is None
--- a/tests/decide/test_doors.py
+++ b/tests/decide/connections/test_admission.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringledge.decide.doors import Doors, Entry, Why
-from ringledge.decide.doors_settings import DoorRule, DoorsConfig
-from ringledge.structures.sketch import SpaceSaving
+from ringledge.decide.connections.admission import Doors, Entry, Why
+from ringledge.decide.connections.settings import DoorRule, DoorsConfig
+from ringledge.structures.space_saving import SpaceSaving
 
 
 def doors(*rules: DoorRule, **told: object) -> Doors:
--- a/tests/decide/test_room.py
+++ b/tests/decide/connections/test_eviction.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringledge.decide.room import Guest, gives_way
+from ringledge.decide.connections.eviction import Guest, gives_way
 
 guests = st.lists(st.builds(Guest, st.floats(0, 1e6), st.booleans(), st.booleans()), min_size=1, max_size=9)
 
--- a/tests/decide/test_watch_clock.py
+++ b/tests/decide/discovery/test_watch_timeout.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from ringledge.decide.watch_clock import MOST_DOUBLED, WatchClock
+from ringledge.decide.discovery.watch_timeout import MOST_DOUBLED, WatchClock
 from ringledge.lifecycle.serve import LIST_S
-from ringledge.wire import discovery
+from ringledge.wire.discovery import watcher as discovery
 
 SILENCE_S = 3.0
 COUNTS_AS_TOLD_S = 6.0  # whatever became of the watches
--- a/tests/decide/test_leases.py
+++ b/tests/decide/leases/test_manager.py
@@ -7,9 +7,11 @@
 import msgspec
 import pytest
 
-from ringledge.decide.fence import Fence
-from ringledge.decide.fleet import MOST_BYTES, Action, Tell
-from ringledge.decide.lease_messages import (
+from ringledge.decide.interface import MOST_BYTES, Action, Tell
+from ringledge.decide.leases.acceptor import MOST_DUTIES, MOST_WAITING, RESERVED_S, LeaseVoter
+from ringledge.decide.leases.fencing import Fence
+from ringledge.decide.leases.manager import Leases, LeaseTerms
+from ringledge.decide.leases.messages import (
     MESSAGES,
     MOST_GENERATION,
     MOST_NAME,
@@ -24,8 +26,6 @@
     Take,
     Taken,
 )
-from ringledge.decide.lease_voter import MOST_DUTIES, MOST_WAITING, RESERVED_S, LeaseVoter
-from ringledge.decide.leases import Leases, LeaseTerms
 
 TERMS = LeaseTerms(("a", "b", "c"))
 DIGEST = TERMS.digest
--- a/tests/decide/test_membership_mutants.py
+++ b/tests/decide/membership/test_mutants.py
@@ -3,11 +3,11 @@
 import pytest
 
 from benchmarks.members_world import World
-from ringledge.decide import membership
-from ringledge.decide.membership_messages import News, Status
-from ringledge.decide.membership_settings import ProbeConfig
-from ringledge.decide.membership_table import Table
-from tests.decide.test_membership import SOON_S, deaths, fleet
+from ringledge.decide.membership import swim as membership
+from ringledge.decide.membership.member_table import Table
+from ringledge.decide.membership.messages import News, Status
+from ringledge.decide.membership.settings import ProbeConfig
+from tests.decide.membership.test_swim import SOON_S, deaths, fleet
 
 
 def test_without_refutation_loss_kills(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/decide/test_membership.py
+++ b/tests/decide/membership/test_swim.py
@@ -3,8 +3,8 @@
 import pytest
 
 from benchmarks.members_world import World
-from ringledge.decide.membership import EVERYONE, Died, Joined, Left, Restarted, Status, Superseded
-from ringledge.decide.membership_messages import Ack, News, Roster
+from ringledge.decide.membership.messages import Ack, News, Roster
+from ringledge.decide.membership.swim import EVERYONE, Died, Joined, Left, Restarted, Status, Superseded
 
 SOON_S = 30.0  # in which anything here has to settle
 
--- a/tests/decide/test_overload.py
+++ b/tests/decide/overload/test_admission.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringledge.decide.overload import Overload
-from ringledge.decide.overload_messages import Limits, Reason, Sample
-from ringledge.decide.tenant_shares import TenantShare, TenantShares
+from ringledge.decide.overload.admission import Overload
+from ringledge.decide.overload.messages import Limits, Reason, Sample
+from ringledge.decide.overload.tenant_quotas import TenantShare, TenantShares
 
 WORTHS, OVER = (2.0, 6.0), 0.05
 TENANTS = (TenantShare(0.5), TenantShare(0.3), TenantShare(0.2, quota_per_s=5.0))
--- a/tests/decide/ratio_help.py
+++ b/tests/decide/ratio/factories.py
@@ -5,10 +5,10 @@
 
 from hypothesis import strategies as st
 
-from ringledge.decide.fleet import Demand
-from ringledge.decide.ratio_estimate import Estimate, Need
-from ringledge.decide.ratio_settings import RatioConfig
-from ringledge.decide.ratio_target import Box, covered
+from ringledge.decide.interface import Demand
+from ringledge.decide.ratio.demand_estimate import Estimate, Need
+from ringledge.decide.ratio.settings import RatioConfig
+from ringledge.decide.ratio.target import Box, covered
 
 SET = RatioConfig()
 MEMBERS = {f"m{n}": "s" for n in range(4)}
--- a/tests/decide/test_ratio_estimate.py
+++ b/tests/decide/ratio/test_demand_estimate.py
@@ -6,11 +6,11 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from ringledge.decide import ratio_estimate
-from ringledge.decide.fleet import Demand, ServerSeen
-from ringledge.decide.ratio_estimate import Estimate, clipped
-from ringledge.decide.ratio_paces import Paces
-from tests.decide.ratio_help import MEMBERS, SET, look
+from ringledge.decide.interface import Demand, ServerSeen
+from ringledge.decide.ratio import demand_estimate as ratio_estimate
+from ringledge.decide.ratio.demand_estimate import Estimate, clipped
+from ringledge.decide.ratio.service_rates import Paces
+from tests.decide.ratio.factories import MEMBERS, SET, look
 
 
 def test_a_shift_is_followed_within_seconds_and_noise_is_not() -> None:
--- a/tests/decide/test_measures.py
+++ b/tests/decide/ratio/test_measurements.py
@@ -8,8 +8,8 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from ringledge.decide.measures import MOST_TOKENS, WINDOW_S, Measures
-from ringledge.decide.ratio_estimate import sane
+from ringledge.decide.ratio.demand_estimate import sane
+from ringledge.decide.ratio.measurements import MOST_TOKENS, WINDOW_S, Measures
 
 
 def steady(per_s: float, seconds: float) -> tuple[Measures, float]:
--- a/tests/decide/test_ratio_plan.py
+++ b/tests/decide/ratio/test_plan.py
@@ -5,11 +5,11 @@
 import pytest
 from hypothesis import given, settings
 
-from ringledge.decide import ratio_plan
-from ringledge.decide.ratio_estimate import Need
-from ringledge.decide.ratio_plan import plan
-from ringledge.decide.ratio_target import Box, covered, served, split
-from tests.decide.ratio_help import NEEDS, SET, box, breach, need, site, sites
+from ringledge.decide.ratio import plan as ratio_plan
+from ringledge.decide.ratio.demand_estimate import Need
+from ringledge.decide.ratio.plan import plan
+from ringledge.decide.ratio.target import Box, covered, served, split
+from tests.decide.ratio.factories import NEEDS, SET, box, breach, need, site, sites
 
 
 def test_the_target_serves_the_most_and_tells_who_reads_well() -> None:
--- a/tests/decide/test_roles.py
+++ b/tests/decide/ratio/test_role_registry.py
@@ -6,11 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringledge.decide import roles
-from ringledge.decide.fleet import PlanRow
-from ringledge.decide.ratio_settings import RatioConfig
-from ringledge.decide.role_rows import decode, encode, newer, rows
-from ringledge.decide.roles import RoleBook, State
+from ringledge.decide.interface import PlanRow
+from ringledge.decide.ratio import role_registry as roles
+from ringledge.decide.ratio.role_records import decode, encode, newer, rows
+from ringledge.decide.ratio.role_registry import RoleBook, State
+from ringledge.decide.ratio.settings import RatioConfig
 
 SET = RatioConfig()
 READ, WRITE = frozenset({"read"}), frozenset({"write"})
--- a/tests/decide/test_ratio_world.py
+++ b/tests/decide/ratio/test_simulation.py
@@ -11,14 +11,14 @@
 
 from benchmarks.ratio_lab import Lab
 from benchmarks.ratio_ways import Planned, spread
-from ringledge.decide import ratio
-from ringledge.decide.fleet import PlanRow
-from ringledge.decide.ratio import Listed
-from ringledge.decide.ratio_settings import RatioConfig
-from ringledge.decide.ratio_target import Box
-from ringledge.decide.role_rows import decode
-from ringledge.decide.roles import RoleBook
-from ringledge.lifecycle.strict import SettingsError, read
+from ringledge.decide.interface import PlanRow
+from ringledge.decide.ratio import planner as ratio
+from ringledge.decide.ratio.planner import Listed
+from ringledge.decide.ratio.role_records import decode
+from ringledge.decide.ratio.role_registry import RoleBook
+from ringledge.decide.ratio.settings import RatioConfig
+from ringledge.decide.ratio.target import Box
+from ringledge.lifecycle.settings_files import SettingsError, read
 from ringledge.members.planner import Planner
 from ringledge.observe.logging import log
 
--- a/tests/decide/test_facts.py
+++ b/tests/decide/records/test_replicated_records.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 
 from benchmarks.members_world import World
-from ringledge.decide.facts import FactsTable
-from ringledge.decide.facts_messages import VALUE_MOST, Record, Records
-from ringledge.decide.facts_rows import Book
-from ringledge.decide.facts_settings import FactsConfig
-from ringledge.decide.fleet import Facts, Member
-from tests.decide.test_membership import SOON_S, fleet
+from ringledge.decide.interface import Facts, Member
+from ringledge.decide.records.messages import VALUE_MOST, Record, Records
+from ringledge.decide.records.replicated_records import FactsTable
+from ringledge.decide.records.settings import FactsConfig
+from ringledge.decide.records.writer_log import Book
+from tests.decide.membership.test_swim import SOON_S, fleet
 
 
 def put(world: World, name: str, key: str, value: bytes) -> None:
--- a/tests/decide/test_replay_lend.py
+++ b/tests/decide/replay/test_capacity_loans.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.decide import replay_lend
-from ringledge.decide.replay_lend import DRIFT, LOAN_S, Lend, Lending, Want
+from ringledge.decide.replay import capacity_loans as replay_lend
+from ringledge.decide.replay.capacity_loans import DRIFT, LOAN_S, Lend, Lending, Want
 
 WEIGHTS = {"a": 1.0, "b": 1.0, "c": 2.0}
 
--- a/tests/decide/test_cut_off.py
+++ b/tests/decide/replay/test_partition_detection.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ringledge.decide.cut_off import (
+from ringledge.decide.replay.partition_detection import (
     BACK_AFTER_S,
     CUT_AFTER_S,
     SHORT_AFTER_S,
--- a/tests/decide/test_replay_pace.py
+++ b/tests/decide/replay/test_rate_control.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.decide.fleet import Demand, ServerSeen
-from ringledge.decide.replay_pace import DEPTH_S, FALL, JITTER_S, RISE_S, Pace, Room, spare
-from ringledge.decide.replay_room import room, rows
-from ringledge.decide.replay_share import Claim, jain, max_min
+from ringledge.decide.interface import Demand, ServerSeen
+from ringledge.decide.replay.capacity_estimate import room, rows
+from ringledge.decide.replay.fair_share import Claim, jain, max_min
+from ringledge.decide.replay.rate_control import DEPTH_S, FALL, JITTER_S, RISE_S, Pace, Room, spare
 
 
 def opened(ceiling: float | None = 10_000.0, seed: int = 1) -> Pace:
--- a/tests/decide/test_replay.py
+++ b/tests/decide/replay/test_scheduler.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.decide.replay import Fair, Head, Replay, Verdict
-from ringledge.decide.replay_pace import Pace
-from ringledge.decide.replay_share import jain
+from ringledge.decide.replay.fair_share import jain
+from ringledge.decide.replay.rate_control import Pace
+from ringledge.decide.replay.scheduler import Fair, Head, Replay, Verdict
 
 
 def fast(most: int = 8) -> Replay:
--- a/tests/decide/test_arrivals.py
+++ b/tests/decide/servers/test_delivery.py
@@ -1,7 +1,7 @@
 """Whom to check by a connection, and what is given up behind one that did not come up."""
 
-from ringledge.decide.arrivals import AGAIN_MS, CHECK_MS, Arrivals
-from ringledge.decide.reachability import Reachability
+from ringledge.decide.servers.delivery import AGAIN_MS, CHECK_MS, Arrivals
+from ringledge.decide.servers.reachability import Reachability
 
 
 def world() -> tuple[Reachability, Arrivals]:
--- a/tests/decide/test_probing.py
+++ b/tests/decide/servers/test_health_checks.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ringledge.decide.probing import ANSWERED, PREFIX, SILENT, Doubt, Probing, Settings
+from ringledge.decide.servers.health_checks import ANSWERED, PREFIX, SILENT, Doubt, Probing, Settings
 
 SETTINGS = Settings()
 SERVERS = [f"server-{each}" for each in range(100)]
--- a/tests/decide/test_reachability.py
+++ b/tests/decide/servers/test_reachability.py
@@ -1,7 +1,12 @@
 """Who can be reached, and how long a connection may take."""
 
-from ringledge.decide.connect_timeout import MIN_SAMPLES, MIN_TIMEOUT_S, ConnectTimeout, hold_remaining_s
-from ringledge.decide.reachability import CACHE_MS, EXPIRY_MS, REFUSED_MS, Reachability
+from ringledge.decide.servers.connect_timeout import (
+    MIN_SAMPLES,
+    MIN_TIMEOUT_S,
+    ConnectTimeout,
+    hold_remaining_s,
+)
+from ringledge.decide.servers.reachability import CACHE_MS, EXPIRY_MS, REFUSED_MS, Reachability
 
 HALLS = [(f"{zone}{n}", place) for place, zone in enumerate("abc") for n in range(4)]
 HALL_B = {"b0", "b1", "b2", "b3"}
--- a/tests/decide/test_releases.py
+++ b/tests/decide/servers/test_releases.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.decide.reachability import Reachability
-from ringledge.decide.releases import AGAIN_MS, WATCH_MS, Ask, Ended, Releases
+from ringledge.decide.servers.reachability import Reachability
+from ringledge.decide.servers.releases import AGAIN_MS, WATCH_MS, Ask, Ended, Releases
 
 LET_GO_MS = 500.0
 WAY_MS, TRY_MS = 5.0, 300.0  # a call's way there and back, and how long it is waited for
--- a/tests/decide/test_backoff.py
+++ b/tests/decide/test_backoff.py
@@ -4,7 +4,7 @@
 from heapq import heapify, heappop
 
 from ringledge.decide.backoff import Backoff
-from ringledge.wire.discovery import FIRST_AT_MOST_S, FIRST_RETRY_S, MOST_RETRY_S
+from ringledge.wire.discovery.watcher import FIRST_AT_MOST_S, FIRST_RETRY_S, MOST_RETRY_S
 
 
 def test_the_bound_doubles_and_starts_anew() -> None:
--- a/tests/fleet/child.py
+++ b/tests/fleet/child.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 from ringledge.cli import main
-from ringledge.decide.lease_seeker import LeaseSeeker, Phase
-from ringledge.lifecycle import parts
+from ringledge.decide.leases.proposer import LeaseSeeker, Phase
+from ringledge.lifecycle import components as parts
 from ringledge.lifecycle.shared import Part, Shared
 
 EACH_S = 0.03  # between effects
--- a/tests/fleet/receiver.py
+++ b/tests/fleet/receiver.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ringledge.decide.fence import Fence
+from ringledge.decide.leases.fencing import Fence
 
 LONG_S = 60.0  # a busy machine's bound; nothing here waits for it to pass
 
--- a/tests/fleet/test_voting.py
+++ b/tests/fleet/test_voting.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-from ringledge.decide.leases import LeaseTerms
+from ringledge.decide.leases.manager import LeaseTerms
 from tests.fleet.fleet import Fleet
 
 
--- a/tests/lifecycle/test_parts.py
+++ b/tests/lifecycle/test_components.py
@@ -8,25 +8,25 @@
 
 import pytest
 
+from ringledge.lifecycle import components as parts
 from ringledge.lifecycle import config as configuration
-from ringledge.lifecycle import parts
 from ringledge.lifecycle.serve import waiting
 from tests.loopback import SETTINGS, Node
 
 LISTEN = 'listen = "127.0.0.1:0"\n'
 FILES = {  # by file: what enables it, and a module that it alone needs
-    "chat": (LISTEN + '[models]\nask = "query"\n', "ringledge.wire.chat"),
-    "xds": (LISTEN, "ringledge.wire.xds"),
-    "prometheus": (LISTEN, "ringledge.wire.remote_write"),
+    "chat": (LISTEN + '[models]\nask = "query"\n', "ringledge.wire.clients.chat"),
+    "xds": (LISTEN, "ringledge.wire.exporters.xds"),
+    "prometheus": (LISTEN, "ringledge.wire.exporters.remote_write"),
     "overload": ("", "ringledge.core.gate"),
-    "doors": ("", "ringledge.decide.doors"),
+    "doors": ("", "ringledge.decide.connections.admission"),
     "members": (
         'cluster = "test"\nsite = "east"\nkey_file = "{folder}/members.key"\n' + LISTEN,
-        "ringledge.decide.membership",
+        "ringledge.decide.membership.swim",
     ),
     "queue": ('path = "{folder}/queue.db"\n', "ringledge.store.queue"),
     "ratio": ("", "ringledge.members.planner"),
-    "duties": ('voters = ["n1", "n2", "n3"]\n', "ringledge.decide.leases"),
+    "duties": ('voters = ["n1", "n2", "n3"]\n', "ringledge.decide.leases.manager"),
 }
 
 
@@ -42,7 +42,7 @@
 def test_what_is_off_is_not_imported(tmp_path: Path) -> None:
     files = {f"{name}.toml": "enabled = false\n" + text for name, (text, _) in FILES.items()}
     found = imported(tmp_path, files)
-    assert "ringledge.wire.platform" in found and "psutil" not in found
+    assert "ringledge.wire.clients.platform" in found and "psutil" not in found
     for name, (_, module) in FILES.items():
         assert module not in found, name
     assert not {
--- a/tests/lifecycle/test_failing_calls.py
+++ b/tests/lifecycle/test_failing_calls.py
@@ -16,14 +16,14 @@
 import h11
 import pytest
 
-from ringledge.lifecycle import channel
+from ringledge.lifecycle import handover_channel as channel
 from ringledge.observe.metrics import Metrics
-from ringledge.wire import sockets
-from ringledge.wire.budget import Budget
-from ringledge.wire.connection import Connection
-from ringledge.wire.front import Front
-from ringledge.wire.messages import respond
-from ringledge.wire.socket_reader import has_ended
+from ringledge.wire.clients.front import Front
+from ringledge.wire.http import sockets
+from ringledge.wire.http.body_memory import Budget
+from ringledge.wire.http.connection import Connection
+from ringledge.wire.http.messages import respond
+from ringledge.wire.http.socket_reader import has_ended
 
 FOR_A_MOMENT = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED]
 
--- a/tests/members/test_codec.py
+++ b/tests/members/test_codec.py
@@ -7,14 +7,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.decide import facts_messages, membership_messages
 from ringledge.decide.datagram import BODY_MOST, FIXED_BYTES, NAME_MOST, START_MOST
-from ringledge.decide.facts_messages import Record, Records, Row, Rows, Sums, Wants
-from ringledge.decide.fleet import MOST_BYTES
-from ringledge.decide.membership_messages import Ack, Ask, Join, Look, News, Ping, Roster, Status, Views
+from ringledge.decide.interface import MOST_BYTES
+from ringledge.decide.membership import messages as membership_messages
+from ringledge.decide.membership.messages import Ack, Ask, Join, Look, News, Ping, Roster, Status, Views
 from ringledge.decide.paging import BUCKETS
+from ringledge.decide.records import messages as facts_messages
+from ringledge.decide.records.messages import Record, Records, Row, Rows, Sums, Wants
 from ringledge.members.codec import FIRST_KIND, SPAN, Codec, Drop, MalformedError
-from ringledge.members.guard import WINDOW, Guard
+from ringledge.members.replay_window import WINDOW, Guard
 
 KEY = bytes(range(32))
 TABLES = {"membership": membership_messages.MESSAGES, "facts": facts_messages.MESSAGES}
--- a/tests/members/test_part.py
+++ b/tests/members/test_component.py
@@ -14,9 +14,9 @@
 from prometheus_client import CollectorRegistry
 
 from ringledge.cli import main
-from ringledge.decide.fleet import Action, Begin, Tell
-from ringledge.decide.membership_settings import ProbeConfig
-from ringledge.members.part import MembersPart
+from ringledge.decide.interface import Action, Begin, Tell
+from ringledge.decide.membership.settings import ProbeConfig
+from ringledge.members.component import MembersPart
 from ringledge.members.settings import MembersConfig
 
 QUICK = ProbeConfig(interval_s=0.1, answer_s=0.04)
--- a/tests/members/test_duties.py
+++ b/tests/members/test_duties.py
@@ -13,7 +13,7 @@
 import anyio
 import pytest
 
-from ringledge.decide.fleet import Begin, End
+from ringledge.decide.interface import Begin, End
 from ringledge.members.duties import FAILED_WAIT_S, MOST_FAILED, Duties
 from ringledge.members.duty import Still
 
--- a/tests/members/test_duty_settings.py
+++ b/tests/members/test_duty_settings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ringledge.lifecycle import strict
+from ringledge.lifecycle import settings_files as strict
 from ringledge.members.duty_settings import DutiesConfig
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "duties.toml"
--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from ringledge.lifecycle import strict
+from ringledge.lifecycle import settings_files as strict
 from ringledge.members.settings import MembersConfig, with_told
 
 GOOD = 'enabled = true\ncluster = "yards"\nkey_file = "members.key"\nlisten = "127.0.0.1:0"\n'
@@ -31,7 +31,11 @@
 
 
 def test_nothing_of_it_is_imported_while_it_is_off() -> None:
-    parts = ("ringledge.members", "ringledge.decide.membership", "ringledge.decide.facts")
+    parts = (
+        "ringledge.members",
+        "ringledge.decide.membership.swim",
+        "ringledge.decide.records.replicated_records",
+    )
     code = f"import sys, ringledge.cli; print([each for each in sys.modules if each.startswith({parts})])"
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert told.stdout.strip() == "[]"
--- a/tests/memory/test_held.py
+++ b/tests/memory/test_buffered_bytes.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ringledge.memory.held import Held
-from ringledge.memory.sessions import End, Session, Sessions
+from ringledge.memory.buffered_bytes import Held
+from ringledge.memory.stream_sessions import End, Session, Sessions
 
 
 class There:
--- a/tests/memory/test_pool.py
+++ b/tests/memory/test_connection_pool.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from ringledge.memory import pool as pooling
-from ringledge.memory.pool import SETTLED_S, Pool
+from ringledge.memory import connection_pool as pooling
+from ringledge.memory.connection_pool import SETTLED_S, Pool
 from ringledge.observe.metrics import Metrics
 
 ADDRESS = "127.0.0.1:1"
--- a/tests/memory/test_byhand_start.py
+++ b/tests/memory/test_operator_overrides.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ringledge.memory.byhand import ByHand
+from ringledge.memory.operator_overrides import ByHand
 
 
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENFILE, errno.EMFILE], ids=errno.errorcode.get)
--- a/tests/crowstand/cold_fleet.py
+++ b/tests/routing/cold_fleet.py
@@ -12,8 +12,24 @@
 from math import sqrt
 from typing import Any
 
-from crowstand import interface as i
-from crowstand.policy import Policy
+from ringledge.routing.interface import (
+    AttemptOutcome,
+    AttemptStatus,
+    CancelAttempt,
+    ClientDisconnected,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    FirstToken,
+    Idempotency,
+    Request,
+    RequestClass,
+    RoutingEvent,
+    SendAttempt,
+    ServerEntry,
+    SetTimer,
+    TimerFired,
+)
+from ringledge.routing.policy import Policy
 from tests.world import READER, SETTINGS, WRITER, entry
 
 START_MS = 1_000_000.0
@@ -86,7 +102,7 @@
         self.sent = list[Sent]()
         self.cold_ms = START_MS + case.calm_ms
         self.cold = "w0" if case.writers else "r0"
-        small = i.RequestClass(1_200, 5_000, i.Effect.SAFE, 2.0, target_token_ms=50)
+        small = RequestClass(1_200, 5_000, Idempotency.SAFE, 2.0, target_token_ms=50)
         classes = (small, replace(small, target_ms=2_500, deadline_ms=8_000, worth=6.0))
         settings = replace(
             SETTINGS, classes=classes, routers=case.routers, cold_share=case.cold_share,
@@ -102,22 +118,24 @@
         self.attempts, self.at = defaultdict[str, int](int), dict[str, str]()
         self.kinds = dict[str, int]()
         for router in range(case.routers):
-            self.give(router, i.Members(i.ListForm.PERSISTED, 1, tuple(fleet)))
+            self.give(router, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
             fresh = entry(self.cold, WRITER if case.writers else READER, started_ms=self.cold_ms)
-            told = i.Members(i.ListForm.CHANGES, 2, (fresh,))
+            told = EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (fresh,))
             self.at_ms(self.cold_ms + self.rng.uniform(0, LEARN_MS), partial(self.give, router, told))
             self._next(router)
         self.prefix = self._prefix_of_cold(fleet)
 
-    def _prefix_of_cold(self, fleet: list[i.ServerEntry]) -> int:
+    def _prefix_of_cold(self, fleet: list[ServerEntry]) -> int:
         """A shared beginning that all routers rank at the cold server first."""
         policy = Policy(self.policies[0].settings, 1)
-        policy.handle(START_MS, i.Members(i.ListForm.PERSISTED, 1, tuple(fleet)))
+        policy.handle(START_MS, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
         for prefix in range(1, 999):
-            request = i.Request(f"p{prefix}", 5_000, 0, 0, prefix, prefix, 200, 1_000, 100)
-            sends = [a for a in policy.handle(START_MS, request) if isinstance(a, i.Send)]
-            policy.handle(START_MS, i.ClientGone(f"p{prefix}"))
-            policy.handle(START_MS, i.Outcome(f"p{prefix}", 0, sends[0].server, i.Status.CANCELLED, 0, True))
+            request = Request(f"p{prefix}", 5_000, 0, 0, prefix, prefix, 200, 1_000, 100)
+            sends = [a for a in policy.handle(START_MS, request) if isinstance(a, SendAttempt)]
+            policy.handle(START_MS, ClientDisconnected(f"p{prefix}"))
+            policy.handle(
+                START_MS, AttemptOutcome(f"p{prefix}", 0, sends[0].server, AttemptStatus.CANCELLED, 0, True)
+            )
             if sends[0].server == "r0":
                 return prefix
         raise AssertionError("no beginning is ranked there")
@@ -164,7 +182,7 @@
         tokens = self.case.work[kind] * rng.uniform(0.7, 1.3) - 300.0
         prefix = self.prefix if rng.random() < 0.5 else None
         self.kinds[name] = kind
-        request = i.Request(
+        request = Request(
             name,
             5_000.0,
             kind,
@@ -177,21 +195,21 @@
         )
         self.give(router, request)
 
-    def give(self, router: int, event: i.Event) -> None:
+    def give(self, router: int, event: RoutingEvent) -> None:
         for action in self.policies[router].handle(self.now_ms, event):
-            if isinstance(action, i.Send):
+            if isinstance(action, SendAttempt):
                 self._send(router, action)
-            elif isinstance(action, i.SetTimer):
-                self.at_ms(action.at_ms, partial(self.give, router, i.Timer(action.token)))
-            elif isinstance(action, i.Cancel):
-                self._tell(router, action.request, action.attempt, i.Status.CANCELLED)
+            elif isinstance(action, SetTimer):
+                self.at_ms(action.at_ms, partial(self.give, router, TimerFired(action.token)))
+            elif isinstance(action, CancelAttempt):
+                self._tell(router, action.request, action.attempt, AttemptStatus.CANCELLED)
 
-    def _tell(self, router: int, name: str, attempt: int, status: i.Status, **more: Any) -> None:
+    def _tell(self, router: int, name: str, attempt: int, status: AttemptStatus, **more: Any) -> None:
         if self.attempts.get(name) == attempt + 1:
-            outcome = i.Outcome(name, attempt, self.at[name], status, **more)
+            outcome = AttemptOutcome(name, attempt, self.at[name], status, **more)
             self.at_ms(self.now_ms, partial(self.give, router, outcome))
 
-    def _send(self, router: int, send: i.Send) -> None:
+    def _send(self, router: int, send: SendAttempt) -> None:
         name, kind, now_ms = send.request, self.kinds[send.request], self.now_ms
         attempt = self.attempts[name]
         self.attempts[name] += 1
@@ -210,16 +228,18 @@
         if reads:
             self.at_ms(
                 done_ms,
-                partial(self._tell, router, name, attempt, i.Status.PREFILLED, latency_ms=done_ms - now_ms),
+                partial(
+                    self._tell, router, name, attempt, AttemptStatus.PREFILLED, latency_ms=done_ms - now_ms
+                ),
             )
         else:
             self.at_ms(done_ms, partial(self._begin, router, name, attempt, done_ms - now_ms))
 
     def _begin(self, router: int, name: str, attempt: int, latency_ms: float) -> None:
         if self.attempts.get(name) == attempt + 1:
-            self.give(router, i.FirstToken(name, attempt, self.at[name], latency_ms))
+            self.give(router, FirstToken(name, attempt, self.at[name], latency_ms))
             self.at_ms(
-                self.now_ms + 1_000, partial(self._tell, router, name, attempt, i.Status.OK, over=True)
+                self.now_ms + 1_000, partial(self._tell, router, name, attempt, AttemptStatus.OK, over=True)
             )
 
 
--- a/tests/crowstand/sized_fleet.py
+++ b/tests/routing/sized_fleet.py
@@ -11,8 +11,22 @@
 from itertools import count
 from typing import Any
 
-from crowstand import interface as i
-from crowstand.policy import Policy
+from ringledge.routing.interface import (
+    AttemptOutcome,
+    AttemptStatus,
+    CancelAttempt,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    FirstToken,
+    Idempotency,
+    Request,
+    RequestClass,
+    RoutingEvent,
+    SendAttempt,
+    SetTimer,
+    TimerFired,
+)
+from ringledge.routing.policy import Policy
 from tests.world import READER, SETTINGS, WRITER, entry
 
 PREFILL_SERVERS, DECODE_SERVERS = 3, 6
@@ -34,14 +48,14 @@
         self.tokens = dict[str, float]()  # of each request's prompt
         self.answered, self.ended = set[str](), set[tuple[str, int]]()
         self.attempts, self.at = defaultdict[str, int](int), dict[str, str]()
-        asked = i.RequestClass(1_200, 5_000, i.Effect.SAFE, 2.0, target_token_ms=50)
+        asked = RequestClass(1_200, 5_000, Idempotency.SAFE, 2.0, target_token_ms=50)
         classes = (replace(asked, target_per_1000_tokens_ms=60),)
         settings = replace(SETTINGS, classes=classes, routers=routers)
         self.policies = [Policy(settings, 100 * seed + number) for number in range(routers)]
         fleet = [entry(f"r{n}", READER) for n in range(PREFILL_SERVERS)]
         fleet += [entry(f"w{n}", WRITER) for n in range(DECODE_SERVERS)]
         for router in range(routers):
-            self.give(router, i.Members(i.ListForm.PERSISTED, 1, tuple(fleet)))
+            self.give(router, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
         mean_tokens = sum(self._draw_tokens() for _ in range(5_000)) / 5_000 + OVERHEAD_TOKENS
         self.per_ms = load * PREFILL_SERVERS * TOKENS_PER_MS / mean_tokens
         self._later(0.0, self._arrive)
@@ -69,19 +83,19 @@
         number = next(self.order)
         name = f"q{number}"
         self.tokens[name] = tokens = self._draw_tokens()
-        request = i.Request(name, 5_000.0, 0, 0, number, None, 0.0, tokens, 200)
+        request = Request(name, 5_000.0, 0, 0, number, None, 0.0, tokens, 200)
         self.give(self.rng.randrange(len(self.policies)), request)
 
-    def give(self, router: int, event: i.Event) -> None:
+    def give(self, router: int, event: RoutingEvent) -> None:
         for action in self.policies[router].handle(self.now_ms, event):
-            if isinstance(action, i.Send):
+            if isinstance(action, SendAttempt):
                 self._send(router, action)
-            elif isinstance(action, i.SetTimer):
-                self._later(action.at_ms - self.now_ms, partial(self.give, router, i.Timer(action.token)))
-            elif isinstance(action, i.Cancel):
-                self._end_later(0.0, router, action.request, action.attempt, i.Status.CANCELLED)
+            elif isinstance(action, SetTimer):
+                self._later(action.at_ms - self.now_ms, partial(self.give, router, TimerFired(action.token)))
+            elif isinstance(action, CancelAttempt):
+                self._end_later(0.0, router, action.request, action.attempt, AttemptStatus.CANCELLED)
 
-    def _send(self, router: int, send: i.Send) -> None:
+    def _send(self, router: int, send: SendAttempt) -> None:
         name, server = send.request, send.server
         attempt = self.attempts[name]
         self.attempts[name] += 1
@@ -92,20 +106,20 @@
         begins_ms = max(self.free_ms[server], self.now_ms)
         self.free_ms[server] = begins_ms + (self.tokens[name] + OVERHEAD_TOKENS) / TOKENS_PER_MS
         takes_ms = self.free_ms[server] - self.now_ms
-        self._end_later(takes_ms, router, name, attempt, i.Status.PREFILLED, latency_ms=takes_ms)
+        self._end_later(takes_ms, router, name, attempt, AttemptStatus.PREFILLED, latency_ms=takes_ms)
 
     def _begin(self, router: int, name: str, attempt: int) -> None:
         if (name, attempt) not in self.ended:
             self.answered.add(name)
-            self.give(router, i.FirstToken(name, attempt, self.at[name], FIRST_TOKEN_MS))
-            self._end_later(STREAM_MS, router, name, attempt, i.Status.OK, over=True)
+            self.give(router, FirstToken(name, attempt, self.at[name], FIRST_TOKEN_MS))
+            self._end_later(STREAM_MS, router, name, attempt, AttemptStatus.OK, over=True)
 
     def _end_later(
-        self, in_ms: float, router: int, name: str, attempt: int, status: i.Status, **more: Any
+        self, in_ms: float, router: int, name: str, attempt: int, status: AttemptStatus, **more: Any
     ) -> None:
         self._later(in_ms, partial(self._end, router, name, attempt, status, **more))
 
-    def _end(self, router: int, name: str, attempt: int, status: i.Status, **more: Any) -> None:
+    def _end(self, router: int, name: str, attempt: int, status: AttemptStatus, **more: Any) -> None:
         if (name, attempt) not in self.ended:
             self.ended.add((name, attempt))
-            self.give(router, i.Outcome(name, attempt, self.at[name], status, **more))
+            self.give(router, AttemptOutcome(name, attempt, self.at[name], status, **more))
--- a/tests/crowstand/test_batching_servers.py
+++ b/tests/routing/test_batching_servers.py
@@ -9,36 +9,47 @@
 
 import pytest
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    AttemptStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    FirstToken,
+    Idempotency,
+    LoadReport,
+    LoadReportSource,
+    Role,
+    ServerEntry,
+    ServerKind,
+)
 from tests.world import FLEET, MIXED, READER, SAFE, WRITER, World, entry, finals, sends
 
 PREFIX = {"prefix": 11, "prefix_tokens": 5_000, "prompt_tokens": 6_000}
 MIXED_FLEET = tuple(entry(f"m{n}", MIXED, n // 2) for n in range(4))
 BOTH = (*FLEET[:4], *MIXED_FLEET)
-WORTHY = replace(SAFE, worth=3.0, effect=i.Effect.UNSAFE)
+WORTHY = replace(SAFE, worth=3.0, effect=Idempotency.UNSAFE)
 NONSENSE = (
     None,
-    i.Load(),
-    i.Load(memory_share=-3.0, pending_kilotokens=-50.0),
-    i.Load(1e9, 1e9, 1e9, 1e9, 1e9, 1e9),
-    i.Load(memory_share=math.nan, pending_kilotokens=math.inf),
+    LoadReport(),
+    LoadReport(memory_share=-3.0, pending_kilotokens=-50.0),
+    LoadReport(1e9, 1e9, 1e9, 1e9, 1e9, 1e9),
+    LoadReport(memory_share=math.nan, pending_kilotokens=math.inf),
 )
 
 
 def warmed(w: World, pace_ms: float = 0.05) -> World:
     """Let a router know the pace, and that all roles have got work done."""
     w.policy.prefill_ms_per_token = pace_ms
-    for role in i.Role:
+    for role in Role:
         w.policy.completions[role].extend([w.now_ms] * 8)
     return w
 
 
-def finish(w: World, name: str, load: i.Load | None = None) -> None:
+def finish(w: World, name: str, load: LoadReport | None = None) -> None:
     """Answer for whatever servers a request is sent to, to its end."""
-    if w.policy.servers[w.at[name]].role == i.Role.PREFILL:
-        w.outcome(name, i.Status.PREFILLED, load=load)
+    if w.policy.servers[w.at[name]].role == Role.PREFILL:
+        w.outcome(name, AttemptStatus.PREFILLED, load=load)
     w.first(name)
-    w.outcome(name, i.Status.OK, over=True, load=load)
+    w.outcome(name, AttemptStatus.OK, over=True, load=load)
 
 
 def test_a_prefix_hot_within_a_second_is_prefilled_at_one_or_two_servers_from_all_routers() -> None:
@@ -61,7 +72,7 @@
     finish(w, "first")
     old = next(each for each in FLEET if each.server == home)
     cold = replace(old, started_ms=w.now_ms)
-    w.give(i.Members(i.ListForm.CHANGES, 2, (cold,)))
+    w.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold,)))
     went = Counter[str]()
     for number in range(60):  # in 600 ms, beside another router
         w.now_ms += 10
@@ -73,14 +84,14 @@
 
 
 def test_a_mixed_server_whose_memory_is_full_gets_no_state_while_its_queue_is_empty() -> None:
-    kinds = tuple(i.ServerKind(role, 100_000.0) for role in (i.Role.PREFILL, i.Role.DECODE, i.Role.MIXED))
+    kinds = tuple(ServerKind(role, 100_000.0) for role in (Role.PREFILL, Role.DECODE, Role.MIXED))
     w = warmed(World((entry("r0", READER), entry("m0", MIXED), entry("m1", MIXED)), kinds=kinds, routers=1))
     w.policy.servers["m0"].pending_tokens = 120_000.0
     for number in range(12):
         w.read(f"q{number}", session=number, prompt_tokens=3_000)
         assert w.at[f"q{number}"] == "m1"
         w.first(f"q{number}")
-        w.outcome(f"q{number}", i.Status.OK, over=True)
+        w.outcome(f"q{number}", AttemptStatus.OK, over=True)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -89,7 +100,7 @@
     w = warmed(World(BOTH, seed, classes=(patient,)))
     w.request("long", session=1, prompt_tokens=60_000, expires_in_ms=15_000)
     behind = w.at["long"]
-    assert w.policy.servers[behind].role == i.Role.PREFILL
+    assert w.policy.servers[behind].role == Role.PREFILL
     for number in range(20):
         w.request(f"q{number}", session=100 + number, prompt_tokens=600)
         assert w.at[f"q{number}"] != behind
@@ -97,10 +108,10 @@
 
 
 @pytest.mark.parametrize("load", NONSENSE)
-def test_a_report_that_is_missing_or_nonsense_changes_no_choice(load: i.Load | None) -> None:
+def test_a_report_that_is_missing_or_nonsense_changes_no_choice(load: LoadReport | None) -> None:
     plays = []
-    for told in (i.Load(memory_share=0.2, pending_kilotokens=3.0), load):
-        w, went = warmed(World(BOTH, reports=i.LoadReports.ANSWERS)), []
+    for told in (LoadReport(memory_share=0.2, pending_kilotokens=3.0), load):
+        w, went = warmed(World(BOTH, reports=LoadReportSource.ANSWERS)), []
         for number in range(40):
             w.now_ms += 30
             w.request(f"q{number}", session=number // 2, **PREFIX)
@@ -125,7 +136,7 @@
 @pytest.mark.parametrize("fleet", [FLEET, MIXED_FLEET, tuple(entry(f"w{n}", WRITER) for n in range(3))])
 @pytest.mark.parametrize("decode_may_prefill", [False, True])
 def test_any_mix_of_kinds_serves_what_it_can(
-    fleet: tuple[i.ServerEntry, ...], decode_may_prefill: bool
+    fleet: tuple[ServerEntry, ...], decode_may_prefill: bool
 ) -> None:
     w = warmed(World(fleet, decode_may_prefill=decode_may_prefill))
     can = fleet[0].kind != WRITER or decode_may_prefill
@@ -139,7 +150,7 @@
 
 
 def test_an_answer_cap_far_above_the_usual_length_sheds_nothing_while_little_is_held() -> None:
-    kinds = tuple(i.ServerKind(role, 450_000.0) for role in (i.Role.PREFILL, i.Role.DECODE, i.Role.MIXED))
+    kinds = tuple(ServerKind(role, 450_000.0) for role in (Role.PREFILL, Role.DECODE, Role.MIXED))
     w = warmed(World(BOTH, kinds=kinds, routers=3))
     for number in range(10):
         w.request(f"q{number}", session=number, prompt_tokens=1_000, max_output_tokens=60_000)
@@ -164,12 +175,12 @@
         known = {"prefix": number % 5 + 1, "prefix_tokens": 500 if length == 600 else 5_000}
         w.request(name, session=number % 30, prompt_tokens=length, expires_in_ms=times * 5000, **known)
         went.append(w.at[name])
-        if w.policy.servers[w.at[name]].role == i.Role.PREFILL:
-            w.outcome(name, i.Status.PREFILLED, latency_ms=times * rng.uniform(20, 120))
+        if w.policy.servers[w.at[name]].role == Role.PREFILL:
+            w.outcome(name, AttemptStatus.PREFILLED, latency_ms=times * rng.uniform(20, 120))
             went.append(w.at[name])
-        w.give(i.FirstToken(name, w.attempts[name], w.at[name], times * rng.uniform(20, 60)))
+        w.give(FirstToken(name, w.attempts[name], w.at[name], times * rng.uniform(20, 60)))
         if rng.random() < 0.7:
-            w.outcome(name, i.Status.OK, over=True)
+            w.outcome(name, AttemptStatus.OK, over=True)
     return went
 
 
--- a/tests/crowstand/test_cold_servers.py
+++ b/tests/routing/test_cold_servers.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.crowstand.cold_fleet import Case, ColdFleet, nearest_to_fall, used
+from tests.routing.cold_fleet import Case, ColdFleet, nearest_to_fall, used
 
 BURST: dict[str, Any] = {"load": 1.0, "burst": 3.0}
 LARGER: dict[str, Any] = {
--- a/tests/crowstand/test_concurrency_limit.py
+++ b/tests/routing/test_concurrency_limit.py
@@ -6,8 +6,10 @@
 
 import pytest
 
-from crowstand import interface as i
-from crowstand.concurrency_limit import LIFT_AFTER_MS, RECENT_MS, WAIT_SHARE, ConcurrencyLimit
+from ringledge.routing.concurrency_limit import LIFT_AFTER_MS, RECENT_MS, WAIT_SHARE, ConcurrencyLimit
+from ringledge.routing.interface import (
+    AttemptStatus,
+)
 from tests.world import READER, WRITER, World, entry, finals, sends
 
 START_MS = 10_000.0
@@ -79,7 +81,7 @@
         world.request(f"b{n}", session=100 + n)
     world.wait(slow_ms)
     for n in range(8):
-        world.outcome(f"b{n}", i.Status.PREFILLED, latency_ms=slow_ms)
+        world.outcome(f"b{n}", AttemptStatus.PREFILLED, latency_ms=slow_ms)
     if quick:
         world.serve("good", session=99)
     noes = sent = 0
--- /dev/null
+++ b/tests/routing/test_drains.py
@@ -0,0 +1,57 @@
+"""Rule 3: nothing new to a server that drains or is gone."""
+
+from dataclasses import replace
+
+import pytest
+
+from ringledge.routing.interface import (
+    Availability,
+    CancelAttempt,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    MembershipMode,
+    WatchEndpoints,
+)
+from tests.world import FLEET, World
+
+
+@pytest.mark.parametrize("state", [Availability.DRAINING, Availability.GONE])
+def test_nothing_new_to_a_server_that_drains_or_is_gone(state: Availability) -> None:
+    world = World()
+    home = world.serve("a", session=1)
+    told = replace(next(each for each in FLEET if each.server == home), availability=state)
+    world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (told,)))
+    assert world.serve("b", session=1) != home
+
+
+def test_a_full_list_without_a_server_means_it_is_gone_and_a_failed_one_changes_nothing() -> None:
+    world = World()
+    home = world.serve("a", session=1)
+    world.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert world.serve("b", session=1) == home
+    world.give(
+        EndpointUpdate(EndpointUpdateKind.FULL, 2, tuple(each for each in FLEET if each.server != home))
+    )
+    assert world.serve("c", session=1) != home
+
+
+def test_what_waits_for_a_server_that_is_gone_is_taken_back() -> None:
+    world = World()
+    world.request("a", session=1)
+    gone = replace(next(e for e in FLEET if e.server == world.at["a"]), availability=Availability.GONE)
+    assert world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (gone,))) == [CancelAttempt("a", 0)]
+
+
+def test_asked_list_is_subscribed_at_start_and_again_after_a_failure() -> None:
+    world = World(membership=MembershipMode.ASK)
+    assert WatchEndpoints() in world.last
+    world.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert WatchEndpoints() in world.wait(2500)
+
+
+def test_what_waits_at_a_server_that_is_gone_is_cancelled_once() -> None:
+    world = World()
+    world.request("a", session=1)
+    rest = tuple(each for each in FLEET if each.server != world.at["a"])
+    assert world.give(EndpointUpdate(EndpointUpdateKind.FULL, 2, rest)) == [CancelAttempt("a", 0)]
+    assert world.give(EndpointUpdate(EndpointUpdateKind.FULL, 3, rest)) == []
--- a/tests/crowstand/test_failing_servers.py
+++ b/tests/routing/test_failing_servers.py
@@ -5,7 +5,13 @@
 
 import pytest
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Idempotency,
+    SendAttempt,
+    Tenant,
+    UnreachableServers,
+)
 from tests.world import FLEET, SAFE, World, cancelled, finals, sends, used
 
 
@@ -15,9 +21,9 @@
     world.wait(5000)
     world.request("b", session=1)
     assert world.at["b"] == home and cancelled(world.wait(1500))
-    other = sends(world.outcome("b", i.Status.CANCELLED))[0]
+    other = sends(world.outcome("b", AttemptStatus.CANCELLED))[0]
     assert other != home
-    world.outcome("b", i.Status.PREFILLED)
+    world.outcome("b", AttemptStatus.PREFILLED)
     assert world.serve("c", session=1) == other
 
 
@@ -28,7 +34,7 @@
     for name in ("b", "c"):
         world.request(name, session=1000, prefix=5)
         if world.at[name] == home:
-            world.outcome(name, i.Status.CONNECT_FAILED)
+            world.outcome(name, AttemptStatus.CONNECT_FAILED)
         world.end(name)
     after = used(world, "d", 40, prefix=5)
     assert after.count(home) < before.count(home) / 2
@@ -42,11 +48,11 @@
     for number in range(4):
         world.request(f"b{number}", session=1000, prefix=5, class_index=0)
         if world.at[f"b{number}"] == home:
-            world.outcome(f"b{number}", i.Status.FULL)
+            world.outcome(f"b{number}", AttemptStatus.FULL)
         world.end(f"b{number}")
         world.request(f"c{number}", session=1000, prefix=5, class_index=1)
         assert world.at[f"c{number}"] == home
-        world.outcome(f"c{number}", i.Status.PREFILLED)
+        world.outcome(f"c{number}", AttemptStatus.PREFILLED)
         world.end(f"c{number}")
     refused = used(world, "d", 30, prefix=5, class_index=0).count(home)
     others = used(world, "e", 30, prefix=5, class_index=1).count(home)
@@ -60,23 +66,23 @@
         world.request(name, session=1000, prefix=5)
         if world.at[name] == home:
             assert cancelled(world.wait(1500))
-            world.outcome(name, i.Status.CANCELLED, latency_ms=0)
+            world.outcome(name, AttemptStatus.CANCELLED, latency_ms=0)
         world.end(name)
     refused = used(world, "d", 30, prefix=5, class_index=0).count(home)
     assert refused < used(world, "e", 30, prefix=5, class_index=1).count(home) / 2
 
 
 def test_one_tenant_refused_moves_that_tenant_only() -> None:
-    world = World(tenants=(i.Tenant(), i.Tenant()))
+    world = World(tenants=(Tenant(), Tenant()))
     home = used(world, "a", 1, prefix=5)[0]
     for number in range(4):  # the other tenant's answers tell that it isn't the server
         world.request(f"b{number}", session=1000, prefix=5, tenant=1)
         if world.at[f"b{number}"] == home:
-            world.outcome(f"b{number}", i.Status.PREFILLED, latency_ms=0)
+            world.outcome(f"b{number}", AttemptStatus.PREFILLED, latency_ms=0)
         world.end(f"b{number}")
         world.request(f"c{number}", session=1000, prefix=5, tenant=0)
         if world.at[f"c{number}"] == home:
-            world.outcome(f"c{number}", i.Status.FULL, latency_ms=0)
+            world.outcome(f"c{number}", AttemptStatus.FULL, latency_ms=0)
         world.end(f"c{number}")
     others = used(world, "e", 60, prefix=5, tenant=1).count(home)
     assert used(world, "d", 60, prefix=5, tenant=0).count(home) < 0.7 * others
@@ -87,19 +93,19 @@
     for number in range(12):
         world.request(f"a{number}", session=number)
         while not finals(world.last):
-            world.outcome(f"a{number}", i.Status.CONNECT_FAILED)
+            world.outcome(f"a{number}", AttemptStatus.CONNECT_FAILED)
     assert len(sends(world.request("z", session=99))) == 1
 
 
 def test_without_cancel_silence_is_bounded_by_the_attempts_time_out() -> None:
     world = World(may_cancel=False)
     send = world.request("a", session=1)[0]
-    assert isinstance(send, i.Send) and send.timeout_ms is not None and send.timeout_ms < 1000
+    assert isinstance(send, SendAttempt) and send.timeout_ms is not None and send.timeout_ms < 1000
     assert not cancelled(world.wait(4000))
 
 
 def test_a_booking_at_a_silent_writer_is_left_to_answer_and_a_query_is_moved() -> None:
-    unsafe = replace(SAFE, effect=i.Effect.UNSAFE)
+    unsafe = replace(SAFE, effect=Idempotency.UNSAFE)
     world = World(classes=(SAFE, unsafe))
     world.read("a", class_index=1)
     assert not cancelled(world.wait(4000))  # cancelled, it could only be failed
@@ -108,8 +114,8 @@
     assert cancelled(world.wait(4000))
 
 
-@pytest.mark.parametrize("status", [i.Status.RESET, i.Status.CONNECT_FAILED])
-def test_a_kept_connection_that_breaks_says_nothing_of_its_reader(status: i.Status) -> None:
+@pytest.mark.parametrize("status", [AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED])
+def test_a_kept_connection_that_breaks_says_nothing_of_its_reader(status: AttemptStatus) -> None:
     world = World()
     home = world.serve("a", session=1)
     for number in range(20):
@@ -121,10 +127,10 @@
 
 
 @pytest.mark.parametrize(("effect", "errors", "left"), [
-    (i.Effect.UNSAFE, 1, True), (i.Effect.UNSAFE, 0, False), (i.Effect.SAFE, 2, False),
+    (Idempotency.UNSAFE, 1, True), (Idempotency.UNSAFE, 0, False), (Idempotency.SAFE, 2, False),
 ])  # fmt: skip
 def test_a_booking_stays_away_from_a_writer_that_answered_anyones_with_an_error(
-    effect: i.Effect, errors: int, left: bool
+    effect: Idempotency, errors: int, left: bool
 ) -> None:
     fleet = tuple(each for each in FLEET if each.server in ("r0", "w0", "w1"))
     world = World(fleet, classes=(SAFE, replace(SAFE, effect=effect)))
@@ -133,7 +139,7 @@
         number += 1
         world.read(f"a{number}", session=number)
         if world.at[f"a{number}"] == "w0":
-            world.outcome(f"a{number}", i.Status.ERROR)
+            world.outcome(f"a{number}", AttemptStatus.ERROR)
             errors -= 1
         world.end(f"a{number}")
     chosen = []
@@ -155,19 +161,19 @@
             world.read(f"a{second}", session=second)
             while world.at[f"a{second}"] == "w0":
                 failed[second // 20] += 1
-                world.outcome(f"a{second}", i.Status.ERROR)
+                world.outcome(f"a{second}", AttemptStatus.ERROR)
             world.first(f"a{second}")
-            world.outcome(f"a{second}", i.Status.OK, over=True)
+            world.outcome(f"a{second}", AttemptStatus.OK, over=True)
     assert failed[1] <= 85  # of 800 requests; 119 where all forgot in ten seconds
 
 
 def test_servers_that_no_connection_reaches_get_nothing_unless_there_are_no_others() -> None:
     world = World()
-    world.give(i.Unreachable(frozenset({"r0", "r1", "w0", "w1"})))
+    world.give(UnreachableServers(frozenset({"r0", "r1", "w0", "w1"})))
     for number in range(20):
         assert world.read(f"a{number}", session=number) in ("r2", "r3")
         assert world.at[f"a{number}"] in ("w2", "w3")
-    world.give(i.Unreachable(frozenset({"r0", "r1", "r2", "r3"})))
+    world.give(UnreachableServers(frozenset({"r0", "r1", "r2", "r3"})))
     assert world.read("b", session=99) in ("r0", "r1", "r2", "r3")
-    world.give(i.Unreachable(frozenset()))
+    world.give(UnreachableServers(frozenset()))
     assert {world.read(f"c{number}", session=100 + number) for number in range(20)} > {"r2"}
--- a/tests/crowstand/test_hard_cases.py
+++ b/tests/routing/test_hard_cases.py
@@ -8,24 +8,37 @@
 
 import pytest
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    AttemptStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Idempotency,
+    RequestClass,
+    Role,
+    RoutingAction,
+    SendAttempt,
+    ServerEntry,
+    ServerKind,
+)
 from tests.world import FLEET, SAFE, World, entry, sends
 
-KINDS = (i.ServerKind(i.Role.PREFILL, 200_000.0), i.ServerKind(i.Role.DECODE, 200_000.0))
-ONCE = i.RequestClass(2500, 10_000, i.Effect.UNSAFE, worth=3, target_token_ms=80)
+KINDS = (ServerKind(Role.PREFILL, 200_000.0), ServerKind(Role.DECODE, 200_000.0))
+ONCE = RequestClass(2500, 10_000, Idempotency.UNSAFE, worth=3, target_token_ms=80)
 
 
-def world(seed: int = 1, fleet: tuple[i.ServerEntry, ...] = FLEET) -> World:
+def world(seed: int = 1, fleet: tuple[ServerEntry, ...] = FLEET) -> World:
     return World(fleet, seed, kinds=KINDS, classes=(SAFE, ONCE), second_copies=True, may_probe=True)
 
 
 def outcome(w: World, name: str, rng: random.Random) -> bool:
     """End the attempt that is out in any of the ways that its server may; say whether it may have run."""
     reads = w.at[name].startswith("r")
-    ways = [i.Status.PREFILLED] * 4 if reads else [i.Status.OK] * 2
-    status = rng.choice([*ways, i.Status.ERROR, i.Status.FULL, i.Status.TIMEOUT, i.Status.RESET])
-    w.outcome(name, status, over=status == i.Status.OK, latency_ms=rng.uniform(10, 900))
-    return not reads and status != i.Status.FULL
+    ways = [AttemptStatus.PREFILLED] * 4 if reads else [AttemptStatus.OK] * 2
+    status = rng.choice(
+        [*ways, AttemptStatus.ERROR, AttemptStatus.FULL, AttemptStatus.TIMEOUT, AttemptStatus.RESET]
+    )
+    w.outcome(name, status, over=status == AttemptStatus.OK, latency_ms=rng.uniform(10, 900))
+    return not reads and status != AttemptStatus.FULL
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -35,9 +48,9 @@
     out, ran = set[str](), set[str]()
     kinds = dict[str, int]()
 
-    def follow(actions: list[i.Action]) -> None:
+    def follow(actions: list[RoutingAction]) -> None:
         for action in actions:
-            if isinstance(action, i.Send):
+            if isinstance(action, SendAttempt):
                 assert action.request not in out
                 assert action.request not in ran or kinds[action.request] == 0
                 out.add(action.request)
@@ -64,9 +77,9 @@
         server = w.at[f"q{number}"]
         went[server] += number >= 120
         w.now_ms += 100
-        w.outcome(f"q{number}", i.Status.PREFILLED, latency_ms=500 if server == slow else 100)
+        w.outcome(f"q{number}", AttemptStatus.PREFILLED, latency_ms=500 if server == slow else 100)
         w.first(f"q{number}")
-        w.outcome(f"q{number}", i.Status.OK, over=True)
+        w.outcome(f"q{number}", AttemptStatus.OK, over=True)
     assert went[slow] < 0.6 * went.total() / 4
 
 
@@ -80,12 +93,12 @@
         for _ in range(4):
             server = w.at[name]
             if server in gone:
-                w.outcome(name, i.Status.CONNECT_FAILED, latency_ms=4)
+                w.outcome(name, AttemptStatus.CONNECT_FAILED, latency_ms=4)
             elif server.startswith("r"):
-                w.outcome(name, i.Status.PREFILLED)
+                w.outcome(name, AttemptStatus.PREFILLED)
             else:
                 w.first(name)
-                w.outcome(name, i.Status.OK, over=True)
+                w.outcome(name, AttemptStatus.OK, over=True)
                 finals["served"] += 1
                 break
             finals["lost"] += not sends(w.last)
@@ -99,7 +112,7 @@
         w.request(f"q{number}", session=number)
         while w.at[f"q{number}"] == "r0":
             tried[number // 20] += 1
-            w.outcome(f"q{number}", i.Status.CONNECT_FAILED, latency_ms=4)
+            w.outcome(f"q{number}", AttemptStatus.CONNECT_FAILED, latency_ms=4)
     assert sum(tried[k] for k in (1, 2, 3)) <= 6
 
 
@@ -112,6 +125,6 @@
     assert sends(again.last)
     cold = replace(entry("w0", 1, 0), started_ms=again.now_ms - 500)
     left = tuple(each for each in FLEET if each.server not in ("r0", "w0"))
-    again.give(i.Members(i.ListForm.FULL, 2, (*left, cold)))
+    again.give(EndpointUpdate(EndpointUpdateKind.FULL, 2, (*left, cold)))
     assert {again.read(f"c{number}", session=number) for number in range(20)} <= {"r1", "r2", "r3"}
     assert [again.at[f"c{number}"] for number in range(20)].count("w0") < 5
--- a/tests/crowstand/test_mixed_prefill.py
+++ b/tests/routing/test_mixed_prefill.py
@@ -4,8 +4,14 @@
 
 import pytest
 
-from crowstand import interface as i
-from crowstand.prefill import random_weight
+from ringledge.routing.interface import (
+    AttemptStatus,
+    FirstToken,
+    Role,
+    TimerFired,
+    TimerName,
+)
+from ringledge.routing.prefill import random_weight
 from tests.world import MIXED, READER, World, cancelled, entry, sends
 
 FLEET = (entry("m0", MIXED), entry("r0", READER), entry("r1", READER, 1))
@@ -25,7 +31,7 @@
     """A router that knows the pace, and that the mixed server, which alone decodes, caches the prefix."""
     w = World(FLEET, seed)
     w.policy.prefill_ms_per_token = 0.05
-    for role in i.Role:
+    for role in Role:
         w.policy.completions[role].extend([w.now_ms] * 8)
     w.policy.servers["m0"].cached_prefixes[HOMED] = w.now_ms
     return w
@@ -37,7 +43,7 @@
         name = f"s{number}"
         w.request(name, session=5_000 + number, prompt_tokens=3_000, max_output_tokens=200)
         assert w.at[name] != "m0"  # long and not cached
-        w.outcome(name, i.Status.PREFILLED)
+        w.outcome(name, AttemptStatus.PREFILLED)
         w.first(name)
         assert w.at[name] == "m0"
 
@@ -59,7 +65,7 @@
     w.first("q")
     assert m0.prefill_tokens == 0
     assert m0.pending_tokens == 5_200  # prompt and half of the most that it may answer: memory held
-    w.outcome("q", i.Status.OK, over=True)
+    w.outcome("q", AttemptStatus.OK, over=True)
     assert (m0.prefill_tokens, m0.pending_tokens) == (0, 0)
 
 
@@ -72,9 +78,9 @@
         w.request(f"q{number}", session=number, **(PREFIX | {"prompt_tokens": 9_000}))
     assert {w.at[f"q{number}"] for number in range(3)} == {"m0"}
     w.now_ms += 700
-    assert not cancelled(w.give(i.Timer(f"{i.TimerName.WATCH}:q2")))
+    assert not cancelled(w.give(TimerFired(f"{TimerName.WATCH}:q2")))
     w.now_ms += 4_000
-    assert cancelled(w.give(i.Timer(f"{i.TimerName.WATCH}:q2")))
+    assert cancelled(w.give(TimerFired(f"{TimerName.WATCH}:q2")))
 
 
 def test_first_tokens_after_a_fetch_do_not_tell_how_long_prefills_wait() -> None:
@@ -82,7 +88,7 @@
     m0 = w.policy.servers["m0"]
     w.request("q", session=1, **PREFIX)
     w.now_ms += 700
-    w.give(i.FirstToken("q", 0, "m0", 700))
+    w.give(FirstToken("q", 0, "m0", 700))
     slow_ms = m0.prefill_delay.value(w.now_ms)
     assert slow_ms > 300
     stream(w, 10)
@@ -95,6 +101,6 @@
     for name in ("r0", "r1"):
         w.policy.servers[name].cached_prefixes[HOMED] = w.now_ms
     w.request("q", session=1, **PREFIX)
-    assert sends(w.outcome("q", i.Status.CONNECT_FAILED, latency_ms=2))
+    assert sends(w.outcome("q", AttemptStatus.CONNECT_FAILED, latency_ms=2))
     counted = {name: server.prefill_tokens for name, server in w.policy.servers.items()}
     assert counted == {name: 1_000 if name == w.at["q"] else 0 for name in counted}
--- a/tests/crowstand/test_operator_override.py
+++ b/tests/routing/test_operator_override.py
@@ -4,23 +4,29 @@
 
 import pytest
 
-from crowstand import interface as i
-from crowstand.view import server_views
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Availability,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    OperatorOverride,
+)
+from ringledge.routing.server_views import server_views
 from tests.world import FLEET, World
 
 
-@pytest.mark.parametrize("form", [i.ListForm.CHANGES, i.ListForm.FULL])
-def test_no_list_lifts_what_was_left_out_by_hand(form: i.ListForm) -> None:
+@pytest.mark.parametrize("form", [EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL])
+def test_no_list_lifts_what_was_left_out_by_hand(form: EndpointUpdateKind) -> None:
     world = World()
-    world.give(i.OperatorOverride("w0", True))
-    world.give(i.Members(form, 2, FLEET))
+    world.give(OperatorOverride("w0", True))
+    world.give(EndpointUpdate(form, 2, FLEET))
     restarted = tuple(replace(each, started_ms=world.now_ms) for each in FLEET if each.server == "w0")
-    world.give(i.Members(i.ListForm.CHANGES, 3, restarted))
+    world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 3, restarted))
     for number in range(40):
         world.read(f"a{number}", session=number)
         assert world.at[f"a{number}"] != "w0"
     seen = {each.server: each for each in server_views(world.policy, world.now_ms)}
-    assert seen["w0"].avoided and seen["w0"].availability == i.Availability.DRAINING
+    assert seen["w0"].avoided and seen["w0"].availability == Availability.DRAINING
 
 
 @pytest.mark.parametrize("server", ["r0", "w0"])
@@ -29,10 +35,10 @@
     for number in range(8):  # its restart shows as resets
         world.read(f"a{number}", session=number)
         if world.at[f"a{number}"] == "w0":
-            world.outcome(f"a{number}", i.Status.RESET)
-    world.give(i.OperatorOverride(server, True))
+            world.outcome(f"a{number}", AttemptStatus.RESET)
+    world.give(OperatorOverride(server, True))
     world.wait(500)
-    world.give(i.OperatorOverride(server, False))
+    world.give(OperatorOverride(server, False))
     seen = {each.server: each for each in server_views(world.policy, world.now_ms)}[server]
     assert (seen.failure_probability, seen.avoided) == (0.0, False) and seen.warmth == pytest.approx(0.3)
     used = []
--- a/tests/crowstand/test_prompt_sizes.py
+++ b/tests/routing/test_prompt_sizes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.crowstand.sized_fleet import SizedFleet
+from tests.routing.sized_fleet import SizedFleet
 
 QUIET, BUSY = 2 / 3, 1 / 2  # of its class's answered share that the tenth with the longest prompts gets
 LENGTH_MS = 30_000.0
--- a/tests/crowstand/test_shared_queue.py
+++ b/tests/routing/test_shared_queue.py
@@ -4,13 +4,16 @@
 
 import pytest
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    Idempotency,
+    RequestClass,
+)
 from tests.world import SAFE, World, finals
 
-PATIENT = i.RequestClass(2500, 10_000, i.Effect.UNSAFE, target_token_ms=80)
+PATIENT = RequestClass(2500, 10_000, Idempotency.UNSAFE, target_token_ms=80)
 
 
-def refused(classes: tuple[i.RequestClass, ...], index: int, wait_ms: float, seed: int) -> bool:
+def refused(classes: tuple[RequestClass, ...], index: int, wait_ms: float, seed: int) -> bool:
     w = World(seed=seed, classes=classes)
     for number in range(20):
         w.serve(f"a{number}", session=number)
--- a/tests/crowstand/test_shedding.py
+++ b/tests/routing/test_shedding.py
@@ -2,7 +2,12 @@
 
 from dataclasses import replace
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    AttemptStatus,
+    FirstToken,
+    RejectRequest,
+    Tenant,
+)
 from tests.world import READER, SAFE, WRITER, World, entry, finals, sends
 
 
@@ -11,26 +16,26 @@
     for number in range(40):
         world.request(f"jam{number}", session=1000 + number)
         if f"jam{number}" in world.at:
-            world.outcome(f"jam{number}", i.Status.PREFILLED, latency_ms=50 if number < 8 else 3000)
+            world.outcome(f"jam{number}", AttemptStatus.PREFILLED, latency_ms=50 if number < 8 else 3000)
             world.end(f"jam{number}")
 
 
 def test_overload_is_shed_before_the_read_with_a_time_to_come_back_and_ends_by_itself() -> None:
     world = World()
     jam(world)
-    assert world.request("a", session=1) == [i.Refuse("a", 250)]
+    assert world.request("a", session=1) == [RejectRequest("a", 250)]
     world.now_ms += 20_000  # the delay that was seen fades, also when all are refused
     assert len(sends(world.request("b", session=1))) == 1
 
 
 def test_worth_and_share_decide_who_is_shed_first() -> None:
     classes = (replace(SAFE, worth=2.0), replace(SAFE, worth=0.2))
-    tenants = (i.Tenant(0.5, quota_per_s=4.0), i.Tenant(0.5, quota_per_s=400.0))
+    tenants = (Tenant(0.5, quota_per_s=4.0), Tenant(0.5, quota_per_s=400.0))
     world = World((entry("r", READER), entry("w", WRITER)), classes=classes, tenants=tenants)
     world.serve("warm-up", session=1, tenant=1)
     for number in range(3):  # a wait of about 700 ms where 1000 are wanted
         world.request(f"slow{number}", session=1, tenant=1)
-        world.outcome(f"slow{number}", i.Status.PREFILLED, latency_ms=760)
+        world.outcome(f"slow{number}", AttemptStatus.PREFILLED, latency_ms=760)
         world.end(f"slow{number}")
     assert sends(world.request("dear", session=2, tenant=1))
     assert finals(world.request("cheap", session=3, tenant=1, class_index=1))
@@ -42,7 +47,7 @@
     world = World()
     for number in range(4):  # answers that start late tell that the links are slow
         world.read(f"a{number}", session=number, prefix=5)
-        world.give(i.FirstToken(f"a{number}", world.attempts[f"a{number}"], world.at[f"a{number}"], 1200))
+        world.give(FirstToken(f"a{number}", world.attempts[f"a{number}"], world.at[f"a{number}"], 1200))
     sent = [bool(sends(world.request(f"b{n}", session=100 + n, prefix=5))) for n in range(60)]
     assert 0 < sum(sent) < 60
 
@@ -51,15 +56,15 @@
     world = World()
     for number, latency_ms in enumerate((2000, 60, 60)):  # the first one met a queue
         world.request(f"a{number}", session=number, prefix=5)
-        world.outcome(f"a{number}", i.Status.PREFILLED, latency_ms=latency_ms)
+        world.outcome(f"a{number}", AttemptStatus.PREFILLED, latency_ms=latency_ms)
         world.first(f"a{number}")
-        world.outcome(f"a{number}", i.Status.OK, over=True)
+        world.outcome(f"a{number}", AttemptStatus.OK, over=True)
     assert world.policy.prefill_ms_per_token < 0.1
 
 
 def test_a_tenant_keeps_its_part_of_what_comes_while_peers_are_down() -> None:
     """All tenants then ask more of this router than its part of their quotas; one that alone does is over."""
-    tenants = (i.Tenant(0.5, quota_per_s=8.0), i.Tenant(0.5, quota_per_s=8.0))
+    tenants = (Tenant(0.5, quota_per_s=8.0), Tenant(0.5, quota_per_s=8.0))
     over = {}
     for both in (True, False):
         world = World(tenants=tenants)
@@ -80,6 +85,6 @@
     before = world.policy.prefill_ms_per_token
     for number in range(10):
         world.request(f"b{number}", session=100 + number)
-        world.outcome(f"b{number}", i.Status.PREFILLED, latency_ms=1000, note=1000)  # all was cached
+        world.outcome(f"b{number}", AttemptStatus.PREFILLED, latency_ms=1000, note=1000)  # all was cached
         world.end(f"b{number}")
     assert world.policy.prefill_ms_per_token < 1.5 * before
--- a/tests/crowstand/test_slow_servers.py
+++ b/tests/routing/test_slow_servers.py
@@ -2,7 +2,12 @@
 
 from dataclasses import replace
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    AttemptStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    FirstToken,
+)
 from tests.world import FLEET, READER, WRITER, World, cancelled, entry, sends, used
 
 
@@ -11,11 +16,11 @@
     before = used(world, "a", 60, prefix=5)
     home = before[0]
     world.request("b", session=1000, prefix=5)
-    world.outcome("b", i.Status.PREFILLED, latency_ms=50)
+    world.outcome("b", AttemptStatus.PREFILLED, latency_ms=50)
     for name in ("c", "d"):
         world.request(name, session=1000, prefix=5)
         if world.at[name] == home:
-            world.outcome(name, i.Status.PREFILLED, latency_ms=600)
+            world.outcome(name, AttemptStatus.PREFILLED, latency_ms=600)
     after = used(world, "e", 60, prefix=5)
     assert after.count(home) < before.count(home) / 2
 
@@ -27,8 +32,8 @@
         world.read(f"a{number}", session=number)
         slow = world.at[f"a{number}"] == "w0"
         world.now_ms += 100
-        world.give(i.FirstToken(f"a{number}", 1, world.at[f"a{number}"], 450 if slow else 30))
-        world.outcome(f"a{number}", i.Status.OK, over=True)
+        world.give(FirstToken(f"a{number}", 1, world.at[f"a{number}"], 450 if slow else 30))
+        world.outcome(f"a{number}", AttemptStatus.OK, over=True)
     for number in range(40):
         world.read(f"b{number}", session=number)
         world.end(f"b{number}")
@@ -55,9 +60,9 @@
     for number in range(60):  # every read takes 600 ms, more than the least patience
         world.request(f"a{number}", session=number % 8)
         world.now_ms += 600
-        world.outcome(f"a{number}", i.Status.PREFILLED, latency_ms=600)
+        world.outcome(f"a{number}", AttemptStatus.PREFILLED, latency_ms=600)
         world.first(f"a{number}")
-        world.outcome(f"a{number}", i.Status.OK, over=True)
+        world.outcome(f"a{number}", AttemptStatus.OK, over=True)
     world.request("z", session=3)
     assert not cancelled(world.wait(900))
 
@@ -66,7 +71,7 @@
     world = World()
     home = used(world, "a", 1, prefix=5)[0]
     again = replace(next(e for e in FLEET if e.server == home), started_ms=world.now_ms)
-    world.give(i.Members(i.ListForm.CHANGES, 2, (again,)))
+    world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (again,)))
     assert used(world, "b", 12, prefix=5).count(home) <= 1
     reads = 0
     for second in range(8):
@@ -95,7 +100,7 @@
     assert world.serve("b", session=7, prefix=other) == home
     world.now_ms += 10
     again = replace(next(e for e in FLEET if e.server == home), started_ms=world.now_ms)
-    world.give(i.Members(i.ListForm.CHANGES, 2, (again,)))
+    world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (again,)))
     world.wait(15_000)  # warm again, within the time-to-live of the binding
     assert world.serve("c", session=7, prefix=other) != home
 
@@ -105,11 +110,11 @@
     reader = world.read("a", session=1)
     near = {"r0": {"w0", "w1"}, "r1": {"w0", "w1"}}.get(reader, {"w2", "w3"})
     while world.at["a"] in near:
-        world.outcome("a", i.Status.FULL)
-    world.give(i.FirstToken("a", world.attempts["a"], world.at["a"], 3000))
+        world.outcome("a", AttemptStatus.FULL)
+    world.give(FirstToken("a", world.attempts["a"], world.at["a"], 3000))
     assert world.read("b", session=1) == reader and world.at["b"] in near
     world.first("b")
-    world.outcome("b", i.Status.OK, over=True)
+    world.outcome("b", AttemptStatus.OK, over=True)
     assert sends(world.request("c", session=2))
 
 
@@ -119,7 +124,7 @@
     sizes = []
     for day in range(8):
         fleet = tuple(replace(e, server=f"{e.server}-{day}", cell=2 * day + e.cell) for e in FLEET)
-        world.give(i.Members(i.ListForm.FULL, day + 1, fleet))
+        world.give(EndpointUpdate(EndpointUpdateKind.FULL, day + 1, fleet))
         for number in range(12):
             world.serve(f"a{day}-{number}", session=100 * day + number, prefix=1000 * day + number)
         world.wait(70_000)
@@ -141,5 +146,5 @@
         world.first(f"a{number}")
         for old in (number - 10, number - 100):  # streams last 2 s, at the slow one 20 s
             if old >= 0 and (at[old] == "slow") == (old == number - 100):
-                world.outcome(f"a{old}", i.Status.OK, over=True)
+                world.outcome(f"a{old}", AttemptStatus.OK, over=True)
     assert at[50:].count("slow") < 0.3 * len(at[50:])
--- a/tests/crowstand/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -5,7 +5,12 @@
 
 import pytest
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    AttemptStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    RejectRequest,
+)
 from tests.world import FLEET, READER, WRITER, World, entry, finals, sends
 
 
@@ -35,7 +40,7 @@
         world.wait(50)
         world.serve(f"a{number}", session=number)
     cold = tuple(replace(each, started_ms=world.now_ms) for each in FLEET if each.server == "r0")
-    world.give(i.Members(i.ListForm.CHANGES, 2, cold))
+    world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     used = 0
     for number in range(60):
         world.wait(50)
@@ -52,7 +57,7 @@
     for world in worlds:
         world.serve("first", session=1, prompt_tokens=900)  # 50 ms for 1,200 with the fixed ones: the pace
         world.now_ms = start + 1000
-        world.give(i.Members(i.ListForm.CHANGES, 2, cold))
+        world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     for step in range(160):  # 4 s of 0.3 of a reader's capacity; in each all ask for it
         for world in worlds:
             world.wait(25)
@@ -74,7 +79,7 @@
     cold = tuple(replace(e, started_ms=start + 20_000) for e in FLEET if e.server in ("w1", "w2", "w3"))
     sent = Counter[str]()
     for world in worlds:
-        world.give(i.Members(i.ListForm.CHANGES, 2, cold))
+        world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     for number in range(12):  # 6 s
         for world in worlds:
             world.wait(500)
@@ -88,7 +93,7 @@
 def test_all_cold_and_spent_means_a_refusal_not_a_push() -> None:
     world = World((entry("r", READER, started_ms=1_000_000.0), entry("w", WRITER)))
     sent = [sends(world.request(f"a{n}", session=n)) for n in range(4)]
-    assert sent.count(["r"]) <= 1 and finals(world.last) == [i.Refuse("a3", 250)]
+    assert sent.count(["r"]) <= 1 and finals(world.last) == [RejectRequest("a3", 250)]
     world.wait(2000)
     assert sends(world.request("c", session=3)) == ["r"]
 
@@ -98,10 +103,10 @@
     for number in range(60):  # all are down: connections fail, which is no evidence of what a server can do
         world.request(f"a{number}", session=number)
         while not finals(world.last):
-            world.outcome(f"a{number}", i.Status.CONNECT_FAILED)
+            world.outcome(f"a{number}", AttemptStatus.CONNECT_FAILED)
     world.now_ms += 1100
     again = tuple(replace(each, started_ms=world.now_ms) for each in FLEET)
-    world.give(i.Members(i.ListForm.FULL, 2, again))
+    world.give(EndpointUpdate(EndpointUpdateKind.FULL, 2, again))
     reads = [server for n in range(60) for server in sends(world.request(f"b{n}", session=n))]
     assert all(reads.count(server) <= 1 for server in ("r0", "r1", "r2", "r3"))
     world.now_ms += 2000
@@ -115,19 +120,19 @@
         world.wait(50)
         world.serve(f"a{number}", session=number)
     cold = tuple(replace(each, started_ms=world.now_ms) for each in FLEET if each.server == "w0")
-    world.give(i.Members(i.ListForm.CHANGES, 2, cold))
+    world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     used = 0
     for number in range(40):  # 2 s
         world.wait(50)
         world.read(f"b{number}", session=1000 + number)
         used += world.at[f"b{number}"] == "w0"
         world.first(f"b{number}")
-        world.outcome(f"b{number}", i.Status.OK, over=True)
+        world.outcome(f"b{number}", AttemptStatus.OK, over=True)
     assert used >= 4  # of 10 that a warm one gets, and 0.75 x 4 x 0.3 x 5 a second that it may
 
 
-@pytest.mark.parametrize("status", [i.Status.FULL, i.Status.CONNECT_FAILED])
-def test_a_request_does_not_hammer_the_only_decode_server(status: i.Status) -> None:
+@pytest.mark.parametrize("status", [AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED])
+def test_a_request_does_not_hammer_the_only_decode_server(status: AttemptStatus) -> None:
     """One server was left that was not cold, and each request tried it six times within milliseconds."""
     fleet = tuple(each for each in FLEET if each.server in ("r0", "w0"))
     world = World(fleet, max_attempts=6)
@@ -137,4 +142,4 @@
         attempts += 1
         world.outcome("a", status)
     assert attempts == 2
-    assert isinstance(finals(world.last)[0], i.Refuse)  # at once: it has never run
+    assert isinstance(finals(world.last)[0], RejectRequest)  # at once: it has never run
--- a/tests/crowstand/test_snapshot.py
+++ b/tests/routing/test_snapshot.py
@@ -5,9 +5,14 @@
 import orjson
 import pytest
 
-from crowstand import interface as i
-from crowstand import snapshot
-from crowstand.view import server_views
+from ringledge.routing import snapshot
+from ringledge.routing.interface import (
+    AttemptStatus,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    OperatorOverride,
+)
+from ringledge.routing.server_views import server_views
 from tests.world import FLEET, World
 
 
@@ -24,10 +29,10 @@
 def test_homes_pace_and_doubt_are_taken_over() -> None:
     old = World()
     homes = {session: old.serve(f"a{session}", session=session, prefix=2**200) for session in range(20)}
-    old.give(i.OperatorOverride("w0", True))
-    old.give(i.OperatorOverride("w0", False))
+    old.give(OperatorOverride("w0", True))
+    old.give(OperatorOverride("w0", False))
     old.read("b1")
-    old.outcome("b1", i.Status.RESET)
+    old.outcome("b1", AttemptStatus.RESET)
     new = taken_over(old)
     assert new.policy.prefill_ms_per_token == old.policy.prefill_ms_per_token > 0
     assert server_views(new.policy, new.now_ms) == server_views(old.policy, old.now_ms)
@@ -40,7 +45,7 @@
         old.wait(100)
         old.serve(f"a{number}", session=number)
     cold = tuple(replace(each, started_ms=old.now_ms) for each in FLEET if each.server == "r0")
-    old.give(i.Members(i.ListForm.CHANGES, 2, cold))
+    old.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     fleet = tuple(each.entry for each in old.policy.servers.values())
     news = [taken_over(old, routers=8), World(fleet, seed=2, routers=8)]
     used = []
--- a/tests/crowstand/test_writers_memory.py
+++ b/tests/routing/test_writers_memory.py
@@ -7,12 +7,19 @@
 
 import pytest
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    AttemptStatus,
+    ClientDisconnected,
+    Idempotency,
+    RequestClass,
+    Role,
+    ServerKind,
+)
 from tests.world import FLEET, SAFE, World, entry, finals, sends
 
 MEMORY = 100_000.0
-KINDS = (i.ServerKind(i.Role.PREFILL, MEMORY), i.ServerKind(i.Role.DECODE, MEMORY))
-WORTHY = i.RequestClass(1000, 5000, i.Effect.UNSAFE, worth=3, target_token_ms=50)
+KINDS = (ServerKind(Role.PREFILL, MEMORY), ServerKind(Role.DECODE, MEMORY))
+WORTHY = RequestClass(1000, 5000, Idempotency.UNSAFE, worth=3, target_token_ms=50)
 LOPSIDED = (entry("r0", 0, 0), entry("w0", 1, 0), *(entry(f"w{n}", 1, 1) for n in range(1, 5)))
 BIG = {"prompt_tokens": 9_000, "max_output_tokens": 2_000}  # 10,000 tokens under way at its writer
 
@@ -40,7 +47,7 @@
         near = w.policy.servers[f"w{n}"].entry.cell == w.policy.servers[w.at["q"]].entry.cell
         w.policy.servers[f"w{n}"].pending_tokens = (1.1 if near else 0.8) * MEMORY
     reader = w.policy.servers[w.at["q"]]
-    w.outcome("q", i.Status.PREFILLED)
+    w.outcome("q", AttemptStatus.PREFILLED)
     assert w.policy.servers[w.at["q"]].entry.cell != reader.entry.cell
 
 
@@ -49,7 +56,7 @@
     w.request("q", **BIG, class_index=1)
     for n in range(4):
         w.policy.servers[f"w{n}"].pending_tokens = 2 * MEMORY
-    assert sends(w.outcome("q", i.Status.PREFILLED))
+    assert sends(w.outcome("q", AttemptStatus.PREFILLED))
 
 
 def test_the_less_worthy_are_turned_away_first_when_writers_are_short_of_memory() -> None:
@@ -62,7 +69,7 @@
         for index in (0, 1):
             if finals(w.request(f"{share}.{index}", class_index=index)):
                 held.setdefault(index, share)
-            w.give(i.ClientGone(f"{share}.{index}"))
+            w.give(ClientDisconnected(f"{share}.{index}"))
             w.policy.jobs.clear()
             for server in w.policy.servers.values():
                 server.in_flight.clear()
--- a/tests/simulated/cases.py
+++ b/tests/simulated/cases.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterable
 
-from ringledge.decide.fence import Fence
-from ringledge.decide.leases import LeaseTerms
+from ringledge.decide.leases.fencing import Fence
+from ringledge.decide.leases.manager import LeaseTerms
 from tests.simulated.held import CHECK_TO_EFFECT_S, STEP_S, Held
 
 
--- a/tests/simulated/exhaustive.py
+++ b/tests/simulated/exhaustive.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ringledge.decide.fleet import Action, Begin, Tell
-from ringledge.decide.lease_messages import Ask, Learn, LeaseTerms
-from ringledge.decide.lease_seeker import LeaseSeeker
-from ringledge.decide.lease_voter import LeaseVoter
+from ringledge.decide.interface import Action, Begin, Tell
+from ringledge.decide.leases.acceptor import LeaseVoter
+from ringledge.decide.leases.messages import Ask, Learn, LeaseTerms
+from ringledge.decide.leases.proposer import LeaseSeeker
 
 VOTERS, SEEKERS = ("a", "b", "c"), ("x", "y")
 NAMES = (*VOTERS, *SEEKERS)
--- a/tests/simulated/faults.py
+++ b/tests/simulated/faults.py
@@ -7,7 +7,7 @@
 from functools import partial
 from random import Random
 
-from ringledge.decide.leases import LeaseTerms
+from ringledge.decide.leases.manager import LeaseTerms
 from tests.simulated.held import BrokenError, Held
 
 BURSTS = 3
--- a/tests/simulated/held.py
+++ b/tests/simulated/held.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ringledge.decide.fence import Fence
-from ringledge.decide.fleet import Begin, End
-from ringledge.decide.leases import MESSAGES, Leases, LeaseTerms
+from ringledge.decide.interface import Begin, End
+from ringledge.decide.leases.fencing import Fence
+from ringledge.decide.leases.manager import MESSAGES, Leases, LeaseTerms
 from tests.simulated.world import Process, World
 
 STEP_S = 0.25  # between two effects of a holder
--- a/tests/simulated/mutants.py
+++ b/tests/simulated/mutants.py
@@ -8,11 +8,12 @@
 
 import pytest
 
-from ringledge.decide import lease_seeker, lease_voter
-from ringledge.decide.fence import Fence
-from ringledge.decide.lease_learning import Learning
-from ringledge.decide.lease_seeker import LeaseSeeker
-from ringledge.decide.leases import LeaseTerms
+from ringledge.decide.leases import acceptor as lease_voter
+from ringledge.decide.leases import proposer as lease_seeker
+from ringledge.decide.leases.fencing import Fence
+from ringledge.decide.leases.manager import LeaseTerms
+from ringledge.decide.leases.proposer import LeaseSeeker
+from ringledge.decide.leases.recovery import Learning
 from tests.simulated import cases
 
 TERMS = LeaseTerms(("a", "b", "c"))
--- a/tests/simulated/test_lease_cases.py
+++ b/tests/simulated/test_lease_cases.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ringledge.decide.leases import LeaseTerms
+from ringledge.decide.leases.manager import LeaseTerms
 from tests.simulated import cases
 from tests.simulated.held import Held
 
--- a/tests/simulated/test_lease_exhaustive.py
+++ b/tests/simulated/test_lease_exhaustive.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ringledge.decide.leases import LeaseTerms
+from ringledge.decide.leases.manager import LeaseTerms
 from tests.simulated.exhaustive import VOTERS, Model, search, starts
 from tests.simulated.mutants import Minority, NoMargin, Silent, no_lock, votes_at_once
 
--- a/tests/simulated/world.py
+++ b/tests/simulated/world.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from ringledge.decide.fleet import Action, Decider, Tell
+from ringledge.decide.interface import Action, Decider, Tell
 from tests.simulated.network import Network
 
 READING_S = 1e6  # a clock's reading says nothing: it begins anywhere below
--- a/tests/store/helpers.py
+++ b/tests/store/helpers.py
@@ -11,7 +11,7 @@
 
 from ringledge.store import schema
 from ringledge.store.entry import Asked
-from ringledge.store.steps import Limits
+from ringledge.store.transitions import Limits
 
 T = TypeVar("T")
 LIMITS = Limits(entries=100, most_bytes=100_000, tenant_share=0.5, entry_bytes=10_000)
--- a/tests/store/test_command.py
+++ b/tests/store/test_command.py
@@ -12,7 +12,8 @@
 from click.testing import CliRunner, Result
 
 from ringledge.cli import main
-from ringledge.store import schema, steps
+from ringledge.store import schema
+from ringledge.store import transitions as steps
 from tests.loopback import ROOT
 from tests.store.helpers import LIMITS, NOW_S, asked, within
 
@@ -54,9 +55,14 @@
 
 
 def test_nothing_of_the_queue_is_imported_where_it_is_off() -> None:
-    code = "import sys, ringledge.cli, ringledge.wire.chat; print(sorted(sys.modules))"
+    code = "import sys, ringledge.cli, ringledge.wire.clients.chat; print(sorted(sys.modules))"
     told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=30)
     loaded = told.stdout
-    assert "ringledge.wire.chat" in loaded
-    for off in ("sqlite3", "ringledge.store.queue", "ringledge.decide.replay", "ringledge.members.replayer"):
+    assert "ringledge.wire.clients.chat" in loaded
+    for off in (
+        "sqlite3",
+        "ringledge.store.queue",
+        "ringledge.decide.replay.scheduler",
+        "ringledge.members.replayer",
+    ):
         assert off not in loaded
--- a/tests/store/test_part.py
+++ b/tests/store/test_component.py
@@ -13,13 +13,13 @@
 import pytest
 from prometheus_client import CollectorRegistry
 
-from ringledge.decide.cut_off import Reached, Seen, State
-from ringledge.decide.fleet import Backlog
-from ringledge.decide.replay import Verdict
-from ringledge.lifecycle import strict
-from ringledge.members.sending import Result, Sending
+from ringledge.decide.interface import Backlog
+from ringledge.decide.replay.partition_detection import Reached, Seen, State
+from ringledge.decide.replay.scheduler import Verdict
+from ringledge.lifecycle import settings_files as strict
+from ringledge.members.replay_sender import Result, Sending
+from ringledge.store.component import QueuePart
 from ringledge.store.entry import Asked, End, Entry
-from ringledge.store.part import QueuePart
 from ringledge.store.settings import QueueConfig
 from tests.loopback import ROOT
 
--- a/tests/store/test_file.py
+++ b/tests/store/test_file.py
@@ -12,12 +12,14 @@
 import anyio
 import pytest
 
-from ringledge.store import looks, schema, steps
+from ringledge.store import queries as looks
+from ringledge.store import schema
+from ringledge.store import transitions as steps
 from ringledge.store.entry import End, Entry, StaleError, State, StoreError, Why
 from ringledge.store.queue import Queue
 from ringledge.store.seal import COLUMNS, to_row
 from ringledge.store.settings import QueueConfig
-from ringledge.store.steps import SPOILT
+from ringledge.store.transitions import SPOILT
 from tests.store.helpers import LIMITS, NOW_S, asked, db, within
 
 __all__ = ["db"]
--- a/tests/store/test_replayer.py
+++ b/tests/store/test_replayer.py
@@ -10,14 +10,14 @@
 import anyio
 from prometheus_client import CollectorRegistry
 
-from ringledge.decide.cut_off import State
-from ringledge.decide.replay import Replay, Verdict
-from ringledge.decide.replay_pace import PROBE_S, Pace
+from ringledge.decide.replay.partition_detection import State
+from ringledge.decide.replay.rate_control import PROBE_S, Pace
+from ringledge.decide.replay.scheduler import Replay, Verdict
+from ringledge.members.replay_sender import Result, Sending
 from ringledge.members.replayer import Replayer
-from ringledge.members.sending import Result, Sending
 from ringledge.store.entry import End, Entry
 from ringledge.store.entry import State as Stands
-from ringledge.store.figures import Figures
+from ringledge.store.metrics import Figures
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 from tests.store.helpers import NOW_S, asked
--- a/tests/store/test_steps.py
+++ b/tests/store/test_transitions.py
@@ -12,9 +12,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.store import looks, schema, steps
+from ringledge.store import queries as looks
+from ringledge.store import schema
+from ringledge.store import transitions as steps
 from ringledge.store.entry import End, Entry, MovedError, StaleError, State, StoreError, Why
-from ringledge.store.steps import Limits
+from ringledge.store.transitions import Limits
 from tests.store.helpers import LIMITS, NOW_S, asked, db, within
 
 __all__ = ["db"]
--- a/tests/structures/test_away.py
+++ b/tests/structures/test_stall_attribution.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringledge.structures.away import CPU, WAITED, WITHHELD, Counters, account
+from ringledge.structures.stall_attribution import CPU, WAITED, WITHHELD, Counters, account
 
 START = Counters(40.0, 5.0, 2.0, 100, 9_000, 3, 0.5, 0.2)
 
--- a/tests/structures/test_wheel.py
+++ b/tests/structures/test_timer_wheel.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringledge.structures.wheel import MOST, Wheel
+from ringledge.structures.timer_wheel import MOST, Wheel
 
 small = st.one_of(st.integers(0, 3), st.integers(0, 700), st.integers(0, 70_000))
 far = st.one_of(st.integers(-5, 600), st.integers(0, 70_000), st.integers(0, 20_000_000), st.just(MOST + 10))
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from crowstand.policy import Policy
-from crowstand.wirehost import serve
+from ringledge.routing.policy import Policy
+from ringledge.routing.simulator_adapter import serve
 
 ROOT = Path(__file__).parent.parent
 START = """ROUND wall_ms=1000
@@ -33,7 +33,7 @@
 
 
 def process(text: bytes) -> subprocess.CompletedProcess[bytes]:
-    command = [sys.executable, "-m", "crowstand.wirehost"]
+    command = [sys.executable, "-m", "ringledge.routing.simulator_adapter"]
     return subprocess.run(command, input=text, capture_output=True, cwd=ROOT, timeout=30)
 
 
@@ -109,5 +109,7 @@
 
 def test_every_module_that_chooses_is_named_among_the_decisions() -> None:
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    loaded = {f"crowstand/{cls.__module__.split('.')[-1]}.py" for cls in Policy.__mro__ if cls is not object}
-    assert loaded - {"crowstand/estimates.py"} == set(named)  # what is learned is no choice
+    loaded = {
+        f"ringledge/routing/{cls.__module__.split('.')[-1]}.py" for cls in Policy.__mro__ if cls is not object
+    }
+    assert loaded - {"ringledge/routing/estimates.py"} == set(named)  # what is learned is no choice
--- a/tests/test_forgotten_connections.py
+++ b/tests/test_forgotten_connections.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from ringledge.memory.pool import SETTLED_S
+from ringledge.memory.connection_pool import SETTLED_S
 from tests.loopback import WAIT_S, Call, Node, read, take
 
 HELD_S = 0.8  # a KV cache entry may be held so long while no attempt of its request has arrived
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    AttemptStatus,
+    ClientDisconnected,
+    RejectRequest,
+)
 from tests.world import FLEET, MIXED, READER, WRITER, World, entry, sends
 
 
@@ -70,7 +74,7 @@
         world = World(seed=seed)
         assert len(sends(world.request("a", session=1))) == 1
         reader = world.at["a"]
-        world.outcome("a", i.Status.PREFILLED)
+        world.outcome("a", AttemptStatus.PREFILLED)
         near += world.at["a"] in (("w0", "w1") if reader in ("r0", "r1") else ("w2", "w3"))
     assert near == 50  # nobody is loaded, so the far writer is never clearly lighter
 
@@ -94,9 +98,9 @@
         world.read(name, session=1, hint_ms=hint_ms)
     assert world.policy.servers["w"].pending_tokens == (1000 + 200) + (1000 + 10)
     world.first("a")
-    world.outcome("a", i.Status.OK, over=True)
-    world.give(i.ClientGone("b"))
-    world.outcome("b", i.Status.CANCELLED)
+    world.outcome("a", AttemptStatus.OK, over=True)
+    world.give(ClientDisconnected("b"))
+    world.outcome("b", AttemptStatus.CANCELLED)
     assert all(server.pending_tokens == 0 for server in world.policy.servers.values())
     assert not world.policy.jobs
 
@@ -111,7 +115,7 @@
     world.request("a", session=key)
     assert world.at["a"] == "m"
     world.first("a")
-    world.outcome("a", i.Status.OK, over=True)
+    world.outcome("a", AttemptStatus.OK, over=True)
     world.request("b", session=key, prompt_tokens=30_000)
     assert world.at["b"] == "m"  # bound by a: most is kept or it is its home
     world.request("c", session=None, prefix=key, prompt_tokens=30_000)
@@ -134,7 +138,7 @@
 def test_a_writer_that_reads_serves_where_there_is_no_reader() -> None:
     alone = (entry("w", WRITER),)
     assert sends(World(alone, decode_may_prefill=True).request("a", session=1)) == ["w"]
-    assert isinstance(World(alone).request("a", session=1)[0], i.Refuse)
+    assert isinstance(World(alone).request("a", session=1)[0], RejectRequest)
 
 
 def test_missing_keys_and_resumed_streams_are_served() -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -4,9 +4,9 @@
 
 from ringledge.core.clock import Clock
 from ringledge.lifecycle.config import flatten
-from ringledge.memory.pool import Pool
+from ringledge.memory.connection_pool import Pool
 from ringledge.observe.metrics import Metrics
-from ringledge.wire.buffer import Buffer
+from ringledge.wire.http.receive_buffer import Buffer
 
 
 def fill(buffer: Buffer, data: bytes) -> None:
--- a/tests/test_platform_spoilt.py
+++ b/tests/test_platform_spoilt.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ringledge.memory.pool import SETTLED_S
+from ringledge.memory.connection_pool import SETTLED_S
 from tests.loopback import WAIT_S, Node, event, read, take
 
 
--- a/tests/test_prometheus.py
+++ b/tests/test_prometheus.py
@@ -8,7 +8,7 @@
 import pytest
 import yaml
 
-from ringledge.wire.remote_write import MESSAGES
+from ringledge.wire.exporters.remote_write import MESSAGES
 from tests.loopback import ROOT, Call, Node, StandIn, take
 
 PROMETHEUS = 'enabled = true\nlisten = "127.0.0.1:0"\ninterval_s = 0.05\nqueue = 2\n'
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -1,9 +1,12 @@
 """Roles by plan in the decisions: what servers that do both get new, and what they end all the same."""
 
-from crowstand import interface as i
-from ringledge.decide.fleet import PlanRow
-from ringledge.decide.ratio_settings import RatioConfig
-from ringledge.decide.roles import RoleBook
+from ringledge.decide.interface import PlanRow
+from ringledge.decide.ratio.role_registry import RoleBook
+from ringledge.decide.ratio.settings import RatioConfig
+from ringledge.routing.interface import (
+    AttemptStatus,
+    RolePlan,
+)
 from tests.world import MIXED, READER, SAFE, WRITER, World, entry, released, sends
 
 MIXES = tuple(entry(f"m{at}", MIXED) for at in range(4))
@@ -19,35 +22,35 @@
 def test_a_server_kept_from_reads_gets_none_and_is_back_when_it_is_not_named() -> None:
     world = World(MIXES)
     assert used(world) == {"m0", "m1", "m2", "m3"}
-    world.give(i.RolePlan(no_prefill=frozenset({"m0", "m1"})))
+    world.give(RolePlan(no_prefill=frozenset({"m0", "m1"})))
     assert used(world, 100) == {"m2", "m3"}
-    world.give(i.RolePlan())
+    world.give(RolePlan())
     assert used(world, 200) == {"m0", "m1", "m2", "m3"}
 
 
 def test_no_plan_shuts_a_role_everywhere_and_none_goes_against_a_kind() -> None:
     world = World((*MIXES, entry("r0", READER), entry("w0", WRITER)))
     names = frozenset({"m0", "m1", "m2", "m3"})
-    world.give(i.RolePlan(names | {"r0"}, names | {"w0"}))
+    world.give(RolePlan(names | {"r0"}, names | {"w0"}))
     assert used(world) == {"r0"}
-    world.outcome("a0", i.Status.PREFILLED)
+    world.outcome("a0", AttemptStatus.PREFILLED)
     assert world.at["a0"] == "w0"
     lone = World(MIXES)
-    lone.give(i.RolePlan(no_prefill=frozenset(each.server for each in MIXES)))
+    lone.give(RolePlan(no_prefill=frozenset(each.server for each in MIXES)))
     assert used(lone) == {"m0", "m1", "m2", "m3"}
 
 
 def test_a_state_that_waits_at_a_server_that_changes_is_fetched_and_a_stream_ends() -> None:
     world = World((*MIXES[:2], entry("r0", READER)), classes=(SAFE,))
-    world.give(i.RolePlan(no_prefill=frozenset({"m0", "m1"})))
+    world.give(RolePlan(no_prefill=frozenset({"m0", "m1"})))
     world.request("a", session=1)
     assert world.at["a"] == "r0"
-    world.give(i.RolePlan(no_decode=frozenset({"m0"})))  # while it is read
-    assert sends(world.outcome("a", i.Status.PREFILLED)) == ["m1"]  # fetched, by whom is left
+    world.give(RolePlan(no_decode=frozenset({"m0"})))  # while it is read
+    assert sends(world.outcome("a", AttemptStatus.PREFILLED)) == ["m1"]  # fetched, by whom is left
     world.first("a")
-    shut = world.give(i.RolePlan(no_decode=frozenset({"m0", "m1"})))
+    shut = world.give(RolePlan(no_decode=frozenset({"m0", "m1"})))
     assert shut == []  # its stream goes on, nothing is sent again
-    assert not sends(world.outcome("a", i.Status.OK, over=True)) and not released(world.last)
+    assert not sends(world.outcome("a", AttemptStatus.OK, over=True)) and not released(world.last)
 
 
 def test_the_book_says_what_the_decisions_take() -> None:
@@ -58,5 +61,5 @@
         book.tick(float(at))
     assert book.shut() == (frozenset({"w0"}), frozenset({"m0", "r0"}))
     world = World((*MIXES[:2], entry("r0", READER), entry("w0", WRITER)))
-    world.give(i.RolePlan(*book.shut()))
+    world.give(RolePlan(*book.shut()))
     assert used(world) <= {"m0", "m1", "r0"}
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -5,8 +5,14 @@
 from collections import Counter
 from dataclasses import replace
 
-from crowstand import interface as i
-from ringledge.decide.reachability import Reachability
+from ringledge.decide.servers.reachability import Reachability
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Availability,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    UnreachableServers,
+)
 from tests.world import FLEET, READER, World, entry, finals
 
 ROUTERS = 40
@@ -19,13 +25,13 @@
         if world.at[name] in gone:
             refused += 1
             reach.refused(world.at[name], world.now_ms)
-            world.give(i.Unreachable(reach.silences(world.now_ms)))
-            world.outcome(name, i.Status.CONNECT_FAILED, latency_ms=1)
+            world.give(UnreachableServers(reach.silences(world.now_ms)))
+            world.outcome(name, AttemptStatus.CONNECT_FAILED, latency_ms=1)
         elif world.at[name][0] == "r":
-            world.outcome(name, i.Status.PREFILLED)
+            world.outcome(name, AttemptStatus.PREFILLED)
         else:
             world.first(name)
-            world.outcome(name, i.Status.OK, over=True)
+            world.outcome(name, AttemptStatus.OK, over=True)
             break
     return refused
 
@@ -41,7 +47,7 @@
         reach.listed((each.server, each.zone) for each in listed)
         for number in range(40):
             world.wait(500)
-            world.give(i.Unreachable(reach.silences(world.now_ms)))
+            world.give(UnreachableServers(reach.silences(world.now_ms)))
             world.request(f"a{number}", session=number)
             refused = refusals(world, reach, f"a{number}", names)
             later += refused * (number >= 20)
@@ -64,18 +70,18 @@
         for world in worlds:
             world.wait(500)
             if number % 3 == 0 and number < 12:
-                old = replace(FLEET[number // 3], availability=i.Availability.DRAINING)
-                world.give(i.Members(i.ListForm.CHANGES, number + 2, (old, new[number // 3])))
+                old = replace(FLEET[number // 3], availability=Availability.DRAINING)
+                world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, number + 2, (old, new[number // 3])))
             name = f"b{number}"
             world.request(name, session=1000 + number)
             while not finals(world.last) and world.at[name][0] in "rn":
                 sent[world.at[name], number // 2] += 1
                 bad = world.at[name] == "n3"
                 failed += bad and number >= 20
-                world.outcome(name, i.Status.ERROR if bad else i.Status.PREFILLED)
+                world.outcome(name, AttemptStatus.ERROR if bad else AttemptStatus.PREFILLED)
             if not finals(world.last):
                 world.first(name)
-                world.outcome(name, i.Status.OK, over=True)
+                world.outcome(name, AttemptStatus.OK, over=True)
     usual = ROUTERS * 2 / 4  # reads a second at each of four; the rule bears four times the present capacity
     for (server, second), count in sent.items():
         if server in ("n0", "n1", "n2"):
--- a/tests/wire/chat/conftest.py
+++ b/tests/wire/clients/chat/conftest.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.loopback import Node
-from tests.wire.chat.helpers import CHAT
+from tests.wire.clients.chat.helpers import CHAT
 
 
 @pytest.fixture
--- a/tests/wire/queued.py
+++ b/tests/wire/clients/chat/queued.py
@@ -12,36 +12,47 @@
 import h11
 from prometheus_client import CollectorRegistry
 
-from crowstand import interface as i
 from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
 from ringledge.core.records import Attempt
-from ringledge.decide.cut_off import State
-from ringledge.members.sending import Result
+from ringledge.decide.replay.partition_detection import State
+from ringledge.members.replay_sender import Result
 from ringledge.memory.names import Names
-from ringledge.memory.servers import ServerList
+from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
-from ringledge.store.figures import Figures
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Availability,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Idempotency,
+    RequestClass,
+    Role,
+    RouterSettings,
+    ServerEntry,
+    ServerKind,
+)
+from ringledge.store.metrics import Figures
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
-from ringledge.wire.chat import Chat, error_body
-from ringledge.wire.chat.queued import QueuedChat
-from ringledge.wire.chat.replaying import ReplaySender
-from ringledge.wire.chat_settings import ChatConfig
-from ringledge.wire.connection import Connection
-from ringledge.wire.errors import HttpError
-from ringledge.wire.messages import respond
-
-SETTINGS = i.Settings(
-    classes=(i.RequestClass(1200, 5000, i.Effect.SAFE), i.RequestClass(2500, 5000, i.Effect.UNSAFE)),
-    kinds=(i.ServerKind(i.Role.PREFILL), i.ServerKind(i.Role.DECODE)),
+from ringledge.wire.clients.chat import Chat, error_body
+from ringledge.wire.clients.chat.queued import QueuedChat
+from ringledge.wire.clients.chat.replaying import ReplaySender
+from ringledge.wire.clients.chat_settings import ChatConfig
+from ringledge.wire.http.connection import Connection
+from ringledge.wire.http.errors import HttpError
+from ringledge.wire.http.messages import respond
+
+SETTINGS = RouterSettings(
+    classes=(RequestClass(1200, 5000, Idempotency.SAFE), RequestClass(2500, 5000, Idempotency.UNSAFE)),
+    kinds=(ServerKind(Role.PREFILL), ServerKind(Role.DECODE)),
     max_attempts=3,
     may_cancel=True,
 )
 NAMES = Names((), ("prefill", "decode"), ("query", "booking"), ("farm", "yard"), 30.0, 0.25, 1000.0)
 CONFIG = ChatConfig("127.0.0.1:0", {"ask": "query", "book": "booking"}, "farm")
 ASYNC = {"Prefer": "respond-async"}
-UP = i.Availability.UP
+UP = Availability.UP
 
 
 class Port:
@@ -82,8 +93,10 @@
     def __init__(self, file: Path, **told: Any) -> None:
         self.port, metrics, servers = Port(), Metrics(), ServerList(SETTINGS.kinds)
         self.conductor = Conductor(SETTINGS, 1, Clock(), servers, metrics, self.port)
-        fleet = (i.ServerEntry("r", 0, 0, 0, UP), i.ServerEntry("w", 0, 1, 0, UP))
-        self.conductor.members(i.Members(i.ListForm.PERSISTED, 1, fleet), {"r": "a:1", "w": "a:2"})
+        fleet = (ServerEntry("r", 0, 0, 0, UP), ServerEntry("w", 0, 1, 0, UP))
+        self.conductor.members(
+            EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, fleet), {"r": "a:1", "w": "a:2"}
+        )
         self.queue = Queue(QueueConfig(**{"path": str(file)} | told))
         self.queue.start()
         self.state, self.figures = State.CUT_OFF, Figures(CollectorRegistry())
@@ -138,13 +151,13 @@
     async def serve(self, attempt: Attempt, *texts: str) -> None:
         """The stand-ins: read at the reader, answered by the writer."""
         if attempt.reads:
-            self.conductor.outcome(attempt, i.Status.PREFILLED)
+            self.conductor.outcome(attempt, AttemptStatus.PREFILLED)
             attempt = self.port.sent[-1]
         assert self.conductor.first(attempt)
         for text in texts:
             event = {"choices": [{"index": 0, "delta": {"content": text}}]}
             await self.conductor.piece(attempt, b"data: " + json.dumps(event).encode() + b"\n\n")
-        self.conductor.outcome(attempt, i.Status.OK)
+        self.conductor.outcome(attempt, AttemptStatus.OK)
 
 
 Game = Callable[[Process], Coroutine[Any, Any, None]]
--- a/tests/wire/chat/test_answers.py
+++ b/tests/wire/clients/chat/test_answers.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from tests.loopback import Node, take
-from tests.wire.chat.helpers import CHAT, HELLO, STREAM, text, writing
+from tests.wire.clients.chat.helpers import CHAT, HELLO, STREAM, text, writing
 
 
 def test_off_unless_enabled(tmp_path: Path) -> None:
--- a/tests/wire/chat/test_bookings.py
+++ b/tests/wire/clients/chat/test_bookings.py
@@ -1,7 +1,7 @@
 """The chat front over real sockets: bookings run once, whatever breaks."""
 
 from tests.loopback import Node, take
-from tests.wire.chat.helpers import BOOK, first_id, resume, text, writing
+from tests.wire.clients.chat.helpers import BOOK, first_id, resume, text, writing
 
 
 def test_a_whole_booking_that_breaks_is_a_500_and_not_run_again(node: Node) -> None:
--- a/tests/wire/chat/test_departures.py
+++ b/tests/wire/clients/chat/test_departures.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from ringledge.memory.sessions import End, Session
-from ringledge.wire.chat.answer import Answer
+from ringledge.memory.stream_sessions import End, Session
+from ringledge.wire.clients.chat.answer import Answer
 from tests.loopback import Node
-from tests.wire.chat.helpers import HELLO
+from tests.wire.clients.chat.helpers import HELLO
 
 
 class Client:
--- a/tests/wire/chat/test_errors.py
+++ b/tests/wire/clients/chat/test_errors.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.loopback import Call, Node, take
-from tests.wire.chat.helpers import BOOK, CHAT, HELLO, STREAM, text, writing
+from tests.wire.clients.chat.helpers import BOOK, CHAT, HELLO, STREAM, text, writing
 
 
 @pytest.mark.parametrize(
--- a/tests/wire/test_chat_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -8,12 +8,14 @@
 import anyio
 import pytest
 
-from crowstand import interface as i
-from ringledge.decide.cut_off import State
+from ringledge.decide.replay.partition_detection import State
+from ringledge.routing.interface import (
+    AttemptStatus,
+)
 from ringledge.store.entry import End
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
-from tests.wire.queued import ASYNC, Process, play
+from tests.wire.clients.chat.queued import ASYNC, Process, play
 
 
 def test_a_queued_request_from_its_202_to_its_answer_at_another_process(tmp_path: Path) -> None:
@@ -141,8 +143,10 @@
         await process.queue.adopt(1)
         _, _, told = await process.post("book", **ASYNC)
         ends = await process.replay(told["id"], 1)
-        process.conductor.outcome(process.port.sent[0], i.Status.PREFILLED)
-        process.conductor.outcome(process.port.sent[1], i.Status.RESET)  # written to the writer, then nothing
+        process.conductor.outcome(process.port.sent[0], AttemptStatus.PREFILLED)
+        process.conductor.outcome(
+            process.port.sent[1], AttemptStatus.RESET
+        )  # written to the writer, then nothing
         assert [end.ran for end in ends] == [True]
         _, _, told = await process.post("book", **ASYNC)
         ends = await process.replay(told["id"], 1)
--- a/tests/wire/chat/test_resumed_streams.py
+++ b/tests/wire/clients/chat/test_resumed_streams.py
@@ -3,7 +3,7 @@
 import json
 
 from tests.loopback import Node, take
-from tests.wire.chat.helpers import HELLO, STREAM, first_id, resume, text, writing
+from tests.wire.clients.chat.helpers import HELLO, STREAM, first_id, resume, text, writing
 
 
 def test_a_broken_stream_goes_on_from_its_last_token(node: Node) -> None:
--- a/tests/wire/test_closing.py
+++ b/tests/wire/clients/test_closing.py
@@ -12,13 +12,13 @@
 import pytest
 
 from ringledge.observe.metrics import Metrics
-from ringledge.wire import closing, open_connections
-from ringledge.wire.budget import Budget
-from ringledge.wire.connection import Connection
-from ringledge.wire.errors import HttpError
-from ringledge.wire.front import Front
-from ringledge.wire.messages import read_body, respond
-from ringledge.wire.sockets import connect, listen
+from ringledge.wire.clients import closing, open_connections
+from ringledge.wire.clients.front import Front
+from ringledge.wire.http.body_memory import Budget
+from ringledge.wire.http.connection import Connection
+from ringledge.wire.http.errors import HttpError
+from ringledge.wire.http.messages import read_body, respond
+from ringledge.wire.http.sockets import connect, listen
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 LAST = GET.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
--- a/tests/wire/test_parking_epolls.py
+++ b/tests/wire/clients/test_idle_connection_epolls.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from ringledge.wire import parking
-from ringledge.wire.parking import Parked, Parking
+from ringledge.wire.clients import idle_connections as parking
+from ringledge.wire.clients.idle_connections import Parked, Parking
 from tests.loopback import WAIT_S
 
 
--- a/tests/wire/test_platform_request.py
+++ b/tests/wire/clients/test_platform_request.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ringledge.lifecycle.config import Names
-from ringledge.wire.platform_request import MOST_HINT_MS, read_request
+from ringledge.wire.clients.platform_request import MOST_HINT_MS, read_request
 
 NAMES = Names(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
 
--- a/tests/wire/test_client.py
+++ b/tests/wire/clients/test_response.py
@@ -8,8 +8,8 @@
 import anyio
 import h11
 
-from ringledge.wire.client import converse
-from ringledge.wire.connection import Connection
+from ringledge.wire.clients.response import converse
+from ringledge.wire.http.connection import Connection
 
 
 def test_a_departure_is_told_before_the_task_of_the_answer_comes_round() -> None:
--- a/tests/wire/test_objects.py
+++ b/tests/wire/discovery/test_json_stream.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringledge.wire.objects import Objects
+from ringledge.wire.discovery.json_stream import Objects
 
 MOST = 1000
 names = st.text(st.sampled_from('a{}[]"\\ \n\u00e9'), max_size=4)
--- a/tests/wire/test_list_lines.py
+++ b/tests/wire/discovery/test_list_lines.py
@@ -8,11 +8,14 @@
 import anyio
 import pytest
 
-from crowstand import interface as i
 from ringledge.observe.logging import log
-from ringledge.wire import discovery as watching
+from ringledge.routing.interface import (
+    Availability,
+    MembershipMode,
+)
+from ringledge.wire.discovery import watcher as watching
 from tests.standins import StandIn
-from tests.wire.test_discovery import listing, next_call, watched
+from tests.wire.discovery.test_watcher import listing, next_call, watched
 
 ENTRY = listing(8)["endpoints"][0]
 
@@ -54,7 +57,7 @@
 
 async def played(agent: StandIn, bad: bytes, end: bytes = b"") -> int:
     """A good list, then what is bad, then on the next watch a better one; how many lists were taken."""
-    async with watched(agent, i.MembershipMode.PUSH) as told:
+    async with watched(agent, MembershipMode.PUSH) as told:
         first = (await next_call(agent)).begin().chunk(json.dumps(listing(8)) + "\n")
         await told.has(8)
         first.raw(b"%x\r\n%s\r\n" % (len(bad), bad) + end)
@@ -90,9 +93,9 @@
 
 def test_a_server_that_has_left_needs_no_address(agent: StandIn, logged: list[str]) -> None:
     async def run() -> None:
-        async with watched(agent, i.MembershipMode.PUSH) as told:
+        async with watched(agent, MembershipMode.PUSH) as told:
             call = (await next_call(agent)).begin().chunk(line(status="left", address="").decode())
-            assert (await told.has(8)).entries[0].availability == i.Availability.GONE
+            assert (await told.has(8)).entries[0].availability == Availability.GONE
             call.raw(b"")
 
     anyio.run(run)
--- a/tests/wire/test_slow_discovery.py
+++ b/tests/wire/discovery/test_slow_discovery.py
@@ -7,9 +7,11 @@
 
 import anyio
 
-from crowstand import interface as i
+from ringledge.routing.interface import (
+    MembershipMode,
+)
 from tests.standins import Call, StandIn
-from tests.wire.test_discovery import listing, watched
+from tests.wire.discovery.test_watcher import listing, watched
 
 SLOW_S = 1.2  # until it begins an answer, however many are asked for beside each other
 TOLD_S = 6.0  # what discovery has counts as told then
@@ -26,7 +28,7 @@
     agent = StandIn(answer_late)
 
     async def run() -> None:
-        async with watched(agent, i.MembershipMode.PUSH) as told:
+        async with watched(agent, MembershipMode.PUSH) as told:
             with anyio.fail_after(TOLD_S):
                 await told.has(9)
 
--- a/tests/wire/test_wall_clock.py
+++ b/tests/wire/discovery/test_wall_clock.py
@@ -11,21 +11,27 @@
 import anyio
 import pytest
 
-from crowstand import interface as i
 from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
-from ringledge.memory.listing import decode
+from ringledge.memory.endpoint_list import decode
 from ringledge.memory.names import Names
-from ringledge.memory.servers import ServerList
+from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
-from ringledge.wire.discovery import Discovery
+from ringledge.routing.interface import (
+    Idempotency,
+    RequestClass,
+    Role,
+    RouterSettings,
+    ServerKind,
+)
+from ringledge.wire.discovery.watcher import Discovery
 
 HOUR_MS = 3_600_000.0
 WARM_MS = 13_000.0
-KINDS = (i.ServerKind(i.Role.DECODE),)
+KINDS = (ServerKind(Role.DECODE),)
 NAMES = Names(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
-SETTINGS = i.Settings(
-    (i.RequestClass(1200, 5000, i.Effect.SAFE),), KINDS, cold_share=0.28, warm_after_ms=WARM_MS
+SETTINGS = RouterSettings(
+    (RequestClass(1200, 5000, Idempotency.SAFE),), KINDS, cold_share=0.28, warm_after_ms=WARM_MS
 )
 
 
--- a/tests/wire/test_discovery.py
+++ b/tests/wire/discovery/test_watcher.py
@@ -14,12 +14,16 @@
 import anyio.to_thread
 import pytest
 
-from crowstand import interface as i
 from ringledge.core.clock import Clock
 from ringledge.lifecycle.config import Names
 from ringledge.observe.logging import log
-from ringledge.wire import discovery as watching
-from ringledge.wire.discovery import Discovery
+from ringledge.routing.interface import (
+    Availability,
+    EndpointUpdate,
+    MembershipMode,
+)
+from ringledge.wire.discovery import watcher as watching
+from ringledge.wire.discovery.watcher import Discovery
 from tests.loopback import Call, StandIn
 
 NAMES = Names(("east",), ("prefill",), (), (), 30.0, 0.25, 0.0)
@@ -34,19 +38,19 @@
 class Told:
     """A conductor that keeps what it is told of the list."""
 
-    def __init__(self, membership: i.MembershipMode) -> None:
+    def __init__(self, membership: MembershipMode) -> None:
         settings = SimpleNamespace(membership=membership, routers=TIER)
         self.context = SimpleNamespace(settings=settings, servers=SimpleNamespace(version=7, entries={}))
         self.clock = Clock()
-        self.news, self.lists = anyio.Event(), list[i.Members]()
+        self.news, self.lists = anyio.Event(), list[EndpointUpdate]()
 
-    def members(self, members: i.Members, _: dict[str, str]) -> None:
+    def members(self, members: EndpointUpdate, _: dict[str, str]) -> None:
         self.lists.append(members)
         self.context.servers.version = members.version
         self.news.set()
         self.news = anyio.Event()
 
-    async def has(self, version: int) -> i.Members:
+    async def has(self, version: int) -> EndpointUpdate:
         with anyio.fail_after(10):
             while not self.lists or self.lists[-1].version != version:
                 await self.news.wait()
@@ -58,7 +62,7 @@
 
 
 @asynccontextmanager
-async def watched(agent: StandIn, membership: i.MembershipMode) -> AsyncIterator[Told]:
+async def watched(agent: StandIn, membership: MembershipMode) -> AsyncIterator[Told]:
     told = Told(membership)
     discovery = Discovery(agent.address, NAMES, told, random.Random(5))  # type: ignore[arg-type]
     async with anyio.create_task_group() as tasks:
@@ -73,14 +77,14 @@
     """Each line was taken for an object: an indented list was malformed, and asked for anew for ever."""
 
     async def run() -> None:
-        async with watched(agent, i.MembershipMode.PUSH) as told:
+        async with watched(agent, MembershipMode.PUSH) as told:
             call = (await next_call(agent)).begin()
             for index, status in ((8, "active"), (9, "leaving")):
                 text = json.dumps(listing(index, status), indent=indent) + "\n\n"
                 for at in range(0, len(text), size):
                     call.chunk(text[at : at + size])
                 await told.has(index)
-            assert told.lists[-1].entries[0].availability == i.Availability.DRAINING
+            assert told.lists[-1].entries[0].availability == Availability.DRAINING
             assert len(told.lists) == 2 and agent.calls.empty()
             call.raw(b"0\r\n\r\n")
 
@@ -97,7 +101,7 @@
     monkeypatch.setattr(log, "warning", lambda _, **told: waits.append(told["again_s"]))
 
     async def run() -> None:
-        async with watched(agent, i.MembershipMode.PUSH) as told:
+        async with watched(agent, MembershipMode.PUSH) as told:
             silent = [await next_call(agent) for _ in range(6)]  # accepted, and never spoken on
             call = (await next_call(agent)).begin().chunk(json.dumps(listing(8, "leaving")) + "\n")
             await told.has(8)
@@ -130,13 +134,13 @@
             time.sleep(0.05)
 
     async def run() -> None:
-        async with watched(agent, i.MembershipMode.PUSH) as told:
+        async with watched(agent, MembershipMode.PUSH) as told:
             slow = (await next_call(agent)).begin()
             with anyio.fail_after(5):
                 await anyio.to_thread.run_sync(trickle, slow)
             assert not told.lists
             call = (await next_call(agent)).begin().chunk(json.dumps(listing(9, "leaving")) + "\n")
-            assert (await told.has(9)).entries[0].availability == i.Availability.DRAINING
+            assert (await told.has(9)).entries[0].availability == Availability.DRAINING
             slow.done.set()
             call.raw(b"")
 
@@ -162,7 +166,7 @@
 
     async def run() -> None:
         over = threading.Event()
-        async with watched(agent, i.MembershipMode.PUSH) as told, anyio.create_task_group() as tasks:
+        async with watched(agent, MembershipMode.PUSH) as told, anyio.create_task_group() as tasks:
             tasks.start_soon(anyio.to_thread.run_sync, play, over)
             try:
                 await told.has(8)
@@ -189,7 +193,7 @@
     monkeypatch.setattr(log, "info", noted)
 
     async def run() -> None:
-        async with watched(agent, i.MembershipMode.ASK) as told:
+        async with watched(agent, MembershipMode.ASK) as told:
             for _ in range(5):
                 (await next_call(agent)).answer(503)
             watch = (await next_call(agent)).begin().chunk(json.dumps(listing(9)) + "\n")
--- a/tests/wire/test_arrival_marks.py
+++ b/tests/wire/http/test_arrival_times.py
@@ -1,6 +1,6 @@
 """When the last byte of each request came, however late it is read."""
 
-from ringledge.wire.arrival_marks import ArrivalMarks
+from ringledge.wire.http.arrival_times import ArrivalMarks
 
 
 def test_nothing_read_has_no_time() -> None:
--- a/tests/wire/test_spurious_wake.py
+++ b/tests/wire/http/test_spurious_wake.py
@@ -8,11 +8,11 @@
 import h11
 
 from ringledge.observe.metrics import Metrics
-from ringledge.wire.budget import Budget
-from ringledge.wire.connection import Connection
-from ringledge.wire.front import Front
-from ringledge.wire.messages import respond
-from ringledge.wire.parking import Parked
+from ringledge.wire.clients.front import Front
+from ringledge.wire.clients.idle_connections import Parked
+from ringledge.wire.http.body_memory import Budget
+from ringledge.wire.http.connection import Connection
+from ringledge.wire.http.messages import respond
 
 
 async def answered(conn: Connection, head: h11.Request) -> None:
--- a/tests/wire/test_abandoned.py
+++ b/tests/wire/servers/test_abandoned.py
@@ -13,24 +13,36 @@
 import h11
 import pytest
 
-from crowstand import interface as i
-from crowstand.policy import Policy
 from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
 from ringledge.core.invariants import Invariants
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, Record
 from ringledge.lifecycle.config import Names
-from ringledge.memory.pool import SETTLED_S
-from ringledge.memory.servers import ServerList
+from ringledge.memory.connection_pool import SETTLED_S
+from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
-from ringledge.wire import lines
-from ringledge.wire.client import Exchange
-from ringledge.wire.connection import Connection
-from ringledge.wire.upstream import Upstream
+from ringledge.routing.interface import (
+    AttemptStatus,
+    Availability,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Idempotency,
+    Request,
+    RequestClass,
+    Role,
+    RouterSettings,
+    ServerEntry,
+    ServerKind,
+)
+from ringledge.routing.policy import Policy
+from ringledge.wire.clients.response import Exchange
+from ringledge.wire.http.connection import Connection
+from ringledge.wire.servers import connections as lines
+from ringledge.wire.servers.upstream import Upstream
 
 SERVER, ADDRESS = "w0", "127.0.0.1:9"
-WRITES = i.ServerKind(i.Role.DECODE)
+WRITES = ServerKind(Role.DECODE)
 NAMES = Names(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
 
 
@@ -40,11 +52,13 @@
     def __init__(self, tasks: Any) -> None:
         clock, metrics = Clock(), Metrics()
         servers = ServerList((WRITES,))
-        entry = i.ServerEntry(SERVER, 0, 0, 0, i.Availability.UP)
-        servers.apply(i.Members(i.ListForm.FULL, 1, (entry,)), {SERVER: ADDRESS})
+        entry = ServerEntry(SERVER, 0, 0, 0, Availability.UP)
+        servers.apply(EndpointUpdate(EndpointUpdateKind.FULL, 1, (entry,)), {SERVER: ADDRESS})
         self.upstream = Upstream(tasks, servers, NAMES, 8, 500.0, 0, clock, metrics)
-        self.settings = i.Settings((i.RequestClass(1200, 5000, i.Effect.SAFE),), (WRITES,), max_attempts=2)
-        self.outcomes = list[i.Status]()
+        self.settings = RouterSettings(
+            (RequestClass(1200, 5000, Idempotency.SAFE),), (WRITES,), max_attempts=2
+        )
+        self.outcomes = list[AttemptStatus]()
         self.ended = anyio.Event()
         self.upstream.conductor = SimpleNamespace(  # type: ignore[assignment]
             clock=clock,
@@ -53,7 +67,7 @@
             sending=Invariants(self.settings, clock, servers, metrics).sent,
         )
         self.policy = Policy(self.settings, 1)
-        self.policy.handle(clock.now_ms(), i.Members(i.ListForm.PERSISTED, 1, (entry,)))
+        self.policy.handle(clock.now_ms(), EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, (entry,)))
         self.clock = clock
         self.caller: Any = SimpleNamespace(gone=lambda: False)
         ours, self.theirs = socket.socketpair()
@@ -72,10 +86,10 @@
 
     def drain(self) -> None:
         """The list says that the server drains."""
-        entry = i.ServerEntry(SERVER, 0, 0, 0, i.Availability.DRAINING)
-        self.policy.handle(self.clock.now_ms(), i.Members(i.ListForm.CHANGES, 2, (entry,)))
+        entry = ServerEntry(SERVER, 0, 0, 0, Availability.DRAINING)
+        self.policy.handle(self.clock.now_ms(), EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,)))
 
-    def _outcome(self, _: Attempt, status: i.Status, *__: Any) -> None:
+    def _outcome(self, _: Attempt, status: AttemptStatus, *__: Any) -> None:
         self.outcomes.append(status)
         self.ended.set()
 
@@ -87,7 +101,7 @@
 
     def attempt(self) -> Attempt:
         now_ms = self.clock.now_ms()
-        request = i.Request("a", expires_in_ms=5000)
+        request = Request("a", expires_in_ms=5000)
         record = Record(request, Payload(b"/", b"{}"), self.caller, now_ms)
         return Attempt(record, 0, SERVER, False, True, now_ms, now_ms + 5000)
 
@@ -233,6 +247,6 @@
             at.drain()
             up.set()
             await at.ended.wait()
-            assert at.written() == b"" and at.outcomes == [i.Status.NOT_SENT]
+            assert at.written() == b"" and at.outcomes == [AttemptStatus.NOT_SENT]
 
     anyio.run(run)
--- a/tests/wire/test_event_buffer.py
+++ b/tests/wire/servers/test_event_buffer.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ringledge.wire.event_buffer import HOLD_S, EventBuffer
+from ringledge.wire.servers.event_buffer import HOLD_S, EventBuffer
 
 FIRST, SECOND = b'data: {"a":1}\n\n', b'data: {"b":2}\r\n\r\n'
 
--- a/tests/wire/test_first_event_crossing.py
+++ b/tests/wire/servers/test_first_event_crossing.py
@@ -4,10 +4,12 @@
 
 import anyio
 
-from crowstand import interface as i
 from ringledge.core.records import Attempt
+from ringledge.routing.interface import (
+    AttemptStatus,
+)
 from tests.standins import event
-from tests.wire.test_abandoned import rig
+from tests.wire.servers.test_abandoned import rig
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -36,6 +38,6 @@
             text = event("x").encode()
             at.theirs.send(HEAD + b"%x\r\n%s\r\n" % (len(text), text))
             await at.ended.wait()
-            assert at.outcomes == [i.Status.TIMEOUT] and not began
+            assert at.outcomes == [AttemptStatus.TIMEOUT] and not began
 
     anyio.run(run)
--- a/tests/wire/test_late_202.py
+++ b/tests/wire/servers/test_late_202.py
@@ -4,8 +4,10 @@
 
 import anyio
 
-from crowstand import interface as i
-from tests.wire.test_abandoned import rig
+from ringledge.routing.interface import (
+    AttemptStatus,
+)
+from tests.wire.servers.test_abandoned import rig
 
 PREFILLED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"
 
@@ -22,6 +24,6 @@
             attempt.record.holders = set()
             at.theirs.send(PREFILLED)
             await at.ended.wait()
-            assert at.outcomes == [i.Status.ERROR]
+            assert at.outcomes == [AttemptStatus.ERROR]
 
     anyio.run(run)
--- a/tests/wire/test_send_first.py
+++ b/tests/wire/servers/test_send_first.py
@@ -9,7 +9,7 @@
 import h11
 import pytest
 
-from ringledge.wire.connection import Connection
+from ringledge.wire.http.connection import Connection
 
 REQUEST = h11.Request(method="POST", target="/", headers=[("Host", "a"), ("Content-Length", "4000000")])
 BODY = h11.Data(data=bytes(4_000_000))  # more than the two sockets take at once
--- a/tests/wire/test_silence.py
+++ b/tests/wire/servers/test_silence.py
@@ -8,13 +8,15 @@
 import anyio
 import pytest
 
-from crowstand import interface as i
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, Record
-from ringledge.decide.arrivals import CHECK_MS
-from ringledge.decide.reachability import Reachability
-from ringledge.wire.silence import Silence
-from ringledge.wire.stream_relay import Live
+from ringledge.decide.servers.delivery import CHECK_MS
+from ringledge.decide.servers.reachability import Reachability
+from ringledge.routing.interface import (
+    Request,
+)
+from ringledge.wire.servers.silence import Silence
+from ringledge.wire.servers.stream_relay import Live
 
 LET_GO_MS = 500.0
 
@@ -27,7 +29,7 @@
         self.comes_up, self.asked = comes_up, anyio.Event()
         caller: Any = SimpleNamespace()
         written_ms = self.now_ms - waited_ms
-        self.record = Record(i.Request("a", expires_in_ms=9000), Payload(b"/", b""), caller, written_ms)
+        self.record = Record(Request("a", expires_in_ms=9000), Payload(b"/", b""), caller, written_ms)
         self.record.holders, self.record.free_ms = {"r0"}, written_ms
         self.attempt = Attempt(self.record, 0, "w0", False, True, written_ms, 20_000.0)
         self.attempt.written = self.attempt.fetches = True
--- a/tests/wire/test_stalled_send.py
+++ b/tests/wire/servers/test_stalled_send.py
@@ -5,9 +5,11 @@
 import anyio
 import pytest
 
-from crowstand import interface as i
 from ringledge.core.port import Payload
-from tests.wire.test_abandoned import rig
+from ringledge.routing.interface import (
+    AttemptStatus,
+)
+from tests.wire.servers.test_abandoned import rig
 
 LARGE = b"x" * (8 * 1024 * 1024)  # bytes: more than a socket buffers
 
@@ -25,7 +27,7 @@
             began_s = anyio.current_time()
             at.upstream.send(attempt)
             await at.ended.wait()
-            assert at.outcomes == [i.Status.CONNECT_FAILED]
+            assert at.outcomes == [AttemptStatus.CONNECT_FAILED]
             assert not attempt.written and at.conn.closed
             return anyio.current_time() - began_s
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -5,15 +5,39 @@
 from dataclasses import replace
 from typing import Any
 
-from crowstand import interface as i
-from crowstand.policy import Policy
+from ringledge.routing.interface import (
+    AttemptOutcome,
+    AttemptStatus,
+    Availability,
+    CancelAttempt,
+    ClientDisconnected,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    FailRequest,
+    FirstToken,
+    Idempotency,
+    RejectRequest,
+    ReleaseCache,
+    Request,
+    RequestClass,
+    Role,
+    RouterSettings,
+    RoutingAction,
+    RoutingEvent,
+    SendAttempt,
+    ServerEntry,
+    ServerKind,
+    SetTimer,
+    TimerFired,
+)
+from ringledge.routing.policy import Policy
 
 READER, WRITER, MIXED = 0, 1, 2
-SAFE = i.RequestClass(1000, 5000, i.Effect.SAFE, target_token_ms=50)
-UNSAFE = replace(SAFE, effect=i.Effect.UNSAFE)
-SETTINGS = i.Settings(
+SAFE = RequestClass(1000, 5000, Idempotency.SAFE, target_token_ms=50)
+UNSAFE = replace(SAFE, effect=Idempotency.UNSAFE)
+SETTINGS = RouterSettings(
     classes=(SAFE,),
-    kinds=(i.ServerKind(i.Role.PREFILL), i.ServerKind(i.Role.DECODE), i.ServerKind(i.Role.MIXED)),
+    kinds=(ServerKind(Role.PREFILL), ServerKind(Role.DECODE), ServerKind(Role.MIXED)),
     routers=2,
     may_cancel=True,
     retry_after=True,
@@ -32,9 +56,9 @@
 )
 
 
-def entry(server: str, kind: int, cell: int = 0, started_ms: float = 0, **more: Any) -> i.ServerEntry:
-    availability = more.pop("availability", i.Availability.UP)
-    return i.ServerEntry(server, cell, kind, cell, availability, 1.0, started_ms)
+def entry(server: str, kind: int, cell: int = 0, started_ms: float = 0, **more: Any) -> ServerEntry:
+    availability = more.pop("availability", Availability.UP)
+    return ServerEntry(server, cell, kind, cell, availability, 1.0, started_ms)
 
 
 FLEET = (
@@ -52,82 +76,82 @@
 class World:
     """Feeds a policy and remembers where each attempt went, so that a test can answer for the servers."""
 
-    def __init__(self, fleet: tuple[i.ServerEntry, ...] = FLEET, seed: int = 1, **settings: Any) -> None:
+    def __init__(self, fleet: tuple[ServerEntry, ...] = FLEET, seed: int = 1, **settings: Any) -> None:
         self.policy = Policy(replace(SETTINGS, **settings), seed)
         self.now_ms = 1_000_000.0
         self.attempts: dict[str, int] = {}
         self.at: dict[str, str] = {}
-        self.timers: list[i.SetTimer] = []
-        self.last: list[i.Action] = []
-        self.give(i.Members(i.ListForm.PERSISTED, 1, fleet))
+        self.timers: list[SetTimer] = []
+        self.last: list[RoutingAction] = []
+        self.give(EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, fleet))
 
-    def give(self, event: i.Event) -> list[i.Action]:
+    def give(self, event: RoutingEvent) -> list[RoutingAction]:
         self.last = self.policy.handle(self.now_ms, event)
         for action in self.last:
-            if isinstance(action, i.Send):
+            if isinstance(action, SendAttempt):
                 self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
                 self.at[action.request] = action.server
-            elif isinstance(action, i.SetTimer):
+            elif isinstance(action, SetTimer):
                 self.timers.append(action)
         return self.last
 
-    def request(self, name: str, **fields: Any) -> list[i.Action]:
+    def request(self, name: str, **fields: Any) -> list[RoutingAction]:
         told: dict[str, Any] = {"expires_in_ms": 5000, "prompt_tokens": 1000, "max_output_tokens": 400}
-        return self.give(i.Request(name, **(told | fields)))
+        return self.give(Request(name, **(told | fields)))
 
-    def outcome(self, name: str, status: i.Status, **fields: Any) -> list[i.Action]:
+    def outcome(self, name: str, status: AttemptStatus, **fields: Any) -> list[RoutingAction]:
         told: dict[str, Any] = {"latency_ms": 50} | fields
-        return self.give(i.Outcome(name, self.attempts[name], self.at[name], status, **told))
+        return self.give(AttemptOutcome(name, self.attempts[name], self.at[name], status, **told))
 
-    def first(self, name: str) -> list[i.Action]:
-        return self.give(i.FirstToken(name, self.attempts[name], self.at[name], 30))
+    def first(self, name: str) -> list[RoutingAction]:
+        return self.give(FirstToken(name, self.attempts[name], self.at[name], 30))
 
     def read(self, name: str, **fields: Any) -> str:
         """Let a request be read, so that it goes to a writer; give the reader's name."""
         self.request(name, **fields)
         reader = self.at[name]
-        self.outcome(name, i.Status.PREFILLED)
+        self.outcome(name, AttemptStatus.PREFILLED)
         return reader
 
     def serve(self, name: str, **fields: Any) -> str:
         """Let a request run through; give the reader's name."""
         reader = self.read(name, **fields)
         self.first(name)
-        self.outcome(name, i.Status.OK, over=True)
+        self.outcome(name, AttemptStatus.OK, over=True)
         return reader
 
     def end(self, name: str) -> None:
         """Let the client give a request up, and answer for an attempt that is still out."""
-        self.give(i.ClientGone(name))
+        self.give(ClientDisconnected(name))
         if not released(self.last):
-            self.outcome(name, i.Status.CANCELLED, latency_ms=0, over=True)
+            self.outcome(name, AttemptStatus.CANCELLED, latency_ms=0, over=True)
 
-    def wait(self, ms: float) -> list[i.Action]:
+    def wait(self, ms: float) -> list[RoutingAction]:
         """Let time pass, ring the timers that fall due; give all that is done meanwhile."""
-        end_ms, done = self.now_ms + ms, list[i.Action]()
+        end_ms, done = self.now_ms + ms, list[RoutingAction]()
         while due := [timer for timer in self.timers if timer.at_ms <= end_ms]:
             timer = min(due, key=lambda timer: timer.at_ms)
             self.timers.remove(timer)
             self.now_ms = max(self.now_ms, timer.at_ms)
-            done += self.give(i.Timer(timer.token))
+            done += self.give(TimerFired(timer.token))
         self.now_ms = end_ms
         return done
 
 
-def sends(actions: list[i.Action]) -> list[str]:
-    return [action.server for action in actions if isinstance(action, i.Send)]
+def sends(actions: list[RoutingAction]) -> list[str]:
+    return [action.server for action in actions if isinstance(action, SendAttempt)]
 
 
-def finals(actions: list[i.Action]) -> list[i.Action]:
-    return [action for action in actions if isinstance(action, i.Refuse | i.Fail)]
+def finals(actions: list[RoutingAction]) -> list[RoutingAction]:
+    return [action for action in actions if isinstance(action, RejectRequest | FailRequest)]
 
 
-def released(actions: list[i.Action]) -> bool:
-    return any(isinstance(action, i.Release) for action in actions)
+def released(actions: list[RoutingAction]) -> bool:
+    return any(isinstance(action, ReleaseCache) for action in actions)
 
 
-def cancelled(actions: list[i.Action]) -> bool:
-    return any(isinstance(action, i.Cancel) for action in actions)
+def cancelled(actions: list[RoutingAction]) -> bool:
+    return any(isinstance(action, CancelAttempt) for action in actions)
 
 
 def used(world: World, name: str, count: int, **fields: Any) -> list[str]:
