--- a/benchmarks/collapse_fleet.py
+++ b/benchmarks/collapse_fleet.py
@@ -110,7 +110,7 @@
         old, new = f"r{n}", f"n{n}"
         self.readers[new] = Reader(new, self.now_ms)
         told = (self._entry(old, 0, False), self._entry(new, self.now_ms))
-        gone = (ServerEntry(old, 0, 0, 0, Availability.GONE),)
+        gone = (ServerEntry(old, 0, 0, 0, Availability.REMOVED),)
         for router in range(ROUTERS):
             late_ms = self.rng.uniform(*TELL_MS)
             for after_ms, entries in ((0.0, told), (2000.0, gone)):
@@ -188,7 +188,9 @@
             self._tell(router, action.request, action.attempt, AttemptStatus.CANCELLED)
 
     def _tell(self, router: int, name: str, attempt: int, status: AttemptStatus, **more: Any) -> None:
-        outcome = AttemptOutcome(name, attempt, self.at[name], status, over=name not in self.clients, **more)
+        outcome = AttemptOutcome(
+            name, attempt, self.at[name], status, request_ended=name not in self.clients, **more
+        )
         self.at_ms(self.now_ms, lambda: self.give(router, outcome))
 
     def _come(self, router: int, send: SendAttempt, attempt: int) -> None:
@@ -218,7 +220,7 @@
             client.prefix,
             client.prefix_tokens,
             client.tokens,
-            CLASSES[client.kind].worth,
+            CLASSES[client.kind].priority_weight,
             self.now_ms,
             again,
         )
@@ -252,7 +254,7 @@
         aim_ms = kind.target_ms + kind.target_per_1000_tokens_ms * client.tokens / 1000
         good = self.now_ms - client.since_ms <= aim_ms
         self.seconds[-1]["in time" if good else "late"] += 1
-        self.seconds[-1]["worth"] += kind.worth * (1 if good else kind.late_worth)
+        self.seconds[-1]["worth"] += kind.priority_weight * (1 if good else kind.late_priority_weight)
         del self.clients[send.request]
         lasts_ms = TOKEN_MS * self.rng.uniform(35, 140)
         self.at_ms(
--- a/benchmarks/collapse_servers.py
+++ b/benchmarks/collapse_servers.py
@@ -25,8 +25,12 @@
 START_MS = (20.0, 60.0)  # until a writer has written its first token
 
 CLASSES = (
-    RequestClass(1200, 5000, Idempotency.SAFE, 2, 0.1, target_token_ms=50, target_per_1000_tokens_ms=60),
-    RequestClass(2500, 12000, Idempotency.UNSAFE, 6, 0.3, target_token_ms=80, target_per_1000_tokens_ms=120),
+    RequestClass(
+        1200, 5000, Idempotency.IDEMPOTENT, 2, 0.1, target_token_ms=50, target_per_1000_tokens_ms=60
+    ),
+    RequestClass(
+        2500, 12000, Idempotency.NON_IDEMPOTENT, 6, 0.3, target_token_ms=80, target_per_1000_tokens_ms=120
+    ),
 )
 SETTINGS = RouterSettings(
     classes=CLASSES,
@@ -36,15 +40,15 @@
     max_retry_after_ms=1000,
     max_attempts=6,
     tick_ms=2,
-    ask_every_ms=10_000,
+    poll_interval_ms=10_000,
     drain_grace_ms=250,
-    cold_share=0.35,
+    cold_capacity=0.35,
     warm_after_ms=9_000,
-    fall_multiple=3,
-    overload_for_ms=3_000,
+    overload_multiple=3,
+    overload_window_ms=3_000,
     release_within_ms=500,
     decode_may_prefill=False,
-    over_share_worth=0.05,
+    over_quota_weight=0.05,
 )
 
 
--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -68,7 +68,7 @@
         if changes:
             for name in names:
                 node = world.nodes[name]
-                node.facts.put(world.now_s, f"demand/{world.rng.randrange(10)}", world.rng.randbytes(24))
+                node.facts.write(world.now_s, f"demand/{world.rng.randrange(10)}", world.rng.randbytes(24))
                 world.poke(name)
             world.run(1 / changes)
         else:
--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -59,7 +59,7 @@
         """The stand-in answers all the same."""
         return False
 
-    async def hear(self) -> None:
+    async def receive(self) -> None:
         rest = b""
         while True:
             await anyio.wait_readable(sys.stdin)
@@ -113,7 +113,7 @@
         kind = LateStart if late else Replayer
         replayer = kind(queue, stand_in, decider, lambda: State.OPEN, time.monotonic)
         replayer.tasks = tasks
-        tasks.start_soon(stand_in.hear)
+        tasks.start_soon(stand_in.receive)
         tasks.start_soon(clients)
         token = await queue.highest() + 1
         replayer.begin(token)
--- a/benchmarks/ratio_facts.py
+++ b/benchmarks/ratio_facts.py
@@ -15,11 +15,11 @@
         self._facts, self._rng, self._member = facts, rng, member
         self._late_s = rng.uniform(0.0, 0.5)
 
-    def put(self, now_s: float, key: str, value: bytes) -> None:
+    def write(self, now_s: float, key: str, value: bytes) -> None:
         kept = self._facts[key.split("/")[0]].setdefault((self._member, key), deque(maxlen=4))
         kept.append((now_s + self._rng.uniform(0.1, 0.5), value))
 
-    def drop(self, now_s: float, key: str) -> None:
+    def delete(self, now_s: float, key: str) -> None:
         self._facts[key.split("/")[0]].pop((self._member, key), None)
 
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
--- a/benchmarks/ratio_ways.py
+++ b/benchmarks/ratio_ways.py
@@ -10,7 +10,7 @@
 import numpy.typing
 
 from benchmarks.ratio_lab import READ_PACE, WRITE_PACE, Lab
-from ringledge.decide.interface import PlanRow
+from ringledge.decide.interface import RoleAssignment
 from ringledge.decide.ratio.planner import Listed
 from ringledge.decide.ratio.role_records import encode
 from ringledge.decide.ratio.settings import RatioConfig
@@ -47,7 +47,7 @@
     def _tell(self, name: str, role: str) -> None:
         self.number += 1
         self.roles[name] = role
-        self.facts.put(self.lab.now_s, *encode(name, PlanRow(1, self.number, role)))
+        self.facts.write(self.lab.now_s, *encode(name, RoleAssignment(1, self.number, role)))
 
     def _step(self) -> None:
         """One change at a time in a rack, as for the planner; a server may change again at once."""
@@ -140,7 +140,7 @@
         facts = lab.conductors[0].facts
         for at, each in enumerate(spread(lab.listed)):
             role = "read" if at % len(its(lab)) < start else "write"
-            facts.put(0.0, *encode(each.name, PlanRow(1, 1, role)))
+            facts.write(0.0, *encode(each.name, RoleAssignment(1, 1, role)))
         self.planner = self._new()
         lab.after(3.0, self.begin)
 
--- a/benchmarks/replay_world.py
+++ b/benchmarks/replay_world.py
@@ -180,14 +180,14 @@
                 for other in self.sites.values():
                     if self.lends and other is not site and self.facts.random() > 0.05:
                         late_s = self.facts.uniform(0.01, 2.0)
-                        self.at(self.now_s + late_s, partial(self._hear, other, key, row))
+                        self.at(self.now_s + late_s, partial(self._receive, other, key, row))
         self.at(self.now_s + FACTS_S, self._tell)
 
-    def _hear(self, site: Site, key: str, row: Want | Lend) -> None:
+    def _receive(self, site: Site, key: str, row: Want | Lend) -> None:
         if isinstance(row, Want):
-            site.lending.hear(self.now_s, {key[5:]: row}, {})
+            site.lending.receive(self.now_s, {key[5:]: row}, {})
         elif key.endswith(f"/{site.name}"):
-            site.lending.hear(self.now_s, {}, {key.split("/")[1]: row})
+            site.lending.receive(self.now_s, {}, {key.split("/")[1]: row})
 
 
 def queue_of(rng: random.Random, site: str, entries: int, tenants: int = 3) -> dict[str, list[Head]]:
--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -17,10 +17,10 @@
 from ringledge.core.clock import Clock
 from ringledge.core.context import Context
 from ringledge.core.invariants import Invariant, Invariants
-from ringledge.core.port import Caller, Payload
+from ringledge.core.port import Payload, ResponseSink
 from ringledge.core.records import Attempt, Record
 from ringledge.core.registry import RequestRegistry
-from ringledge.core.server_port import Servers
+from ringledge.core.server_port import ServerTransport
 from ringledge.core.stages import accept, admit, record_outcome, relay, route, send
 from ringledge.memory.server_list import ServerList, some_of
 from ringledge.observe.logging import log
@@ -70,7 +70,7 @@
         clock: Clock,
         servers: ServerList,
         metrics: Metrics,
-        port: Servers,
+        port: ServerTransport,
     ) -> None:
         self.policy = Policy(settings, seed)
         self.clock = clock
@@ -88,7 +88,7 @@
 
     # What the wires report.
 
-    def accept(self, request: Request, payload: Payload, caller: Caller) -> Record:
+    def accept(self, request: Request, payload: Payload, caller: ResponseSink) -> Record:
         """Accept a client's request; its one final answer comes through the caller."""
         record = accept.accept(self.context, request, payload, caller)
         admit.admit(self.context, record)
@@ -102,44 +102,44 @@
         """The client has closed its connection."""
         accept.client_gone(self.context, record)
 
-    def members(self, members: EndpointUpdate, addresses: dict[str, str]) -> None:
+    def update_endpoints(self, members: EndpointUpdate, addresses: dict[str, str]) -> None:
         """News of the list; it goes before all else that waits, so that a drain is never overtaken."""
         changed = self.context.servers.apply(members, addresses)
         if changed:
             log.info("servers_changed", version=members.version, **some_of(changed))
-        self.context.port.listed()
+        self.context.port.endpoints_changed()
         self._events.appendleft(members)
         self._work()
 
-    def by_hand(self, server: str, out: bool) -> None:
+    def override_server(self, server: str, out: bool) -> None:
         """Operators have left a server out or called it back; like a drain, it is never overtaken."""
         self._events.appendleft(OperatorOverride(server, out))
         self._work()
 
-    def roles(self, roles: RolePlan) -> None:
+    def update_role_plan(self, roles: RolePlan) -> None:
         """Which servers that do both get nothing new of one role."""
         self._tell(roles)
 
-    def sending(self, attempt: Attempt, told_ms: float) -> None:
+    def attempt_sent(self, attempt: Attempt, told_ms: float) -> None:
         """An attempt is being written; `told_ms`: the time that its server is told."""
         self.context.invariants.sent(attempt, told_ms)
 
     def may_begin(self, attempt: Attempt) -> bool:
         """Whether an attempt may begin; asked in the very turn in which its first byte is written."""
-        why = begin.refusal(self.context, self.policy, attempt)
+        why = begin.send_refusal(self.context, self.policy, attempt)
         if why is None:
             return True
         self.context.metrics.not_begun.labels(why.value).inc()
         log.info("attempt_not_begun", request=attempt.record.name, server=attempt.server, why=why.value)
-        if why is begin.Refusal.CLIENT_LEFT:  # the loop may not have come round to it
+        if why is begin.SendRefusal.CLIENT_LEFT:  # the loop may not have come round to it
             self.client_gone(attempt.record)
         return False
 
-    def first(self, attempt: Attempt) -> bool:
+    def begin_stream(self, attempt: Attempt) -> bool:
         """An answer has started; False where nobody takes it any more."""
         return relay.begin(self.context, attempt)
 
-    async def piece(self, attempt: Attempt, data: bytes) -> None:
+    async def relay_chunk(self, attempt: Attempt, data: bytes) -> None:
         """A piece of an answer has come."""
         await relay.pass_on(attempt, data)
 
@@ -155,11 +155,11 @@
 
     # Between the processes of one conductor, while one takes over from the other.
 
-    def learned(self) -> Iterator[dict[str, Any]]:
+    def dump_snapshot(self) -> Iterator[dict[str, Any]]:
         """What the policy has learned, in parts."""
         return snapshot.dump(self.policy)
 
-    def learn(self, part: dict[str, Any]) -> None:
+    def load_snapshot(self, part: dict[str, Any]) -> None:
         """Take over what a predecessor's policy has learned."""
         try:
             snapshot.load(self.policy, part)
@@ -237,7 +237,7 @@
 
     def _handle(self, event: RoutingEvent) -> None:
         """Feed one event to the policy, and carry out what it says."""
-        silent = self.context.port.silences()
+        silent = self.context.port.unreachable_servers()
         if silent != self._silent:  # the policy knows it before it decides anything more
             self._silent = silent
             self.policy.handle(self.clock.now_ms(), UnreachableServers(silent))
@@ -267,7 +267,7 @@
             case ProbeServer(server):
                 self.context.port.probe(server)
             case PollEndpoints():
-                self.context.port.ask_members()
+                self.context.port.poll_endpoints()
             case WatchEndpoints():
                 pass  # discovery is watched from the start, whether or not it is asked for
             case LogMessage(text):
--- a/ringledge/core/context.py
+++ b/ringledge/core/context.py
@@ -9,7 +9,7 @@
 from ringledge.core.invariants import Invariants
 from ringledge.core.observer import Observer
 from ringledge.core.registry import RequestRegistry
-from ringledge.core.server_port import Servers
+from ringledge.core.server_port import ServerTransport
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -27,7 +27,7 @@
     registry: RequestRegistry
     servers: ServerList
     metrics: Metrics
-    port: Servers
+    port: ServerTransport
     tell: Callable[[RoutingEvent], None]  # gives an event to the policy
     invariants: Invariants
     observer: Observer | None = None  # told of what passes, where a part wants to know
--- a/ringledge/core/gate.py
+++ b/ringledge/core/gate.py
@@ -15,8 +15,8 @@
 from ringledge.decide.overload.messages import Limits, Reason, Rejection, Sample
 from ringledge.decide.overload.settings import OverloadConfig
 from ringledge.decide.overload.tenant_quotas import TenantShare
-from ringledge.memory.buffered_bytes import Held
-from ringledge.memory.process_statistics import Reading, Vitals
+from ringledge.memory.buffered_bytes import BufferedBytes
+from ringledge.memory.process_statistics import ProcessReading, ProcessStatistics
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import BODY_KB, Metrics
 from ringledge.routing.interface import (
@@ -48,8 +48,8 @@
         settings: RouterSettings,
         names: tuple[str, ...],
         clock: Clock,
-        vitals: Vitals,
-        held: Held,
+        vitals: ProcessStatistics,
+        held: BufferedBytes,
         metrics: Metrics,
         seed: int,
     ) -> None:
@@ -58,18 +58,18 @@
         limits = Limits(caps.cores, config.target, config.delay_ms, config.memory_from, config.memory_to)
         self._overload = Overload(
             limits,
-            [each.worth for each in settings.classes],
+            [each.priority_weight for each in settings.classes],
             [
                 TenantShare(each.fraction, _part(each.quota_per_s, settings.routers))
                 for each in settings.tenants
             ],
-            settings.over_share_worth,
+            settings.over_quota_weight,
             settings.max_retry_after_ms or WAIT_MS,
             random.Random(seed),
         )
         self._memory = caps.memory  # of it this process's part, while there are two
         self._trimmed_ms = 0.0
-        worths = [each.worth for each in settings.classes]
+        worths = [each.priority_weight for each in settings.classes]
         self._most_worth = {name for name, worth in zip(names, worths, strict=True) if worth == max(worths)}
         self._sheds = 0  # since the line that told of the last change
         for index, name in enumerate(names):
@@ -128,7 +128,7 @@
         self._metrics.shed.labels(self._names[class_index], reason.value).inc()
         log.often("request_shed", **{"class": self._names[class_index]}, reason=reason.value)
 
-    def take(self, reading: Reading) -> None:
+    def take(self, reading: ProcessReading) -> None:
         """Hand a reading on to the decisions, and act on what it says of memory."""
         overload, caps = self._overload, self._caps
         memory = reading.rss / self._memory
@@ -152,7 +152,7 @@
         if max(memory, held) >= first:
             self._free(max(memory, held) >= first + GIVE_UP_AT * (last - first))
 
-    def _tell(self, reading: Reading) -> None:
+    def _tell(self, reading: ProcessReading) -> None:
         told = {
             "pressed": self._overload.pressed,
             "cpu": round(reading.cpu_ms / max(1.0, reading.span_ms), 2),
--- a/ringledge/core/port.py
+++ b/ringledge/core/port.py
@@ -15,10 +15,10 @@
     content_type: bytes = b"application/json"
 
 
-class Caller(Protocol):
+class ResponseSink(Protocol):
     """The client's side of one request; a front implements it. Exactly one of the first four ends it."""
 
-    def refuse(self, come_back_ms: float | None) -> None:
+    def reject(self, come_back_ms: float | None) -> None:
         """Final answer: no, and a repeat does no harm."""
 
     def fail(self) -> None:
@@ -27,10 +27,10 @@
     def finish(self) -> None:
         """The stream is whole: end it cleanly."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The stream broke: end the client's connection, never cleanly."""
 
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the client is known to have left; asked right before something is sent for it."""
 
     async def relay(self, piece: bytes) -> None:
--- a/ringledge/core/records.py
+++ b/ringledge/core/records.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ringledge.core.port import Caller, Payload
+from ringledge.core.port import Payload, ResponseSink
 from ringledge.routing.events import NEVER_RAN
 from ringledge.routing.interface import (
     AttemptStatus,
@@ -19,29 +19,31 @@
     record: Record
     number: int
     server: str
-    reads: bool  # the server prefills: a KV cache entry may be left there
-    once: bool  # it must never run twice
+    is_prefill: bool  # the server prefills: a KV cache entry may be left there
+    at_most_once: bool  # it must never run twice
     sent_ms: float
-    ends_ms: float  # clock reading at which it is timed out, unless it has begun
+    expires_ms: float  # clock reading at which it is timed out, unless it has begun
     server_started_ms: float = 0.0  # the start of the server's process that was chosen
     written: bool = False  # the request's last byte is on its way: it may run from here on
-    arrived: bool = False  # its connection was new, or has answered: a kept one may be dead, and nobody told
-    fetches: bool = False  # it was sent while a KV cache entry was held, and may have fetched that
-    began: bool = False  # the first token has come: the attempt is the client's
+    delivered: bool = (
+        False  # its connection was new, or has answered: a kept one may be dead, and nobody told
+    )
+    fetches_cache: bool = False  # it was sent while a KV cache entry was held, and may have fetched that
+    streaming: bool = False  # the first token has come: the attempt is the client's
     outcome: AttemptStatus | None = None
-    took_ms: float = 0.0
-    first_ms: float = 0.0  # from its send to its first token
+    duration_ms: float = 0.0
+    first_token_ms: float = 0.0  # from its send to its first token
     answer_tokens: int = 0  # that its stream told to have had
 
     @property
-    def out(self) -> bool:
+    def in_flight(self) -> bool:
         """Whether its outcome has yet to come."""
         return self.outcome is None
 
     @property
     def may_have_run(self) -> bool:
         """Whether it was written to a server that answers, and is not proved never to have run."""
-        return self.written and not self.reads and self.outcome not in NEVER_RAN
+        return self.written and not self.is_prefill and self.outcome not in NEVER_RAN
 
 
 @dataclass(slots=True, eq=False)
@@ -50,18 +52,20 @@
 
     request: Request
     payload: Payload  # as it came; the core only passes it on
-    caller: Caller
+    caller: ResponseSink
     arrived_ms: float
     attempts: list[Attempt] = field(default_factory=list)
-    holders: set[str] = field(default_factory=set)  # servers that hold a KV cache entry
-    unseen: dict[str, float] = field(default_factory=dict)  # where a prefill may have ended unseen, and when
-    free_ms: float = 0.0  # since when no attempt of it is out that has arrived
+    cache_holders: set[str] = field(default_factory=set)  # servers that hold a KV cache entry
+    unobserved: dict[str, float] = field(
+        default_factory=dict
+    )  # where a prefill may have ended unseen, and when
+    idle_since_ms: float = 0.0  # since when no attempt of it is out that has arrived
     released: bool = False  # what was held is released, while the decisions still count on it
-    over: bool = False  # its final answer is given, or its client has gone
-    how: str = ""  # what the final answer was
-    began: bool = False
-    first_ms: float | None = None  # from its arrival to the first token
-    why: str = ""  # the reason of the final answer, where there is one to tell
+    closed: bool = False  # its final answer is given, or its client has gone
+    result: str = ""  # what the final answer was
+    streaming: bool = False
+    first_token_ms: float | None = None  # from its arrival to the first token
+    reason: str = ""  # the reason of the final answer, where there is one to tell
     violations: set[str] = field(default_factory=set)  # lasting ones that were counted
 
     def history(self) -> list[list[object]]:
@@ -70,9 +74,9 @@
             [
                 each.server,
                 each.outcome and each.outcome.value,
-                round(each.took_ms, 1),
+                round(each.duration_ms, 1),
                 each.written,
-                each.arrived,
+                each.delivered,
             ]
             for each in self.attempts
         ]
@@ -90,7 +94,7 @@
     @property
     def done(self) -> bool:
         """Whether its answer is given and no attempt is out."""
-        return self.over and not any(attempt.out for attempt in self.attempts)
+        return self.closed and not any(attempt.in_flight for attempt in self.attempts)
 
     @property
     def may_have_run(self) -> bool:
--- a/ringledge/core/registry.py
+++ b/ringledge/core/registry.py
@@ -29,7 +29,7 @@
 
     def unanswered(self) -> int:
         """How many requests are still owed their answer's end."""
-        return sum(not record.over for record in self.records.values())
+        return sum(not record.closed for record in self.records.values())
 
     def add(self, record: Record) -> None:
         """Register a request."""
--- a/ringledge/core/send_guard.py
+++ b/ringledge/core/send_guard.py
@@ -22,7 +22,7 @@
 LEAST_MS = 1.0  # of the client's time that has to be left: the header tells whole milliseconds
 
 
-class Refusal(Enum):
+class SendRefusal(Enum):
     """Why an attempt may not begin."""
 
     ENDED = "ended"  # it was given up, or its request is over
@@ -35,7 +35,7 @@
     ANOTHER_OUT = "another_out"  # an earlier attempt is out on an open connection
 
 
-def refusal(context: Context, policy: Policy, attempt: Attempt) -> Refusal | None:
+def send_refusal(context: Context, policy: Policy, attempt: Attempt) -> SendRefusal | None:
     """Why the attempt may not begin now; None where it may."""
     now_ms = context.clock.now_ms()
     return (
@@ -45,32 +45,38 @@
     )
 
 
-def _client_refusal(attempt: Attempt, now_ms: float) -> Refusal | None:
+def _client_refusal(attempt: Attempt, now_ms: float) -> SendRefusal | None:
     """By whom it is for."""
-    if attempt.record.over or not attempt.out:
-        return Refusal.ENDED
-    if attempt.record.caller.gone():
-        return Refusal.CLIENT_LEFT
-    return Refusal.OUT_OF_TIME if attempt.ends_ms - now_ms < LEAST_MS else None
+    if attempt.record.closed or not attempt.in_flight:
+        return SendRefusal.ENDED
+    if attempt.record.caller.is_disconnected():
+        return SendRefusal.CLIENT_LEFT
+    return SendRefusal.OUT_OF_TIME if attempt.expires_ms - now_ms < LEAST_MS else None
 
 
-def _record_refusal(settings: RouterSettings, attempt: Attempt, now_ms: float) -> Refusal | None:
+def _record_refusal(settings: RouterSettings, attempt: Attempt, now_ms: float) -> SendRefusal | None:
     """By the request's other attempts, whatever the decisions think of them."""
     request_class = settings.classes[attempt.record.request.class_index]
     others = [each for each in attempt.record.attempts if each is not attempt]
     if not repeats.may_be_beside(settings, request_class, others):
-        return Refusal.ANOTHER_OUT
-    if attempt.reads or repeats.may_repeat(request_class, others, now_ms + ARRIVAL_MS):
+        return SendRefusal.ANOTHER_OUT
+    if attempt.is_prefill or repeats.may_repeat(request_class, others, now_ms + ARRIVAL_MS):
         return None
-    return Refusal.REPEAT_LATE if request_class.effect is Idempotency.KEYED else Refusal.MAY_HAVE_RUN
+    return (
+        SendRefusal.REPEAT_LATE
+        if request_class.idempotency is Idempotency.KEYED
+        else SendRefusal.MAY_HAVE_RUN
+    )
 
 
-def _server_refusal(policy: Policy, attempt: Attempt, now_ms: float) -> Refusal | None:
+def _server_refusal(policy: Policy, attempt: Attempt, now_ms: float) -> SendRefusal | None:
     """By whom it goes to."""
     server, job = policy.servers.get(attempt.server), policy.jobs.get(attempt.record.name)
     if server is None or policy.availability(server) != Availability.UP:
-        return Refusal.SERVER_CLOSED
+        return SendRefusal.SERVER_CLOSED
     if server.entry.started_ms != attempt.server_started_ms:
-        return Refusal.SERVER_RESTARTED
-    late = job is not None and not attempt.reads and not policy.repeatable(job, server, now_ms + ARRIVAL_MS)
-    return Refusal.REPEAT_LATE if late else None
+        return SendRefusal.SERVER_RESTARTED
+    late = (
+        job is not None and not attempt.is_prefill and not policy.repeatable(job, server, now_ms + ARRIVAL_MS)
+    )
+    return SendRefusal.REPEAT_LATE if late else None
--- a/ringledge/core/server_port.py
+++ b/ringledge/core/server_port.py
@@ -8,7 +8,7 @@
 from ringledge.core.records import Attempt
 
 
-class Servers(Protocol):
+class ServerTransport(Protocol):
     """What the core carries out its actions with."""
 
     def send(self, attempt: Attempt) -> None:
@@ -28,14 +28,14 @@
     def answered_since(self, server: str, at_ms: float) -> bool:
         """Whether the server's process has answered anything since then (the clock's ms)."""
 
-    def listed(self) -> None:
+    def endpoints_changed(self) -> None:
         """The list of servers has changed."""
 
-    def silences(self) -> frozenset[str]:
+    def unreachable_servers(self) -> frozenset[str]:
         """The servers that no connection reaches just now."""
 
     def probe(self, server: str) -> None:
         """Ask a server for its load."""
 
-    def ask_members(self) -> None:
+    def poll_endpoints(self) -> None:
         """Ask discovery for the whole list once."""
--- a/ringledge/core/stages/accept.py
+++ b/ringledge/core/stages/accept.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ringledge.core.context import Context
-from ringledge.core.port import Caller, Payload
+from ringledge.core.port import Payload, ResponseSink
 from ringledge.core.records import Record
 from ringledge.core.stages import record_outcome
 from ringledge.observe.logging import log
@@ -18,7 +18,7 @@
     """A request with this id is open already: accepting it again could run it twice."""
 
 
-def accept(context: Context, request: Request, payload: Payload, caller: Caller) -> Record:
+def accept(context: Context, request: Request, payload: Payload, caller: ResponseSink) -> Record:
     """Register the request; from here on exactly one final answer is owed."""
     if context.registry.is_open(request.request):
         raise DuplicateError(request.request)
@@ -32,7 +32,7 @@
 
 def client_gone(context: Context, record: Record) -> None:
     """The client has left: nothing is owed any more, but the policy has to release what is held."""
-    if record.over:
+    if record.closed:
         return
     record_outcome.end_request(context, record, "gone")
     log.debug("client_gone", request=record.name, attempts=record.history())
@@ -40,7 +40,7 @@
     # An attempt that has begun is not for the policy to cancel: its stream ends with its taker. One that has
     # not been written whole never runs, so it is dropped also where the settings permit no cancelling.
     for attempt in record.attempts:
-        if attempt.out and (attempt.began or not attempt.written):
+        if attempt.in_flight and (attempt.streaming or not attempt.written):
             context.port.abandon(attempt)
             record_outcome.record_outcome(context, attempt, AttemptStatus.CANCELLED)
     record_outcome.remove_if_done(context, record)
--- a/ringledge/core/stages/record_outcome.py
+++ b/ringledge/core/stages/record_outcome.py
@@ -21,35 +21,39 @@
     context: Context, attempt: Attempt, status: AttemptStatus, note: int = 0, load: LoadReport | None = None
 ) -> None:
     """Record the attempt's one outcome; a second one is dropped."""
-    if not attempt.out:
+    if not attempt.in_flight:
         return
     attempt.outcome = status
     record, now_ms = attempt.record, context.clock.now_ms()
-    ends = status == AttemptStatus.OK or attempt.began
-    if ends and not record.over:
+    ends = status == AttemptStatus.OK or attempt.streaming
+    if ends and not record.closed:
         whole = status == AttemptStatus.OK
         end_request(context, record, "served" if whole else "broken")
-        (record.caller.finish if whole else record.caller.break_off)()
+        (record.caller.finish if whole else record.caller.abort)()
     if status == AttemptStatus.PREFILLED:
-        record.holders.add(attempt.server)
+        record.cache_holders.add(attempt.server)
         record.released = False
     elif status == AttemptStatus.FULL and note == 1:
         # Gone from its prefill server; a decode server that was given up before may have fetched it.
-        record.unseen |= dict.fromkeys(record.holders, now_ms)
-        record.holders.clear()
-    elif (attempt.reads or (attempt.fetches and not attempt.began)) and attempt.written and status in CROSSED:
+        record.unobserved |= dict.fromkeys(record.cache_holders, now_ms)
+        record.cache_holders.clear()
+    elif (
+        (attempt.is_prefill or (attempt.fetches_cache and not attempt.streaming))
+        and attempt.written
+        and status in CROSSED
+    ):
         # One that answered nobody meanwhile may hang, and run it whenever it goes on.
         answers = context.port.answered_since(attempt.server, attempt.sent_ms)
-        record.unseen[attempt.server] = now_ms if answers else inf
+        record.unobserved[attempt.server] = now_ms if answers else inf
     context.metrics.outcomes.labels(status.value).inc()
-    latency_ms = attempt.took_ms = now_ms - attempt.sent_ms
+    latency_ms = attempt.duration_ms = now_ms - attempt.sent_ms
     if context.observer is not None:
         context.observer.ended(attempt, status, note)
-    if attempt.arrived:
-        record.free_ms = now_ms
+    if attempt.delivered:
+        record.idle_since_ms = now_ms
     context.tell(
         AttemptOutcome(
-            record.name, attempt.number, attempt.server, status, latency_ms, record.over, note, load
+            record.name, attempt.number, attempt.server, status, latency_ms, record.closed, note, load
         )
     )
     remove_if_done(context, record)
@@ -57,7 +61,7 @@
 
 def end_request(context: Context, record: Record, how: str) -> None:
     """Mark the request over: nothing is owed any more."""
-    record.over, record.how = True, how
+    record.closed, record.result = True, how
     context.metrics.answers.labels(how, str(record.request.class_index)).inc()
 
 
@@ -67,9 +71,9 @@
     Only once no attempt will follow: a server that hears of it releases all that is held for the request on
     any server, and so the entry of a further prefill that is in flight.
     """
-    if record.holders or record.unseen:
-        context.port.release(record.name, record.holders, record.unseen, record.began)
-    record.holders, record.unseen = set(), {}
+    if record.cache_holders or record.unobserved:
+        context.port.release(record.name, record.cache_holders, record.unobserved, record.streaming)
+    record.cache_holders, record.unobserved = set(), {}
 
 
 def remove_if_done(context: Context, record: Record) -> None:
@@ -84,9 +88,9 @@
             "request_ended",
             request=record.name,
             **{"class": record.request.class_index},
-            how=record.how,
+            how=record.result,
             ms=round(context.clock.now_ms() - record.arrived_ms, 1),
-            first_ms=record.first_ms and round(record.first_ms, 1),
-            why=record.why,
+            first_ms=record.first_token_ms and round(record.first_token_ms, 1),
+            why=record.reason,
             attempts=record.history(),
         )
--- a/ringledge/core/stages/relay.py
+++ b/ringledge/core/stages/relay.py
@@ -12,13 +12,13 @@
 def begin(context: Context, attempt: Attempt) -> bool:
     """Record the first token; False where the request is over, so that the stream has no taker."""
     record = attempt.record
-    if record.over or not attempt.out:
+    if record.closed or not attempt.in_flight:
         return False
-    attempt.began = record.began = True
-    record.holders.clear()  # with the first token all that is held goes by itself
-    latency_ms = attempt.first_ms = context.clock.now_ms() - attempt.sent_ms
-    record.first_ms = context.clock.now_ms() - record.arrived_ms
-    context.metrics.first_token.observe(record.first_ms / 1000)
+    attempt.streaming = record.streaming = True
+    record.cache_holders.clear()  # with the first token all that is held goes by itself
+    latency_ms = attempt.first_token_ms = context.clock.now_ms() - attempt.sent_ms
+    record.first_token_ms = context.clock.now_ms() - record.arrived_ms
+    context.metrics.first_token.observe(record.first_token_ms / 1000)
     context.tell(FirstToken(record.name, attempt.number, attempt.server, latency_ms))
     return True
 
--- a/ringledge/core/stages/route.py
+++ b/ringledge/core/stages/route.py
@@ -23,22 +23,22 @@
     if action.timeout_ms:
         timeout_ms = min(timeout_ms, action.timeout_ms)
     reads = context.servers.role(action.server) == Role.PREFILL
-    repeatable = context.settings.classes[record.request.class_index].effect is Idempotency.SAFE
+    repeatable = context.settings.classes[record.request.class_index].idempotency is Idempotency.IDEMPOTENT
     once = not reads and not repeatable
     attempt = Attempt(record, len(record.attempts), action.server, reads, once, now_ms, now_ms + timeout_ms)
     attempt.server_started_ms = context.servers.started_ms(action.server)
-    another_out = any(each.out for each in record.attempts)
+    another_out = any(each.in_flight for each in record.attempts)
     record.attempts.append(attempt)
     # Two attempts of a request are never out together, whatever was decided, but where the settings allow a
     # second copy of what may be repeated.
-    copies = context.settings.second_copies and repeatable
-    may_go = not (record.over or record.began or (another_out and not copies))
+    copies = context.settings.hedging_allowed and repeatable
+    may_go = not (record.closed or record.streaming or (another_out and not copies))
     may_go = may_go and timeout_ms > 0 and attempt.number < context.settings.max_attempts
     if may_go and context.servers.address(action.server) is not None:
         return attempt
     attempt.outcome = AttemptStatus.NOT_SENT
     context.metrics.outcomes.labels(AttemptStatus.NOT_SENT.value).inc()
     context.tell(
-        AttemptOutcome(record.name, attempt.number, action.server, AttemptStatus.NOT_SENT, 0.0, record.over)
+        AttemptOutcome(record.name, attempt.number, action.server, AttemptStatus.NOT_SENT, 0.0, record.closed)
     )
     return None
--- a/ringledge/core/stages/send.py
+++ b/ringledge/core/stages/send.py
@@ -22,6 +22,6 @@
     if record is None or action.attempt >= len(record.attempts):
         return
     attempt = record.attempts[action.attempt]
-    if attempt.out and not attempt.began:
+    if attempt.in_flight and not attempt.streaming:
         context.port.abandon(attempt)
         record_outcome.record_outcome(context, attempt, AttemptStatus.CANCELLED)
--- a/ringledge/decide/datagram.py
+++ b/ringledge/decide/datagram.py
@@ -6,13 +6,13 @@
 
 from msgspec import Meta
 
-from ringledge.decide.interface import MOST_BYTES
+from ringledge.decide.interface import MAX_DATAGRAM_BYTES
 
 NAME_MOST = 24  # bytes of a member's name in UTF-8
 TAG_BYTES = 12  # of the keyed hash: 96 bits, guessed once in 10^28 datagrams
 # Version, kind, cluster (4), number (5), both starts (6 each), the tag, the length of the sender's name.
 FIXED_BYTES = 1 + 1 + 4 + 5 + 6 + 6 + TAG_BYTES + 1
-BODY_MOST = MOST_BYTES - FIXED_BYTES - NAME_MOST  # bytes of a message, whoever sends it
+BODY_MOST = MAX_DATAGRAM_BYTES - FIXED_BYTES - NAME_MOST  # bytes of a message, whoever sends it
 START_MOST = (1 << 48) - 1  # a start number fits 6 bytes: ms of the wall clock until the year 10,889
 
 Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
--- a/ringledge/decide/interface.py
+++ b/ringledge/decide/interface.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-MOST_BYTES = 256  # a datagram whole: what the platform carries where it permits talk at all
+MAX_DATAGRAM_BYTES = 256  # a datagram whole: what the platform carries where it permits talk at all
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -25,15 +25,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     """Send one message to the member of this name; it may come late, twice, out of order, or never."""
 
-    to: str
+    recipient: str
     message: msgspec.Struct
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class LeaseAcquired:
     """From now on the member holds a duty; `until_s` on its own monotonic clock, unless extended."""
 
     duty: str
@@ -42,21 +42,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class LeaseEnded:
     """The member holds the duty no more."""
 
     duty: str
     token: int
-    why: str  # "given_up", "expired", "stopped"
+    reason: str  # "given_up", "expired", "stopped"
 
 
-Action = Tell | Begin | End
+Action = SendMessage | LeaseAcquired | LeaseEnded
 
 
 class Decider(Protocol):
     """What each decider that talks looks like to the part that runs it."""
 
-    def hear(self, now_s: float, sender: str, message: Any) -> list[Action]:
+    def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
         """Take a message of this decider's kinds from the member of that name."""
         ...
 
@@ -69,14 +69,14 @@
         ...
 
 
-class Facts(Protocol):
+class RecordStore(Protocol):
     """Small records that every member hears of; one writer each, gone with their writer."""
 
-    def put(self, now_s: float, key: str, value: bytes) -> None:
+    def write(self, now_s: float, key: str, value: bytes) -> None:
         """Say something under a key of our own; later values replace earlier ones."""
         ...
 
-    def drop(self, now_s: float, key: str) -> None:
+    def delete(self, now_s: float, key: str) -> None:
         """Take a key of our own back."""
         ...
 
@@ -85,7 +85,7 @@
         ...
 
 
-class Tokens(Protocol):
+class LeaseTokens(Protocol):
     """Whether a duty is held, asked before each step of it."""
 
     def token(self, now_s: float, duty: str) -> int | None:
@@ -96,24 +96,24 @@
 # Rows told as facts. Keys: "demand/CLASS", "server/NAME", "backlog/SITE", "plan/SERVER", "doubt/SERVER".
 
 
-class Demand(msgspec.Struct, array_like=True, frozen=True):
+class ClassDemand(msgspec.Struct, array_like=True, frozen=True):
     """What one member sees of one class (key demand/CLASS): rates per s over its window."""
 
     arrivals: float  # requests per s
-    to_read: float  # unread prompt tokens per s
-    to_write: float  # answer tokens per s
+    prefill_tokens: float  # unread prompt tokens per s
+    decode_tokens: float  # answer tokens per s
 
 
-class ServerSeen(msgspec.Struct, array_like=True, frozen=True):
+class ServerObservation(msgspec.Struct, array_like=True, frozen=True):
     """What one member sees of one server (key server/NAME)."""
 
-    read_pace: float  # prompt tokens per s that it gets through, 0: not known
-    write_pace: float  # answer tokens per s that it gets through, 0: not known
+    prefill_rate: float  # prompt tokens per s that it gets through, 0: not known
+    decode_rate: float  # answer tokens per s that it gets through, 0: not known
     warmth: float  # part of its capacity, 0 to 1
-    waiting: int  # read states of this member that wait there to be fetched
+    waiting_entries: int  # read states of this member that wait there to be fetched
 
 
-class PlanRow(msgspec.Struct, array_like=True, frozen=True):
+class RoleAssignment(msgspec.Struct, array_like=True, frozen=True):
     """One server's role by the planner (key plan/SERVER)."""
 
     token: int  # of the planner's duty
@@ -121,7 +121,7 @@
     role: str  # "read", "write", "both"
 
 
-class Backlog(msgspec.Struct, array_like=True, frozen=True):
+class QueueBacklog(msgspec.Struct, array_like=True, frozen=True):
     """A site's queue (key backlog/SITE)."""
 
     token: int  # of the site's replay duty
--- a/ringledge/decide/leases/acceptor.py
+++ b/ringledge/decide/leases/acceptor.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ringledge.decide.interface import Action, Tell
+from ringledge.decide.interface import Action, SendMessage
 from ringledge.decide.leases.messages import (
     MOST_NAME,
     Ask,
@@ -49,7 +49,7 @@
     waiting: dict[str, None] = field(default_factory=dict)  # seekers refused, latest last
 
 
-class LeaseVoter:
+class LeaseAcceptor:
     """Hears seekers and other voters; a voter that started is silent, then learns, then votes."""
 
     def __init__(self, now_s: float, name: str, start: int, terms: LeaseTerms) -> None:
@@ -58,20 +58,20 @@
         self._votes: dict[str, Vote] = {}
         self.misfits = 0  # messages of other terms: settings differ somewhere
 
-    def hear(self, now_s: float, sender: str, message: Any) -> list[Action]:
+    def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
         """Take a message to voters."""
         if isinstance(message, Ask | Take | Learn | Known) and message.terms != self._terms.digest:
             self.misfits += 1
             return []
         if isinstance(message, Learn | Known):
             tops = (vote.top for vote in self._votes.values())
-            return self.learning.hear(now_s, sender, message, max(tops, default=0))
+            return self.learning.receive(now_s, sender, message, max(tops, default=0))
         if not self.learning.active or len(message.duty.encode()) > MOST_NAME:
             return []
         if isinstance(message, Ask):
-            return [Tell(sender, self._ask(now_s, sender, message))]
+            return [SendMessage(sender, self._ask(now_s, sender, message))]
         if isinstance(message, Take):
-            return [Tell(sender, self._take(now_s, sender, message))]
+            return [SendMessage(sender, self._take(now_s, sender, message))]
         return self._release(now_s, sender, message) if isinstance(message, Release) else []
 
     def tick(self, now_s: float) -> list[Action]:
@@ -154,7 +154,9 @@
             return []
         vote.holder, vote.locked_until_s = NOBODY, float("-inf")
         waiting, vote.waiting = [*vote.waiting], {}
-        return [Tell(each, Freed(message.duty, message.token, False)) for each in waiting if each != sender]
+        return [
+            SendMessage(each, Freed(message.duty, message.token, False)) for each in waiting if each != sender
+        ]
 
 
 def _goes_first(message: Ask | Take) -> bool:
--- a/ringledge/decide/leases/fencing.py
+++ b/ringledge/decide/leases/fencing.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping
 
 
-class Fence:
+class FencingTokenCheck:
     """The highest token seen of each duty."""
 
     def __init__(
--- a/ringledge/decide/leases/manager.py
+++ b/ringledge/decide/leases/manager.py
@@ -12,8 +12,8 @@
 from random import Random
 from typing import Any
 
-from ringledge.decide.interface import Action, Begin, Tell
-from ringledge.decide.leases.acceptor import LeaseVoter
+from ringledge.decide.interface import Action, LeaseAcquired, SendMessage
+from ringledge.decide.leases.acceptor import LeaseAcceptor
 from ringledge.decide.leases.messages import (
     MESSAGES,
     MOST_NAME,
@@ -25,7 +25,7 @@
     Release,
     Take,
 )
-from ringledge.decide.leases.proposer import LeaseSeeker, Phase
+from ringledge.decide.leases.proposer import LeaseProposer, Phase
 from ringledge.decide.rendezvous import ranked
 
 __all__ = ["MESSAGES", "LeaseTerms", "Leases", "Spread"]
@@ -64,8 +64,8 @@
             raise ValueError(f"name: 1 to {MOST_NAME} bytes")
         self._name, self._start, self._terms, self._random = name, start, terms, random
         self._spread = spread or Spread()
-        self.voter = LeaseVoter(now_s, name, start, terms) if name in terms.voters else None
-        self._seekers: dict[str, LeaseSeeker] = {}
+        self.voter = LeaseAcceptor(now_s, name, start, terms) if name in terms.voters else None
+        self._seekers: dict[str, LeaseProposer] = {}
         self._ranks: dict[str, int] = {}
         self._alive: frozenset[str] = frozenset()
         self._able = True
@@ -77,7 +77,7 @@
         if not 0 < len(duty.encode()) <= MOST_NAME:
             raise ValueError(f"duty: 1 to {MOST_NAME} bytes")
         if duty not in self._seekers:
-            seeker = LeaseSeeker(duty, self._name, self._start, self._terms, self._random)
+            seeker = LeaseProposer(duty, self._name, self._start, self._terms, self._random)
             seeker.due_s = now_s
             self._seekers[duty] = seeker
             self._ranks[duty] = self._rank(duty)
@@ -109,7 +109,7 @@
             return []
         actions: list[Action] = []
         if seeker.phase is Phase.HOLD and (follower := self._follower(duty)):
-            actions.append(Tell(follower, Freed(duty, seeker.token, True)))
+            actions.append(SendMessage(follower, Freed(duty, seeker.token, True)))
         actions += seeker.end(now_s, why, self._spread.rest_s)
         return self._route(now_s, actions)
 
@@ -125,9 +125,9 @@
         self._stopped, self.voter = True, None
         return actions
 
-    def hear(self, now_s: float, sender: str, message: Any) -> list[Action]:
+    def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
         """Take a message of `MESSAGES` from the member of that name."""
-        return self._route(now_s, self._hear(now_s, sender, message))
+        return self._route(now_s, self._receive(now_s, sender, message))
 
     def tick(self, now_s: float) -> list[Action]:
         """Do what is due; may be called early."""
@@ -145,21 +145,21 @@
             voter_s = min(voter_s, each.next_s(extra_s))
         return voter_s
 
-    def _hear(self, now_s: float, sender: str, message: Any) -> list[Action]:
+    def _receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
         if isinstance(message, TO_VOTERS):
-            return self.voter.hear(now_s, sender, message) if self.voter else []
+            return self.voter.receive(now_s, sender, message) if self.voter else []
         seeker = self._seekers.get(message.duty)
-        return seeker.hear(now_s, sender, message) if seeker else []
+        return seeker.receive(now_s, sender, message) if seeker else []
 
     def _route(self, now_s: float, actions: list[Action]) -> list[Action]:
         """Hand what this member tells itself to itself, and count."""
         out: list[Action] = []
         for each in actions:
-            if isinstance(each, Tell) and each.to == self._name:
-                out += self._route(now_s, self._hear(now_s, self._name, each.message))
+            if isinstance(each, SendMessage) and each.recipient == self._name:
+                out += self._route(now_s, self._receive(now_s, self._name, each.message))
                 continue
-            if not isinstance(each, Tell):
-                self.counts["begin" if isinstance(each, Begin) else each.why] += 1
+            if not isinstance(each, SendMessage):
+                self.counts["begin" if isinstance(each, LeaseAcquired) else each.reason] += 1
             out.append(each)
         return out
 
--- a/ringledge/decide/leases/proposer.py
+++ b/ringledge/decide/leases/proposer.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ringledge.decide.interface import Action, Begin, End, Tell
+from ringledge.decide.interface import Action, LeaseAcquired, LeaseEnded, SendMessage
 from ringledge.decide.leases.messages import (
     Ask,
     Freed,
@@ -50,7 +50,7 @@
     HOLD = auto()
 
 
-class LeaseSeeker:
+class LeaseProposer:
     """What it asks for, and until when it holds; `hear` and `tick` give the actions."""
 
     def __init__(self, duty: str, name: str, start: int, terms: LeaseTerms, random: Random) -> None:
@@ -102,14 +102,14 @@
         if self.phase is not Phase.REST and now_s >= self._resend_s:
             self._resend_s = now_s + self._random.uniform(*RESEND_S)
             if self.phase is Phase.ASK:
-                return out + [Tell(each, self._question()) for each in self._unanswered(now_s)]
+                return out + [SendMessage(each, self._question()) for each in self._unanswered(now_s)]
             missing = [each for each in self._terms.voters if self._taken_s.get(each, -1e9) < self._full_s]
             if len(missing) > len(self._terms.voters) - self._terms.majority:
                 return out + self._send_round(now_s, missing)
             self._resend_s = self._extend_s
         return out
 
-    def hear(self, now_s: float, sender: str, message: Any) -> list[Action]:
+    def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
         """Take a message to seekers; from voters, but for Freed."""
         out = self._expire(now_s)
         if isinstance(message, Freed):
@@ -137,7 +137,7 @@
         """Hold or try no longer, say so, and don't seek for a time."""
         ended: list[Action] = []
         if self.phase is Phase.HOLD:
-            ended.append(End(self.duty, self.token, why))
+            ended.append(LeaseEnded(self.duty, self.token, why))
         if self.phase in (Phase.TAKE, Phase.HOLD):
             self._release = Release(self.duty, self._start, self.token)
             self._says, self._say_s = SAY_AGAIN - 1, now_s + SAY_AGAIN_S
@@ -163,7 +163,7 @@
         return self.end(now_s, "", times * self._random.uniform(*RETRY_S))
 
     def _to_voters(self, message: msgspec.Struct) -> list[Action]:
-        return [Tell(each, message) for each in self._terms.voters]
+        return [SendMessage(each, message) for each in self._terms.voters]
 
     def _unanswered(self, now_s: float) -> list[str]:
         """Voters to ask again: silent ones, and those whose reason to refuse is over."""
@@ -195,7 +195,7 @@
         self._sent_s[self._round] = now_s
         self._sent_s.pop(self._round - ROUNDS, None)
         self._resend_s = now_s + self._random.uniform(*RESEND_S)
-        return [Tell(each, self._offer()) for each in voters]
+        return [SendMessage(each, self._offer()) for each in voters]
 
     def _taken(self, now_s: float, sender: str, message: Taken) -> list[Action]:
         sent_s = self._sent_s.get(message.round)
@@ -212,7 +212,7 @@
         if self.phase is not Phase.TAKE:
             return []
         self.phase, self.holder, self._misses = Phase.HOLD, self._name, 0
-        return [Begin(self.duty, self.token, self.until_s)]
+        return [LeaseAcquired(self.duty, self.token, self.until_s)]
 
     def _is_refused(self, now_s: float, sender: str, message: Refused) -> list[Action]:
         mine = message.ask == self._ask if message.ask else message.token == self.token
@@ -228,7 +228,7 @@
         self._misses = 0
         needed = self._terms.majority - len(self._promised)
         free_s = sorted(self._refused.values())[needed - 1]
-        let_go = [Tell(each, Release(self.duty, self._start, self.token)) for each in self._promised]
+        let_go = [SendMessage(each, Release(self.duty, self._start, self.token)) for each in self._promised]
         self._rest(free_s + self._random.uniform(0, AGAIN_S))
         return [*let_go]  # what they keep for this member would only be in others' way
 
@@ -241,5 +241,5 @@
             self.due_s = min(self.due_s, now_s + wait_s)
             self.hinted, self.freed = self.hinted or message.follow, True
         elif self.phase is Phase.ASK and self._refused.pop(sender, None) is not None:
-            return [Tell(sender, self._question())]
+            return [SendMessage(sender, self._question())]
         return []
--- a/ringledge/decide/leases/recovery.py
+++ b/ringledge/decide/leases/recovery.py
@@ -14,7 +14,7 @@
 
 from __future__ import annotations
 
-from ringledge.decide.interface import Action, Tell
+from ringledge.decide.interface import Action, SendMessage
 from ringledge.decide.leases.messages import MOST_START, Known, Learn, LeaseTerms
 
 ASK_AGAIN_S = 0.3  # a question or its answer is lost at times
@@ -37,13 +37,13 @@
         """Begin the silence now: only from here on nobody else can vote under this name."""
         self._silent_until_s = self._ask_s = now_s + self._terms.silence_s
 
-    def hear(self, now_s: float, sender: str, message: Learn | Known, top: int) -> list[Action]:
+    def receive(self, now_s: float, sender: str, message: Learn | Known, top: int) -> list[Action]:
         """Take a message between voters; `top`: the highest token that this voter took itself."""
         if now_s < self._silent_until_s or sender not in self._terms.voters:
             return []
         if isinstance(message, Learn):
             known = Known(message.start, self._start, self.active, max(self.base, top), message.terms)
-            return [Tell(sender, known)]
+            return [SendMessage(sender, known)]
         if not self.active and message.echo == self._start and sender != self._name:
             self._heard[sender] = message
             self._conclude()
@@ -65,7 +65,7 @@
             return []
         self._ask_s = now_s + ASK_AGAIN_S
         others = (each for each in self._terms.voters if each != self._name)
-        return [Tell(each, Learn(self._start, self._terms.digest)) for each in others]
+        return [SendMessage(each, Learn(self._start, self._terms.digest)) for each in others]
 
     def next_s(self) -> float:
         """When the next call of `tick` is wanted."""
--- a/ringledge/decide/membership/outbox.py
+++ b/ringledge/decide/membership/outbox.py
@@ -5,7 +5,7 @@
 import operator
 from functools import reduce
 
-from ringledge.decide.interface import Action, Member, Tell
+from ringledge.decide.interface import Action, Member, SendMessage
 from ringledge.decide.membership.gossip import Gossip
 from ringledge.decide.membership.member_table import Table, mark
 from ringledge.decide.membership.messages import (
@@ -65,29 +65,29 @@
         """Whether there is nothing to pass on."""
         return self._gossip.quiet()
 
-    def ping(self, name: str, nonce: int) -> Tell:
+    def ping(self, name: str, nonce: int) -> SendMessage:
         """Ask a member whether it is there."""
-        return Tell(name, Ping(self.me.start, self.start(name), nonce, self.view(), self._news(name)))
+        return SendMessage(name, Ping(self.me.start, self.start(name), nonce, self.view(), self._news(name)))
 
-    def ack(self, name: str, nonce: int) -> Tell:
+    def ack(self, name: str, nonce: int) -> SendMessage:
         """Answer a member's ping, or tell it that another one answered."""
-        return Tell(name, Ack(self.me.start, self.start(name), nonce, self.view(), self._news(name)))
+        return SendMessage(name, Ack(self.me.start, self.start(name), nonce, self.view(), self._news(name)))
 
-    def ask(self, name: str, nonce: int, target: str) -> Tell:
+    def ask(self, name: str, nonce: int, target: str) -> SendMessage:
         """Have a member ping another."""
-        return Tell(name, Ask(self.me.start, self.start(name), nonce, target))
+        return SendMessage(name, Ask(self.me.start, self.start(name), nonce, target))
 
-    def join(self, name: str) -> Tell:
+    def join(self, name: str) -> SendMessage:
         """Say who this member is."""
-        return Tell(name, Join(self.start(name), self.own()))
+        return SendMessage(name, Join(self.start(name), self.own()))
 
-    def roster(self, name: str, *news: News) -> Tell:
+    def roster(self, name: str, *news: News) -> SendMessage:
         """Tell a member a few things at once."""
-        return Tell(name, Roster(self.me.start, self.start(name), news))
+        return SendMessage(name, Roster(self.me.start, self.start(name), news))
 
-    def views(self, name: str) -> Tell:
+    def views(self, name: str) -> SendMessage:
         """Show a member what is believed here of who is there."""
-        return Tell(name, Views(self.me.start, self.start(name), tuple(self.sums())))
+        return SendMessage(name, Views(self.me.start, self.start(name), tuple(self.sums())))
 
     def rosters(self, name: str, most: int, buckets: list[int] | None = None) -> list[Action]:
         """Tell a member what is known here, of all or in the order of some buckets: its own row first."""
--- a/ringledge/decide/membership/swim.py
+++ b/ringledge/decide/membership/swim.py
@@ -136,7 +136,7 @@
             actions += self._try_again(now_s)
         return actions
 
-    def hear(self, now_s: float, sender: str, message: Message) -> list[Action]:
+    def receive(self, now_s: float, sender: str, message: Message) -> list[Action]:
         """Take a message; one under this member's own name is its successor's, or late."""
         if self.silent:
             return []
--- a/ringledge/decide/ratio/demand_estimate.py
+++ b/ringledge/decide/ratio/demand_estimate.py
@@ -14,7 +14,7 @@
 from math import exp, inf, log, sqrt
 from statistics import median
 
-from ringledge.decide.interface import Demand, ServerSeen
+from ringledge.decide.interface import ClassDemand, ServerObservation
 from ringledge.decide.ratio.settings import RatioConfig
 
 BEYOND = 8.0  # times its site's median that one member's demand counts at most, where three or more tell
@@ -124,12 +124,12 @@
     def __init__(self, settings: RatioConfig) -> None:
         self.settings = settings
         self.sites = dict[str, Site]()
-        self._told = dict[tuple[str, str], tuple[float, Demand]]()  # by member and class, since when
+        self._told = dict[tuple[str, str], tuple[float, ClassDemand]]()  # by member and class, since when
 
     def look(
         self,
         now_s: float,
-        demand: Mapping[tuple[str, str], Demand],
+        demand: Mapping[tuple[str, str], ClassDemand],
         members: Mapping[str, str],
         cold: Mapping[str, float] | None = None,
     ) -> dict[str, Need]:
@@ -138,7 +138,7 @@
         `members`: the site of each that is there, whether it tells anything or not. `cold`: the part of each
         site's reading that changed its role lately: its prompts are read anew, which the plan itself caused.
         """
-        told: dict[str, dict[str, Demand]] = {member: {} for member in members}
+        told: dict[str, dict[str, ClassDemand]] = {member: {} for member in members}
         for key in self._told.keys() - demand.keys():
             del self._told[key]
         for key, each in demand.items():
@@ -159,7 +159,7 @@
         return needs
 
     def _site(
-        self, now_s: float, name: str, heard: list[dict[str, Demand]], absent: int, cold: float
+        self, now_s: float, name: str, heard: list[dict[str, ClassDemand]], absent: int, cold: float
     ) -> Need:
         site = self.sites.setdefault(name, Site())
         first, step_s = site.at_s == -inf, now_s - site.at_s
@@ -171,9 +171,9 @@
         for kind in sorted({kind for each in heard for kind in each}):
             rows = [each[kind] for each in heard if kind in each]
             arrivals = clipped([row.arrivals for row in rows])
-            to_read = clipped([row.to_read for row in rows])
+            to_read = clipped([row.prefill_tokens for row in rows])
             read += self._uncaused(site, kind, arrivals, to_read, cold, slow)
-            write += clipped([row.to_write for row in rows])
+            write += clipped([row.decode_tokens for row in rows])
         site.read.add(read * scale, fast, slow, first)
         site.write.add(write * scale, fast, slow, first)
         return self._need(now_s, site, (fast, slow), len(heard), absent)
@@ -223,7 +223,7 @@
     return sum(min(value, most) for value in values)
 
 
-def sane(told: Demand | ServerSeen) -> bool:
+def sane(told: ClassDemand | ServerObservation) -> bool:
     """Whether all its figures are numbers that can be."""
     figures = (getattr(told, name) for name in told.__struct_fields__)
     return all(0 <= figure <= MOST_FIGURE for figure in figures)
--- a/ringledge/decide/ratio/measurements.py
+++ b/ringledge/decide/ratio/measurements.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from math import exp, isfinite
 
-from ringledge.decide.interface import Demand, ServerSeen
+from ringledge.decide.interface import ClassDemand, ServerObservation
 
 WINDOW_S = 5.0  # over which arrivals fade: shorter than the planner's fast horizon and its look together
 NEW = 0.1  # weight of a new sample of a mean: some ten requests of a class tell it
@@ -92,17 +92,17 @@
             box = self._box(server)
             box.together = max(1.0, float(count), (1 - NEW) * box.together)
 
-    def demand(self, now_s: float) -> dict[int, Demand]:
+    def demand(self, now_s: float) -> dict[int, ClassDemand]:
         """By class, what is asked for."""
         told = {}
         for kind, its in self._kinds.items():
             per_s = its.arrivals * exp((its.at_s - now_s) / WINDOW_S) / WINDOW_S
-            told[kind] = Demand(per_s, per_s * its.read.value, per_s * its.write.value)
+            told[kind] = ClassDemand(per_s, per_s * its.read.value, per_s * its.write.value)
         return told
 
     def seen(
         self, server: str, memory: float | None, routers: int, warmth: float, waiting: int
-    ) -> ServerSeen:
+    ) -> ServerObservation:
         """What a server gets through as far as known, 0 where it is not.
 
         Reading is one queue, so the pace of a read is the server's. A writer runs as many streams as its
@@ -112,7 +112,7 @@
         if box.write.known:
             many = memory / max(1.0, box.held.value) if memory else box.together * routers
             write = box.write.value * max(1.0, many)
-        return ServerSeen(box.read.value, write, warmth, waiting)
+        return ServerObservation(box.read.value, write, warmth, waiting)
 
     def keep(self, servers: set[str]) -> None:
         """Forget those that are listed no more."""
--- a/ringledge/decide/ratio/planner.py
+++ b/ringledge/decide/ratio/planner.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from ringledge.decide.interface import Demand, PlanRow, ServerSeen
+from ringledge.decide.interface import ClassDemand, RoleAssignment, ServerObservation
 from ringledge.decide.ratio.demand_estimate import Estimate, Need
 from ringledge.decide.ratio.plan import Plan, plan
 from ringledge.decide.ratio.role_registry import WARM, RoleBook, State
@@ -34,8 +34,8 @@
 class Heard:
     """What members tell, as one look finds it."""
 
-    demand: Mapping[tuple[str, str], Demand]  # by member and class
-    seen: Mapping[tuple[str, str], ServerSeen]  # by member and server
+    demand: Mapping[tuple[str, str], ClassDemand]  # by member and class
+    seen: Mapping[tuple[str, str], ServerObservation]  # by member and server
     members: Mapping[str, str]  # the site of each member that is there
 
 
@@ -43,7 +43,7 @@
 class Looked:
     """What a look has come to."""
 
-    rows: dict[str, PlanRow] = field(default_factory=dict)  # to be told, by server
+    rows: dict[str, RoleAssignment] = field(default_factory=dict)  # to be told, by server
     plans: dict[str, Plan] = field(default_factory=dict)  # by site
     needs: dict[str, Need] = field(default_factory=dict)
 
@@ -63,7 +63,7 @@
         self.token, self.number, self._since_s = token, 1, now_s
         self._estimate, self._paces = Estimate(self.settings), Paces(self.settings)
 
-    def again(self, now_s: float) -> dict[str, PlanRow]:
+    def again(self, now_s: float) -> dict[str, RoleAssignment]:
         """Rows in force that are still to be told under the present token.
 
         None at first: what the planner before told last may still be on its way here, and to tell what was
@@ -72,7 +72,7 @@
         if now_s - self._since_s < 2 * self.settings.spread_s:
             return {}
         old = sorted((server, row) for server, row in self.book.rows.items() if row.token < self.token)
-        return {server: PlanRow(self.token, 1, row.role) for server, row in old}
+        return {server: RoleAssignment(self.token, 1, row.role) for server, row in old}
 
     def look(self, now_s: float, heard: Heard, listed: Sequence[Listed]) -> Looked:
         """Measure, and decide what changes now; rows are to be told and given to the book."""
@@ -94,7 +94,9 @@
         moves = {server: role for each in looked.plans.values() for server, role in each.moves.items()}
         if moves:
             self.number += 1
-            looked.rows = {server: PlanRow(self.token, self.number, role) for server, role in moves.items()}
+            looked.rows = {
+                server: RoleAssignment(self.token, self.number, role) for server, role in moves.items()
+            }
         return looked
 
     def _box(self, now_s: float, listed: Listed, pace: Pace) -> Box:
--- a/ringledge/decide/ratio/role_records.py
+++ b/ringledge/decide/ratio/role_records.py
@@ -6,23 +6,23 @@
 
 import msgspec
 
-from ringledge.decide.interface import PlanRow
+from ringledge.decide.interface import RoleAssignment
 
 PREFIX = "plan/"
 ROLES = ("read", "write", "both")
 MOST = 2**62  # of a token or number: a row beyond it is nonsense that no later plan could outdo
 MOST_BYTES = 64  # of a row: two numbers and a word; longer ones are not even looked at
 
-_decoder: msgspec.msgpack.Decoder[PlanRow] = msgspec.msgpack.Decoder(PlanRow)
+_decoder: msgspec.msgpack.Decoder[RoleAssignment] = msgspec.msgpack.Decoder(RoleAssignment)
 _encoder = msgspec.msgpack.Encoder()
 
 
-def encode(server: str, row: PlanRow) -> tuple[str, bytes]:
+def encode(server: str, row: RoleAssignment) -> tuple[str, bytes]:
     """The fact that tells a server's row: key and value."""
     return PREFIX + server, _encoder.encode(row)
 
 
-def decode(key: str, value: bytes) -> tuple[str, PlanRow] | None:
+def decode(key: str, value: bytes) -> tuple[str, RoleAssignment] | None:
     """The server and row that a fact tells; None where it tells none."""
     server = key.removeprefix(PREFIX)
     if not server or server == key or len(value) > MOST_BYTES:
@@ -35,7 +35,7 @@
     return (server, row) if sane else None
 
 
-def newer(row: PlanRow, than: PlanRow | None) -> bool:
+def newer(row: RoleAssignment, than: RoleAssignment | None) -> bool:
     """Whether a row takes the place of another.
 
     By token, then number. Two that are alike in both can't come from one planner; the role decides then, so
@@ -44,7 +44,7 @@
     return than is None or (row.token, row.number, row.role) > (than.token, than.number, than.role)
 
 
-def rows(facts: Mapping[tuple[str, str], bytes]) -> Iterator[tuple[str, PlanRow]]:
+def rows(facts: Mapping[tuple[str, str], bytes]) -> Iterator[tuple[str, RoleAssignment]]:
     """All rows among facts, by any writer; the lowest first, so that the newest of a server is heard last."""
     found = [each for (_, key), value in facts.items() if (each := decode(key, value)) is not None]
     return iter(sorted(found, key=lambda each: (each[1].token, each[1].number, each[1].role)))
--- a/ringledge/decide/ratio/role_registry.py
+++ b/ringledge/decide/ratio/role_registry.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from math import inf
 
-from ringledge.decide.interface import PlanRow
+from ringledge.decide.interface import RoleAssignment
 from ringledge.decide.ratio.role_records import newer
 from ringledge.decide.ratio.settings import RatioConfig
 
@@ -67,12 +67,12 @@
 
     def __init__(self, settings: RatioConfig) -> None:
         self.settings = settings
-        self.rows = dict[str, PlanRow]()  # the newest of each server
+        self.rows = dict[str, RoleAssignment]()  # the newest of each server
         self.places = dict[str, Place]()  # servers on the list
         self.token = 0  # the highest that was seen: whatever is below comes from a planner that was followed
         self.refused = 0  # rows below it, or older than the one in force
 
-    def hear(self, now_s: float, server: str, row: PlanRow) -> bool:
+    def receive(self, now_s: float, server: str, row: RoleAssignment) -> bool:
         """Take a row; False where it is refused."""
         if row.token < self.token or not newer(row, self.rows.get(server)):
             self.refused += row != self.rows.get(server)
--- a/ringledge/decide/ratio/service_rates.py
+++ b/ringledge/decide/ratio/service_rates.py
@@ -12,7 +12,7 @@
 from math import exp
 from statistics import median
 
-from ringledge.decide.interface import ServerSeen
+from ringledge.decide.interface import ServerObservation
 from ringledge.decide.ratio.demand_estimate import sane
 from ringledge.decide.ratio.settings import RatioConfig
 
@@ -38,14 +38,14 @@
     def look(
         self,
         now_s: float,
-        seen: Mapping[tuple[str, str], ServerSeen],
+        seen: Mapping[tuple[str, str], ServerObservation],
         listed: Collection[str],
         changing: Collection[str],
     ) -> dict[str, Pace]:
         """Take what members tell, by member and server; gives each listed server's, guessed where need be."""
         weight = 1.0 if self._at_s is None else 1 - exp((self._at_s - now_s) / self._slow_s)
         self._at_s = now_s
-        told = defaultdict[str, list[ServerSeen]](list)
+        told = defaultdict[str, list[ServerObservation]](list)
         for (_, server), each in seen.items():
             if sane(each):
                 told[server].append(each)
@@ -53,12 +53,12 @@
             del self._known[server]
         for server in listed:
             known, rows = self._known.setdefault(server, Pace()), told[server]
-            known.waiting = sum(row.waiting for row in rows)
+            known.waiting = sum(row.waiting_entries for row in rows)
             if rows:
                 known.warmth = min(1.0, median(row.warmth for row in rows))
             if server not in changing:
-                known.read = smoothed(known.read, [row.read_pace for row in rows], weight)
-                known.write = smoothed(known.write, [row.write_pace for row in rows], weight)
+                known.read = smoothed(known.read, [row.prefill_rate for row in rows], weight)
+                known.write = smoothed(known.write, [row.decode_rate for row in rows], weight)
         reads = median([each.read for each in self._known.values() if each.read] or [0.0])
         writes = median([each.write for each in self._known.values() if each.write] or [0.0])
         return {
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 
 from ringledge.decide.datagram import checked_name
-from ringledge.decide.interface import Action, Member, Tell
+from ringledge.decide.interface import Action, Member, SendMessage
 from ringledge.decide.paging import BUCKETS, bucket, pages, size
 from ringledge.decide.records.messages import (
     KEY_MOST,
@@ -28,10 +28,10 @@
     Sums,
     Wants,
 )
-from ringledge.decide.records.settings import FactsConfig
+from ringledge.decide.records.settings import RecordsConfig
 from ringledge.decide.records.writer_log import Book, rows_pages
 
-__all__ = ["MESSAGES", "FactsTable"]
+__all__ = ["MESSAGES", "ReplicatedRecords"]
 
 KEYS_MOST = 1024  # of one writer, those taken back too: they are kept, so that their end is heard of by all
 PUSH_S = 0.02  # that a change waits for others that go with it
@@ -41,10 +41,10 @@
 LARGEST = (1 << 53) - 1  # a version at its longest, to tell what always fits
 
 
-class FactsTable:
+class ReplicatedRecords:
     """One member's side of the facts; implements Facts and Decider. Told by `members` of who is there."""
 
-    def __init__(self, me: Member, settings: FactsConfig, rng: random.Random) -> None:
+    def __init__(self, me: Member, settings: RecordsConfig, rng: random.Random) -> None:
         checked_name(me.name)
         self.me, self._settings, self._rng = me, settings, rng
         self._own = Book(me.name, me.start)
@@ -59,7 +59,7 @@
         self._push_s = math.inf
         self._compare_s = -math.inf
 
-    def put(self, now_s: float, key: str, value: bytes) -> None:
+    def write(self, now_s: float, key: str, value: bytes) -> None:
         """Say something under a key of our own; ValueError: it is too long, or there are too many keys."""
         if not 0 < len(key.encode()) <= KEY_MOST or len(value) > VALUE_MOST:
             raise ValueError(f"a fact has a key of 1 to {KEY_MOST} bytes and a value of {VALUE_MOST} at most")
@@ -70,7 +70,7 @@
         if self._own.value(key) != value:
             self._write(now_s, key, value)
 
-    def drop(self, now_s: float, key: str) -> None:
+    def delete(self, now_s: float, key: str) -> None:
         """Take a key of our own back."""
         if self._own.value(key) is not None:
             self._write(now_s, key, None)
@@ -115,15 +115,15 @@
             changed, self._pushes = list(self._pushes.values()), {}
             told = self._others(self._settings.fan_out)
             for page in pages(changed, ROOM_BYTES):
-                actions += [Tell(name, Records(page, pushed=True)) for name in told]
+                actions += [SendMessage(name, Records(page, pushed=True)) for name in told]
         if now_s >= self._compare_s:
             self._compare_s = now_s + self._settings.interval_s * self._rng.uniform(
                 0.9, 1.1
             )  # not all at once
-            actions += [Tell(name, Sums(tuple(self._sums))) for name in self._others(1)]
+            actions += [SendMessage(name, Sums(tuple(self._sums))) for name in self._others(1)]
         return actions
 
-    def hear(self, now_s: float, sender: str, message: Message) -> list[Action]:
+    def receive(self, now_s: float, sender: str, message: Message) -> list[Action]:
         """Take a message."""
         match message:
             case Sums(sums):
@@ -174,7 +174,7 @@
         differ = [at for at, (mine, theirs) in both if mine != theirs]
         self._rng.shuffle(differ)
         groups = [(at, self._bucket(at)) for at in differ]
-        return [Tell(sender, each) for each in rows_pages(groups, ROOM_BYTES)[:ROWS_PAGES]]
+        return [SendMessage(sender, each) for each in rows_pages(groups, ROOM_BYTES)[:ROWS_PAGES]]
 
     def _bucket(self, at: int) -> list[Row]:
         return [each.row() for each in self._books.values() if each.version and bucket(each.writer) == at]
@@ -198,7 +198,7 @@
                 wants.append(Row(row.writer, row.start, version if row.start == start else 0))
         if wants:  # there may be more, here or elsewhere
             self._compare_s = min(self._compare_s, now_s + self._settings.interval_s / HURRY)
-        asked: list[Action] = [Tell(sender, Wants(page)) for page in pages(wants, ROOM_BYTES)]
+        asked: list[Action] = [SendMessage(sender, Wants(page)) for page in pages(wants, ROOM_BYTES)]
         return self._answer(sender, tuple(behind)) + asked
 
     def _answer(self, sender: str, rows: tuple[Row, ...]) -> list[Action]:
@@ -211,7 +211,7 @@
         if not groups:
             return []
         told = pages([self._books[row.writer].row() for row in rows if row.writer in self._books], ROOM_BYTES)
-        return [Tell(sender, each) for each in (*map(Records, groups), *map(Rows, told[:1]))]
+        return [SendMessage(sender, each) for each in (*map(Records, groups), *map(Rows, told[:1]))]
 
     def _may_ask(self, now_s: float, sender: str, row: Row) -> bool:
         """One at a time is asked for a writer's records, so that they don't come twice."""
--- a/ringledge/decide/records/settings.py
+++ b/ringledge/decide/records/settings.py
@@ -10,7 +10,7 @@
 Few = Annotated[int, Meta(ge=1, le=16)]
 
 
-class FactsConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RecordsConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Times and counts of the exchange of facts."""
 
     interval_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # between two comparisons by one member
--- a/ringledge/decide/replay/capacity_estimate.py
+++ b/ringledge/decide/replay/capacity_estimate.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ringledge.decide.interface import Demand, ServerSeen
+from ringledge.decide.interface import ClassDemand, ServerObservation
 from ringledge.decide.replay.rate_control import Room
 
 T = TypeVar("T", bound=msgspec.Struct)
@@ -26,15 +26,17 @@
     return found
 
 
-def room(seen: Mapping[tuple[str, str], ServerSeen], demand: Mapping[tuple[str, str], Demand]) -> Room:
+def room(
+    seen: Mapping[tuple[str, str], ServerObservation], demand: Mapping[tuple[str, str], ClassDemand]
+) -> Room:
     """Sum up: of a server the middle of what members say, of demand all, for each sees other requests."""
-    by_server = defaultdict[str, list[ServerSeen]](list)
+    by_server = defaultdict[str, list[ServerObservation]](list)
     for (_, key), row in seen.items():
         by_server[key].append(row)
-    reading = sum(_middle([row.read_pace * row.warmth for row in told]) for told in by_server.values())
-    writing = sum(_middle([row.write_pace * row.warmth for row in told]) for told in by_server.values())
-    to_read = sum(row.to_read for row in demand.values())
-    return Room(reading, writing, to_read, sum(row.to_write for row in demand.values()))
+    reading = sum(_middle([row.prefill_rate * row.warmth for row in told]) for told in by_server.values())
+    writing = sum(_middle([row.decode_rate * row.warmth for row in told]) for told in by_server.values())
+    to_read = sum(row.prefill_tokens for row in demand.values())
+    return Room(reading, writing, to_read, sum(row.decode_tokens for row in demand.values()))
 
 
 def _middle(paces: list[float]) -> float:
--- a/ringledge/decide/replay/capacity_loans.py
+++ b/ringledge/decide/replay/capacity_loans.py
@@ -72,7 +72,7 @@
             self._asked = {n: at_s for n, at_s in self._asked.items() if now_s - at_s < LOAN_S}
             self._asked[self._number] = now_s
 
-    def hear(self, now_s: float, wants: Mapping[str, Want], lends: Mapping[str, Lend]) -> None:
+    def receive(self, now_s: float, wants: Mapping[str, Want], lends: Mapping[str, Lend]) -> None:
         """What the other sites ask for, and what they lend us, by site."""
         for lender, row in lends.items():
             asked_s = self._asked.get(row.number)
--- a/ringledge/decide/replay/partition_detection.py
+++ b/ringledge/decide/replay/partition_detection.py
@@ -80,7 +80,7 @@
         """An answer has begun: there is a reader and a writer with room."""
         self._refusals, self._served_s = 0, now_s
 
-    def hear(self, now_s: float, told: Iterable[tuple[str, Reached]]) -> None:
+    def receive(self, now_s: float, told: Iterable[tuple[str, Reached]]) -> None:
         """What the other conductors of the site say now, by name; who is not among them is gone."""
         self._others = {
             name: (now_s, State(row.state)) for name, row in told if row.state in State._value2member_map_
--- a/ringledge/decide/servers/health_checks.py
+++ b/ringledge/decide/servers/health_checks.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ringledge.decide.interface import Facts
+from ringledge.decide.interface import RecordStore
 from ringledge.decide.rendezvous import ranked
 
 PREFIX = "doubt/"
@@ -62,7 +62,7 @@
 class Probing:
     """One member's part: its own doubts, the servers that fall to it, and what all have found."""
 
-    def __init__(self, name: str, facts: Facts, settings: Settings | None = None) -> None:
+    def __init__(self, name: str, facts: RecordStore, settings: Settings | None = None) -> None:
         self._name, self._facts, self._settings = name, facts, settings or Settings()
         self._alive: tuple[str, ...] = (name,)
         self._doubts: dict[str, float] = {}  # until when, by server
@@ -157,9 +157,9 @@
             rows[server] = Doubt(server in self._doubts, watch.found, watch.took_ms, row)
         for server, row_now in rows.items():
             if self._told.get(server) != row_now:
-                self._facts.put(now_s, PREFIX + server, msgspec.msgpack.encode(row_now))
+                self._facts.write(now_s, PREFIX + server, msgspec.msgpack.encode(row_now))
         for server in self._told.keys() - rows.keys():
-            self._facts.drop(now_s, PREFIX + server)
+            self._facts.delete(now_s, PREFIX + server)
         self._told = rows
 
 
--- a/ringledge/lifecycle/components/duties.py
+++ b/ringledge/lifecycle/components/duties.py
@@ -12,7 +12,7 @@
 from ringledge.decide.membership.swim import Change, Restarted
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.shared import Part, Shared
-from ringledge.members.clock_adapter import OnClock, now_s
+from ringledge.members.clock_adapter import ClockAdapter, now_s
 from ringledge.members.duties import Duties
 from ringledge.members.duty_settings import DutiesConfig
 from ringledge.observe.logging import log
@@ -61,7 +61,7 @@
             shared.tasks.start_soon(_tell_voting, leases.voter.learning)
 
     fleet.give_up = give_up
-    members.add("leases", OnClock(leases, now_s, time.monotonic), MESSAGES)
+    members.add("leases", ClockAdapter(leases, now_s, time.monotonic), MESSAGES)
     members.hooks.duties.append(duties.apply)
     members.hooks.changes.append(changed)
     members.hooks.bound.append(bound)
--- a/ringledge/lifecycle/components/overload.py
+++ b/ringledge/lifecycle/components/overload.py
@@ -5,16 +5,16 @@
 from ringledge.core.gate import Caps, Gate
 from ringledge.decide.overload.settings import OverloadConfig
 from ringledge.lifecycle.shared import Part, Shared
-from ringledge.memory.buffered_bytes import Held
-from ringledge.memory.process_statistics import Vitals
+from ringledge.memory.buffered_bytes import BufferedBytes
+from ringledge.memory.process_statistics import ProcessStatistics
 
 
 def part(shared: Shared) -> Part:
     """Make it, for the fronts to ask."""
     config, conductor = shared.config, shared.conductor
     caps = Caps(config.cores, config.memory, config.sockets)
-    vitals = Vitals(shared.metrics, conductor.timer_lag_ms)
-    shared.held = Held()
+    vitals = ProcessStatistics(shared.metrics, conductor.timer_lag_ms)
+    shared.held = BufferedBytes()
     shared.gate = gate = Gate(
         config.extra(OverloadConfig),
         caps,
--- a/ringledge/lifecycle/fingerprint.py
+++ b/ringledge/lifecycle/fingerprint.py
@@ -22,6 +22,6 @@
 def fingerprint(settings: RouterSettings, names: Names) -> str:
     """The digest in hex digits; equal for equal names of zones, kinds, classes and tenants in equal order."""
     roles = [kind.role.value for kind in settings.kinds]
-    effects = [each.effect.value for each in settings.classes]
+    effects = [each.idempotency.value for each in settings.classes]
     told = [SCHEMA, names.zones, names.kinds, roles, names.classes, effects, names.tenants]
     return blake2b(orjson.dumps(told), digest_size=BYTES).hexdigest()
--- a/ringledge/lifecycle/handover.py
+++ b/ringledge/lifecycle/handover.py
@@ -114,7 +114,7 @@
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(tell)
-                await peer.follow(lambda told: self._conductor.learn(told.get("learned", {})))
+                await peer.follow(lambda told: self._conductor.load_snapshot(told.get("learned", {})))
                 tasks.cancel_scope.cancel()
         finally:
             self._count(-1)
@@ -154,7 +154,9 @@
                     "clock_offset_ms": self._conductor.clock.offset_ms,
                 }
                 await channel.send(sock, told, fds)
-                for part in list(self._conductor.learned()):  # all at once: it goes on learning meanwhile
+                for part in list(
+                    self._conductor.dump_snapshot()
+                ):  # all at once: it goes on learning meanwhile
                     await channel.send(sock, {"learned": part})
         except channel.BROKEN as error:
             log.warning("successor_lost", error=repr(error))
--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -23,7 +23,7 @@
 from ringledge.lifecycle.fronts import Fronts
 from ringledge.lifecycle.shared import Shared
 from ringledge.lifecycle.signals import hold_stops, on_signals
-from ringledge.memory.operator_overrides import ByHand
+from ringledge.memory.operator_overrides import OperatorOverrides
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
@@ -71,7 +71,7 @@
         upstream = Upstream(tasks, servers, names, fronts.sockets, let_go_ms, zone, clock, metrics)
         conductor = Conductor(settings, config.seed, clock, servers, metrics, upstream)
         upstream.conductor = conductor
-        by_hand = ByHand(config.folder, config.name, config.fingerprint, conductor.by_hand)
+        by_hand = OperatorOverrides(config.folder, config.name, config.fingerprint, conductor.override_server)
         by_hand.look_at_start()  # before the first send
         discovery = Discovery(config.discovery, names, conductor, random.Random(config.seed))
         discovery.apply(config.known, EndpointUpdateKind.PERSISTED)
--- a/ringledge/lifecycle/shared.py
+++ b/ringledge/lifecycle/shared.py
@@ -12,7 +12,7 @@
 from ringledge.core.conductor import Conductor
 from ringledge.lifecycle.config import Config
 from ringledge.lifecycle.fronts import Fronts
-from ringledge.memory.operator_overrides import ByHand
+from ringledge.memory.operator_overrides import OperatorOverrides
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.clients.platform import Platform
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from ringledge.core.gate import Gate
     from ringledge.members.cluster import Fleet
-    from ringledge.memory.buffered_bytes import Held
+    from ringledge.memory.buffered_bytes import BufferedBytes
     from ringledge.wire.clients.chat.queued import QueuedChat
 
 
@@ -59,14 +59,14 @@
     servers: ServerList
     upstream: Upstream
     conductor: Conductor
-    by_hand: ByHand
+    by_hand: OperatorOverrides
     discovery: Discovery
     fronts: Fronts
     can_serve: Callable[[], bool]  # whether all that serving takes is at work
     stopping: anyio.Event = field(default_factory=anyio.Event)
     stop_asked_s: float = 0.0  # when that was, on the loop's clock
     gate: Gate | None = None
-    held: Held | None = None
+    held: BufferedBytes | None = None
     platform: Platform | None = None
     fleet: Fleet | None = None
     queued: QueuedChat | None = None
--- a/ringledge/members/clock_adapter.py
+++ b/ringledge/members/clock_adapter.py
@@ -14,7 +14,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class OnClock:
+class ClockAdapter:
     """Implements Decider; the times that it is given are its runner's, those handed on of `clock`.
 
     Leases run out also while the machine sleeps; the rest of the fleet lives by the ordinary monotonic
@@ -24,9 +24,9 @@
     def __init__(self, decider: Decider, clock: Callable[[], float], runner: Callable[[], float]) -> None:
         self._decider, self._clock, self._runner = decider, clock, runner
 
-    def hear(self, now_s: float, sender: str, message: Any) -> list[Action]:
+    def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
         """Take a message."""
-        return self._decider.hear(self._clock(), sender, message)
+        return self._decider.receive(self._clock(), sender, message)
 
     def tick(self, now_s: float) -> list[Action]:
         """Do what is due."""
--- a/ringledge/members/codec.py
+++ b/ringledge/members/codec.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from ringledge.decide.datagram import FIXED_BYTES, NAME_MOST, START_MOST, TAG_BYTES, checked_name
-from ringledge.decide.interface import MOST_BYTES
+from ringledge.decide.interface import MAX_DATAGRAM_BYTES
 
 VERSION = 1
 # The first kind of each decider; its message types follow in the order of its MESSAGES, at most SPAN of them.
@@ -97,7 +97,7 @@
         if kind is None:
             raise MalformedError(Drop.KIND)
         body = self._encoder.encode(message)
-        if FIXED_BYTES + len(self._name) + len(body) > MOST_BYTES:
+        if FIXED_BYTES + len(self._name) + len(body) > MAX_DATAGRAM_BYTES:
             raise MalformedError(Drop.TOO_LONG)
         self._number = self._number + 1 & NUMBER_MOST
         head = b"".join(
@@ -115,7 +115,7 @@
 
     def read(self, datagram: bytes) -> Heard:
         """What a datagram says; MalformedError with the reason where it says nothing for us."""
-        if len(datagram) > MOST_BYTES:
+        if len(datagram) > MAX_DATAGRAM_BYTES:
             raise MalformedError(Drop.TOO_LONG)
         if len(datagram) < FIXED_BYTES + 2:  # a name and a body have a byte at least
             raise MalformedError(Drop.TOO_SHORT)
--- a/ringledge/members/component.py
+++ b/ringledge/members/component.py
@@ -24,11 +24,11 @@
     Restarted,
     Superseded,
 )
-from ringledge.decide.records.replicated_records import FactsTable
+from ringledge.decide.records.replicated_records import ReplicatedRecords
 from ringledge.members.codec import Codec
 from ringledge.members.datagrams import Datagrams
 from ringledge.members.metrics import Figures
-from ringledge.members.record_writer import PromptFacts
+from ringledge.members.record_writer import RecordWriter
 from ringledge.members.service import Hooks, Service
 from ringledge.members.settings import MembersConfig, with_told
 from ringledge.observe.logging import log
@@ -61,8 +61,8 @@
         seeds = [*self._settings.peers, *([EVERYONE] if self._settings.everyone else [])]
         me = Member(name, start, address, self._settings.site)
         self.membership = Membership(me, seeds, self._settings.probe, rng)
-        self._table = FactsTable(me, self._settings.facts, rng)
-        self.facts = PromptFacts(self._table, self._changed)
+        self._table = ReplicatedRecords(me, self._settings.facts, rng)
+        self.facts = RecordWriter(self._table, self._changed)
         self.hooks = Hooks(changes=[_tell])
         self.service: Service | None = None
         self._others: dict[str, tuple[Decider, tuple[type[msgspec.Struct], ...]]] = {}
--- a/ringledge/members/datagrams.py
+++ b/ringledge/members/datagrams.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from ringledge.decide.interface import MOST_BYTES
+from ringledge.decide.interface import MAX_DATAGRAM_BYTES
 
 BATCH = 64  # datagrams that are read in one turn of the loop, then everything else has its turn
 OVERFLOWS = 40  # SO_RXQ_OVFL: with each datagram the system tells how many it dropped since the socket opened
@@ -63,7 +63,9 @@
         heard: list[tuple[bytes, Endpoint]] = []
         for _ in range(BATCH):
             try:
-                datagram, extra, _, source = self._socket.recvmsg(MOST_BYTES + 1, socket.CMSG_SPACE(4))
+                datagram, extra, _, source = self._socket.recvmsg(
+                    MAX_DATAGRAM_BYTES + 1, socket.CMSG_SPACE(4)
+                )
             except BlockingIOError:
                 break
             except (
--- a/ringledge/members/duties.py
+++ b/ringledge/members/duties.py
@@ -17,7 +17,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from ringledge.decide.interface import Action, Begin, End, Tokens
+from ringledge.decide.interface import Action, LeaseAcquired, LeaseEnded, LeaseTokens
 from ringledge.members.duty import Duty
 from ringledge.observe.logging import log
 
@@ -45,7 +45,7 @@
     def __init__(
         self,
         duties: Mapping[str, Duty],
-        tokens: Tokens,
+        tokens: LeaseTokens,
         group: TaskGroup,
         give_up: Callable[[str], None] = lambda duty: None,
         clock: Clock = time.monotonic,
@@ -60,17 +60,17 @@
 
     def apply(self, action: Action) -> None:
         """Take a Begin or End of the leases; what else they say isn't for here."""
-        if isinstance(action, Begin) and action.duty in self._duties:
+        if isinstance(action, LeaseAcquired) and action.duty in self._duties:
             self._stop(action.duty)
             running = _Running(action.token, self._last.get(action.duty))
             self._running[action.duty] = running
             self._last[action.duty] = running.done
             self._count("begun", action.duty, action.token)
             self._group.start_soon(self._run, action.duty, running)
-        elif isinstance(action, End):
+        elif isinstance(action, LeaseEnded):
             running_now = self._running.get(action.duty)
             if running_now is not None and running_now.token == action.token:
-                self._count(action.why, action.duty, action.token)
+                self._count(action.reason, action.duty, action.token)
                 self._stop(action.duty)
 
     def held(self) -> dict[str, int]:
--- a/ringledge/members/planner.py
+++ b/ringledge/members/planner.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ringledge.decide.interface import Demand, Facts, PlanRow, ServerSeen
+from ringledge.decide.interface import ClassDemand, RecordStore, RoleAssignment, ServerObservation
 from ringledge.decide.ratio.planner import Heard, Listed, Looked, Ratio
 from ringledge.decide.ratio.role_records import PREFIX, encode, rows
 from ringledge.decide.ratio.role_registry import RoleBook
@@ -41,7 +41,12 @@
     """Holds the planner's duty from `begin` to `stop`."""
 
     def __init__(
-        self, settings: RatioConfig, facts: Facts, fleet: Fleet, book: RoleBook, clock: Callable[[], float]
+        self,
+        settings: RatioConfig,
+        facts: RecordStore,
+        fleet: Fleet,
+        book: RoleBook,
+        clock: Callable[[], float],
     ) -> None:
         """`book`: this conductor's own, which hears rows as everybody's does; `clock`: s, monotonic."""
         self.settings = settings
@@ -63,15 +68,15 @@
             return self.settings.look_s  # of a holding that has ended
         now_s = self._clock()
         for server, row in rows(self._facts.values(now_s, PREFIX)):  # above all those of the planner before
-            self._book.hear(now_s, server, row)
+            self._book.receive(now_s, server, row)
         for server, row in self._ratio.again(now_s).items():
             if not self._tell(server, row, still):
                 return self.settings.look_s
         if now_s < self._next_s:
             return self._next_s - now_s
         self._next_s = now_s + self.settings.look_s
-        demand = self._read(now_s, DEMAND, Demand)
-        heard = Heard(demand, self._read(now_s, SERVER, ServerSeen), self._fleet.members())
+        demand = self._read(now_s, DEMAND, ClassDemand)
+        heard = Heard(demand, self._read(now_s, SERVER, ServerObservation), self._fleet.members())
         listed = self._fleet.servers()
         looked = self._ratio.look(now_s, heard, listed)
         self._forget(now_s, {each.name for each in listed})
@@ -87,20 +92,20 @@
         """The duty has ended here; rows told stay where they were heard."""
         self._ratio.token = 0
 
-    def _tell(self, server: str, row: PlanRow, still: Still) -> bool:
+    def _tell(self, server: str, row: RoleAssignment, still: Still) -> bool:
         if not still():
             return False
         now_s = self._clock()
         key, value = encode(server, row)
-        self._facts.put(now_s, key, value)
+        self._facts.write(now_s, key, value)
         self._told.add(key)
-        self._book.hear(now_s, server, row)
+        self._book.receive(now_s, server, row)
         return True
 
     def _forget(self, now_s: float, listed: set[str]) -> None:
         """Rows of servers that no list names any more."""
         for key in [key for key in self._told if key.partition("/")[2] not in listed]:
-            self._facts.drop(now_s, key)
+            self._facts.delete(now_s, key)
             self._told.discard(key)
 
     def _read(self, now_s: float, prefix: str, kind: type[Row]) -> dict[tuple[str, str], Row]:
--- a/ringledge/members/record_writer.py
+++ b/ringledge/members/record_writer.py
@@ -4,23 +4,23 @@
 
 from collections.abc import Callable
 
-from ringledge.decide.records.replicated_records import FactsTable
+from ringledge.decide.records.replicated_records import ReplicatedRecords
 
 
-class PromptFacts:
+class RecordWriter:
     """Implements Facts; `changed` is called after each change, since the table wants its tick sooner then."""
 
-    def __init__(self, table: FactsTable, changed: Callable[[], None]) -> None:
+    def __init__(self, table: ReplicatedRecords, changed: Callable[[], None]) -> None:
         self._table, self._changed = table, changed
 
-    def put(self, now_s: float, key: str, value: bytes) -> None:
+    def write(self, now_s: float, key: str, value: bytes) -> None:
         """Say something under a key of our own; ValueError: it is too long, or there are too many keys."""
-        self._table.put(now_s, key, value)
+        self._table.write(now_s, key, value)
         self._changed()
 
-    def drop(self, now_s: float, key: str) -> None:
+    def delete(self, now_s: float, key: str) -> None:
         """Take a key of our own back."""
-        self._table.drop(now_s, key)
+        self._table.delete(now_s, key)
         self._changed()
 
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
--- a/ringledge/members/role_keeper.py
+++ b/ringledge/members/role_keeper.py
@@ -11,7 +11,7 @@
 
 from ringledge.core.conductor import Conductor
 from ringledge.core.records import Attempt, Record
-from ringledge.decide.interface import Facts, PlanRow, ServerSeen
+from ringledge.decide.interface import RecordStore, RoleAssignment, ServerObservation
 from ringledge.decide.membership.swim import Membership
 from ringledge.decide.ratio.measurements import Measures
 from ringledge.decide.ratio.planner import Listed
@@ -39,7 +39,7 @@
     def __init__(
         self,
         settings: RatioConfig,
-        facts: Facts,
+        facts: RecordStore,
         membership: Membership,
         conductor: Conductor,
         names: Names,
@@ -49,8 +49,8 @@
         self._conductor, self._names, self._book = conductor, names, book
         self._desk = conductor.context
         self._measures = Measures()
-        self._told: dict[str, ServerSeen] = {}
-        self._asked: dict[str, PlanRow] = {}  # rows that the log has
+        self._told: dict[str, ServerObservation] = {}
+        self._asked: dict[str, RoleAssignment] = {}  # rows that the log has
         self._roles = RolePlan()
 
     # The core's observer.
@@ -66,9 +66,9 @@
         request = attempt.record.request
         if status == AttemptStatus.PREFILLED:
             unread = max(0.0, request.prompt_tokens - note)
-            self._measures.has_read(request.class_index, attempt.server, unread, attempt.took_ms / 1000)
+            self._measures.has_read(request.class_index, attempt.server, unread, attempt.duration_ms / 1000)
         elif status == AttemptStatus.OK and attempt.answer_tokens:
-            took_s = (attempt.took_ms - attempt.first_ms) / 1000
+            took_s = (attempt.duration_ms - attempt.first_token_ms) / 1000
             kind, prompt = request.class_index, request.prompt_tokens
             self._measures.has_written(kind, attempt.server, prompt, attempt.answer_tokens, took_s)
 
@@ -101,16 +101,16 @@
         listed = {each.name: each for each in self.servers()}
         reads, streams, waiting = Counter[str](), Counter[str](), Counter[str]()
         for record in self._desk.registry.records.values():
-            waiting.update(record.holders)
+            waiting.update(record.cache_holders)
             for attempt in record.attempts:
-                if attempt.out:
-                    (streams if attempt.began or record.holders else reads)[attempt.server] += 1
+                if attempt.in_flight:
+                    (streams if attempt.streaming or record.cache_holders else reads)[attempt.server] += 1
         self._tell(now_s, set(listed), streams, waiting)
         self._book.listed(now_s, {name: each.kind for name, each in listed.items()})
         for server in listed:
             self._book.work(server, reads[server], streams[server])
         for server, row in rows(self._facts.values(now_s, PREFIX)):
-            self._book.hear(now_s, server, row)
+            self._book.receive(now_s, server, row)
         for server, row in self._book.rows.items():  # where the planner is here, it has told the book before
             if self._asked.get(server) != row:
                 self._asked[server] = row
@@ -120,13 +120,13 @@
         roles = RolePlan(*self._book.shut())
         if roles != self._roles:
             self._roles = roles
-            self._conductor.roles(roles)
+            self._conductor.update_role_plan(roles)
 
     def _tell(self, now_s: float, listed: set[str], streams: Counter[str], waiting: Counter[str]) -> None:
         measures, settings = self._measures, self._desk.settings
         for kind, demand in measures.demand(now_s).items():
             if kind < len(self._names.classes):
-                self._facts.put(now_s, DEMAND + self._names.classes[kind], msgspec.msgpack.encode(demand))
+                self._facts.write(now_s, DEMAND + self._names.classes[kind], msgspec.msgpack.encode(demand))
         measures.keep(listed)
         for each in server_views(self._conductor.policy, self._conductor.clock.now_ms()):
             if each.server not in listed:
@@ -137,19 +137,19 @@
             seen = measures.seen(each.server, *its)
             if _news(self._told.get(each.server), seen):
                 self._told[each.server] = seen
-                self._facts.put(now_s, SERVER + each.server, msgspec.msgpack.encode(seen))
+                self._facts.write(now_s, SERVER + each.server, msgspec.msgpack.encode(seen))
         for server in self._told.keys() - listed:
             del self._told[server]
-            self._facts.drop(now_s, SERVER + server)
+            self._facts.delete(now_s, SERVER + server)
 
 
-def _news(told: ServerSeen | None, seen: ServerSeen) -> bool:
+def _news(told: ServerObservation | None, seen: ServerObservation) -> bool:
     """Whether it is worth a datagram to everybody."""
-    if told is None or bool(told.waiting) != bool(seen.waiting):
+    if told is None or bool(told.waiting_entries) != bool(seen.waiting_entries):
         return True
     pairs = (
-        (told.read_pace, seen.read_pace),
-        (told.write_pace, seen.write_pace),
+        (told.prefill_rate, seen.prefill_rate),
+        (told.decode_rate, seen.decode_rate),
         (told.warmth, seen.warmth),
     )
     return any(abs(now - before) > NEWS * before for before, now in pairs)
--- a/ringledge/members/service.py
+++ b/ringledge/members/service.py
@@ -10,12 +10,12 @@
 import anyio
 import msgspec
 
-from ringledge.decide.interface import Action, Begin, Decider, End, Tell
+from ringledge.decide.interface import Action, Decider, LeaseAcquired, LeaseEnded, SendMessage
 from ringledge.decide.membership import swim as membership_decider
 from ringledge.decide.membership.messages import Look
 from ringledge.decide.membership.swim import Change, Died, Membership
 from ringledge.decide.records import replicated_records as facts_decider
-from ringledge.decide.records.replicated_records import FactsTable
+from ringledge.decide.records.replicated_records import ReplicatedRecords
 from ringledge.members.codec import Codec, Drop, MalformedError
 from ringledge.members.datagrams import Endpoint, endpoint
 from ringledge.members.metrics import Figures
@@ -46,7 +46,7 @@
 class Hooks:
     """Who is told of what the deciders give."""
 
-    duties: list[Callable[[Begin | End], None]] = field(default_factory=list)
+    duties: list[Callable[[LeaseAcquired | LeaseEnded], None]] = field(default_factory=list)
     changes: list[Callable[[Change], None]] = field(default_factory=list)
     bound: list[Callable[[], None]] = field(default_factory=list)  # the address is ours from now on
 
@@ -61,7 +61,7 @@
     def __init__(
         self,
         membership: Membership,
-        facts: FactsTable,
+        facts: ReplicatedRecords,
         others: Mapping[str, tuple[Decider, tuple[type[msgspec.Struct], ...]]],
         hooks: Hooks,
         codec: Callable[[Mapping[str, tuple[type[msgspec.Struct], ...]]], Codec],
@@ -89,7 +89,7 @@
     async def run(self) -> None:
         """Hear and tick until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._hear)
+            tasks.start_soon(self._receive)
             await self._tick()
 
     def wake(self) -> None:
@@ -124,7 +124,7 @@
             with anyio.move_on_after(max(0.0, wait_s)):
                 await self._wake.wait()
 
-    async def _hear(self) -> None:
+    async def _receive(self) -> None:
         while True:
             await self._socket.readable()
             self._read()
@@ -169,13 +169,13 @@
         self._sources[sender] = source
         if len(self._sources) > SOURCES_MOST:
             del self._sources[next(iter(self._sources))]
-        self._act(decider.hear(self._clock(), sender, heard.message))
+        self._act(decider.receive(self._clock(), sender, heard.message))
 
     def _act(self, actions: list[Action]) -> None:
         self._tell_changes()
         for action in actions:
             match action:
-                case Tell():
+                case SendMessage():
                     self._send(action)
                 case _:
                     for hook in self._hooks.duties:
@@ -185,7 +185,7 @@
         """Without what they tell others, where the name is a successor's by now; duties end all the same."""
         if not self.membership.silent:
             return actions
-        return [action for action in actions if not isinstance(action, Tell)]
+        return [action for action in actions if not isinstance(action, SendMessage)]
 
     def _tell_changes(self) -> None:
         changes = self.membership.changes()
@@ -200,12 +200,12 @@
             for hook in self._hooks.changes:
                 hook(change)
 
-    def _send(self, action: Tell) -> None:
-        member = self.membership.last(action.to)
+    def _send(self, action: SendMessage) -> None:
+        member = self.membership.last(action.recipient)
         to_start = 0 if member is None else member.start
         try:
             datagram = self._codec.pack(action.message, self.membership.me.start, to_start)
-            self._socket.send(datagram, self._address(action.to))
+            self._socket.send(datagram, self._address(action.recipient))
         except MalformedError as error:
             self._figures.dropped("sent", error.why)
         except BlockingIOError:
--- a/ringledge/members/settings.py
+++ b/ringledge/members/settings.py
@@ -11,7 +11,7 @@
 
 from ringledge.decide.datagram import NAME_MOST, checked_name
 from ringledge.decide.membership.settings import ProbeConfig
-from ringledge.decide.records.settings import FactsConfig
+from ringledge.decide.records.settings import RecordsConfig
 from ringledge.members.datagrams import endpoint
 
 Text = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -31,7 +31,7 @@
     strangers: bool = False  # whether members that `peers` doesn't name may join, if they have the key
     buffer_kb: Annotated[int, Meta(ge=16, le=4096)] = 256  # of datagrams that wait to be read
     probe: ProbeConfig = ProbeConfig()
-    facts: FactsConfig = FactsConfig()
+    facts: RecordsConfig = RecordsConfig()
 
     def __post_init__(self) -> None:
         for key in ("listen", "advertise", "everyone"):
--- a/ringledge/memory/buffered_bytes.py
+++ b/ringledge/memory/buffered_bytes.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 
-class Held:
+class BufferedBytes:
     """One count for all fronts; what can be given up is asked for when memory runs short."""
 
     def __init__(self) -> None:
--- a/ringledge/memory/operator_overrides.py
+++ b/ringledge/memory/operator_overrides.py
@@ -21,7 +21,7 @@
 LOCK_AGAIN_S = 0.005
 
 
-class ByHand:
+class OperatorOverrides:
     """The servers that are out, as the file has them."""
 
     def __init__(self, folder: Path, name: str, settings: str, tell: Callable[[str, bool], None]) -> None:
--- a/ringledge/memory/process_statistics.py
+++ b/ringledge/memory/process_statistics.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reading:
+class ProcessReading:
     """What was measured since the last reading."""
 
     span_ms: float
@@ -30,7 +30,7 @@
     descriptors: int
 
 
-class Vitals:
+class ProcessStatistics:
     """Beats at a fixed pace; every few beats it has a reading taken."""
 
     def __init__(self, metrics: Metrics, timer_lag_ms: Callable[[], float]) -> None:
@@ -57,7 +57,7 @@
         self._waited_ms += ms
         self._waits += 1
 
-    def start(self, take: Callable[[Reading], None]) -> None:
+    def start(self, take: Callable[[ProcessReading], None]) -> None:
         """Beat from now on, and hand each reading over."""
         self._loop, self._take = asyncio.get_running_loop(), take
         self._cpu_s, self._at = time.process_time(), time.monotonic()  # the start itself is no load
@@ -76,14 +76,14 @@
         self._due = max(self._due + BEAT_S, time.monotonic() + BEAT_S / 2)
         self._loop.call_later(self._due - time.monotonic(), self._beat)
 
-    def _read(self) -> Reading:
+    def _read(self) -> ProcessReading:
         if self._samples % SLOW_SAMPLES == 0:
             self.rss = self._process.memory_info().rss
         if self._samples % DESCRIPTOR_SAMPLES == 0:
             self.descriptors = self._process.num_fds()
         self._samples += 1
         now, cpu_s = time.monotonic(), time.process_time()
-        reading = Reading(
+        reading = ProcessReading(
             (now - self._at) * 1000,
             (cpu_s - self._cpu_s) * 1000,
             max(self._worst_ms, self._timer_lag_ms()),
--- a/ringledge/memory/server_list.py
+++ b/ringledge/memory/server_list.py
@@ -37,11 +37,11 @@
         """
         before = {name: entry.availability for name, entry in self.entries.items()}
         self.version = members.version
-        if members.form != EndpointUpdateKind.CHANGES:
+        if members.kind != EndpointUpdateKind.CHANGES:
             self.entries.clear()
             self._addresses.clear()
         for entry in members.entries:
-            if entry.availability == Availability.GONE:
+            if entry.availability == Availability.REMOVED:
                 self.entries.pop(entry.server, None)
                 self._addresses.pop(entry.server, None)
             else:
@@ -53,7 +53,7 @@
         self.changed = anyio.Event()
         now = {name: entry.availability for name, entry in self.entries.items()}
         changed = {name: state.value for name, state in now.items() if before.get(name) is not state}
-        return changed | {name: Availability.GONE.value for name in before.keys() - now.keys()}
+        return changed | {name: Availability.REMOVED.value for name in before.keys() - now.keys()}
 
     def address(self, server: str) -> str | None:
         """Where the server listens, or None once it is gone."""
--- a/ringledge/memory/stream_sessions.py
+++ b/ringledge/memory/stream_sessions.py
@@ -54,7 +54,7 @@
     @property
     def abandoned(self) -> bool:
         """Whether it has not begun and all that followed it have left: it is given up."""
-        begun = self.record is not None and self.record.began
+        begun = self.record is not None and self.record.streaming
         return self.end is None and not begun and all(each.peer_gone() for each in self.followers)
 
     @property
--- a/ringledge/routing/actions.py
+++ b/ringledge/routing/actions.py
@@ -50,7 +50,7 @@
 
     request: str
     retry_after_ms: float | None = None
-    why: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for the log alone
+    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for the log alone
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,7 +58,7 @@
     """Final answer: failed, with nothing promised about the effect."""
 
     request: str
-    why: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for the log alone
+    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for the log alone
 
 
 @dataclass(slots=True, frozen=True)
--- a/ringledge/routing/eligibility.py
+++ b/ringledge/routing/eligibility.py
@@ -27,7 +27,7 @@
         fresh = [server for server in allowed if server not in job.failed_servers] or allowed
         fresh = [server for server in fresh if server.entry.server not in self.unreachable] or fresh
         if (
-            job.request_class.effect == Idempotency.SAFE
+            job.request_class.idempotency == Idempotency.IDEMPOTENT
         ):  # a readmitted one is next, once, whatever the chance
             fresh = [server for server in fresh if server.entry.server in self.readmitted] or fresh
         risk = self._failure_probability
@@ -35,10 +35,10 @@
 
     def repeatable(self, job: Job, server: Server, at_ms: float) -> bool:
         """No effect twice: what may have run goes again only where the repeat, at that time, is dropped."""
-        if job.request_class.effect == Idempotency.SAFE or not job.possible_runs:
+        if job.request_class.idempotency == Idempotency.IDEMPOTENT or not job.possible_runs:
             return True
         entry, scope = server.entry, job.request_class.dedup_scope
-        return job.request_class.effect == Idempotency.KEYED and all(
+        return job.request_class.idempotency == Idempotency.KEYED and all(
             at_ms < run.sent_ms + job.request_class.dedup_window_ms
             and (scope != DedupScope.ZONE or run.server.entry.zone == entry.zone)
             and (scope != DedupScope.CELL or run.server.entry.cell == entry.cell)
@@ -50,15 +50,15 @@
         warmth = self.warmth(server)
         if warmth == 1.0:
             return True
-        window_ms, completions = self.settings.overload_for_ms, self.completions[server.role]
+        window_ms, completions = self.settings.overload_window_ms, self.completions[server.role]
         known_ms = self.now_ms - completions[0] if completions else 0.0
         usual = len(completions) * window_ms / max(window_ms, known_ms) / self.peak_servers[server.role]
-        floor = self.settings.fall_multiple * self.settings.cold_share / self.settings.routers
+        floor = self.settings.overload_multiple * self.settings.cold_capacity / self.settings.routers
         if server.role == Role.PREFILL and self.prefill_ms_per_token:
             work = self.mean_work[server.role] or self._work(job, server)
             prefill_ms = self.prefill_ms_per_token * work
             floor *= max(1.0, COLD_WORK * window_ms / prefill_ms)
-        rate = max(COLD_ATTEMPTS * self.settings.fall_multiple * warmth * usual, floor)
+        rate = max(COLD_ATTEMPTS * self.settings.overload_multiple * warmth * usual, floor)
         saved_ms = min(self.now_ms - server.start_credit_ms, CREDIT_WINDOWS * window_ms)
         gained = rate * saved_ms / max(1.0, window_ms)
         server.start_credit = min(max(1.0, rate), server.start_credit + gained)
--- a/ringledge/routing/endpoints.py
+++ b/ringledge/routing/endpoints.py
@@ -22,7 +22,7 @@
 
     UP = "up"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,7 +43,7 @@
 class EndpointUpdate:
     """News about the list of servers."""
 
-    form: EndpointUpdateKind
+    kind: EndpointUpdateKind
     version: int = 0
     entries: tuple[ServerEntry, ...] = ()
 
--- a/ringledge/routing/estimates.py
+++ b/ringledge/routing/estimates.py
@@ -138,7 +138,7 @@
     def _failure_probability(self, job: Job, server: Server) -> float:
         """How likely it fails this request: what failed there is the server, or its class and its tenant."""
         rates = [server.failures[scope].value(self.now_ms) for scope in job.failure_scopes]
-        single_try = job.kv_server is not None and job.request_class.effect == Idempotency.UNSAFE
+        single_try = job.kv_server is not None and job.request_class.idempotency == Idempotency.NON_IDEMPOTENT
         errors = server.failures.get(SERVER_ERROR, DecayingMean()).value(self.now_ms)
         if single_try and errors > SAMPLE_WEIGHT / 2:
             return 1.0  # one that is well answers hundreds before it fails one: a single error tells
@@ -150,7 +150,7 @@
         if server.warming_since_ms <= 0 or age_ms >= warm_ms:
             return 1.0
         share = max(0.0, age_ms) / max(1.0, warm_ms)
-        return self.settings.cold_share * (1 - share) + share
+        return self.settings.cold_capacity * (1 - share) + share
 
     def availability(self, server: Server) -> Availability:
         """By the list, unless operators excluded it: then it finishes what it has, as if it drained."""
--- a/ringledge/routing/events.py
+++ b/ringledge/routing/events.py
@@ -68,7 +68,7 @@
     server: str
     status: AttemptStatus
     latency_ms: float = 0.0
-    over: bool = False
+    request_ended: bool = False
     note: int = 0  # tokens found cached; full: 1 without a KV cache entry; lost: 1 if idle before
     load: LoadReport | None = None
 
--- a/ringledge/routing/membership.py
+++ b/ringledge/routing/membership.py
@@ -21,24 +21,24 @@
     """Who is listed, up and warm, and how far each place's decode servers fall short of its prefills."""
 
     def _update_members(self, members: EndpointUpdate) -> None:
-        if members.form == EndpointUpdateKind.PERSISTED:  # comes once, at the start
+        if members.kind == EndpointUpdateKind.PERSISTED:  # comes once, at the start
             self._expire()
-            if self.settings.membership == MembershipMode.ASK:
+            if self.settings.membership == MembershipMode.POLL:
                 self.actions.append(WatchEndpoints())
         if (
-            members.form == EndpointUpdateKind.FAILED
+            members.kind == EndpointUpdateKind.FAILED
         ):  # ask again, spread out and well before the list counts as old
-            wait_ms = self.settings.ask_every_ms * self.rng.uniform(0.1, 0.2)
+            wait_ms = self.settings.poll_interval_ms * self.rng.uniform(0.1, 0.2)
             return self.actions.append(SetTimer(self.now_ms + wait_ms, TimerName.MEMBERS))
-        gone = [each.server for each in members.entries if each.availability == Availability.GONE]
-        if members.form != EndpointUpdateKind.CHANGES:  # a whole list: who isn't named is gone
+        gone = [each.server for each in members.entries if each.availability == Availability.REMOVED]
+        if members.kind != EndpointUpdateKind.CHANGES:  # a whole list: who isn't named is gone
             gone += sorted(self.servers.keys() - {entry.server for entry in members.entries})
         for name in gone:
             if name in self.servers:  # what waits there is cancelled; the outcomes bring the requests on
                 for job in self.servers.pop(name).in_flight:
                     self._cancel(job)
         for entry in members.entries:
-            if entry.availability == Availability.GONE or entry.kind >= len(self.settings.kinds):
+            if entry.availability == Availability.REMOVED or entry.kind >= len(self.settings.kinds):
                 continue
             server = self.servers.get(entry.server)
             if server is None or server.entry.started_ms != entry.started_ms:  # cold, with nothing cached
--- a/ringledge/routing/policy.py
+++ b/ringledge/routing/policy.py
@@ -70,13 +70,13 @@
     def _accept(self, request: Request) -> None:
         classes = self.settings.classes
         if request.class_index >= len(classes):
-            return self.actions.append(RejectRequest(request.request, why=GiveUpReason.UNKNOWN_CLASS))
+            return self.actions.append(RejectRequest(request.request, reason=GiveUpReason.UNKNOWN_CLASS))
         arrivals, counted_ms = self.recent_arrivals
         self.recent_arrivals = (arrivals * exp((counted_ms - self.now_ms) / ARRIVALS_MS) + 1, self.now_ms)
         request_class = classes[request.class_index]
-        value = request_class.worth / max(each.worth for each in classes)
+        value = request_class.priority_weight / max(each.priority_weight for each in classes)
         if self._over_quota(request.tenant):
-            value *= self.settings.over_share_worth
+            value *= self.settings.over_quota_weight
         scopes = [f"class {request.class_index}"]
         if request.tenant < len(self.settings.tenants):
             scopes.append(f"tenant {request.tenant}")
@@ -132,7 +132,7 @@
                 self._record_result(job, job.server, 1.0)
                 prefills = job.server.role == Role.PREFILL
                 repeatable = (
-                    prefills or job.request_class.effect != Idempotency.UNSAFE
+                    prefills or job.request_class.idempotency != Idempotency.NON_IDEMPOTENT
                 )  # else it could only fail
                 if repeatable and job.attempts + prefills < self.settings.max_attempts:
                     self._cancel(job)
@@ -158,7 +158,7 @@
             outcome.status in CONNECTION_LOST and outcome.note
         ):
             job.failed_servers.append(server)
-        job.ended = job.ended or outcome.over
+        job.ended = job.ended or outcome.request_ended
         (self._forget if job.ended else self._proceed)(job)
 
     def _start_stream(self, event: FirstToken) -> None:
@@ -182,8 +182,12 @@
         """Answer at once: refuse where a repeat is harmless, else fail; release what is held."""
         # An attempt still in flight proves nothing, a prefill neither.
         ran = bool(job.possible_runs) or job.server is not None
-        effect, scope = job.request_class.effect, job.request_class.dedup_scope
-        if not ran or effect == Idempotency.SAFE or (effect == Idempotency.KEYED and scope == DedupScope.ALL):
+        effect, scope = job.request_class.idempotency, job.request_class.dedup_scope
+        if (
+            not ran
+            or effect == Idempotency.IDEMPOTENT
+            or (effect == Idempotency.KEYED and scope == DedupScope.ALL)
+        ):
             longest_ms = self.settings.max_retry_after_ms
             retry_after_ms = RETRY_AFTER_SHARE * longest_ms if self.settings.retry_after else None
             self.actions.append(RejectRequest(job.request.request, retry_after_ms, why))
--- a/ringledge/routing/settings.py
+++ b/ringledge/routing/settings.py
@@ -17,9 +17,9 @@
 class Idempotency(Enum):
     """Whether a request may be repeated: freely, where a key drops repeats, or only if it never ran."""
 
-    SAFE = "safe"
+    IDEMPOTENT = "safe"
     KEYED = "keyed"
-    UNSAFE = "unsafe"
+    NON_IDEMPOTENT = "unsafe"
 
 
 class DedupScope(Enum):
@@ -34,13 +34,13 @@
     """How the list of servers comes: by itself, or only when asked or subscribed to."""
 
     PUSH = "push"
-    ASK = "ask"
+    POLL = "ask"
 
 
 class LoadReportSource(Enum):
     """How load reports come: with outcomes, with probes only, or never."""
 
-    ANSWERS = "answers"
+    RESPONSES = "answers"
     PROBES = "probes"
     NONE = "none"
 
@@ -51,9 +51,9 @@
 
     target_ms: float
     deadline_ms: float
-    effect: Idempotency
-    worth: float = 1.0
-    late_worth: float = 0.0
+    idempotency: Idempotency
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window_ms: float = 0.0
     streamed: bool = True
@@ -91,18 +91,18 @@
     reports: LoadReportSource = LoadReportSource.NONE
     may_probe: bool = False
     may_cancel: bool = False
-    second_copies: bool = False
+    hedging_allowed: bool = False
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
     max_attempts: int = 1
     tick_ms: float = 0.0
     answer_slack_ms: float = 0.0
-    ask_every_ms: float = 0.0
+    poll_interval_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    cold_share: float = 1.0
+    cold_capacity: float = 1.0
     warm_after_ms: float = 0.0
-    fall_multiple: float = 1.0
-    overload_for_ms: float = 0.0
+    overload_multiple: float = 1.0
+    overload_window_ms: float = 0.0
     release_within_ms: float = 0.0
     decode_may_prefill: bool = False
-    over_share_worth: float = 1.0
+    over_quota_weight: float = 1.0
--- a/ringledge/routing/simulator_decoder.py
+++ b/ringledge/routing/simulator_decoder.py
@@ -36,7 +36,7 @@
     "Persisted": EndpointUpdateKind.PERSISTED,
     "Error": EndpointUpdateKind.FAILED,
 }
-AVAILABILITY = {"on": Availability.UP, "fading": Availability.DRAINING, "off": Availability.GONE}
+AVAILABILITY = {"on": Availability.UP, "fading": Availability.DRAINING, "off": Availability.REMOVED}
 STATUS = {
     "1": AttemptStatus.OK,
     "0": AttemptStatus.ERROR,
@@ -49,11 +49,15 @@
     "100": AttemptStatus.PREFILLED,
 }
 ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.MIXED}
-EFFECTS = {"retryable": Idempotency.SAFE, "dedup": Idempotency.KEYED, "fragile": Idempotency.UNSAFE}
+EFFECTS = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
 DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
-MEMBERSHIP = {"automatic": MembershipMode.PUSH, "subscribe": MembershipMode.ASK}
+MEMBERSHIP = {"automatic": MembershipMode.PUSH, "subscribe": MembershipMode.POLL}
 REPORTS = {
-    "piggyback": LoadReportSource.ANSWERS,
+    "piggyback": LoadReportSource.RESPONSES,
     "pull": LoadReportSource.PROBES,
     "silent": LoadReportSource.NONE,
 }
@@ -95,9 +99,9 @@
 CLASS_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "target_ms": ("goal_time_ms", float),
     "deadline_ms": ("deadline_ms", float),
-    "effect": ("effect", EFFECTS.__getitem__),
-    "worth": ("worth", float),
-    "late_worth": ("late_worth", float),
+    "idempotency": ("effect", EFFECTS.__getitem__),
+    "priority_weight": ("worth", float),
+    "late_priority_weight": ("late_worth", float),
     "dedup_scope": ("group", DEDUP_SCOPES.__getitem__),
     "dedup_window_ms": ("window_ms", float),
     "streamed": ("stream", flag),
@@ -114,21 +118,21 @@
     "reports": ("stats.how", REPORTS.__getitem__),
     "may_probe": ("caps.may_probe", flag),
     "may_cancel": ("caps.cancel", flag),
-    "second_copies": ("caps.second_copies", flag),
+    "hedging_allowed": ("caps.second_copies", flag),
     "retry_after": ("caps.retry_after", flag),
     "max_retry_after_ms": ("caps.max_retry_after_ms", float),
     "max_attempts": ("caps.max_attempts", int),
     "tick_ms": ("tick_ms", float),
     "answer_slack_ms": ("safety.answer_slack_ms", float),
-    "ask_every_ms": ("safety.ask_every_ms", float),
+    "poll_interval_ms": ("safety.ask_every_ms", float),
     "drain_grace_ms": ("safety.drain_grace_ms", float),
-    "cold_share": ("safety.cold_share", float),
+    "cold_capacity": ("safety.cold_share", float),
     "warm_after_ms": ("safety.warm_after_ms", float),
-    "fall_multiple": ("safety.fall_multiple", float),
-    "overload_for_ms": ("safety.overload_for_ms", float),
+    "overload_multiple": ("safety.fall_multiple", float),
+    "overload_window_ms": ("safety.overload_for_ms", float),
     "release_within_ms": ("specifics.let_go_by_ms", float),
     "decode_may_prefill": ("specifics.read_in_place", flag),
-    "over_share_worth": ("over_share_worth", float),
+    "over_quota_weight": ("over_share_worth", float),
 }
 REQUEST_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "request": ("op_id", str),
--- a/ringledge/routing/snapshot.py
+++ b/ringledge/routing/snapshot.py
@@ -140,5 +140,5 @@
 
 def _known_server(policy: Policy, name: str) -> Server:
     """The server of that name; what is told of one that isn't listed goes nowhere."""
-    unlisted = ServerEntry(name, 0, 0, 0, Availability.GONE)
+    unlisted = ServerEntry(name, 0, 0, 0, Availability.REMOVED)
     return policy.servers.get(name) or Server(unlisted, Role.MIXED)
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -23,7 +23,7 @@
 import msgspec
 from prometheus_client import CollectorRegistry
 
-from ringledge.decide.interface import Backlog, Demand, Facts, ServerSeen
+from ringledge.decide.interface import ClassDemand, QueueBacklog, RecordStore, ServerObservation
 from ringledge.decide.replay.capacity_estimate import room, rows
 from ringledge.decide.replay.capacity_loans import Lend, Lending, Want
 from ringledge.decide.replay.partition_detection import CutOff, Reached, Seen, State
@@ -66,7 +66,7 @@
         looks: Looks,
         registry: CollectorRegistry,
         random: Random,
-        facts: Facts | None = None,
+        facts: RecordStore | None = None,
         leased: bool = False,
     ) -> None:
         """`leased`: leases begin and stop the replay; else the lock beside the file does."""
@@ -142,12 +142,12 @@
         site = f"reach/{self.config.site}"
         if self._facts is not None:
             said = rows(self._facts.values(now_s, site), Reached)
-            self.cut_off.hear(now_s, [(name, row) for (name, key), row in said.items() if key == site])
+            self.cut_off.receive(now_s, [(name, row) for (name, key), row in said.items() if key == site])
         before = self._state
         self._state = self.cut_off.look(now_s, self._looks.servers(now_s))
         if self._facts is not None and self._said is not self.cut_off.own:
             self._said = self.cut_off.own  # also at the start: who says nothing would not count as open
-            self._facts.put(now_s, site, msgspec.msgpack.encode(self.cut_off.row()))
+            self._facts.write(now_s, site, msgspec.msgpack.encode(self.cut_off.row()))
         if self._state is not before:
             log.info("site_state", site=self.config.site, state=self._state.name.lower())
         self.figures.state.set(self._state.value)
@@ -170,15 +170,15 @@
         self.figures.pace.set(replay.pace.rate)
         if self._facts is not None:
             weight = self.config.sites.get(self.config.site, 1.0)
-            row = Backlog(self._token, entries, oldest_s, weight, replay.served)
-            self._facts.put(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(row))
+            row = QueueBacklog(self._token, entries, oldest_s, weight, replay.served)
+            self._facts.write(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(row))
 
     def _share(self, now_s: float, replay: Replay, lending: Lending, entries: int) -> None:
         """The site's part of what live traffic leaves over."""
         left = None
         if self._facts is not None:
-            seen = rows(self._facts.values(now_s, "server/"), ServerSeen)
-            demand = rows(self._facts.values(now_s, "demand/"), Demand)
+            seen = rows(self._facts.values(now_s, "server/"), ServerObservation)
+            demand = rows(self._facts.values(now_s, "demand/"), ClassDemand)
             known = room(seen, demand)
             left = spare(known, self.config.reserve, replay.written(known.written()))
         if left is not None:
@@ -192,16 +192,16 @@
             mine = f"/{self.config.site}"
             lends = rows(self._facts.values(now_s, "lend/"), Lend)
             ours = {key.split("/")[1]: row for (_, key), row in lends.items() if key.endswith(mine)}
-            lending.hear(now_s, wants, ours)
+            lending.receive(now_s, wants, ours)
             self._put(now_s, lending.rows())
         replay.pace.allot(now_s, None if left is None else left * lending.part(now_s))
 
     def _put(self, now_s: float, told: Mapping[str, Want | Lend]) -> None:
         assert self._facts is not None
         for key in self._told - told.keys():
-            self._facts.drop(now_s, key)
+            self._facts.delete(now_s, key)
         for key, row in told.items():
-            self._facts.put(now_s, key, msgspec.msgpack.encode(row))
+            self._facts.write(now_s, key, msgspec.msgpack.encode(row))
         self._told = set(told)
 
     def _send(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
--- a/ringledge/wire/clients/chat/answer.py
+++ b/ringledge/wire/clients/chat/answer.py
@@ -21,7 +21,7 @@
         self._session = session
         self._rest = b""
 
-    def refuse(self, come_back_ms: float | None) -> None:
+    def reject(self, come_back_ms: float | None) -> None:
         """Final answer: refused."""
         self._session.come_back_ms = come_back_ms
         self._end(End.REFUSED)
@@ -34,11 +34,11 @@
         """The stream is whole."""
         self._end(End.SERVED)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The stream broke; what came of a half event is not kept, so the rest starts clean behind it."""
         self._end(End.BROKEN)
 
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether all that follow its session have left; one that has begun runs on for their return."""
         return bool(self._session.followers) and self._session.abandoned
 
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -38,7 +38,7 @@
 
 if TYPE_CHECKING:
     from ringledge.core.gate import Gate
-    from ringledge.memory.buffered_bytes import Held
+    from ringledge.memory.buffered_bytes import BufferedBytes
     from ringledge.wire.clients.chat.queued import QueuedChat
 
 PATH = b"/v1/chat/completions"
@@ -56,7 +56,7 @@
         conductor: Conductor,
         most_bytes: float,
         gate: Gate | None = None,
-        held: Held | None = None,
+        held: BufferedBytes | None = None,
         queued: QueuedChat | None = None,
     ) -> None:
         self._config, self._settings, self._names, self._conductor = config, settings, names, conductor
@@ -210,7 +210,7 @@
         session.record = self._conductor.accept(request, payload, Answer(session))
 
     def _safe(self, class_index: int) -> bool:
-        return self._settings.classes[class_index].effect is Idempotency.SAFE
+        return self._settings.classes[class_index].idempotency is Idempotency.IDEMPOTENT
 
     def _models(self) -> dict[str, Any]:
         data = [
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -117,7 +117,7 @@
             uuid4().hex,
             tenant,
             self._classes[request.class_index],
-            self._settings.classes[request.class_index].effect is Idempotency.SAFE,
+            self._settings.classes[request.class_index].idempotency is Idempotency.IDEMPOTENT,
             orjson.dumps(question | {"stream": False}),
             request.prompt_tokens + request.max_output_tokens,
             now_s,
@@ -169,7 +169,7 @@
         try:
             return await self._queue.by_key(tenant, key)
         except StoreError as error:
-            if self._settings.classes[class_index].effect is Idempotency.SAFE:
+            if self._settings.classes[class_index].idempotency is Idempotency.IDEMPOTENT:
                 return None
             raise refusal(error) from error
 
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -43,7 +43,7 @@
         self._left = True
         record = self._mine.record
         # Until `take` has returned nothing can have been sent.
-        ran = record is not None and (record.began or record.may_have_run)
+        ran = record is not None and (record.streaming or record.may_have_run)
         if end is End.SERVED:
             usage = self._mine.usage or {}
             written = float(usage.get("completion_tokens") or 0)
@@ -88,7 +88,7 @@
             return None
         name = f"chatcmpl-{entry.name}"
         session = Session(name, told, index, request.max_output_tokens, len(entry.asked.question))
-        safe = self._settings.classes[index].effect is Idempotency.SAFE
+        safe = self._settings.classes[index].idempotency is Idempotency.IDEMPOTENT
         run = (_Run if safe and entry.asked.safe else _Booking)(session, self._conductor, ended)
         body = told | {"stream": True, "max_tokens": int(request.max_output_tokens)}
         body.pop("max_completion_tokens", None)
--- a/ringledge/wire/clients/operator.py
+++ b/ringledge/wire/clients/operator.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from ringledge.memory.operator_overrides import ByHand
+from ringledge.memory.operator_overrides import OperatorOverrides
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
@@ -35,7 +35,7 @@
         classes: tuple[str, ...],
         metrics: Metrics,
         servers: ServerList,
-        by_hand: ByHand,
+        by_hand: OperatorOverrides,
         can_serve: Callable[[], bool],
     ) -> None:
         self._classes, self._metrics, self._can_serve = classes, metrics, can_serve
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from ringledge.core.gate import Gate
     from ringledge.decide.overload.messages import Rejection
-    from ringledge.memory.buffered_bytes import Held
+    from ringledge.memory.buffered_bytes import BufferedBytes
     from ringledge.wire.clients.loop_budget import Turns
 
 PATH = b"/v1/chat/completions"
@@ -47,7 +47,7 @@
         conductor: Conductor,
         gate: Gate | None = None,
         turns: Turns | None = None,
-        held: Held | None = None,
+        held: BufferedBytes | None = None,
     ) -> None:
         self._names, self._conductor, self._gate, self._turns = names, conductor, gate, turns
         self._held = held
--- a/ringledge/wire/clients/response.py
+++ b/ringledge/wire/clients/response.py
@@ -12,7 +12,7 @@
 from ringledge.wire.http.errors import FloodError
 
 if TYPE_CHECKING:
-    from ringledge.memory.buffered_bytes import Held
+    from ringledge.memory.buffered_bytes import BufferedBytes
 
 HIGH_WATER = 64 * 1024  # bytes of a stream that may wait for a slow client
 
@@ -30,7 +30,7 @@
 class Exchange:
     """One request's client side. Pieces go straight to the socket; what it leaves waits for the task."""
 
-    def __init__(self, conn: Connection, held: Held | None = None) -> None:
+    def __init__(self, conn: Connection, held: BufferedBytes | None = None) -> None:
         self._held = held
         self.begun = False
         self.end: str | None = None
@@ -40,7 +40,7 @@
         self._waiting = 0  # bytes that the client has not taken
         self._news, self._room = anyio.Event(), anyio.Event()
 
-    def refuse(self, come_back_ms: float | None) -> None:
+    def reject(self, come_back_ms: float | None) -> None:
         """Final answer: refused."""
         self.come_back_ms = come_back_ms
         self._finish("refused")
@@ -53,11 +53,11 @@
         """The stream is whole."""
         self._finish("served")
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """The stream broke."""
         self._finish("broken")
 
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the client has closed its connection."""
         return self._conn.peer_gone()
 
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -30,7 +30,7 @@
 from ringledge.wire.http.sockets import connect
 from ringledge.wire.servers.upstream import Upstream
 
-AVAILABILITY = {"active": Availability.UP, "leaving": Availability.DRAINING, "left": Availability.GONE}
+AVAILABILITY = {"active": Availability.UP, "leaving": Availability.DRAINING, "left": Availability.REMOVED}
 SILENCE_S = 3.0  # an empty line comes every 2 s: a watch without a whole line for so long is made anew
 MOST_LIST = 4 * 1024 * 1024  # bytes of a list, or of one object of changes
 # Bounds of the wait before a watch that failed is asked for again, in s for each conductor of the tier: one
@@ -88,7 +88,7 @@
         addresses = {each.name: each.address for each in told.endpoints}
         if form is not EndpointUpdateKind.PERSISTED:
             self._known_ms = now_ms
-        self._conductor.members(EndpointUpdate(form, told.index, tuple(entries)), addresses)
+        self._conductor.update_endpoints(EndpointUpdate(form, told.index, tuple(entries)), addresses)
         self._starts.keep(self._conductor.context.servers.entries)
         up = [each for each in entries if each.availability == Availability.UP]
         fresh = {each.server: each.started_ms for each in up if each.started_ms > 0}
@@ -212,7 +212,7 @@
                 self.apply(told)
             except (*PEER_ERRORS, ListError) as error:
                 log.warning("list_fetch_failed", error=repr(error))
-                self._conductor.members(EndpointUpdate(EndpointUpdateKind.FAILED), {})
+                self._conductor.update_endpoints(EndpointUpdate(EndpointUpdateKind.FAILED), {})
 
 
 def known_ago(left_s: float) -> float:
--- a/ringledge/wire/http/socket_reader.py
+++ b/ringledge/wire/http/socket_reader.py
@@ -66,7 +66,7 @@
     async def _more(self) -> None:
         """Wait until the loop has read something, or has found that nothing more comes."""
         if not self._heard:
-            self._hear()
+            self._receive()
         self._waiter = self._loop.create_future()
         try:
             await self._waiter
@@ -97,7 +97,7 @@
         if (not size or not self._skipping) and self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _hear(self) -> None:
+    def _receive(self) -> None:
         self._heard = True
         self._loop.add_reader(self.sock, self._readable)
 
@@ -158,7 +158,7 @@
         if self.ended or self._error is not None or self.closed:
             call()
         elif not self._heard:
-            self._hear()
+            self._receive()
 
     def peer_gone(self) -> bool:
         """Whether the peer has closed, asked of the system: its end may not have come to the loop yet."""
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -72,15 +72,17 @@
     async def _connect(self, attempt: Attempt, live: Live, address: str) -> End | None:
         """Get a connection to the server, in time for what is held; an end where nothing will be sent."""
         record, connect_s = attempt.record, self.lines.connect_s()
-        if record.released and not attempt.reads:
+        if record.released and not attempt.is_prefill:
             return await self._prefill_again(record)
-        if record.holders and not attempt.reads:
-            held_s = connect_timeout.hold_remaining_s(self.clock.now_ms(), record.free_ms, self.let_go_ms)
+        if record.cache_holders and not attempt.is_prefill:
+            held_s = connect_timeout.hold_remaining_s(
+                self.clock.now_ms(), record.idle_since_ms, self.let_go_ms
+            )
             if held_s <= 0:
                 return await self._let_go(record)
             connect_s = min(connect_s, held_s)
         try:
-            live.conn = await self.lines.take(attempt.server, address, connect_s, attempt.once)
+            live.conn = await self.lines.take(attempt.server, address, connect_s, attempt.at_most_once)
         except OSError as error:
             log.info("connect_failed", server=attempt.server, request=record.name, error=str(error))
             return End(
@@ -95,11 +97,11 @@
         if not self.conductor.may_begin(attempt):
             return End(AttemptStatus.NOT_SENT)  # a send counts from its first byte, and none is out
         record = attempt.record
-        told_ms = int(attempt.ends_ms - self.clock.now_ms())
-        self.conductor.sending(attempt, told_ms)
+        told_ms = int(attempt.expires_ms - self.clock.now_ms())
+        self.conductor.attempt_sent(attempt, told_ms)
         facts = {"attempt": attempt.number, "kept": conn.kept, "told_ms": told_ms}
         log.debug("attempt_sent", request=record.name, server=attempt.server, **facts)
-        attempt.fetches = bool(record.holders) and not attempt.reads
+        attempt.fetches_cache = bool(record.cache_holders) and not attempt.is_prefill
         try:
             with anyio.fail_after(self._send_s(attempt)):
                 await conn.send_first(*self._message(record, address, told_ms))
@@ -110,7 +112,7 @@
                 AttemptStatus.CONNECT_FAILED, note
             )  # the last byte was never written: it can't have run
         attempt.written = True
-        attempt.arrived, live.written_ms = not conn.kept, self.clock.now_ms()
+        attempt.delivered, live.written_ms = not conn.kept, self.clock.now_ms()
         self.metrics.sends.inc()
         return None
 
@@ -136,14 +138,14 @@
         heard = False
         try:
             head = await answer_head(conn)
-            heard = attempt.arrived = True
+            heard = attempt.delivered = True
             self.reach.heard(attempt.server, self.clock.now_ms())
             conn.streamed = head.status_code == 200
             if conn.streamed:
                 return await self._stream(attempt, live, conn, head)
             body = await read_body(conn, head)
         except PEER_ERRORS as error:
-            facts = {"began": attempt.began, "error": str(error)}
+            facts = {"began": attempt.streaming, "error": str(error)}
             log.info("attempt_reset", server=attempt.server, request=attempt.record.name, **facts)
             lost = isinstance(error, OSError) or conn.ended
             return End(AttemptStatus.RESET, self._kept_broke(conn, address) if lost and not heard else 0)
@@ -154,7 +156,9 @@
         """What an answer that is no stream means."""
         load = load_report(header(head, b"x-load-report"))
         rejected = header(head, b"x-rejected") == b"1"
-        if head.status_code == 202 and not attempt.fetches:  # to a decode it proves nothing: it may have run
+        if (
+            head.status_code == 202 and not attempt.fetches_cache
+        ):  # to a decode it proves nothing: it may have run
             return End(AttemptStatus.PREFILLED, cached_tokens(as_object(body)), load)
         if rejected and head.status_code == 410:
             return End(AttemptStatus.FULL, 1, load)
@@ -176,7 +180,7 @@
         if live.scope.cancel_called:  # its time ended in this turn: begun, it would be cut at the next wait
             return End(AttemptStatus.TIMEOUT)
         live.scope.deadline = math.inf
-        if not self.conductor.first(attempt):
+        if not self.conductor.begin_stream(attempt):
             return End(AttemptStatus.CANCELLED)
         tail = await StreamRelay(self.conductor, attempt, live, conn, chunked).run(opening)
         note, attempt.answer_tokens, load = read_tail(tail)
@@ -184,9 +188,9 @@
 
     def _send_s(self, attempt: Attempt) -> float:
         """How long the request may take to be written: a connection that takes nothing more may be dead."""
-        if not attempt.fetches:
+        if not attempt.fetches_cache:
             return SEND_S
-        now_ms, free_ms = self.clock.now_ms(), attempt.record.free_ms
+        now_ms, free_ms = self.clock.now_ms(), attempt.record.idle_since_ms
         return min(SEND_S, connect_timeout.hold_remaining_s(now_ms, free_ms, self.let_go_ms))
 
     async def _prefill_again(self, record: Record) -> End:
@@ -197,7 +201,7 @@
 
     async def _let_go(self, record: Record) -> End:
         """No writer was reached while the read state may be held: it goes, and the prompt is read anew."""
-        known, record.holders = record.holders, set()
+        known, record.cache_holders = record.cache_holders, set()
         log.info("state_let_go", request=record.name, servers=sorted(known))
         await self.releaser.let_go(record.name, known)
         return End(AttemptStatus.FULL, 1)
--- a/ringledge/wire/servers/silence.py
+++ b/ringledge/wire/servers/silence.py
@@ -52,7 +52,7 @@
             for attempt, live in list(self._live.items()):
                 if live.silent_at < now and not live.passing_on:
                     live.scope.cancel()
-                elif not attempt.began and attempt.out and live.written_ms < math.inf:
+                elif not attempt.streaming and attempt.in_flight and live.written_ms < math.inf:
                     waiting.append((attempt.server, live.written_ms))
                     self._release_unheard(attempt)
             for server in self._arrivals.due(self._clock.now_ms(), waiting):
@@ -75,12 +75,12 @@
     def _give_up(self, server: str) -> None:
         """Stop waiting for a server that is cut off, save where an attempt must not run twice."""
         for attempt, live in list(self._live.items()):
-            lost = attempt.server == server and not attempt.began and live.written_ms < math.inf
+            lost = attempt.server == server and not attempt.streaming and live.written_ms < math.inf
             if not lost or not self._arrivals.lost(server, live.written_ms):
                 continue
             record = attempt.record
             log.info("attempt_cut_off", server=server, request=record.name)
-            if not attempt.once:
+            if not attempt.at_most_once:
                 live.scope.cancel()
             else:  # it may be answered yet
                 self._release(record)
@@ -93,12 +93,12 @@
         waits for, whoever releases it.
         """
         record = attempt.record
-        allowed_ms = self._let_go_ms + (NEW_SLACK_MS if attempt.arrived else 0.0)
-        if attempt.fetches and self._clock.now_ms() - record.free_ms >= allowed_ms:
+        allowed_ms = self._let_go_ms + (NEW_SLACK_MS if attempt.delivered else 0.0)
+        if attempt.fetches_cache and self._clock.now_ms() - record.idle_since_ms >= allowed_ms:
             self._release(record)
 
     def _release(self, record: Record) -> None:
-        if record.holders:
-            known, record.holders, record.released = record.holders, set(), True
+        if record.cache_holders:
+            known, record.cache_holders, record.released = record.cache_holders, set(), True
             log.info("state_let_go", request=record.name, servers=sorted(known))
             self._releaser.release(record.name, known, {})
--- a/ringledge/wire/servers/stream_relay.py
+++ b/ringledge/wire/servers/stream_relay.py
@@ -92,5 +92,5 @@
         """Hand a part of the stream to the client's side; while it takes none, nobody else is silent."""
         if data:
             self.live.passing_on = True
-            await self.conductor.piece(self.attempt, data)
+            await self.conductor.relay_chunk(self.attempt, data)
             self.live.passing_on = False
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -85,7 +85,9 @@
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
         live = self._live[attempt] = Live()
-        live.scope.deadline = anyio.current_time() + (attempt.ends_ms - self.conductor.clock.now_ms()) / 1000
+        live.scope.deadline = (
+            anyio.current_time() + (attempt.expires_ms - self.conductor.clock.now_ms()) / 1000
+        )
         self._tasks.start_soon(self._attempt, attempt, live)
 
     def abandon(self, attempt: Attempt) -> None:
@@ -105,7 +107,7 @@
         """How many releases no server has heard yet."""
         return self._releaser.plan.unheard()
 
-    def listed(self) -> None:
+    def endpoints_changed(self) -> None:
         """The list has changed."""
         self.reach.listed((name, entry.zone) for name, entry in self._servers.entries.items())
 
@@ -113,7 +115,7 @@
         """Whether the server's process has answered anything since then."""
         return self.reach.answered_ms(server) > at_ms
 
-    def silences(self) -> frozenset[str]:
+    def unreachable_servers(self) -> frozenset[str]:
         """The servers that no connection reaches just now."""
         return self.reach.silences(self._clock.now_ms())
 
@@ -121,7 +123,7 @@
         """Ask a server for its load."""
         self._tasks.start_soon(self._probe, server)
 
-    def ask_members(self) -> None:
+    def poll_endpoints(self) -> None:
         """Ask discovery for the whole list once."""
         self.members_wanted.set()
 
@@ -148,7 +150,7 @@
                     self.pool.put(address, live.conn)
                 else:
                     self.pool.drop(live.conn)
-        if end is None and attempt.began and attempt.out:
+        if end is None and attempt.streaming and attempt.in_flight:
             log.warning("stream_silent", server=attempt.server, request=attempt.record.name)
             end = End(AttemptStatus.RESET)
         if end is None:  # out of time; what was never written whole can't have run
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -11,6 +11,15 @@
 
 # Types that have been renamed since the golden files were written: name now, name then.
 RENAMED_TYPES = {
+    "SendMessage": "Tell",
+    "LeaseAcquired": "Begin",
+    "LeaseEnded": "End",
+    "ServerObservation": "ServerSeen",
+    "RoleAssignment": "PlanRow",
+    "ClassDemand": "Demand",
+    "QueueBacklog": "Backlog",
+    "ProcessReading": "Reading",
+    "RecordsConfig": "FactsConfig",
     "AttemptOutcome": "Outcome",
     "AttemptStatus": "Status",
     "CancelAttempt": "Cancel",
