--- a/tests/core/test_contained_faults.py
+++ b/tests/core/test_contained_faults.py
@@ -35,7 +35,9 @@
 
     def __init__(self) -> None:
         self.answers = list[str]()
-        port: Any = SimpleNamespace(listed=lambda: None, silences=frozenset, abandon=lambda _: None)
+        port: Any = SimpleNamespace(
+            endpoints_changed=lambda: None, unreachable_servers=frozenset, abandon=lambda _: None
+        )
         port.send = lambda attempt: None
         port.release = lambda *_: None
         port.answered_since = lambda *_: True
