--- a/ringledge/wire/clients/chat/answer.py
+++ b/ringledge/wire/clients/chat/answer.py
@@ -7,8 +7,8 @@
 import h11
 import orjson
 
-from ringledge.memory.stream_sessions import End, Session
 from ringledge.observe.logging import log
+from ringledge.wire.clients.chat.stream_sessions import End, Session
 from ringledge.wire.http.messages import MAX_BODY
 
 MOST_ANSWER = 4 * MAX_BODY  # bytes kept of a question and its answer: twice what the protocol lets them have
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -18,7 +18,6 @@
 from ringledge.core.conductor import Conductor
 from ringledge.core.port import Payload
 from ringledge.memory.names import Names
-from ringledge.memory.stream_sessions import End, Session, Sessions
 from ringledge.observe.logging import log
 from ringledge.routing.interface import (
     Idempotency,
@@ -28,6 +27,7 @@
 from ringledge.wire.clients.chat.answer import Answer
 from ringledge.wire.clients.chat.question import prompt_of, read_question, to_request, told_header
 from ringledge.wire.clients.chat.replies import Replies
+from ringledge.wire.clients.chat.stream_sessions import End, Session, Sessions
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.clients.platform import shed
 from ringledge.wire.clients.response import converse
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -15,7 +15,6 @@
 from ringledge.decide.replay.scheduler import Verdict
 from ringledge.members.replay_sender import Result, Sending
 from ringledge.memory.names import Names
-from ringledge.memory.stream_sessions import End, Session
 from ringledge.routing.interface import (
     Idempotency,
     RouterSettings,
@@ -24,6 +23,7 @@
 from ringledge.wire.clients.chat.answer import Answer
 from ringledge.wire.clients.chat.question import class_and_request
 from ringledge.wire.clients.chat.replies import whole_answer
+from ringledge.wire.clients.chat.stream_sessions import End, Session
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.http.errors import HttpError
 
--- a/ringledge/wire/clients/chat/replies.py
+++ b/ringledge/wire/clients/chat/replies.py
@@ -10,7 +10,7 @@
 
 from ringledge.core.conductor import Conductor
 from ringledge.memory.names import Names
-from ringledge.memory.stream_sessions import End, Session
+from ringledge.wire.clients.chat.stream_sessions import End, Session
 from ringledge.wire.clients.platform import retry_after
 from ringledge.wire.clients.response import STREAM_HEAD
 from ringledge.wire.http.connection import Connection
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -14,7 +14,7 @@
 from ringledge.core.conductor import Conductor
 from ringledge.core.port import Payload
 from ringledge.core.stages.accept import DuplicateError
-from ringledge.lifecycle.config import Names
+from ringledge.memory.names import Names
 from ringledge.wire.clients.platform_request import read_request
 from ringledge.wire.clients.response import STREAM_HEAD, Exchange, converse
 from ringledge.wire.http.connection import Connection
--- a/ringledge/wire/clients/platform_request.py
+++ b/ringledge/wire/clients/platform_request.py
@@ -7,7 +7,7 @@
 import h11
 import orjson
 
-from ringledge.lifecycle.config import Names
+from ringledge.memory.names import Names
 from ringledge.routing.interface import (
     Request,
 )
--- a/ringledge/wire/servers/connections.py
+++ b/ringledge/wire/servers/connections.py
@@ -10,8 +10,8 @@
 from ringledge.core.clock import Clock
 from ringledge.decide.servers.connect_timeout import ConnectTimeout
 from ringledge.decide.servers.reachability import Reachability
-from ringledge.lifecycle.config import Names
 from ringledge.memory.connection_pool import Pool
+from ringledge.memory.names import Names
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -11,8 +11,8 @@
 from ringledge.core.conductor import Conductor
 from ringledge.core.records import Attempt
 from ringledge.decide.servers.reachability import Reachability
-from ringledge.lifecycle.config import Names
 from ringledge.memory.connection_pool import Pool
+from ringledge.memory.names import Names
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
--- a/tests/memory/test_buffered_bytes.py
+++ b/tests/memory/test_buffered_bytes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ringledge.memory.buffered_bytes import BufferedBytes
-from ringledge.memory.stream_sessions import End, Session, Sessions
+from ringledge.wire.clients.chat.stream_sessions import End, Session, Sessions
 
 
 class There:
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -33,11 +33,45 @@
     TopologicalSorter(graph).prepare()  # a circle is a CycleError that names it; imports for types count, too
 
 
-def test_every_log_line_is_explained() -> None:
-    told = set(re.findall(r"`(\w+)`", (ROOT / "docs/oncall.md").read_text()))
+LOG_CALL = re.compile(r"(?:log\.(?:debug|info|often|warning|error|fault)|tell)\(\s*\"(\w+)\"")
+ON_CALL = (ROOT / "docs/oncall.md").read_text()
+
+
+def logged_events() -> set[str]:
+    """Every log event that the code writes."""
+    return {event for path in SOURCES for event in LOG_CALL.findall(path.read_text())}
+
+
+def section(title: str, page: str = ON_CALL) -> str:
+    """The page's text under a heading; the page's beginning for an empty title."""
+    parts = re.split(r"^## (.+)$", page, flags=re.MULTILINE)
+    sections: dict[str, str] = dict(zip(["", *parts[1::2]], parts[0::2], strict=True))
+    return sections[title]
+
+
+def first_column(text: str) -> set[str]:
+    """The names in the first column of a table."""
+    rows = re.findall(r"^\| (`.+?) \|", text, flags=re.MULTILINE)
+    return {name for row in rows for name in re.findall(r"`(\w+)`", row)}
+
+
+def exported_metrics() -> set[str]:
+    """Every metric that the code registers, by the name that is scraped."""
+    call = re.compile(r"\b(_counter|_gauge|Counter|Gauge|Histogram)\(\s*\"(\w+)\"")
+    found = set()
     for path in SOURCES:
-        events = re.findall(r"log\.(?:debug|info|often|warning|error|fault)\(\s*\"(\w+)\"", path.read_text())
-        assert set(events) <= told, path
+        for kind, name in call.findall(path.read_text()):
+            full = name if name.startswith("ringledge_") else f"ringledge_{name}"
+            found.add(f"{full}_total" if kind in ("_counter", "Counter") else full)
+    return found
+
+
+def test_every_log_event_stands_on_the_on_call_page_and_no_other() -> None:
+    assert logged_events() == first_column(section(""))
+
+
+def test_every_metric_stands_on_the_on_call_page_and_no_other() -> None:
+    assert exported_metrics() == first_column(section("Metrics"))
 
 
 def test_every_alert_is_explained() -> None:
--- a/tests/wire/clients/chat/test_departures.py
+++ b/tests/wire/clients/chat/test_departures.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from ringledge.memory.stream_sessions import End, Session
 from ringledge.wire.clients.chat.answer import Answer
+from ringledge.wire.clients.chat.stream_sessions import End, Session
 from tests.loopback import Node
 from tests.wire.clients.chat.helpers import HELLO
 
