--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -14,9 +14,9 @@
 from ringledge.lifecycle.descriptors import allowed
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.clients import operator
-from ringledge.wire.clients.front import Front
-from ringledge.wire.clients.request_loop import ErrorBody, Handler, Refused
-from ringledge.wire.http.body_memory import Budget
+from ringledge.wire.clients.front import Front, FrontOptions
+from ringledge.wire.clients.request_loop import ErrorBody, Handler, OnRejected, RequestHandling
+from ringledge.wire.http.body_memory import BodyMemory
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.sockets import listen
 
@@ -37,7 +37,7 @@
     handler: Handler
     errors: ErrorBody
     limit: int | None = None  # connections; None: its part of what there is for clients
-    refused: Refused | None = None
+    refused: OnRejected | None = None
     keeps: Callable[[h11.Request], bool] | None = None
     quick: Callable[[Connection], int | None] | None = None
 
@@ -51,7 +51,7 @@
         spare = SPARE_SOCKETS + (operator.CONNECTIONS if config.operator else 0)
         self.sockets = max(8, (allowed(config.sockets) - spare) // 2)
         self._bodies = config.memory / BODIES_PART
-        self._budget = Budget(self._bodies)
+        self._budget = BodyMemory(self._bodies)
         self._crowded = 1 + ("chat" in config.extras)  # fronts that any client may call
         self.listeners: dict[str, socket.socket] = {}  # by address, as it is configured
         self.clients: list[tuple[Front, socket.socket]] = []  # fronts that have to be through at the end
@@ -62,35 +62,26 @@
 
     def open(self, service: Service) -> None:
         """Have a front for clients, which accepts from `serve` on."""
-        front = Front(
-            service.name,
-            self._for_clients(1) if service.limit is None else service.limit,
-            self._budget,
+        limit = self._for_clients(1) if service.limit is None else service.limit
+        handling = RequestHandling(
             service.handler,
             service.errors,
-            self._metrics,
-            refused=service.refused,
-            aged=self.aged,
-            keeps=service.keeps,
-            doors=self.doors,
-            quick=service.quick,
+            on_rejected=service.refused,
+            exempt_from_limit=service.keeps,
+            reject_early=service.quick,
         )
+        options = FrontOptions(service.name, limit)
+        front = Front(options, handling, self._budget, self._metrics, self.doors, self.aged)
         if service.limit is None:
             self._crowds.append(front)
         self.clients.append((front, self._listen(service.address)))
 
     def open_operator(self, address: str, handler: Handler, errors: ErrorBody) -> None:
         """Have the operators' front, which no client can fill."""
-        front = Front(
-            "operator",
-            operator.CONNECTIONS,
-            Budget(operator.MEMORY),
-            handler,
-            errors,
-            self._metrics,
-            request_s=operator.CALL_S,
-            at_once=1,  # each is read before the next comes: half calls are known and make room
-        )
+        # One is read before the next is accepted: incomplete calls are known, and are evicted first.
+        options = FrontOptions("operator", operator.CONNECTIONS, accepts_per_turn=1)
+        handling = RequestHandling(handler, errors, request_timeout_s=operator.CALL_S)
+        front = Front(options, handling, BodyMemory(operator.MEMORY), self._metrics)
         front.connections.end_with_answers(True)  # one call to a connection
         self.operators.append((front, self._listen(address)))
 
@@ -134,14 +125,14 @@
         """Divide the limits among the processes that there are of this conductor."""
         self._budget.limit = self._bodies / processes
         for front in self._crowds:
-            front.connections.shrink(self._for_clients(processes))
+            front.connections.lower_limit(self._for_clients(processes))
 
     def leave(self, addresses: set[str]) -> None:
         """A successor serves at those."""
         theirs = [listener for address, listener in self.listeners.items() if address in addresses]
         for front, listener in self.clients:
             if listener in theirs:
-                front.leave()
+                front.yield_to_successor()
 
     def reopen(self) -> None:
         """The successor is gone: accept again."""
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -30,7 +30,7 @@
 from ringledge.wire.clients.chat.stream_sessions import End, Session, Sessions
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.clients.platform import shed
-from ringledge.wire.clients.response import converse
+from ringledge.wire.clients.response import write_while_connected
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.headers import header
@@ -94,7 +94,9 @@
         try:
             replies = self._replies
             follow = replies.whole(conn, session) if whole else replies.stream(conn, session, seen)
-            await converse(conn, follow, partial(self._may_refuse, session), partial(self._left, session))
+            await write_while_connected(
+                conn, follow, partial(self._may_refuse, session), partial(self._left, session)
+            )
         finally:
             session.followers.discard(conn)
             self._left(session)
--- a/ringledge/wire/clients/closing.py
+++ b/ringledge/wire/clients/closing.py
@@ -1,9 +1,9 @@
-"""The close of a connection in order, so that it takes no answer with it.
+"""Lingering close: a connection is closed without losing the end of its last answer.
 
-A close over unread bytes is a reset, and with it goes what of an answer is still on its way. So our sending
-is ended first. What the peer still sends, a request that crossed that end too, is read and dropped; nothing
-is sent on for it, and its client, which sees the end before an answer, sends it once more elsewhere. The
-socket is closed once the peer has ended its side, or after a bound.
+A close with unread input resets the connection, which discards what of an answer is still in flight. So our
+side is shut down first. What the peer still sends is read and discarded, also a request that crossed the
+shutdown: nothing is forwarded for it, and its client, which sees the end before an answer, sends it once more
+elsewhere. The socket is closed once the peer has ended its side, or after a timeout.
 """
 
 from __future__ import annotations
@@ -14,61 +14,63 @@
 
 from ringledge.wire.http.socket_reader import SCRATCH
 
-LINGER_S = 0.5  # a peer that has not closed by then is closed on
+LINGER_S = 0.5  # after which the socket is closed though the peer has not ended its side
 LINGER_BYTES = 1024 * 1024  # that a peer may still send
 
 
 @dataclass(slots=True, eq=False)
-class _Peer:
-    """One connection on which nothing is said any more."""
+class _ClosingConnection:
+    """One connection whose sending side is shut down."""
 
     sock: socket.socket
-    left: int = LINGER_BYTES
+    remaining_bytes: int = LINGER_BYTES
     timer: asyncio.TimerHandle | None = None
 
 
-class Lingering:
-    """Connections that are being closed in order."""
+class LingeringCloses:
+    """The connections of a front that are in their lingering close."""
 
     def __init__(self) -> None:
-        self._peers: dict[_Peer, None] = {}  # longest first
+        self._connections: dict[_ClosingConnection, None] = {}  # longest first
 
     def __len__(self) -> int:
-        """How many still have their descriptor."""
-        return len(self._peers)
+        """How many of them still hold a descriptor."""
+        return len(self._connections)
 
     def begin(self, sock: socket.socket) -> None:
-        """End our sending, and close once the peer has ended its own."""
+        """Shut our side down, and close the socket once the peer has ended its own."""
         try:
             sock.shutdown(socket.SHUT_WR)
         except OSError:  # it is reset already
-            return sock.close()
-        loop, peer = asyncio.get_running_loop(), _Peer(sock)
-        self._peers[peer] = None
+            sock.close()
+            return
+        loop = asyncio.get_running_loop()
+        peer = _ClosingConnection(sock)
+        self._connections[peer] = None
         peer.timer = loop.call_later(LINGER_S, self._close, peer)
-        loop.add_reader(sock, self._drop, peer)
-        self._drop(peer)
+        loop.add_reader(sock, self._discard_input, peer)
+        self._discard_input(peer)
 
-    def close(self, most: int) -> int:
-        """Close so many at most now, the longest lingering first; how many were."""
-        for peer in (first := list(self._peers)[:most]):
+    def close(self, limit: int) -> int:
+        """Close at most `limit` now, the longest lingering first; how many were."""
+        for peer in (first := list(self._connections)[:limit]):
             self._close(peer)
         return len(first)
 
-    def _drop(self, peer: _Peer) -> None:
+    def _discard_input(self, peer: _ClosingConnection) -> None:
         try:
             # Linux drops what TCP has without copying it, up to the size that is named (tcp(7)).
-            size = peer.sock.recv_into(SCRATCH, min(len(SCRATCH), peer.left), socket.MSG_TRUNC)
+            size = peer.sock.recv_into(SCRATCH, min(len(SCRATCH), peer.remaining_bytes), socket.MSG_TRUNC)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             size = 0
-        peer.left -= size
-        if not size or not peer.left:
+        peer.remaining_bytes -= size
+        if not size or not peer.remaining_bytes:
             self._close(peer)
 
-    def _close(self, peer: _Peer) -> None:
-        del self._peers[peer]
+    def _close(self, peer: _ClosingConnection) -> None:
+        del self._connections[peer]
         asyncio.get_running_loop().remove_reader(peer.sock)
         if peer.timer is not None:
             peer.timer.cancel()
--- a/ringledge/wire/clients/idle_connections.py
+++ b/ringledge/wire/clients/idle_connections.py
@@ -1,10 +1,10 @@
-"""Connections at rest: a small record each, with no task, no parser and no buffer.
+"""Idle client connections: a small record each, with no task, no parser and no buffer.
 
-The event loop itself watches the first hundred or so. The rest share one epoll of our own, and the loop knows
-of that one descriptor alone: asyncio keeps a handle, a key and their dictionary entries for each socket that
-it is told of. Not every host tells a loop of an epoll inside its own, so that one is also looked at in each
-sweep. Keep-alive times stand in a timer wheel. What becomes readable is woken, and what falls due is closed,
-so many at most in a turn.
+The event loop itself watches the first hundred or so. The others share one epoll of this module, and the loop
+watches that one descriptor alone: asyncio keeps a handle, a key and their dictionary entries for each socket
+that it watches. Not every host reports an epoll inside another one, so it is also polled in each sweep.
+Keep-alive timeouts are in a timer wheel. A bounded number of connections is activated or closed in one
+iteration of the event loop.
 """
 
 from __future__ import annotations
@@ -16,6 +16,7 @@
 from array import array
 from collections.abc import Callable
 from dataclasses import dataclass
+from itertools import islice
 from typing import TYPE_CHECKING
 
 from ringledge.structures.timer_wheel import Wheel
@@ -24,69 +25,74 @@
     from ringledge.decide.connections.admission import Entry
 
 TICK_S = 0.05  # of the wheel: keep-alive times are seconds
-WATCHED = 128  # connections that the loop itself watches, woken without a detour; a turn bears as many
-WAKE_AT_ONCE = 64  # connections woken in a turn: each costs a task, a parser and its request
-MOVE_AT_ONCE = 2000  # timers that go one wheel down in a turn: some 5 ms
-CLOSE_AT_ONCE = 500  # closed in a turn: some 5 ms
+# Connections that the event loop itself watches; one iteration can activate as many.
+MAX_LOOP_WATCHED = 128
+MAX_WOKEN_PER_TURN = 64  # in an iteration of the loop: each costs a task, a parser and its request
+MAX_TIMERS_MOVED_PER_TURN = 2000  # to a finer wheel in an iteration: some 5 ms
+MAX_CLOSED_PER_TURN = 500  # in an iteration: some 5 ms
 
 
 @dataclass(slots=True, eq=False)
-class Parked:
-    """One connection at rest."""
+class IdleConnection:
+    """One idle connection."""
 
     sock: socket.socket
-    since: float  # on the loop's clock: since when it rests, at first since it was opened
-    asked: bool  # it has brought a request
-    crowded: bool  # it was let in past the limit, only to be told so
-    entry: Entry | None = None  # what the doors said of it
+    since_s: float  # on the loop's clock: when it became idle, at first when it was accepted
+    had_request: bool  # a request was read on it before
+    over_limit: bool  # accepted past the limit, only to be answered 503
+    entry: Entry | None = None  # by connection admission
     timer: int = -1
-    watched: bool = False  # by the loop itself
+    loop_watched: bool = False  # by the loop itself
 
 
-Wake = Callable[[Parked], None]
-Ended = Callable[[Parked, bool], None]  # has to close it, at once where the bool says so
+OnReadable = Callable[[IdleConnection], None]
+OnExpired = Callable[[IdleConnection, bool], None]  # has to close it, at once where the bool says so
 
 
-class Parking:
-    """The connections of one front that rest."""
+class IdleConnections:
+    """The idle connections of one front, each with its keep-alive timeout.
 
-    def __init__(self, wake: Wake, ended: Ended) -> None:
-        self._wake, self._ended = wake, ended
+    `on_readable` gets a connection on which bytes or the peer's end wait; `on_expired` one to be closed, at
+    once where its second argument says so.
+    """
+
+    def __init__(self, wake: OnReadable, ended: OnExpired) -> None:
+        self._on_readable, self._on_expired = wake, ended
         self._loop: asyncio.AbstractEventLoop | None = None
         self._epoll: select.epoll | None = None
         self._wheel = Wheel(_tick())
         self._numbers = array("i")  # the descriptor of each timer
-        self._silent: dict[int, Parked] = {}  # by descriptor, longest first: they never asked
-        self._rested: dict[int, Parked] = {}  # they asked before
+        self._without_request: dict[int, IdleConnection] = {}  # by descriptor, longest idle first
+        self._with_request: dict[int, IdleConnection] = {}
         self.woken = self.expired = self._watched = 0
 
     def __len__(self) -> int:
-        """How many rest."""
-        return len(self._silent) + len(self._rested)
+        """How many connections are idle."""
+        return len(self._without_request) + len(self._with_request)
 
     @property
     def lag_s(self) -> float:
-        """How long the wheel is behind the clock, or holds what has fallen due."""
+        """How long the timer wheel lags behind the clock, s."""
         return (_tick() - self._wheel.now) * TICK_S if self._wheel.ready else 0.0
 
-    def park(self, parked: Parked, keep_s: float) -> None:
-        """Let a connection rest for so long at most."""
-        number = parked.sock.fileno()
-        self._watch(number, parked)
+    def add(self, connection: IdleConnection, keep_s: float) -> None:
+        """Watch a connection for input, and close it after `keep_s` seconds without any."""
+        number = connection.sock.fileno()
+        self._watch(number, connection)
         if not len(self):
             self._wheel.advance(_tick())
-        parked.timer = self._wheel.schedule(_tick() + max(1, int(keep_s / TICK_S)))
-        if parked.timer == len(self._numbers):
+        connection.timer = self._wheel.schedule(_tick() + max(1, int(keep_s / TICK_S)))
+        if connection.timer == len(self._numbers):
             self._numbers.append(number)
         else:
-            self._numbers[parked.timer] = number
-        (self._rested if parked.asked else self._silent)[number] = parked
+            self._numbers[connection.timer] = number
+        (self._with_request if connection.had_request else self._without_request)[number] = connection
 
-    def _watch(self, number: int, parked: Parked) -> None:
-        """Have it told when the connection becomes readable."""
+    def _watch(self, number: int, connection: IdleConnection) -> None:
+        """Have `_readable` called when the connection becomes readable."""
         self._loop = loop = asyncio.get_running_loop()
-        parked.watched = self._watched < WATCHED
-        if parked.watched:
+        connection.loop_watched = self._watched < MAX_LOOP_WATCHED
+        if connection.loop_watched:
             self._watched += 1
             loop.add_reader(number, self._readable, number)
             return
@@ -95,71 +101,73 @@
             loop.add_reader(self._epoll.fileno(), self._ready)
         self._epoll.register(number, select.EPOLLIN | select.EPOLLRDHUP)
 
-    def _forget(self, number: int, parked: Parked) -> None:
-        """Watch it no longer."""
-        if parked.watched and self._loop is not None:
+    def _unwatch(self, number: int, connection: IdleConnection) -> None:
+        """Stop watching it."""
+        if connection.loop_watched and self._loop is not None:
             self._watched -= 1
             self._loop.remove_reader(number)
         elif self._epoll is not None:
             self._epoll.unregister(number)
 
     def _ready(self) -> None:
-        """Some are readable: wake them, and leave the rest to the next turn."""
+        """Activate some readable connections, and leave the rest to the next iteration of the loop."""
         if self._epoll is not None:
-            for number, _ in self._epoll.poll(0, WAKE_AT_ONCE):
+            for number, _ in self._epoll.poll(0, MAX_WOKEN_PER_TURN):
                 self._readable(number)
 
     def _readable(self, number: int) -> None:
-        parked = self._take(number)
-        if parked is not None:
+        connection = self._remove(number)
+        if connection is not None:
             self.woken += 1
-            self._wake(parked)
-
-    def _take(self, number: int) -> Parked | None:
-        """Out of the parking, its socket open."""
-        parked = self._silent.pop(number, None) or self._rested.pop(number, None)
-        if parked is not None:
-            self._forget(number, parked)
-            if parked.timer >= 0:
-                self._wheel.cancel(parked.timer)
-        return parked
-
-    def firsts(self) -> list[Parked]:
-        """The longest resting one of those that never asked, and of those that did."""
-        return [next(iter(each.values())) for each in (self._silent, self._rested) if each]
-
-    def end(self, parked: Parked) -> None:
-        """Close that one, unless a request has come on it."""
-        self._end(parked.sock.fileno(), now=True)
-
-    def _end(self, number: int, now: bool) -> bool:
-        """Close one, unless a request has come meanwhile: that one is owed an answer, so it is woken."""
-        parked = self._take(number)
-        if parked is None:
+            self._on_readable(connection)
+
+    def _remove(self, number: int) -> IdleConnection | None:
+        """Remove a connection, its socket still open; None for an unknown descriptor."""
+        connection = self._without_request.pop(number, None) or self._with_request.pop(number, None)
+        if connection is not None:
+            self._unwatch(number, connection)
+            if connection.timer >= 0:
+                self._wheel.cancel(connection.timer)
+        return connection
+
+    def oldest(self) -> list[IdleConnection]:
+        """The longest idle one of those without a request so far, and of those with one."""
+        return [next(iter(each.values())) for each in (self._without_request, self._with_request) if each]
+
+    def evict(self, connection: IdleConnection) -> None:
+        """Close that one, unless a request has arrived on it."""
+        self._close(connection.sock.fileno(), now=True)
+
+    def _close(self, number: int, now: bool) -> bool:
+        """Close one, unless a request has arrived meanwhile: that is owed an answer, so it is activated."""
+        connection = self._remove(number)
+        if connection is None:
             return False
-        if speaks(parked.sock):
+        if has_unread_bytes(connection.sock):
             self.woken += 1
-            self._wake(parked)
+            self._on_readable(connection)
             return False
-        self._ended(parked, now)
+        self._on_expired(connection, now)
         return True
 
     def sweep(self) -> bool:
-        """Close those whose time is over; whether more of them wait for the next turn."""
+        """Close connections whose timeout has expired; whether more of them are left for the next call."""
         self._ready()
-        there = self._wheel.advance(_tick(), MOVE_AT_ONCE)
-        for timer in self._wheel.expired(CLOSE_AT_ONCE):
+        there = self._wheel.advance(_tick(), MAX_TIMERS_MOVED_PER_TURN)
+        for timer in self._wheel.expired(MAX_CLOSED_PER_TURN):
             number = self._numbers[timer]
-            parked = self._silent.get(number) or self._rested[number]
-            parked.timer = -1  # given out: its number may soon be another one's
-            self.expired += self._end(number, now=False)
+            connection = self._without_request.get(number) or self._with_request[number]
+            connection.timer = -1  # given out: its number may soon be another one's
+            self.expired += self._close(number, now=False)
         return self._wheel.ready > 0 or not there
 
-    def close(self, most: int, now: bool = True) -> int:
-        """Close so many at most, first those that never asked, the longest resting first; how many were."""
+    def evict_oldest(self, limit: int, now: bool = True) -> int:
+        """Close at most `limit`, first those without a request, the longest idle first; how many were."""
         closed = 0
-        for number in [*_first(self._silent, most), *_first(self._rested, max(0, most - len(self._silent)))]:
-            closed += self._end(number, now)
+        without_request = _first(self._without_request, limit)
+        with_request = _first(self._with_request, max(0, limit - len(self._without_request)))
+        for number in [*without_request, *with_request]:
+            closed += self._close(number, now)
         return closed
 
 
@@ -167,12 +175,12 @@
     return int(time.monotonic() / TICK_S)
 
 
-def _first(parked: dict[int, Parked], most: int) -> list[int]:
-    """The descriptors of the first so many."""
-    return [number for number, _ in zip(parked, range(most), strict=False)]
+def _first(connections: dict[int, IdleConnection], limit: int) -> list[int]:
+    """The descriptors of at most `limit` connections, in their order."""
+    return list(islice(connections, limit))
 
 
-def silent(sock: socket.socket) -> bool:
+def nothing_readable(sock: socket.socket) -> bool:
     """Whether neither bytes nor the peer's end wait on the socket."""
     try:
         sock.recv(1, socket.MSG_PEEK)
@@ -183,7 +191,7 @@
     return False
 
 
-def speaks(sock: socket.socket) -> bool:
+def has_unread_bytes(sock: socket.socket) -> bool:
     """Whether bytes wait on the socket; the end of its peer is none."""
     try:
         return len(sock.recv(1, socket.MSG_PEEK)) > 0
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -1,4 +1,4 @@
-"""The open connections of a front: at work or at rest, which of them gives way, and how they are closed."""
+"""The open connections of a front: active or idle, evicted at the limit, and closed in order."""
 
 from __future__ import annotations
 
@@ -14,157 +14,173 @@
 from ringledge.decide.connections.eviction import Guest, gives_way
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
-from ringledge.wire.clients.closing import Lingering
-from ringledge.wire.clients.idle_connections import Parked, Parking, Wake
+from ringledge.wire.clients.closing import LingeringCloses
+from ringledge.wire.clients.idle_connections import IdleConnection, IdleConnections, OnReadable
 from ringledge.wire.http.connection import Connection
 
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import Doors, Entry
 
-IDLE_S = 2.0  # a client's connection without an open request is closed then
-PARK_S = 0.5  # between requests until a connection is parked: a busy one keeps its task and parser
-DRAIN_AT_ONCE = 1000  # connections at rest closed at a time in a drain: some 7 ms
-LOOK_S = 0.2  # how often idle connections are looked for
+IDLE_TIMEOUT_S = 2.0  # a client's connection without an open request is closed then
+IDLE_AFTER_S = 0.5  # between requests until a connection gives up its task and parser: a busy one keeps them
+MAX_DRAINED_PER_TURN = 1000  # idle connections closed at a time in a drain: some 7 ms
+SWEEP_INTERVAL_S = 0.2  # between two searches for idle connections
 
 
 class CloseReason(StrEnum):
     """Why a client's connection was closed here."""
 
-    IDLE = "idle"  # it rested for its time
-    ROOM = "room"  # its descriptor was wanted
-    DRAIN = "drain"  # the process ends
-    REJECTED = "rejected"  # what it brought was turned away
-    ENDED = "ended"  # with its last answer, by its client's end, or because it broke
+    IDLE = "idle"  # its keep-alive timeout expired
+    EVICTED = "room"  # its descriptor was needed
+    DRAIN = "drain"  # the process shuts down
+    REJECTED = "rejected"  # its request was rejected
+    ENDED = "ended"  # after its last answer, by its client, or because it broke
 
 
 class OpenConnections:
     """All connections of one front."""
 
-    def __init__(self, name: str, limit: int, wake: Wake, metrics: Metrics, doors: Doors | None) -> None:
-        """`wake`: called with each connection at rest on which something has come."""
-        self.name, self.limit, self._doors = name, limit, doors
-        self.parked: Parking = Parking(wake, self._rest_ended)
-        self.lingering = Lingering()  # they are being closed
+    def __init__(
+        self, name: str, limit: int, on_readable: OnReadable, metrics: Metrics, admission: Doors | None
+    ) -> None:
+        """`on_readable` is called with each idle connection on which bytes or the peer's end have arrived."""
+        self.name = name
+        self.limit = limit
+        self._admission = admission
+        self.idle: IdleConnections = IdleConnections(on_readable, self._close_expired)
+        self.lingering = LingeringCloses()
         self._closed = {why: metrics.closed.labels(name, why.value) for why in CloseReason}
         self._violations = metrics.violations.labels(Invariant.CLOSED_UNANSWERED.value)
         self._gauge = metrics.client_sockets.labels(name)
         self.active: set[Connection] = set()
-        self.resting: dict[Connection, float] = {}  # between requests and since when, longest first
-        self.reading: dict[Connection, None] = {}  # in an exchange, longest first; some lack half a request
-        self.closing = False  # each connection ends with its next answer
-        self.draining = False  # what rests is closed, and no further request read behind an answer
-        for state, count in (("active", lambda: len(self.active)), ("parked", lambda: len(self.parked))):
+        self.between_requests: dict[Connection, float] = {}  # and since when, longest first
+        self.reading: dict[
+            Connection, None
+        ] = {}  # in an exchange, longest first; some requests are incomplete
+        self.closing = False  # each connection is closed after its next answer
+        self.draining = False  # idle ones are closed, and no further request is read after an answer
+        for state, count in (("active", lambda: len(self.active)), ("parked", lambda: len(self.idle))):
             metrics.connections.labels(name, state).set_function(count)
-        metrics.woken.labels(name).set_function(lambda: self.parked.woken)
-        metrics.wheel_lag.labels(name).set_function(lambda: self.parked.lag_s)
+        metrics.woken.labels(name).set_function(lambda: self.idle.woken)
+        metrics.wheel_lag.labels(name).set_function(lambda: self.idle.lag_s)
 
     @property
     def open(self) -> int:
-        """How many connections there are, at rest or not, or being closed."""
-        return len(self.active) + len(self.parked) + len(self.lingering)
+        """How many connections there are: active, idle and in a lingering close."""
+        return len(self.active) + len(self.idle) + len(self.lingering)
 
-    def counted(self) -> None:
-        """Their number has changed."""
+    def update_gauge(self) -> None:
+        """Export the number of open connections, after it has changed."""
         self._gauge.set(self.open)
 
-    def full(self, come: Connection) -> bool:
-        """Whether a connection that came past the limit has no place yet, now that its request is here.
+    def is_over_limit(self, newcomer: Connection) -> bool:
+        """Whether a connection accepted past the limit is still past it, now that its request has arrived.
 
-        Half requests that came in the same turn had unread bytes then, so none of them could give way.
+        Evicts others first. Incomplete requests that arrived in the same iteration of the loop had unread
+        bytes when the connection was accepted, so none of them could be evicted then.
         """
-        while self.open > self.limit and self.make_room(come):
+        while self.open > self.limit and self.evict_one(newcomer):
             pass
         return self.open > self.limit
 
-    def make_room(self, come: Connection | None = None) -> bool:
-        """Have one connection that is owed no answer give way, if there is one.
+    def evict_one(self, newcomer: Connection | None = None) -> bool:
+        """Close one connection that is owed no answer; whether there was one.
 
-        Of each sort the longest so is asked about; not `come`, whose head has been read, though its body may
-        not have.
+        The oldest of each kind is a candidate, but not `newcomer`: its head has been read, its body may not.
         """
         if self.lingering.close(1):
             return True
-        half = (each for each in self.reading if each is not come and each.h11.their_state is not h11.DONE)
-        live = [*islice(filter(quiet, self.resting), 1), *islice(filter(quiet, half), 1)]
-        parked = self.parked.firsts()
-        guests = [Guest(each.since, each.asked, False) for each in parked]
-        guests += [Guest(self.resting.get(conn, 0.0), conn.asked, conn in self.reading) for conn in live]
-        place = gives_way(guests)
-        if place is None:
+        idle = self.idle.oldest()
+        active = self._oldest_active(newcomer)
+        candidates = [Guest(each.since_s, each.had_request, False) for each in idle]
+        for conn in active:
+            since_s = self.between_requests.get(conn, 0.0)
+            candidates.append(Guest(since_s, conn.had_request, conn in self.reading))
+        index = gives_way(candidates)
+        if index is None:
             return False
-        if place < len(parked):
-            self.parked.end(parked[place])
+        if index < len(idle):
+            self.idle.evict(idle[index])
         else:
-            self.close(live[place - len(parked)], CloseReason.ROOM)
+            self.close(active[index - len(idle)], CloseReason.EVICTED)
         return True
 
-    def park(self, conn: Connection, crowded: bool) -> None:
-        """Its task ends, its parser and buffer go; the socket stays."""
+    def _oldest_active(self, newcomer: Connection | None) -> list[Connection]:
+        """The oldest active connection between requests, and the oldest with an incomplete request."""
+        incomplete = (
+            conn for conn in self.reading if conn is not newcomer and conn.h11.their_state is not h11.DONE
+        )
+        between = islice(filter(nothing_unread, self.between_requests), 1)
+        return [*between, *islice(filter(nothing_unread, incomplete), 1)]
+
+    def make_idle(self, conn: Connection, over_limit: bool) -> None:
+        """Keep the socket alone; the connection's task ends, and its parser and buffer are freed."""
         conn.deafen()
         self._forget(conn)
-        keep_s = IDLE_S if conn.entry is None else conn.entry.keep_s
-        parked = Parked(conn.sock, anyio.current_time(), conn.asked, crowded, conn.entry)
-        self.parked.park(parked, max(0.0, keep_s - PARK_S))
+        keep_s = IDLE_TIMEOUT_S if conn.entry is None else conn.entry.keep_s
+        idle = IdleConnection(conn.sock, anyio.current_time(), conn.had_request, over_limit, conn.entry)
+        self.idle.add(idle, max(0.0, keep_s - IDLE_AFTER_S))
 
     def drain(self) -> None:
-        """Close what rests, and let every other connection end with its answer."""
+        """Close idle connections, and every other one after its answer."""
         self.draining = True
         self.end_with_answers(True)
-        self.close_resting()
+        self.close_between_requests()
 
     def end_with_answers(self, closing: bool) -> None:
-        """Whether each connection ends with its next answer."""
+        """Set whether each connection is closed after its next answer."""
         self.closing = closing
         for conn in self.active:
-            conn.last = closing
+            conn.closes_after_answer = closing
 
-    def shrink(self, limit: int) -> None:
-        """Let fewer connections in; of those that rest, the longest resting go."""
+    def lower_limit(self, limit: int) -> None:
+        """Admit fewer connections; the longest idle ones past the new limit are closed."""
         self.limit = limit
-        self.parked.close(max(0, self.open - limit))
-        for conn in [conn for conn in self.resting if quiet(conn)][: max(0, self.open - limit)]:
-            self.close(conn, CloseReason.ROOM)
-        self.counted()
-
-    def close_resting(self) -> None:
-        """Close connections between requests, of those at rest so many at a time."""
-        for conn in list(self.resting):
-            if quiet(conn):
-                self.close_in_order(conn, CloseReason.DRAIN)
-        self.parked.close(DRAIN_AT_ONCE, now=False)
-        self.counted()
+        self.idle.evict_oldest(max(0, self.open - limit))
+        waiting = [conn for conn in self.between_requests if nothing_unread(conn)]
+        for conn in waiting[: max(0, self.open - limit)]:
+            self.close(conn, CloseReason.EVICTED)
+        self.update_gauge()
+
+    def close_between_requests(self) -> None:
+        """Close connections between requests, of the idle ones a bounded number at a time."""
+        for conn in list(self.between_requests):
+            if nothing_unread(conn):
+                self.close_gracefully(conn, CloseReason.DRAIN)
+        self.idle.evict_oldest(MAX_DRAINED_PER_TURN, now=False)
+        self.update_gauge()
 
     async def close_idle(self) -> None:
-        """For ever: have what has not spoken for a while rest, and close what has rested for its time."""
+        """For ever: make connections without a request for a while idle, and close expired ones."""
         while True:
-            await anyio.sleep(LOOK_S)
-            until = anyio.current_time() - PARK_S
-            for conn, since in list(self.resting.items()):
+            await anyio.sleep(SWEEP_INTERVAL_S)
+            until = anyio.current_time() - IDLE_AFTER_S
+            for conn, since in list(self.between_requests.items()):
                 if since > until:
                     break
                 if not conn.paused:
                     conn.rest()
-            while self.parked.sweep():
-                self.counted()
+            while self.idle.sweep():
+                self.update_gauge()
                 await anyio.lowlevel.checkpoint()
-            self.counted()
+            self.update_gauge()
 
     def _forget(self, conn: Connection) -> None:
         conn.release()
         self.active.discard(conn)
-        self.resting.pop(conn, None)
+        self.between_requests.pop(conn, None)
         self.reading.pop(conn, None)
 
-    def close_in_order(self, conn: Connection, why: CloseReason) -> None:
-        """Close one whose answer may still be on its way, so that what its client sends takes none of it."""
+    def close_gracefully(self, conn: Connection, why: CloseReason) -> None:
+        """Close one whose answer may still be in flight, by a lingering close."""
         self._check_answered(conn, why)
         if not (conn.closed or conn.ended):
-            self.lingering.begin(conn.let_go())
+            self.lingering.begin(conn.detach())
         self.close(conn, why)
 
     def _check_answered(self, conn: Connection, why: CloseReason) -> None:
-        """Count a close under a request that was read whole, while its client is still there."""
-        if owed(conn) and not conn.peer_gone():
+        """Count a close under a request that was read completely, while its client is still connected."""
+        if owes_answer(conn) and not conn.peer_gone():
             self._violations.inc()
             log.error(
                 "invariant_violated", invariant=Invariant.CLOSED_UNANSWERED.value, request="", why=why.value
@@ -175,31 +191,31 @@
         self._check_answered(conn, why)
         conn.close()
         self._forget(conn)
-        self.left(conn.entry, conn.asked)
+        self.record_disconnect(conn.entry, conn.had_request)
         self._closed[why].inc()
-        log.debug("connection_closed", front=self.name, why=why.value, asked=conn.asked)
-        self.counted()
+        log.debug("connection_closed", front=self.name, why=why.value, asked=conn.had_request)
+        self.update_gauge()
 
-    def _rest_ended(self, parked: Parked, now: bool) -> None:
-        """A connection at rest is out of the parking: close it, `now` where its descriptor is wanted."""
-        if now or not parked.asked:  # nothing was ever answered on it
-            parked.sock.close()
+    def _close_expired(self, idle: IdleConnection, now: bool) -> None:
+        """Close a connection that is idle no more, at once where its descriptor is needed (`now`)."""
+        if now or not idle.had_request:  # nothing was ever answered on it
+            idle.sock.close()
         else:
-            self.lingering.begin(parked.sock)
-        self.left(parked.entry, parked.asked)
+            self.lingering.begin(idle.sock)
+        self.record_disconnect(idle.entry, idle.had_request)
         self._closed[CloseReason.IDLE].inc()
 
-    def left(self, entry: Entry | None, asked: bool) -> None:
-        """A client's connection is gone: the doors count it off."""
-        if entry is not None and self._doors is not None:
-            self._doors.gone(entry, asked)
+    def record_disconnect(self, entry: Entry | None, had_request: bool) -> None:
+        """Tell connection admission that a client's connection has ended."""
+        if entry is not None and self._admission is not None:
+            self._admission.gone(entry, had_request)
 
 
-def owed(conn: Connection) -> bool:
-    """Whether a request was read whole and nothing of its answer is written."""
+def owes_answer(conn: Connection) -> bool:
+    """Whether a request was read completely and nothing of its answer is written."""
     return conn.h11.their_state in (h11.DONE, h11.MUST_CLOSE) and conn.h11.our_state is h11.SEND_RESPONSE
 
 
-def quiet(conn: Connection) -> bool:
-    """Whether no request may be waiting unread: that one would be owed an answer."""
+def nothing_unread(conn: Connection) -> bool:
+    """Whether no request can be waiting unread: it would be owed an answer."""
     return conn.paused or not conn.readable()
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -16,7 +16,7 @@
 from ringledge.core.stages.accept import DuplicateError
 from ringledge.memory.names import Names
 from ringledge.wire.clients.platform_request import read_request
-from ringledge.wire.clients.response import STREAM_HEAD, Exchange, converse
+from ringledge.wire.clients.response import STREAM_HEAD, PlatformResponse, write_while_connected
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError, ShedError
 from ringledge.wire.http.headers import Headers, fields, header
@@ -80,20 +80,20 @@
         if self._gate is not None:
             self._gate.checked(len(body), time.perf_counter() - began)
         payload = Payload(head.target, body, header(head, b"content-type") or b"application/json")
-        exchange = Exchange(conn, self._held)
+        exchange = PlatformResponse(conn, self._held)
         try:
             record = self._conductor.accept(request, payload, exchange)
         except DuplicateError as error:
             raise HttpError(400, f"request {error} is open already") from error
         try:
-            await converse(
+            await write_while_connected(
                 conn,
                 self._answer(conn, exchange),
                 partial(self._conductor.may_refuse, record),
                 partial(self._conductor.client_gone, record),
             )
         finally:
-            exchange.forget()
+            exchange.discard_unsent()
             self._conductor.client_gone(record)  # for a request that is over it changes nothing
 
     def keeps(self, head: h11.Request) -> bool:
@@ -129,7 +129,7 @@
             return None
         no = self._decide(gate, told.get(b"x-call-class", b""), told.get(b"x-caller", b""), int(length))
         if no is None:
-            conn.let_in = True
+            conn.admitted = True
             return None
         error = shed(no)
         body, (_, after) = error_body(error), error.headers[0]
@@ -143,8 +143,8 @@
 
     def _ask(self, gate: Gate, conn: Connection, head: h11.Request) -> None:
         """Have the gate decide by the head alone."""
-        if conn.let_in:
-            conn.let_in = False
+        if conn.admitted:
+            conn.admitted = False
             return
         told = fields(head)
         length = int(told.get(b"content-length", b"0"))
@@ -171,16 +171,16 @@
         if index < len(names):
             self._conductor.context.metrics.answers.labels("refused", str(index)).inc()
 
-    async def _answer(self, conn: Connection, exchange: Exchange) -> None:
+    async def _answer(self, conn: Connection, exchange: PlatformResponse) -> None:
         """Write the one answer, as it comes."""
         await exchange.write_out()
-        if exchange.end == "served":
+        if exchange.result == "served":
             await conn.send(*([] if exchange.begun else [STREAM_HEAD]), h11.EndOfMessage())
-        elif exchange.end == "broken":
+        elif exchange.result == "broken":
             return  # the connection ends without the last chunk: a clean end would pass for a whole answer
-        elif exchange.end == "refused":
+        elif exchange.result == "refused":
             text = b'{"error":"overloaded, nothing has run"}'
-            await respond(conn, 503, text, retry_after(exchange.come_back_ms, self._names))
+            await respond(conn, 503, text, retry_after(exchange.retry_after_ms, self._names))
         else:
             await respond(conn, 500, b'{"error":"failed, it may have run"}')
 
--- a/ringledge/wire/clients/response.py
+++ b/ringledge/wire/clients/response.py
@@ -27,35 +27,35 @@
 )
 
 
-class Exchange:
+class PlatformResponse:
     """One request's client side. Pieces go straight to the socket; what it leaves waits for the task."""
 
     def __init__(self, conn: Connection, held: BufferedBytes | None = None) -> None:
-        self._held = held
+        self._buffered = held
         self.begun = False
-        self.end: str | None = None
-        self.come_back_ms: float | None = None
+        self.result: str | None = None
+        self.retry_after_ms: float | None = None
         self._conn = conn
-        self._pieces: list[bytes] = []
-        self._waiting = 0  # bytes that the client has not taken
-        self._news, self._room = anyio.Event(), anyio.Event()
+        self._chunks: list[bytes] = []
+        self._unsent_bytes = 0  # bytes that the client has not taken
+        self._changed, self._drained = anyio.Event(), anyio.Event()
 
     def reject(self, come_back_ms: float | None) -> None:
         """Final answer: refused."""
-        self.come_back_ms = come_back_ms
-        self._finish("refused")
+        self.retry_after_ms = come_back_ms
+        self._end("refused")
 
     def fail(self) -> None:
         """Final answer: failed."""
-        self._finish("failed")
+        self._end("failed")
 
     def finish(self) -> None:
         """The stream is whole."""
-        self._finish("served")
+        self._end("served")
 
     def abort(self) -> None:
         """The stream broke."""
-        self._finish("broken")
+        self._end("broken")
 
     def is_disconnected(self) -> bool:
         """Whether the client has closed its connection."""
@@ -66,47 +66,47 @@
         told = h11.Data(data=piece)
         data = self._conn.say(told) if self.begun else self._conn.say(STREAM_HEAD, told)
         self.begun = True
-        if not self._waiting:
+        if not self._unsent_bytes:
             try:
                 data = data[self._conn.write_some(data) :]
             except OSError:
                 return  # the client has gone: its connection's task is told so
         if data:
-            self._pieces.append(data)
+            self._chunks.append(data)
             self._count(len(data))
-            self._news.set()
-        while self._waiting > HIGH_WATER:
-            self._room = anyio.Event()
-            await self._room.wait()
+            self._changed.set()
+        while self._unsent_bytes > HIGH_WATER:
+            self._drained = anyio.Event()
+            await self._drained.wait()
 
     def _count(self, change: int) -> None:
-        self._waiting += change
-        if self._held is not None:
-            self._held.streams += change
+        self._unsent_bytes += change
+        if self._buffered is not None:
+            self._buffered.streams += change
 
-    def forget(self) -> None:
+    def discard_unsent(self) -> None:
         """Nobody takes what still waits."""
-        self._count(-self._waiting)
+        self._count(-self._unsent_bytes)
 
-    def _finish(self, how: str) -> None:
-        self.end = how
-        self._news.set()
+    def _end(self, how: str) -> None:
+        self.result = how
+        self._changed.set()
 
     async def write_out(self) -> None:
         """Write what waits for the client until the request's end is known."""
-        while self._pieces or self.end is None:
-            if self._pieces:
-                data = b"".join(self._pieces)
-                self._pieces.clear()
+        while self._chunks or self.result is None:
+            if self._chunks:
+                data = b"".join(self._chunks)
+                self._chunks.clear()
                 await self._conn.write(data)
                 self._count(-len(data))
-                self._room.set()
+                self._drained.set()
             else:
-                self._news = anyio.Event()
-                await self._news.wait()
+                self._changed = anyio.Event()
+                await self._changed.wait()
 
 
-async def converse(
+async def write_while_connected(
     conn: Connection,
     answer: Awaitable[None],
     may_refuse: Callable[[], bool],
--- a/ringledge/wire/exporters/xds.py
+++ b/ringledge/wire/exporters/xds.py
@@ -24,7 +24,7 @@
     Role,
 )
 from ringledge.routing.server_views import server_views
-from ringledge.wire.clients.response import converse
+from ringledge.wire.clients.response import write_while_connected
 from ringledge.wire.exporters.xds_settings import XdsConfig
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
@@ -62,7 +62,9 @@
         if rejected:
             self._metrics.xds_rejections.inc()
             log.warning("xds_rejected", type=kind, version=asked.get("version_info"), detail=rejected)
-        await converse(conn, self._answer(conn, kind, asked, bool(rejected)), lambda: True)  # it only reads
+        await write_while_connected(
+            conn, self._answer(conn, kind, asked, bool(rejected)), lambda: True
+        )  # it only reads
 
     async def _answer(self, conn: Connection, kind: str, asked: dict[str, Any], rejected: bool) -> None:
         wanted = set(asked.get("resource_names") or ())
--- a/ringledge/wire/http/body_memory.py
+++ b/ringledge/wire/http/body_memory.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Budget:
+class BodyMemory:
     """Bytes of requests that all fronts may hold at once."""
 
     def __init__(self, limit: float) -> None:
--- a/ringledge/wire/http/connection.py
+++ b/ringledge/wire/http/connection.py
@@ -9,7 +9,7 @@
 import anyio
 import h11
 
-from ringledge.wire.http.body_memory import Budget
+from ringledge.wire.http.body_memory import BodyMemory
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.headers import Headers, closing, keeping
 from ringledge.wire.http.socket_reader import READ_AHEAD, SocketReader
@@ -34,11 +34,11 @@
         self.streamed = False  # the pool's: its last answer was a stream
         self.entry: Entry | None = None  # the front's: what the doors said of it
         self.keep_alive = b""  # the front's: what answers tell of how long it may rest
-        self.asked = False  # the front's: it has brought a request
-        self.let_in = False  # the front's: the gate has let in the request that is read now
-        self.last = False  # the front's: it ends with its next answer, and the answer says so
+        self.had_request = False  # the front's: it has brought a request
+        self.admitted = False  # the front's: the gate has let in the request that is read now
+        self.closes_after_answer = False  # the front's: it ends with its next answer, and the answer says so
         self.paused = False  # the front's: nothing is read from it for a while
-        self.budget: Budget | None = None  # the front's: what bodies may take of the memory
+        self.budget: BodyMemory | None = None  # the front's: what bodies may take of the memory
         self._held = 0
         self._stuck = False  # somebody waits until the peer takes more
 
@@ -86,7 +86,7 @@
 
     def say(self, *events: h11.Event) -> bytes:
         """The bytes of what is to be said."""
-        if self.last:
+        if self.closes_after_answer:
             events = tuple(map(closing, events))
         elif self.keep_alive:
             events = tuple(keeping(event, self.keep_alive) for event in events)
@@ -152,9 +152,9 @@
     def close(self) -> None:
         """Close the socket now."""
         if not self.closed:
-            self.let_go().close()
+            self.detach().close()
 
-    def let_go(self) -> socket.socket:
+    def detach(self) -> socket.socket:
         """Give the socket out, still open; to whoever waits here it is closed."""
         self.closed = True
         self.deafen()
--- a/ringledge/wire/http/errors.py
+++ b/ringledge/wire/http/errors.py
@@ -37,7 +37,7 @@
             super().__init__(500, "too much was sent ahead of the answer; it may have run", "may_have_run")
 
 
-class ParkingError(Exception):
+class ConnectionIdleError(Exception):
     """Nobody spoke on a connection for a while: it is put to rest."""
 
 
--- a/ringledge/wire/http/socket_reader.py
+++ b/ringledge/wire/http/socket_reader.py
@@ -11,7 +11,7 @@
 import anyio
 
 from ringledge.wire.http.arrival_times import ArrivalMarks
-from ringledge.wire.http.errors import ParkingError
+from ringledge.wire.http.errors import ConnectionIdleError
 from ringledge.wire.http.receive_buffer import Buffer
 
 READ_AHEAD = 16 * 1024  # bytes read while nobody waits for them, of a next request say
@@ -34,7 +34,9 @@
         self.buffer = Buffer()
         self.closed = False
         self.ended = False  # the peer has said its last
-        self.aged: Callable[[float], None] | None = None  # the front's: told how long a request lay unread
+        self.on_queue_delay: Callable[[float], None] | None = (
+            None  # the front's: told how long a request lay unread
+        )
         self.unread_ms = 0.0  # that the bytes read last had lain in the socket
         self.marks: ArrivalMarks | None = None  # the front's: when what its client sent came
         self._deaf_since: float | None = None  # what comes while nobody listens may have come then
@@ -59,7 +61,7 @@
                 self._resting = False  # something came in the very turn in which it was to rest
                 return len(self.buffer) - before
             if self._resting:
-                raise ParkingError
+                raise ConnectionIdleError
             await self._more()
         return len(self.buffer) - before
 
@@ -117,7 +119,7 @@
         if self._skipping:
             return self._skip_some()
         first = self.marks is not None and not self.marks.total
-        if first or (self.aged is not None and not len(self.buffer)):
+        if first or (self.on_queue_delay is not None and not len(self.buffer)):
             self.unread_ms = unread_ms(self.sock)
         with self.buffer.room() as room:
             try:
--- a/tests/lifecycle/test_failing_calls.py
+++ b/tests/lifecycle/test_failing_calls.py
@@ -18,9 +18,10 @@
 
 from ringledge.lifecycle import handover_channel as channel
 from ringledge.observe.metrics import Metrics
-from ringledge.wire.clients.front import Front
+from ringledge.wire.clients.front import Front, FrontOptions
+from ringledge.wire.clients.request_loop import RequestHandling
 from ringledge.wire.http import sockets
-from ringledge.wire.http.body_memory import Budget
+from ringledge.wire.http.body_memory import BodyMemory
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.messages import respond
 from ringledge.wire.http.socket_reader import has_ended
@@ -134,7 +135,12 @@
         listener = sockets.listen("127.0.0.1:0")
         with socket.create_connection(listener.getsockname(), 10) as client:
             client.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-            front = Front("platform", 8, Budget(1e6), echo, lambda error: b"", Metrics())
+            front = Front(
+                FrontOptions("platform", 8),
+                RequestHandling(echo, lambda error: b""),
+                BodyMemory(1e6),
+                Metrics(),
+            )
             front.drain()
             monkeypatch.setattr(socket.socket, "accept", failing_once(socket.socket.accept, number))
             async with anyio.create_task_group() as tasks:
--- a/tests/wire/clients/test_closing.py
+++ b/tests/wire/clients/test_closing.py
@@ -13,8 +13,9 @@
 
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.clients import closing, open_connections
-from ringledge.wire.clients.front import Front
-from ringledge.wire.http.body_memory import Budget
+from ringledge.wire.clients.front import Front, FrontOptions
+from ringledge.wire.clients.request_loop import RequestHandling
+from ringledge.wire.http.body_memory import BodyMemory
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.messages import read_body, respond
@@ -31,7 +32,13 @@
     def __init__(self, body: bytes = b"served") -> None:
         self.asked, self._body = 0, body
         self._listener = listen("127.0.0.1:0")
-        self.front = Front("test", 8, Budget(1e6), self._handle, self._error, Metrics(), aged=lambda _: None)
+        self.front = Front(
+            FrontOptions("test", 8),
+            RequestHandling(self._handle, self._error),
+            BodyMemory(1e6),
+            Metrics(),
+            on_queue_delay=lambda _: None,
+        )
 
     async def _handle(self, conn: Connection, head: h11.Request) -> None:
         await read_body(conn, head)
@@ -92,21 +99,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its client sends it once more elsewhere; here it is never sent on."""
-    decided = open_connections.quiet
+    decided = open_connections.nothing_unread
 
     async def run() -> None:
         at = Played()
         async with at.serving():
             with at.dial() as client:
                 client.sendall(GET)
-                await at.until(lambda: len(at.front.connections.resting) == 1)
+                await at.until(lambda: len(at.front.connections.between_requests) == 1)
 
                 def quiet(conn: Connection) -> bool:
                     told = decided(conn)
                     client.sendall(GET)
                     return told
 
-                monkeypatch.setattr(open_connections, "quiet", quiet)
+                monkeypatch.setattr(open_connections, "nothing_unread", quiet)
                 at.front.connections.drain()
                 told = await anyio.to_thread.run_sync(everything, client)
             assert told.count(b"HTTP/1.1 200") == 1 and at.asked == 1
--- a/tests/wire/clients/test_front_capacity.py
+++ b/tests/wire/clients/test_front_capacity.py
@@ -10,8 +10,9 @@
 import pytest
 
 from ringledge.observe.metrics import Metrics
-from ringledge.wire.clients.front import Front
-from ringledge.wire.http.body_memory import Budget
+from ringledge.wire.clients.front import Front, FrontOptions
+from ringledge.wire.clients.request_loop import RequestHandling
+from ringledge.wire.http.body_memory import BodyMemory
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.messages import read_body, respond
@@ -42,7 +43,7 @@
         for sock in socks[:-1]:
             sock.sendall(ahead)
         socks[-1].sendall(WHOLE)
-        front = Front("test", limit, Budget(1e6), handle, error, Metrics())
+        front = Front(FrontOptions("test", limit), RequestHandling(handle, error), BodyMemory(1e6), Metrics())
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(front.serve, listener, tasks)
             answer = await anyio.to_thread.run_sync(socks[-1].recv, 4096)
--- a/tests/wire/clients/test_idle_connection_epolls.py
+++ b/tests/wire/clients/test_idle_connection_epolls.py
@@ -12,7 +12,7 @@
 import pytest
 
 from ringledge.wire.clients import idle_connections as parking
-from ringledge.wire.clients.idle_connections import Parked, Parking
+from ringledge.wire.clients.idle_connections import IdleConnection, IdleConnections
 from tests.loopback import WAIT_S
 
 
@@ -27,17 +27,17 @@
 
 async def _wake_all(count: int, sweeps: bool) -> int:
     """Let so many rest, have each say something; how many are woken without their time being over."""
-    woken = list[Parked]()
+    woken = list[IdleConnection]()
     done = asyncio.Event()
 
-    def wake(parked: Parked) -> None:
+    def wake(parked: IdleConnection) -> None:
         woken.append(parked)
         if len(woken) == count:
             done.set()
 
-    rest, pairs = Parking(wake, lambda *_: None), [socket.socketpair() for _ in range(count)]
+    rest, pairs = IdleConnections(wake, lambda *_: None), [socket.socketpair() for _ in range(count)]
     for ours, _ in pairs:
-        rest.park(Parked(ours, 0.0, True, False), 60.0)
+        rest.add(IdleConnection(ours, 0.0, True, False), 60.0)
     for _, theirs in pairs:
         theirs.send(b"GET")
     if sweeps:
@@ -56,7 +56,7 @@
     watched: int, sweeps: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Requests on connections that had rested were found only when their time was over, up to 1.8 s later."""
-    monkeypatch.setattr(parking, "WATCHED", watched)
+    monkeypatch.setattr(parking, "MAX_LOOP_WATCHED", watched)
     loop = asyncio.SelectorEventLoop(DeafToNested())
     try:
         assert loop.run_until_complete(_wake_all(20, sweeps)) == 20
@@ -68,5 +68,5 @@
 def test_those_that_the_loop_does_not_watch_are_woken_all_the_same(
     watched: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(parking, "WATCHED", watched)
+    monkeypatch.setattr(parking, "MAX_LOOP_WATCHED", watched)
     assert asyncio.run(_wake_all(20, sweeps=False)) == 20
--- a/tests/wire/clients/test_response.py
+++ b/tests/wire/clients/test_response.py
@@ -8,7 +8,7 @@
 import anyio
 import h11
 
-from ringledge.wire.clients.response import converse
+from ringledge.wire.clients.response import write_while_connected
 from ringledge.wire.http.connection import Connection
 
 
@@ -32,7 +32,7 @@
             asyncio.get_running_loop().call_soon(order.append, "next in turn")
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(converse, conn, answer(), lambda: True, left)
+            tasks.start_soon(write_while_connected, conn, answer(), lambda: True, left)
             await anyio.wait_all_tasks_blocked()
             theirs.close()
         assert conn.closed
--- a/tests/wire/http/test_spurious_wake.py
+++ b/tests/wire/http/test_spurious_wake.py
@@ -8,9 +8,10 @@
 import h11
 
 from ringledge.observe.metrics import Metrics
-from ringledge.wire.clients.front import Front
-from ringledge.wire.clients.idle_connections import Parked
-from ringledge.wire.http.body_memory import Budget
+from ringledge.wire.clients.front import Front, FrontOptions
+from ringledge.wire.clients.idle_connections import IdleConnection
+from ringledge.wire.clients.request_loop import RequestHandling
+from ringledge.wire.http.body_memory import BodyMemory
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.messages import respond
 
@@ -25,11 +26,16 @@
     async def run() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        front = Front("platform", 8, Budget(1e6), answered, lambda error: b"", Metrics())
+        front = Front(
+            FrontOptions("platform", 8),
+            RequestHandling(answered, lambda error: b""),
+            BodyMemory(1e6),
+            Metrics(),
+        )
         async with anyio.create_task_group() as tasks:
             front._tasks = tasks
-            front._wake(Parked(ours, anyio.current_time(), True, False))
-            assert front.open == len(front.connections.parked) == 1
+            front._on_readable(IdleConnection(ours, anyio.current_time(), True, False))
+            assert front.open == len(front.connections.idle) == 1
             theirs.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
             assert b"200" in await anyio.to_thread.run_sync(theirs.recv, 65536)
             theirs.close()
--- a/tests/wire/servers/test_abandoned.py
+++ b/tests/wire/servers/test_abandoned.py
@@ -36,7 +36,7 @@
     ServerKind,
 )
 from ringledge.routing.policy import Policy
-from ringledge.wire.clients.response import Exchange
+from ringledge.wire.clients.response import PlatformResponse
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.servers import connections as lines
 from ringledge.wire.servers.upstream import Upstream
@@ -129,7 +129,7 @@
         ours, _ = listener.accept()
     ours.setblocking(False)
     conn = Connection(ours, h11.SERVER)
-    each.caller = Exchange(conn)
+    each.caller = PlatformResponse(conn)
     with theirs:
         yield theirs
     conn.close()
