--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -49,7 +49,7 @@
         self._admission = admission
         self.idle: IdleConnections = IdleConnections(on_readable, self._close_expired)
         self.lingering = LingeringCloses()
-        self._closed = {why: metrics.closed.labels(name, why.value) for why in CloseReason}
+        self._closed = {reason: metrics.closed.labels(name, reason.value) for reason in CloseReason}
         self._violations = metrics.violations.labels(Invariant.CLOSED_UNANSWERED.value)
         self._gauge = metrics.client_sockets.labels(name)
         self.active: set[Connection] = set()
@@ -171,29 +171,36 @@
         self.between_requests.pop(conn, None)
         self.reading.pop(conn, None)
 
-    def close_gracefully(self, conn: Connection, why: CloseReason) -> None:
+    def close_gracefully(self, conn: Connection, reason: CloseReason) -> None:
         """Close one whose answer may still be in flight, by a lingering close."""
-        self._check_answered(conn, why)
+        self._check_answered(conn, reason)
         if not (conn.closed or conn.ended):
             self.lingering.begin(conn.detach())
-        self.close(conn, why)
+        self._close_checked(conn, reason)
 
-    def _check_answered(self, conn: Connection, why: CloseReason) -> None:
+    def _check_answered(self, conn: Connection, reason: CloseReason) -> None:
         """Count a close under a request that was read completely, while its client is still connected."""
         if owes_answer(conn) and not conn.peer_gone():
             self._violations.inc()
             log.error(
-                "invariant_violated", invariant=Invariant.CLOSED_UNANSWERED.value, request="", why=why.value
+                "invariant_violated",
+                invariant=Invariant.CLOSED_UNANSWERED.value,
+                request="",
+                why=reason.value,
             )
 
-    def close(self, conn: Connection, why: CloseReason) -> None:
+    def close(self, conn: Connection, reason: CloseReason) -> None:
         """Close one now."""
-        self._check_answered(conn, why)
+        self._check_answered(conn, reason)
+        self._close_checked(conn, reason)
+
+    def _close_checked(self, conn: Connection, reason: CloseReason) -> None:
+        """Close one that owes no answer, or whose owed answer is counted."""
         conn.close()
         self._forget(conn)
         self.record_disconnect(conn.entry, conn.had_request)
-        self._closed[why].inc()
-        log.debug("connection_closed", front=self.name, why=why.value, asked=conn.had_request)
+        self._closed[reason].inc()
+        log.debug("connection_closed", front=self.name, why=reason.value, asked=conn.had_request)
         self.update_gauge()
 
     def _close_expired(self, idle: IdleConnection, now: bool) -> None:
--- a/tests/wire/clients/test_closing.py
+++ b/tests/wire/clients/test_closing.py
@@ -78,7 +78,7 @@
     return told
 
 
-def test_a_close_over_unread_bytes_takes_no_answer_with_it() -> None:
+def test_close_with_unread_input_loses_no_answer() -> None:
     """The kernel resets such a connection, and drops what of the answer its client has not taken yet."""
 
     async def run() -> None:
@@ -95,7 +95,7 @@
     anyio.run(run)
 
 
-def test_a_request_between_the_decision_to_close_and_the_close_meets_a_clean_end(
+def test_request_between_close_decision_and_close_sees_clean_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its client sends it once more elsewhere; here it is never sent on."""
@@ -122,7 +122,7 @@
     anyio.run(run)
 
 
-def test_a_request_behind_the_end_of_our_sending_is_dropped() -> None:
+def test_request_after_shutdown_of_sending_side_is_discarded() -> None:
     async def run() -> None:
         at = Played()
         async with at.serving():
@@ -136,7 +136,7 @@
     anyio.run(run)
 
 
-def test_one_that_never_ends_is_closed_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_peer_that_never_closes_is_closed_after_linger_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(closing, "LINGER_S", 0.05)
 
     async def run() -> None:
@@ -149,7 +149,7 @@
     anyio.run(run)
 
 
-def test_one_that_sends_without_end_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_peer_that_sends_without_end_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(closing, "LINGER_S", 60.0)
 
     def send(client: socket.socket) -> None:
@@ -168,7 +168,7 @@
     anyio.run(run)
 
 
-def test_those_that_linger_give_way_to_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lingering_closes_are_evicted_for_new_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(closing, "LINGER_S", 60.0)
 
     async def run() -> None:
@@ -188,7 +188,7 @@
     anyio.run(run)
 
 
-def test_small_writes_are_never_held_back_on_either_side() -> None:
+def test_small_writes_are_not_delayed_on_either_side() -> None:
     """What the system held back would go with a reset, and late in any case."""
 
     async def run() -> None:
--- a/tests/wire/clients/test_front_capacity.py
+++ b/tests/wire/clients/test_front_capacity.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("limit", LIMITS)
 @pytest.mark.parametrize("ahead", [b"GET / HT", b""])
-def test_half_requests_that_came_in_the_same_turn_give_way_to_a_whole_one(ahead: bytes, limit: int) -> None:
+def test_incomplete_requests_of_same_iteration_are_evicted_for_complete_one(ahead: bytes, limit: int) -> None:
     """All lie in the backlog as the front begins: none of them could give way while its bytes were unread."""
 
     async def run() -> bytes:
--- a/tests/wire/clients/test_idle_connection_epolls.py
+++ b/tests/wire/clients/test_idle_connection_epolls.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(("watched", "sweeps"), [(128, False), (0, True)])
-def test_a_host_deaf_to_an_epoll_inside_another_costs_no_wake(
+def test_nested_epoll_without_events_misses_no_readable_connection(
     watched: int, sweeps: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Requests on connections that had rested were found only when their time was over, up to 1.8 s later."""
@@ -65,8 +65,6 @@
 
 
 @pytest.mark.parametrize("watched", [0, 5])
-def test_those_that_the_loop_does_not_watch_are_woken_all_the_same(
-    watched: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_connections_not_watched_by_loop_are_activated(watched: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(parking, "MAX_LOOP_WATCHED", watched)
     assert asyncio.run(_wake_all(20, sweeps=False)) == 20
--- a/tests/wire/clients/test_idle_connections.py
+++ b/tests/wire/clients/test_idle_connections.py
@@ -42,7 +42,7 @@
         return True
 
 
-def test_one_that_rests_is_woken_by_its_next_request_and_by_half_a_head(node: Node) -> None:
+def test_idle_connection_is_activated_by_request_and_by_partial_head(node: Node) -> None:
     with connect(node) as sock:
         for pause_s in (0.0, 0.8, 1.2):  # kept active, parked, parked again
             time.sleep(pause_s)
@@ -56,7 +56,7 @@
         assert answer(sock).startswith(b"HTTP/1.1 200")
 
 
-def test_pipelined_requests_on_one_that_rested_are_all_answered(node: Node) -> None:
+def test_pipelined_requests_on_idle_connection_are_all_answered(node: Node) -> None:
     with connect(node) as sock:
         sock.sendall(READY)
         assert answer(sock)
@@ -68,7 +68,7 @@
         assert told.count(b"HTTP/1.1 200") == 3
 
 
-def test_thousands_that_never_speak_are_closed_in_time_and_nobody_else_waits(node: Node) -> None:
+def test_thousands_of_silent_connections_time_out_without_delaying_others(node: Node) -> None:
     silent = [connect(node) for _ in range(1500)]
     with connect(node) as sock:
         sock.sendall(READY)
@@ -82,7 +82,7 @@
         sock.close()
 
 
-def test_a_request_that_meets_the_close_of_an_idle_connection_is_answered_or_never_read(node: Node) -> None:
+def test_request_crossing_idle_close_is_answered_or_never_read(node: Node) -> None:
     """Sent at every moment round the keep-alive's end: none is read and left without an answer."""
     socks = [connect(node) for _ in range(120)]
     for sock in socks:
@@ -104,7 +104,7 @@
     assert answered + closed == len(socks) and answered > 0
 
 
-def test_a_flood_gives_way_to_new_ones_and_one_that_asked_stays(tmp_path: Path) -> None:
+def test_flood_is_evicted_before_connection_with_request(tmp_path: Path) -> None:
     with Node(tmp_path, sockets=128) as node:  # 28 connections of clients, and three more
         asked = connect(node)
         asked.sendall(READY)
@@ -119,7 +119,7 @@
             sock.close()
 
 
-def test_descriptors_that_run_out_are_taken_from_those_at_rest(tmp_path: Path) -> None:
+def test_exhausted_descriptors_evict_idle_connections(tmp_path: Path) -> None:
     with Node(tmp_path, sockets=4096) as node:
         limits = resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (120, limits[1]))
@@ -132,7 +132,7 @@
             sock.close()
 
 
-def test_a_stop_with_thousands_at_rest_ends_in_time(node: Node) -> None:
+def test_shutdown_with_thousands_of_idle_connections_ends_in_time(node: Node) -> None:
     socks = [connect(node) for _ in range(1500)]
     for sock in socks[:200]:
         sock.sendall(READY)
@@ -157,7 +157,7 @@
 """
 
 
-def test_doors_keep_alive_and_limits_by_network(tmp_path: Path) -> None:
+def test_keep_alive_and_connection_limits_by_network(tmp_path: Path) -> None:
     with Node(tmp_path, files={"doors.toml": DOORS}) as node:
         host, port = node.listening["platform"].split(":")
 
@@ -179,7 +179,7 @@
                 assert ends(come("127.0.8.1")) and node.logged("connection_not_let_in")["why"] == "most_each"
 
 
-def test_many_that_wake_at_once_are_all_answered_and_one_that_drips_is_ended(tmp_path: Path) -> None:
+def test_simultaneous_requests_are_all_answered_and_slow_sender_is_closed(tmp_path: Path) -> None:
     with Node(tmp_path, sockets=8192, files={"doors.toml": "enabled = true\nkeep_alive_s = 60.0\n"}) as node:
         socks = [connect(node) for _ in range(500)]
         for sock in socks:
--- a/tests/wire/clients/test_platform_request.py
+++ b/tests/wire/clients/test_platform_request.py
@@ -21,11 +21,11 @@
     ("told", "hint_ms"),
     [(b"7250000", 7250.0), (b"1500.5", 1.5005), (b"0", 0.0), (None, None), (b"much", None), (b"", None)],
 )
-def test_an_estimate_of_the_work_reaches_the_decisions(told: bytes | None, hint_ms: float | None) -> None:
+def test_work_estimate_is_passed_to_routing(told: bytes | None, hint_ms: float | None) -> None:
     """On sockets it was never read: requests were decided as if clients supplied none."""
     assert hint_of(told) == hint_ms
 
 
 @pytest.mark.parametrize("told", [b"nan", b"-1", b"inf", b"%d" % (MOST_HINT_MS * 1000)])
-def test_an_estimate_past_all_bounds_is_none_and_refuses_nobody(told: bytes) -> None:
+def test_unbounded_work_estimate_is_ignored(told: bytes) -> None:
     assert hint_of(told) is None
--- a/tests/wire/clients/test_response.py
+++ b/tests/wire/clients/test_response.py
@@ -12,7 +12,7 @@
 from ringledge.wire.http.connection import Connection
 
 
-def test_a_departure_is_told_before_the_task_of_the_answer_comes_round() -> None:
+def test_disconnect_is_reported_in_the_same_loop_iteration() -> None:
     """What others did in between was still done for the client that had gone."""
     order = list[str]()
 
--- a/tests/wire/http/test_arrival_times.py
+++ b/tests/wire/http/test_arrival_times.py
@@ -3,11 +3,11 @@
 from ringledge.wire.http.arrival_times import ArrivalMarks
 
 
-def test_nothing_read_has_no_time() -> None:
+def test_no_arrival_time_before_first_read() -> None:
     assert ArrivalMarks().last_byte_s(0) is None
 
 
-def test_each_of_several_requests_ends_where_its_own_last_byte_came() -> None:
+def test_each_pipelined_request_has_arrival_time_of_its_last_byte() -> None:
     marks = ArrivalMarks()
     marks.add(100, 1.0, 1.0)  # the first, and half of the second
     marks.add(20, 2.0, 2.0)  # the rest of the second
@@ -17,14 +17,14 @@
     assert marks.last_byte_s(pending=0) == 3.0
 
 
-def test_requests_of_one_piece_came_together() -> None:
+def test_requests_of_one_segment_arrive_together() -> None:
     marks = ArrivalMarks()
     marks.add(300, 5.0, 5.0)
     marks.add(10, 9.0, 9.0)
     assert [marks.last_byte_s(pending) for pending in (210, 110, 10, 0)] == [5.0, 5.0, 5.0, 9.0]
 
 
-def test_pieces_read_right_behind_one_that_had_lain_there_had_lain_there_too() -> None:
+def test_segments_read_after_delayed_one_count_as_delayed() -> None:
     marks = ArrivalMarks()
     marks.add(10, 1.0, 0.4)
     marks.add(10, 1.01, 1.01)
@@ -32,14 +32,14 @@
     assert marks.last_byte_s(0) == 0.4
 
 
-def test_a_piece_that_comes_later_came_then() -> None:
+def test_later_segment_has_later_arrival_time() -> None:
     marks = ArrivalMarks()
     marks.add(10, 1.0, 0.4)
     marks.add(10, 1.2, 1.2)
     assert marks.last_byte_s(0) == 1.2
 
 
-def test_pieces_of_a_request_that_comes_as_it_is_read_came_then() -> None:
+def test_segments_read_while_arriving_have_their_own_times() -> None:
     marks = ArrivalMarks()
     marks.add(10, 1.0, 1.0)
     marks.add(10, 1.03, 1.03)
--- a/tests/wire/http/test_spurious_wake.py
+++ b/tests/wire/http/test_spurious_wake.py
@@ -20,7 +20,7 @@
     await respond(conn, 200, b"answered")
 
 
-def test_a_request_behind_a_spurious_wake_up_is_answered() -> None:
+def test_request_after_spurious_wake_up_is_answered() -> None:
     """Closed on it, its client's request met a reset."""
 
     async def run() -> None:
