--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -44,7 +44,7 @@
         network.cut(others, [before], one_way=True)
     took_s = held.covered_within(9, others)
     held.world.run_for(10)  # the one that was stopped goes on; each step is checked
-    return took_s, held.receiver.fence.refused
+    return took_s, held.receiver.fence.rejected
 
 
 @click.group(help=__doc__)
--- a/ringledge/decide/leases/acceptor.py
+++ b/ringledge/decide/leases/acceptor.py
@@ -1,164 +1,165 @@
-"""One voter: for whom each duty is locked and the highest token taken, all in memory.
+"""One acceptor: for whom each duty is locked, and the highest token accepted; all in memory.
 
-What is safe rests on `_take` alone. A duty is locked for one member until the lock runs out; any two
-majorities share a voter, so no two holders overlap. Who doesn't hold it yet needs a token above the highest
-taken or learned, so each is above those begun before. An Ask only reads, and keeps the duty for the asker for
-a moment, so that seekers don't split the votes.
+Safety rests on `_on_propose` alone. A duty is locked for one proposer until the lock expires; any two
+majorities share an acceptor, so no two holdings overlap. A proposer that does not hold the duty needs a
+token above the highest accepted or recovered, so each token is above those begun before. A `PrepareRequest`
+only reads, and reserves the duty for its sender for a moment, so that proposers don't split the acceptors.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from typing import Any
-
 from ringledge.decide.interface import Action, SendMessage
+from ringledge.decide.leases.duty_locks import DutyLock, ProposerId
 from ringledge.decide.leases.messages import (
-    MOST_NAME,
-    Ask,
-    Freed,
-    Known,
-    Learn,
+    MAX_NAME_BYTES,
+    AcceptorMessage,
+    LeaseRelease,
+    LeaseReleased,
     LeaseTerms,
-    Promise,
-    Refused,
-    Release,
-    Take,
-    Taken,
+    PrepareRequest,
+    PrepareResponse,
+    ProposeAccepted,
+    ProposeRequest,
+    Rejected,
+    StateTransferRequest,
+    StateTransferResponse,
 )
-from ringledge.decide.leases.recovery import Learning
-
-RESERVED_S = 0.25  # kept for who asked: an answer there and a Take back, with one of them sent again
-MOST_WAITING = 8  # seekers told when a duty becomes free; others ask again by themselves
-MOST_DUTIES = 256  # remembered one by one; more are remembered together, by their highest token
-
-Who = tuple[str, int]  # a member's name and start
-NOBODY: Who = ("", 0)
-
+from ringledge.decide.leases.recovery import AcceptorRecovery
 
-@dataclass(slots=True)
-class Vote:
-    """One duty as this voter knows it."""
-
-    top: int = 0  # the highest token taken
-    holder: Who = NOBODY  # for whom it is or was locked last; NOBODY once it was ended
-    token: int = 0  # under which
-    locked_until_s: float = float("-inf")
-    ended: tuple[Who, int] = (NOBODY, 0)  # the last Release
-    kept_for: Who = NOBODY
-    kept_until_s: float = float("-inf")
-    waiting: dict[str, None] = field(default_factory=dict)  # seekers refused, latest last
+RESERVATION_S = 0.25  # for the response, and a ProposeRequest back, with one of them sent again
+MAX_DUTIES = 256  # remembered one by one; more are remembered together, by their highest token
 
 
 class LeaseAcceptor:
-    """Hears seekers and other voters; a voter that started is silent, then learns, then votes."""
+    """Answers proposers and other acceptors; after a start it recovers before it votes."""
 
-    def __init__(self, now_s: float, name: str, start: int, terms: LeaseTerms) -> None:
+    def __init__(self, now_s: float, name: str, start_number: int, terms: LeaseTerms) -> None:
         self._terms = terms
-        self.learning = Learning(now_s, name, start, terms)
-        self._votes: dict[str, Vote] = {}
-        self.misfits = 0  # messages of other terms: settings differ somewhere
-
-    def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
-        """Take a message to voters."""
-        if isinstance(message, Ask | Take | Learn | Known) and message.terms != self._terms.digest:
-            self.misfits += 1
+        self.recovery = AcceptorRecovery(now_s, name, start_number, terms)
+        self._locks: dict[str, DutyLock] = {}  # by duty
+        self.mismatched_terms = 0  # messages under other terms: settings differ somewhere
+
+    def receive(self, now_s: float, sender: str, message: AcceptorMessage) -> list[Action]:
+        """Handle a message to acceptors; one under other terms is counted and ignored."""
+        if not isinstance(message, LeaseRelease) and message.terms_digest != self._terms.digest:
+            self.mismatched_terms += 1
             return []
-        if isinstance(message, Learn | Known):
-            tops = (vote.top for vote in self._votes.values())
-            return self.learning.receive(now_s, sender, message, max(tops, default=0))
-        if not self.learning.active or len(message.duty.encode()) > MOST_NAME:
+        if isinstance(message, StateTransferRequest | StateTransferResponse):
+            highest_tokens = (lock.highest_token for lock in self._locks.values())
+            return self.recovery.receive(now_s, sender, message, max(highest_tokens, default=0))
+        if not self.recovery.active or len(message.duty.encode()) > MAX_NAME_BYTES:
             return []
-        if isinstance(message, Ask):
-            return [SendMessage(sender, self._ask(now_s, sender, message))]
-        if isinstance(message, Take):
-            return [SendMessage(sender, self._take(now_s, sender, message))]
-        return self._release(now_s, sender, message) if isinstance(message, Release) else []
+        match message:
+            case PrepareRequest():
+                return [SendMessage(sender, self._on_prepare(now_s, sender, message))]
+            case ProposeRequest():
+                return [SendMessage(sender, self._on_propose(now_s, sender, message))]
+            case LeaseRelease():
+                return self._on_release(now_s, sender, message)
 
     def tick(self, now_s: float) -> list[Action]:
-        """Learn, where that is due."""
-        return self.learning.tick(now_s)
+        """Request the state of other acceptors, where that is due."""
+        return self.recovery.tick(now_s)
 
     def next_s(self) -> float:
-        """When the next call of `tick` is wanted."""
-        return self.learning.next_s()
-
-    def _vote(self, now_s: float, duty: str) -> Vote:
-        """The duty's vote; for a new one beyond the most, what isn't locked is remembered as a whole."""
-        vote = self._votes.get(duty)
-        if vote is None:
-            if len(self._votes) >= MOST_DUTIES:
-                for name, old in [*self._votes.items()]:
-                    if now_s >= max(old.locked_until_s, old.kept_until_s):
-                        self.learning.base = max(self.learning.base, old.top)
-                        del self._votes[name]
-            vote = self._votes[duty] = Vote()
-        return vote
-
-    def _top(self, vote: Vote) -> int:
-        return max(self.learning.base, vote.top)
-
-    def _refuse(self, now_s: float, vote: Vote, who: Who, message: Ask | Take) -> Refused | None:
-        """Why not, where the duty is locked or kept for another."""
-        if now_s < vote.locked_until_s and vote.holder != who:
-            holder, until_s = vote.holder[0], vote.locked_until_s
-            vote.waiting.pop(who[0], None)
-            vote.waiting[who[0]] = None
-            if len(vote.waiting) > MOST_WAITING:
-                del vote.waiting[next(iter(vote.waiting))]
-        elif now_s < vote.kept_until_s and vote.kept_for != who and not _goes_first(message):
-            holder, until_s = vote.kept_for[0], vote.kept_until_s
-        else:
-            return None
-        left_ms = int((until_s - now_s) * 1000) + 1
-        return self._refused(vote, message, holder, left_ms)
-
-    def _refused(self, vote: Vote, message: Ask | Take, holder: str, left_ms: int) -> Refused:
-        ask, token = (message.ask, 0) if isinstance(message, Ask) else (0, message.token)
-        return Refused(message.duty, message.start, ask, token, self._top(vote), holder, left_ms)
-
-    def _ask(self, now_s: float, sender: str, message: Ask) -> Promise | Refused:
-        vote, who = self._vote(now_s, message.duty), (sender, message.start)
-        if refused := self._refuse(now_s, vote, who, message):
-            return refused
-        vote.kept_for, vote.kept_until_s = who, now_s + RESERVED_S
-        return Promise(message.duty, message.start, message.ask, self._top(vote))
-
-    def _take(self, now_s: float, sender: str, message: Take) -> Taken | Refused:
-        """Lock it, or go on locking it.
-
-        A holder that is well as it sends goes on under its token wherever no other has the lock: at a voter
-        that started since, or that took a higher token from one who gave up. Where it comes so late that
-        another has begun since, the sender is no holder any more and counts no answer; it locks for a lease.
+        """When the next call of `tick` is needed."""
+        return self.recovery.next_s()
+
+    def _lock(self, now_s: float, duty: str) -> DutyLock:
+        """The duty's lock, made where there is none."""
+        lock = self._locks.get(duty)
+        if lock is None:
+            if len(self._locks) >= MAX_DUTIES:
+                self._merge_unused(now_s)
+            lock = self._locks[duty] = DutyLock()
+        return lock
+
+    def _merge_unused(self, now_s: float) -> None:
+        """Forget what is neither locked nor reserved, but for the highest token of all."""
+        for duty, lock in [*self._locks.items()]:
+            if lock.unused(now_s):
+                self.recovery.token_floor = max(self.recovery.token_floor, lock.highest_token)
+                del self._locks[duty]
+
+    def _highest_token(self, lock: DutyLock) -> int:
+        return max(self.recovery.token_floor, lock.highest_token)
+
+    def _reject_unavailable(
+        self, now_s: float, lock: DutyLock, proposer: ProposerId, message: PrepareRequest | ProposeRequest
+    ) -> Rejected | None:
+        """The rejection, where the duty is locked or reserved for another; else None."""
+        if lock.locked_for_other(now_s, proposer):
+            lock.add_waiter(proposer.name)
+            remaining_ms = _remaining_ms(now_s, lock.locked_until_s)
+            return self._rejected(lock, message, lock.holder.name, remaining_ms)
+        if lock.reserved_for_other(now_s, proposer) and not _overrides_reservation(message):
+            remaining_ms = _remaining_ms(now_s, lock.reserved_until_s)
+            return self._rejected(lock, message, lock.reserved_for.name, remaining_ms)
+        return None
+
+    def _rejected(
+        self, lock: DutyLock, message: PrepareRequest | ProposeRequest, holder: str, remaining_ms: int
+    ) -> Rejected:
+        return Rejected(
+            message.duty,
+            message.start_number,
+            prepare_number=message.prepare_number if isinstance(message, PrepareRequest) else 0,
+            token=message.token if isinstance(message, ProposeRequest) else 0,
+            highest_token=self._highest_token(lock),
+            holder=holder,
+            remaining_ms=remaining_ms,
+        )
+
+    def _on_prepare(self, now_s: float, sender: str, message: PrepareRequest) -> PrepareResponse | Rejected:
+        lock = self._lock(now_s, message.duty)
+        proposer = ProposerId(sender, message.start_number)
+        if rejected := self._reject_unavailable(now_s, lock, proposer, message):
+            return rejected
+        lock.reserve(proposer, now_s + RESERVATION_S)
+        return PrepareResponse(
+            message.duty, message.start_number, message.prepare_number, self._highest_token(lock)
+        )
+
+    def _on_propose(self, now_s: float, sender: str, message: ProposeRequest) -> ProposeAccepted | Rejected:
+        """Lock the duty, or extend the lock.
+
+        A holder renews under its token wherever no other has the lock: also at an acceptor that restarted
+        since, or that accepted a higher token of a proposer that gave up. Where the renewal is so late that
+        another holding has begun since, its sender holds no more and counts no response; the acceptor locks
+        the duty for a lease.
         """
-        vote, who = self._vote(now_s, message.duty), (sender, message.start)
-        if refused := self._refuse(now_s, vote, who, message):
-            return refused
-        again = vote.holder == who and vote.token == message.token
-        too_low = not (message.held or again) and message.token <= self._top(vote)
-        over = vote.ended[0] == who and message.token <= vote.ended[1]
-        if too_low or over or not 0 < message.lease_ms <= self._terms.longest_s * 1000:
-            return self._refused(vote, message, "", 0)
-        vote.top, vote.token, vote.holder = max(vote.top, message.token), message.token, who
-        vote.kept_for, vote.kept_until_s = NOBODY, float("-inf")
-        vote.locked_until_s = max(vote.locked_until_s, now_s + self._terms.locked_s(message.lease_ms))
-        return Taken(message.duty, message.start, message.token, message.round)
-
-    def _release(self, now_s: float, sender: str, message: Release) -> list[Action]:
-        """Unlock it, and remember the token as ended: a Take of it that comes late locks nothing."""
-        vote, who = self._vote(now_s, message.duty), (sender, message.start)
-        if vote.kept_for == who:
-            vote.kept_for, vote.kept_until_s = NOBODY, float("-inf")
-        if message.token >= max(vote.token, vote.ended[1]):
-            vote.ended = (who, message.token)
-        if vote.holder != who or message.token < vote.token:
+        lock = self._lock(now_s, message.duty)
+        proposer = ProposerId(sender, message.start_number)
+        if rejected := self._reject_unavailable(now_s, lock, proposer, message):
+            return rejected
+        if not self._acceptable(lock, proposer, message):
+            return self._rejected(lock, message, "", 0)
+        until_s = now_s + self._terms.acceptor_lock_s(message.lease_ms)
+        lock.lock(proposer, message.token, until_s)
+        return ProposeAccepted(message.duty, message.start_number, message.token, message.round_number)
+
+    def _acceptable(self, lock: DutyLock, proposer: ProposerId, message: ProposeRequest) -> bool:
+        """Whether the token and the lease of a proposal for a free duty are valid."""
+        repeated = lock.holder == proposer and lock.holder_token == message.token
+        renews = message.renewal or repeated
+        token_too_low = not renews and message.token <= self._highest_token(lock)
+        lease_valid = 0 < message.lease_ms <= self._terms.max_lease_s * 1000
+        return lease_valid and not token_too_low and not lock.was_released(proposer, message.token)
+
+    def _on_release(self, now_s: float, sender: str, message: LeaseRelease) -> list[Action]:
+        """Unlock the duty, and remember the token: a late ProposeRequest under it locks nothing."""
+        lock = self._lock(now_s, message.duty)
+        if not lock.release(ProposerId(sender, message.start_number), message.token):
             return []
-        vote.holder, vote.locked_until_s = NOBODY, float("-inf")
-        waiting, vote.waiting = [*vote.waiting], {}
-        return [
-            SendMessage(each, Freed(message.duty, message.token, False)) for each in waiting if each != sender
-        ]
+        released = LeaseReleased(message.duty, message.token, nominated_successor=False)
+        return [SendMessage(waiter, released) for waiter in lock.take_waiters() if waiter != sender]
+
+
+def _remaining_ms(now_s: float, until_s: float) -> int:
+    """Rounded up, so that the proposer doesn't retry too early."""
+    return int((until_s - now_s) * 1000) + 1
 
 
-def _goes_first(message: Ask | Take) -> bool:
-    """Whether it is the holder's or its follower's, for whom others' questions are no hindrance."""
-    return message.follow if isinstance(message, Ask) else message.held
+def _overrides_reservation(message: PrepareRequest | ProposeRequest) -> bool:
+    """Whether it is a holder's or its nominated successor's, whom others' reservations don't hinder."""
+    return message.nominated_successor if isinstance(message, PrepareRequest) else message.renewal
--- a/ringledge/decide/leases/fencing.py
+++ b/ringledge/decide/leases/fencing.py
@@ -1,7 +1,7 @@
-"""Whoever receives effects of a duty refuses one whose token is below the highest that it has seen.
+"""The receiver's side of fencing tokens: effects under a token below the highest seen are rejected.
 
-A holder may be stopped between its look at the clock and its effect, for as long as it pleases the machine,
-and go on when another has begun. No lease can know that; the receiver can.
+A holder may be suspended between its look at the clock and its effect, for any length of time, and resume
+when another member holds the duty. No lease can prevent that; the receiver of the effect can.
 """
 
 from __future__ import annotations
@@ -10,34 +10,39 @@
 
 
 class FencingTokenCheck:
-    """The highest token seen of each duty."""
+    """The highest token seen of each duty.
+
+    Invariant: an effect is admitted only under a token not below any admitted before for its duty.
+    """
 
     def __init__(
-        self, seen: Mapping[str, int] | None = None, persist: Callable[[str, int], None] | None = None
+        self,
+        highest_tokens: Mapping[str, int] | None = None,
+        persist: Callable[[str, int], None] | None = None,
     ) -> None:
-        """`seen`: what was persisted; `persist(duty, token)`: returns once it is durable, or raises.
+        """`highest_tokens`: as persisted; `persist(duty, token)`: returns once it is durable, or raises.
 
-        Needed where the effect itself is durable: a receiver that forgot would let an old holder in.
+        Needed where the effect itself is durable: a receiver that forgot would admit an old holder.
         """
-        self._seen = dict(seen or {})
+        self._highest_tokens = dict(highest_tokens or {})
         self._persist = persist
-        self.refused = 0
+        self.rejected = 0
 
     def admit(self, duty: str, token: int) -> bool:
-        """Whether an effect under the token may be applied; a higher one is remembered first.
+        """Whether an effect under the token may be applied; a higher token is persisted first.
 
         Raises what `persist` raises; then nothing is remembered and nothing may be applied.
         """
-        highest = self._seen.get(duty, 0)
-        if token < highest:
-            self.refused += 1
+        highest_token = self.highest(duty)
+        if token < highest_token:
+            self.rejected += 1
             return False
-        if token > highest:
+        if token > highest_token:
             if self._persist is not None:
                 self._persist(duty, token)
-            self._seen[duty] = token
+            self._highest_tokens[duty] = token
         return True
 
     def highest(self, duty: str) -> int:
         """The highest token seen; 0 where none was."""
-        return self._seen.get(duty, 0)
+        return self._highest_tokens.get(duty, 0)
--- a/ringledge/decide/leases/messages.py
+++ b/ringledge/decide/leases/messages.py
@@ -1,7 +1,9 @@
-"""What is said about leases: between those who want a duty and the voters, and among voters.
+"""Messages of the lease protocol: between proposers and acceptors, and among acceptors.
 
-Every kind may come late, twice, out of order or never; none has to arrive for safety. Encoded in msgpack each
-is at most 150 bytes, with names and duties of at most `MOST_NAME` bytes.
+The protocol is PaxosLease (Trencséni, Gazsó, Reinhardt 2012) with tokens that stay the same over renewals;
+see docs/design/coordination-leases.md. Any message may be delayed, duplicated, reordered or lost; safety
+relies on the arrival of none. Encoded as msgpack arrays each takes at most 150 bytes, given names of
+members and duties of at most `MAX_NAME_BYTES`. The order of fields is the wire format.
 """
 
 from __future__ import annotations
@@ -12,156 +14,171 @@
 
 import msgspec
 
-MOST_NAME = 40  # bytes of a member's or a duty's name that fit
-MOST_START = 2**42  # start numbers are below: milliseconds since 1970 are, until 2109
-START_BITS = 45  # of a token: the sum of the starts of five voters
-COUNT_BITS = 12  # of a token: holdings for each unit by which the starts' sum grows
-MOST_GENERATION = 2 ** (63 - START_BITS - COUNT_BITS) - 1  # a token fits a signed number of 64 bits
+MAX_NAME_BYTES = 40  # of a member's or a duty's name, in UTF-8
+START_NUMBER_LIMIT = 2**42  # start numbers are below: milliseconds since 1970 are, until 2109
+START_SUM_BITS = 45  # of a token: the sum of the start numbers of five acceptors
+COUNTER_BITS = 12  # of a token: holdings for each unit by which the sum of start numbers grows
+MAX_GENERATION = 2 ** (63 - START_SUM_BITS - COUNTER_BITS) - 1  # a token fits a signed 64-bit integer
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True):
-    """Seeker to voters: whether the duty is free, and which token was its last."""
+class PrepareRequest(msgspec.Struct, array_like=True, frozen=True):
+    """Proposer to acceptors: asks whether the duty is free, and for its highest token."""
 
     duty: str
-    start: int  # of the seeker; told back, so that an answer to its predecessor is known as such
-    ask: int  # the seeker's count of its questions
-    follow: bool  # the last holder named it to follow
-    terms: int  # `LeaseTerms.digest`
+    start_number: int  # of the proposer; echoed, so that responses to its predecessor are recognised
+    prepare_number: int  # the proposer's count of its prepare phases
+    nominated_successor: bool  # the last holder nominated the sender as its successor
+    terms_digest: int  # `LeaseTerms.digest`
 
 
-class Promise(msgspec.Struct, array_like=True, frozen=True):
-    """Voter to seeker: free, and kept for you for a moment."""
+class PrepareResponse(msgspec.Struct, array_like=True, frozen=True):
+    """Acceptor to proposer: the duty is free, and reserved for the proposer for a moment."""
 
     duty: str
-    start: int
-    ask: int
-    top: int  # the highest token known
+    start_number: int
+    prepare_number: int
+    highest_token: int  # the highest that the acceptor knows
 
 
-class Take(msgspec.Struct, array_like=True, frozen=True):
-    """Seeker to voters: lock it for me under this token, or go on."""
+class ProposeRequest(msgspec.Struct, array_like=True, frozen=True):
+    """Proposer to acceptors: lock the duty under this token, or renew the lock."""
 
     duty: str
-    start: int
+    start_number: int
     token: int
-    round: int  # the seeker's count; its term runs from when this round was first sent
+    round_number: int  # the proposer's count; its lease runs from when this round was sent
     lease_ms: int
-    held: bool  # the sender holds it under this token, as it sends this
-    terms: int
+    renewal: bool  # the sender held the duty under this token when it sent this
+    terms_digest: int
 
 
-class Taken(msgspec.Struct, array_like=True, frozen=True):
-    """Voter to seeker: locked for you."""
+class ProposeAccepted(msgspec.Struct, array_like=True, frozen=True):
+    """Acceptor to proposer: the duty is locked for the proposer."""
 
     duty: str
-    start: int
+    start_number: int
     token: int
-    round: int
+    round_number: int
 
 
-class Refused(msgspec.Struct, array_like=True, frozen=True):
-    """Voter to seeker: not free, or the token is not above the highest."""
+class Rejected(msgspec.Struct, array_like=True, frozen=True):
+    """Acceptor to proposer: the duty is not free, or the token is not above the highest."""
 
     duty: str
-    start: int
-    ask: int  # 0 where a Take is refused
-    token: int  # 0 where an Ask is refused
-    top: int
-    holder: str  # for whom it is locked or kept; "" where only the token is too low
-    left_ms: int  # for so long still, by the voter's clock
+    start_number: int
+    prepare_number: int  # 0 where a `ProposeRequest` is rejected
+    token: int  # 0 where a `PrepareRequest` is rejected
+    highest_token: int
+    holder: str  # for whom the duty is locked or reserved; "" where only the token is too low
+    remaining_ms: int  # of that lock or reservation, by the acceptor's clock
 
 
-class Release(msgspec.Struct, array_like=True, frozen=True):
-    """Holder to voters: ended, and never again under this token."""
+class LeaseRelease(msgspec.Struct, array_like=True, frozen=True):
+    """Holder to acceptors: the holding under this token has ended for good."""
 
     duty: str
-    start: int
+    start_number: int
     token: int
 
 
-class Freed(msgspec.Struct, array_like=True, frozen=True):
-    """Voter to those who wait, or a holder that ends to the one who shall follow."""
+class LeaseReleased(msgspec.Struct, array_like=True, frozen=True):
+    """Acceptor to rejected proposers, or a releasing holder to its successor: the duty is free."""
 
     duty: str
     token: int  # of the holding that ended
-    follow: bool  # you shall follow: seek at once
+    nominated_successor: bool  # the receiver is nominated, and seeks the duty at once
 
 
-class Learn(msgspec.Struct, array_like=True, frozen=True):
-    """A voter that started, its silence over, to the other voters: what they know."""
+class StateTransferRequest(msgspec.Struct, array_like=True, frozen=True):
+    """Restarted acceptor, its silence over, to the other acceptors: asks for what they know."""
 
-    start: int
-    terms: int
+    start_number: int
+    terms_digest: int
 
 
-class Known(msgspec.Struct, array_like=True, frozen=True):
-    """Voter to voter: what I know."""
+class StateTransferResponse(msgspec.Struct, array_like=True, frozen=True):
+    """Acceptor to a restarted acceptor: what it knows."""
 
-    echo: int  # the asker's start
-    start: int  # of the one who answers
-    active: bool  # it knows every token that it ever took, over its restarts
-    top: int  # the highest of all duties
-    terms: int
+    requester_start_number: int
+    start_number: int  # of the responder
+    active: bool  # the responder knows every token that it ever accepted, over its restarts
+    highest_token: int  # of all duties
+    terms_digest: int
 
 
+ProposerMessage = PrepareResponse | ProposeAccepted | Rejected | LeaseReleased
+AcceptorMessage = (
+    PrepareRequest | ProposeRequest | LeaseRelease | StateTransferRequest | StateTransferResponse
+)
+
+# The order is the wire format: a message's kind is its place here.
 MESSAGES: tuple[type[msgspec.Struct], ...] = (
-    Ask,
-    Promise,
-    Take,
-    Taken,
-    Refused,
-    Release,
-    Freed,
-    Learn,
-    Known,
+    PrepareRequest,
+    PrepareResponse,
+    ProposeRequest,
+    ProposeAccepted,
+    Rejected,
+    LeaseRelease,
+    LeaseReleased,
+    StateTransferRequest,
+    StateTransferResponse,
 )
 
 
 @dataclass(frozen=True)
 class LeaseTerms:
-    """What all members have to agree on; who has others is not heard (`digest`)."""
+    """What all members have to agree on; acceptors ignore requests under other terms (`digest`)."""
 
-    voters: tuple[str, ...]  # 3 or 5 names
+    acceptors: tuple[str, ...]  # 3 or 5 names
     lease_s: float = 3.0
-    longest_s: float = 3.0  # the longest lease that any member may still have from earlier settings
-    rate: float = 0.1  # by which the rate of any clock may be off, either way
-    generation: int = 1  # raised by the operators with each change of `voters`
+    max_lease_s: float = 3.0  # the longest lease that any member may still have from earlier settings
+    clock_drift: float = 0.1  # bound on the relative error of any clock's rate, either way
+    generation: int = 1  # raised by the operators with each change of `acceptors`
 
     def __post_init__(self) -> None:
-        if len(set(self.voters)) != len(self.voters) or len(self.voters) not in (3, 5):
+        if len(set(self.acceptors)) != len(self.acceptors) or len(self.acceptors) not in (3, 5):
             raise ValueError("voters: 3 or 5 different names")
-        if self.longest_s < self.lease_s:
+        if self.max_lease_s < self.lease_s:
             raise ValueError("longest_s: not below lease_s")
-        if not 1 <= self.generation <= MOST_GENERATION:
-            raise ValueError(f"generation: 1 to {MOST_GENERATION}")
-        if not 0 <= self.rate <= 0.5:
+        if not 1 <= self.generation <= MAX_GENERATION:
+            raise ValueError(f"generation: 1 to {MAX_GENERATION}")
+        if not 0 <= self.clock_drift <= 0.5:
             raise ValueError("rate: 0 to 0.5")
 
     @property
     def majority(self) -> int:
-        """How many voters decide."""
-        return len(self.voters) // 2 + 1
+        """The size of a quorum of acceptors."""
+        return len(self.acceptors) // 2 + 1
 
     @property
-    def held_s(self) -> float:
-        """For how long a holder relies on it since it sent, by its clock: a lease of true time at most."""
-        return self.lease_s * (1 - self.rate)
+    def holder_lease_s(self) -> float:
+        """How long a holder relies on a grant after sending its request, by its clock.
+
+        At most `lease_s` of true time, however slow the clock is within the bound.
+        """
+        return self.lease_s * (1 - self.clock_drift)
 
-    def locked_s(self, lease_ms: int) -> float:
-        """For how long a voter locks it from when it heard, by its clock: at least the lease in true time."""
-        return lease_ms / 1000 * (1 + self.rate)
+    def acceptor_lock_s(self, lease_ms: int) -> float:
+        """How long an acceptor locks a duty after receiving the request, by its clock.
+
+        At least the lease in true time, however fast the clock is within the bound.
+        """
+        return lease_ms / 1000 * (1 + self.clock_drift)
 
     @property
-    def silence_s(self) -> float:
-        """For how long a voter that started says nothing: what its predecessor locked runs out meanwhile."""
-        return self.longest_s * (1 + self.rate)
+    def startup_silence_s(self) -> float:
+        """How long a started acceptor is silent: every lock of its predecessor expires meanwhile."""
+        return self.max_lease_s * (1 + self.clock_drift)
 
     @cached_property
     def digest(self) -> int:
-        """32 bits that tell other voters or another generation."""
-        text = "\0".join((str(self.generation), *sorted(self.voters)))
+        """32 bits that differ for another set of acceptors or another generation."""
+        text = "\0".join((str(self.generation), *sorted(self.acceptors)))
         return int.from_bytes(blake2s(text.encode(), digest_size=4).digest(), "big")
 
-    def floor(self, starts: int) -> int:
-        """The least token after voters whose starts add up to this met without their memory."""
-        return (self.generation << (START_BITS + COUNT_BITS)) + (starts << COUNT_BITS)
+    def token_floor(self, start_number_sum: int) -> int:
+        """The token above all tokens begun before every acceptor restarted.
+
+        `start_number_sum`: of the start numbers of all acceptors, as they are now.
+        """
+        return (self.generation << (START_SUM_BITS + COUNTER_BITS)) + (start_number_sum << COUNTER_BITS)
--- a/ringledge/decide/leases/proposer.py
+++ b/ringledge/decide/leases/proposer.py
@@ -1,245 +1,249 @@
-"""One duty as a member wants and holds it: rest, ask, take, hold, end.
+"""The proposer of one duty: prepare, propose, hold and renew, release (PaxosLease).
 
-A voter that answered a Take locks the duty for a lease at least, from when it heard that Take, so from when
-this member sent it. The duty is held until that has run out at so many voters that no majority is left, by
-this member's own clock, shortened by the bound on rates. An answer counts for the Take that it names.
+An acceptor that accepts a `ProposeRequest` locks the duty for at least a lease from when it received the
+request, hence from when the proposer sent it. The proposer holds the duty while such grants of a majority
+last, by its own clock and shortened by the bound on clock drift. An acceptance counts for the round that it
+names.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from enum import Enum, auto
 from random import Random
-from typing import Any
 
 import msgspec
 
 from ringledge.decide.interface import Action, LeaseAcquired, LeaseEnded, SendMessage
+from ringledge.decide.leases.backoff import AttemptBackoff
+from ringledge.decide.leases.events import LeaseEvent
+from ringledge.decide.leases.granted_rounds import GrantedRounds
 from ringledge.decide.leases.messages import (
-    Ask,
-    Freed,
+    LeaseReleased,
     LeaseTerms,
-    Promise,
-    Refused,
-    Release,
-    Take,
-    Taken,
+    PrepareResponse,
+    ProposeAccepted,
+    ProposerMessage,
+    Rejected,
 )
+from ringledge.decide.leases.phase_responses import PhaseResponses
+from ringledge.decide.leases.proposer_state import ProposerState
+from ringledge.decide.leases.requests import ProposerRequests, ReleaseRetransmission
 
-RESEND_S = (0.1, 0.2)  # to voters that haven't answered: above a way there and back (2 times 27 ms)
-GIVE_UP_S = 0.6  # a question or a try to take: four times sent; at half lost, nine voters of ten were heard
-EXTEND = 0.25  # of the lease after which the holder goes on: several rounds may be lost whole
-RETRY_S = (0.05, 0.3)  # after a try that failed: apart from others who failed at the same time
-RETRY_TIMES = (1, 2, 4)  # longer after more that failed in a row: no majority is there
-FREED_S = (
-    0.05,
-    0.08,
-)  # after a duty became free: behind the one who was named to follow, apart from the rest
-AGAIN_S = 0.2  # most beyond the end of what a voter refused for: apart from others who wait for the same
-SAY_AGAIN = 3  # times that a Release is sent
-SAY_AGAIN_S = 0.05
-ROUNDS = 40  # of Takes remembered: more than fit into a lease
-
-
-class Phase(Enum):
-    """What the member does about the duty."""
-
-    REST = auto()  # until `due_s`
-    ASK = auto()
-    TAKE = auto()
-    HOLD = auto()
+RESEND_S = (0.1, 0.2)  # to acceptors that have not answered: above a round trip (2 times 27 ms)
+PHASE_TIMEOUT_S = 0.6  # of prepare and propose: four sends; at half lost, nine acceptors of ten were reached
+RENEWAL_FRACTION = 0.25  # of the lease after which the holder renews: several rounds may be lost whole
+RELEASED_DELAY_S = (0.05, 0.08)  # after a release: behind the nominated successor, apart from the rest
+REJECTED_JITTER_S = 0.2  # max beyond the end of the lock: apart from others that wait for the same
 
 
 class LeaseProposer:
-    """What it asks for, and until when it holds; `hear` and `tick` give the actions."""
-
-    def __init__(self, duty: str, name: str, start: int, terms: LeaseTerms, random: Random) -> None:
-        self.duty, self._name, self._start, self._terms, self._random = duty, name, start, terms, random
-        self.phase = Phase.REST
-        self.due_s = 0.0  # when it asks next, while it rests; what spreads duties comes on top
-        self.freed = False  # the duty ended in good order, others heard it too
-        self.hinted = False  # and this member was named to follow
-        self.token = 0  # under which it holds, or held last
-        self._top = 0  # the highest known
+    """Acquires, renews and releases one duty; `receive`, `tick` and `end` return the actions to carry out."""
+
+    def __init__(self, duty: str, name: str, start_number: int, terms: LeaseTerms, random: Random) -> None:
+        self.duty = duty
+        self._name = name
+        self._start_number = start_number
+        self._terms = terms
+        self._random = random
+        self._requests = ProposerRequests(duty, start_number, terms)
+        self.state = ProposerState.IDLE
+        self.next_attempt_s = 0.0  # of an idle proposer; `tick` adds the member's delay
+        self.duty_released = False  # the last holder released the duty, and others were notified too
+        self.nominated = False  # and nominated this member as its successor
+        # Invariant: the token changes only as a propose phase begins; renewals repeat it.
+        self.token = 0  # of the current or the last holding
+        self._highest_token = 0  # known from acceptors, or proposed
+        # Invariant: by the time `until_s` is reached no majority that granted it has lost its locks.
         self.until_s = float("-inf")
-        self.holder = ""  # who held it last, as voters told; "": nobody
-        self._ask = self._round = 0
-        self._sent_s: dict[int, float] = {}  # by round
-        self._taken_s: dict[str, float] = {}  # by voter: when the latest Take that it granted was sent
-        self._full_s = 0.0  # when Takes were last sent to all
-        self._promised: dict[str, int] = {}  # highest token, by voter
-        self._refused: dict[str, float] = {}  # until when, by voter
-        self._resend_s = self._give_up_s = self._extend_s = 0.0
-        self._release: Release | None = None
-        self._says, self._say_s = 0, 0.0
-        self._misses = 0  # tries in a row
+        self.holder = ""  # the last known one, as acceptors reported; "": nobody
+        self._prepare_number = 0
+        self._rounds = GrantedRounds(terms)
+        self._responses = PhaseResponses(terms)
+        self._resend_s = self._phase_deadline_s = self._renewal_s = 0.0
+        self._release = ReleaseRetransmission()
+        self._backoff = AttemptBackoff(random)
 
     def token_at(self, now_s: float) -> int | None:
-        """The token, where it is held at this moment."""
-        return self.token if self.phase is Phase.HOLD and now_s < self.until_s else None
-
-    def next_s(self, extra_s: float) -> float:
-        """When the next call of `tick` is wanted."""
-        say_s = self._say_s if self._says else float("inf")
-        if self.phase is Phase.REST:
-            return min(say_s, self.due_s + extra_s)
-        if self.phase is Phase.HOLD:
-            return min(self.until_s, self._extend_s, self._resend_s)
-        return min(say_s, self._resend_s, self._give_up_s)
-
-    def tick(self, now_s: float, extra_s: float) -> list[Action]:
-        """Do what is due; `extra_s` after `due_s` it seeks (endless: not at all)."""
-        out = self._expire(now_s)
-        if self._says and now_s >= self._say_s and self._release:
-            out += self._to_voters(self._release)
-            self._says, self._say_s = self._says - 1, now_s + SAY_AGAIN_S
-        if self.phase is Phase.REST and now_s >= self.due_s + extra_s:
-            return out + self._begin_ask(now_s)
-        if self.phase in (Phase.ASK, Phase.TAKE) and now_s >= self._give_up_s:
-            return out + self._retry(now_s)
-        if self.phase is Phase.HOLD and now_s >= self._extend_s:
-            return out + self._send_full(now_s)
-        if self.phase is not Phase.REST and now_s >= self._resend_s:
-            self._resend_s = now_s + self._random.uniform(*RESEND_S)
-            if self.phase is Phase.ASK:
-                return out + [SendMessage(each, self._question()) for each in self._unanswered(now_s)]
-            missing = [each for each in self._terms.voters if self._taken_s.get(each, -1e9) < self._full_s]
-            if len(missing) > len(self._terms.voters) - self._terms.majority:
-                return out + self._send_round(now_s, missing)
-            self._resend_s = self._extend_s
-        return out
-
-    def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
-        """Take a message to seekers; from voters, but for Freed."""
-        out = self._expire(now_s)
-        if isinstance(message, Freed):
-            return out + self._freed(now_s, sender, message)
-        if sender not in self._terms.voters or message.start != self._start:
-            return out
-        if isinstance(message, Promise):
-            if self.phase is Phase.ASK and message.ask == self._ask:
-                self._promised[sender] = message.top
-                self._top = max(self._top, message.top)
-                self._refused.pop(sender, None)
-                if len(self._promised) >= self._terms.majority:
-                    self.phase, self._top = Phase.TAKE, self._top + 1
-                    self.token = self._top
-                    self._refused.clear()
-                    self._give_up_s = now_s + GIVE_UP_S
-                    out += self._send_full(now_s)
-        elif isinstance(message, Taken):
-            out += self._taken(now_s, sender, message)
-        elif isinstance(message, Refused):
-            out += self._is_refused(now_s, sender, message)
-        return out
-
-    def end(self, now_s: float, why: str, rest_s: float) -> list[Action]:
-        """Hold or try no longer, say so, and don't seek for a time."""
-        ended: list[Action] = []
-        if self.phase is Phase.HOLD:
-            ended.append(LeaseEnded(self.duty, self.token, why))
-        if self.phase in (Phase.TAKE, Phase.HOLD):
-            self._release = Release(self.duty, self._start, self.token)
-            self._says, self._say_s = SAY_AGAIN - 1, now_s + SAY_AGAIN_S
-            ended += self._to_voters(self._release)
-        self._rest(now_s + rest_s)
-        return ended
-
-    def _rest(self, due_s: float) -> None:
-        self.phase, self.due_s, self.until_s = Phase.REST, due_s, float("-inf")
-        self.freed = self.hinted = False
-        self._sent_s.clear()
-        self._taken_s.clear()
+        """The token, where the duty is held at this moment; else None."""
+        return self.token if self.state is ProposerState.HOLDING and now_s < self.until_s else None
+
+    def next_s(self, delay_s: float) -> float:
+        """When the next call of `tick` is needed."""
+        if self.state is ProposerState.IDLE:
+            return min(self._release.next_s(), self.next_attempt_s + delay_s)
+        if self.state is ProposerState.HOLDING:
+            return min(self.until_s, self._renewal_s, self._resend_s)
+        return min(self._release.next_s(), self._resend_s, self._phase_deadline_s)
+
+    def tick(self, now_s: float, delay_s: float) -> list[Action]:
+        """Do what is due; an idle proposer begins `delay_s` after `next_attempt_s` (infinite: never)."""
+        actions = self._expire(now_s)
+        if (release := self._release.due_message(now_s)) is not None:
+            actions += self._to_acceptors(release)
+        match self.state:
+            case ProposerState.IDLE if now_s >= self.next_attempt_s + delay_s:
+                actions += self._begin_prepare(now_s)
+            case ProposerState.PREPARING | ProposerState.PROPOSING if now_s >= self._phase_deadline_s:
+                actions += self._fail_attempt(now_s)
+            case ProposerState.HOLDING if now_s >= self._renewal_s:
+                actions += self._send_full_round(now_s)
+            case ProposerState.PREPARING if now_s >= self._resend_s:
+                actions += self._send_prepare(now_s, self._responses.unanswered(now_s))
+            case ProposerState.PROPOSING | ProposerState.HOLDING if now_s >= self._resend_s:
+                actions += self._resend_propose(now_s)
+        return actions
+
+    def receive(self, now_s: float, sender: str, message: ProposerMessage) -> list[Action]:
+        """Handle a message to proposers; all but `LeaseReleased` are responses of acceptors."""
+        actions = self._expire(now_s)
+        match message:
+            case LeaseReleased():
+                actions += self._on_released(now_s, sender, message)
+            case _ if sender not in self._terms.acceptors or message.start_number != self._start_number:
+                pass  # of no acceptor, or to a predecessor of this process
+            case PrepareResponse():
+                actions += self._on_prepare_response(now_s, sender, message)
+            case ProposeAccepted():
+                actions += self._on_accepted(now_s, sender, message)
+            case Rejected():
+                actions += self._on_rejected(now_s, sender, message)
+        return actions
+
+    def end(self, now_s: float, reason: LeaseEvent, idle_s: float) -> list[Action]:
+        """End the holding or the attempt, release the duty, and stay idle for a time."""
+        actions: list[Action] = []
+        if self.state is ProposerState.HOLDING:
+            actions.append(LeaseEnded(self.duty, self.token, reason))
+        return actions + self._abandon(now_s, idle_s)
+
+    def _abandon(self, now_s: float, idle_s: float) -> list[Action]:
+        """Release what acceptors may have locked, and become idle."""
+        actions: list[Action] = []
+        if self.state in (ProposerState.PROPOSING, ProposerState.HOLDING):
+            release = self._requests.release(self.token)
+            self._release.begin(now_s, release)
+            actions = self._to_acceptors(release)
+        self._become_idle(now_s + idle_s)
+        return actions
+
+    def _become_idle(self, next_attempt_s: float) -> None:
+        self.state = ProposerState.IDLE
+        self.next_attempt_s = next_attempt_s
+        self.until_s = float("-inf")
+        self.duty_released = False
+        self.nominated = False
+        self._rounds.clear()
 
     def _expire(self, now_s: float) -> list[Action]:
-        """End what ran out, before anything else is done: the process may have stood still."""
-        if self.phase is not Phase.HOLD or now_s < self.until_s:
+        """End an expired holding before anything else is done: the process may have been suspended."""
+        if self.state is not ProposerState.HOLDING or now_s < self.until_s:
             return []
-        return self.end(now_s, "expired", self._random.uniform(*RETRY_S))
-
-    def _retry(self, now_s: float) -> list[Action]:
-        times = RETRY_TIMES[min(self._misses, len(RETRY_TIMES) - 1)]
-        self._misses += 1
-        return self.end(now_s, "", times * self._random.uniform(*RETRY_S))
+        return self.end(now_s, LeaseEvent.EXPIRED, self._backoff.base_delay_s())
 
-    def _to_voters(self, message: msgspec.Struct) -> list[Action]:
-        return [SendMessage(each, message) for each in self._terms.voters]
+    def _fail_attempt(self, now_s: float) -> list[Action]:
+        return self._abandon(now_s, self._backoff.failure_delay_s())
 
-    def _unanswered(self, now_s: float) -> list[str]:
-        """Voters to ask again: silent ones, and those whose reason to refuse is over."""
-        settled = {*self._promised, *(each for each, until_s in self._refused.items() if now_s < until_s)}
-        return [each for each in self._terms.voters if each not in settled]
+    def _to_acceptors(self, message: msgspec.Struct) -> list[Action]:
+        return [SendMessage(acceptor, message) for acceptor in self._terms.acceptors]
 
-    def _question(self) -> Ask:
-        return Ask(self.duty, self._start, self._ask, self.hinted, self._terms.digest)
+    def _begin_prepare(self, now_s: float) -> list[Action]:
+        self.state = ProposerState.PREPARING
+        self._prepare_number += 1
+        self._responses.clear()
+        self._phase_deadline_s = now_s + PHASE_TIMEOUT_S
+        return self._send_prepare(now_s, self._terms.acceptors)
 
-    def _offer(self) -> Take:
-        lease_ms = round(self._terms.lease_s * 1000)
-        held = self.phase is Phase.HOLD
-        return Take(self.duty, self._start, self.token, self._round, lease_ms, held, self._terms.digest)
-
-    def _begin_ask(self, now_s: float) -> list[Action]:
-        self.phase, self._ask = Phase.ASK, self._ask + 1
-        self._promised.clear()
-        self._refused.clear()
+    def _send_prepare(self, now_s: float, acceptors: Iterable[str]) -> list[Action]:
         self._resend_s = now_s + self._random.uniform(*RESEND_S)
-        self._give_up_s = now_s + GIVE_UP_S
-        return self._to_voters(self._question())
-
-    def _send_full(self, now_s: float) -> list[Action]:
-        self._full_s, self._extend_s = now_s, now_s + EXTEND * self._terms.lease_s
-        return self._send_round(now_s, self._terms.voters)
+        request = self._requests.prepare(self._prepare_number, self.nominated)
+        return [SendMessage(acceptor, request) for acceptor in acceptors]
+
+    def _begin_propose(self, now_s: float) -> list[Action]:
+        self.state = ProposerState.PROPOSING
+        self._highest_token += 1
+        self.token = self._highest_token
+        self._responses.clear_rejections()
+        self._phase_deadline_s = now_s + PHASE_TIMEOUT_S
+        return self._send_full_round(now_s)
+
+    def _send_full_round(self, now_s: float) -> list[Action]:
+        """Propose to, or renew at, all acceptors."""
+        self._rounds.begin_full_round(now_s)
+        self._renewal_s = now_s + RENEWAL_FRACTION * self._terms.lease_s
+        return self._send_round(now_s, self._terms.acceptors)
+
+    def _resend_propose(self, now_s: float) -> list[Action]:
+        """Send a round to those that have not granted since the last full one, until a majority has."""
+        self._resend_s = now_s + self._random.uniform(*RESEND_S)  # `_send_round` draws it anew
+        missing = self._rounds.missing_grants()
+        if len(missing) > len(self._terms.acceptors) - self._terms.majority:
+            return self._send_round(now_s, missing)
+        self._resend_s = self._renewal_s
+        return []
 
-    def _send_round(self, now_s: float, voters: Iterable[str]) -> list[Action]:
-        self._round += 1
-        self._sent_s[self._round] = now_s
-        self._sent_s.pop(self._round - ROUNDS, None)
+    def _send_round(self, now_s: float, acceptors: Iterable[str]) -> list[Action]:
+        self._rounds.begin_round(now_s)
         self._resend_s = now_s + self._random.uniform(*RESEND_S)
-        return [SendMessage(each, self._offer()) for each in voters]
+        holding = self.state is ProposerState.HOLDING
+        request = self._requests.propose(self.token, self._rounds.round_number, renewal=holding)
+        return [SendMessage(acceptor, request) for acceptor in acceptors]
 
-    def _taken(self, now_s: float, sender: str, message: Taken) -> list[Action]:
-        sent_s = self._sent_s.get(message.round)
-        if sent_s is None or message.token != self.token:
+    def _on_prepare_response(self, now_s: float, sender: str, message: PrepareResponse) -> list[Action]:
+        if self.state is not ProposerState.PREPARING or message.prepare_number != self._prepare_number:
             return []
-        self._taken_s[sender] = max(sent_s, self._taken_s.get(sender, sent_s))
-        if len(self._taken_s) < self._terms.majority:
+        self._highest_token = max(self._highest_token, message.highest_token)
+        self._responses.add_prepared(sender)
+        return self._begin_propose(now_s) if self._responses.majority_prepared() else []
+
+    def _on_accepted(self, now_s: float, sender: str, message: ProposeAccepted) -> list[Action]:
+        if message.token != self.token or not self._rounds.accept(sender, message.round_number):
             return []
-        least_s = sorted(self._taken_s.values(), reverse=True)[self._terms.majority - 1]
-        until_s = least_s + self._terms.held_s
-        if now_s >= until_s:
+        lease_end_s = self._rounds.lease_end_s()
+        if lease_end_s is None or now_s >= lease_end_s:
             return []
-        self.until_s = max(self.until_s, until_s)
-        if self.phase is not Phase.TAKE:
+        self.until_s = max(self.until_s, lease_end_s)
+        if self.state is not ProposerState.PROPOSING:
             return []
-        self.phase, self.holder, self._misses = Phase.HOLD, self._name, 0
+        self.state = ProposerState.HOLDING
+        self.holder = self._name
+        self._backoff.reset()
         return [LeaseAcquired(self.duty, self.token, self.until_s)]
 
-    def _is_refused(self, now_s: float, sender: str, message: Refused) -> list[Action]:
-        mine = message.ask == self._ask if message.ask else message.token == self.token
-        if not mine or self.phase is not (Phase.ASK if message.ask else Phase.TAKE):
+    def _on_rejected(self, now_s: float, sender: str, message: Rejected) -> list[Action]:
+        if not self._is_current(message):
             return []
-        self._top = max(self._top, message.top)
-        self._refused[sender] = now_s + message.left_ms / 1000
+        self._highest_token = max(self._highest_token, message.highest_token)
+        self._responses.add_rejection(sender, now_s + message.remaining_ms / 1000)
         self.holder = message.holder or self.holder
-        if len(self._refused) <= len(self._terms.voters) - self._terms.majority:
+        if not self._responses.majority_impossible():
             return []
-        if self.phase is Phase.TAKE:
-            return self._retry(now_s)
-        self._misses = 0
-        needed = self._terms.majority - len(self._promised)
-        free_s = sorted(self._refused.values())[needed - 1]
-        let_go = [SendMessage(each, Release(self.duty, self._start, self.token)) for each in self._promised]
-        self._rest(free_s + self._random.uniform(0, AGAIN_S))
-        return [*let_go]  # what they keep for this member would only be in others' way
-
-    def _freed(self, now_s: float, sender: str, message: Freed) -> list[Action]:
-        """Seek at once, or ask this voter again, where its refusal was of the holding that ended."""
-        if message.token >= self._top:
+        if self.state is ProposerState.PROPOSING:
+            return self._fail_attempt(now_s)
+        return self._wait_for_holder()
+
+    def _is_current(self, message: Rejected) -> bool:
+        """Whether the message rejects the request of the phase that the proposer is in."""
+        if message.prepare_number:
+            return self.state is ProposerState.PREPARING and message.prepare_number == self._prepare_number
+        return self.state is ProposerState.PROPOSING and message.token == self.token
+
+    def _wait_for_holder(self) -> list[Action]:
+        """Become idle until a majority may be free; release reservations, which would only hinder others."""
+        self._backoff.reset()
+        release = self._requests.release(self.token)
+        actions: list[Action] = [SendMessage(acceptor, release) for acceptor in self._responses.prepared()]
+        self._become_idle(self._responses.majority_free_s() + self._random.uniform(0, REJECTED_JITTER_S))
+        return actions
+
+    def _on_released(self, now_s: float, sender: str, message: LeaseReleased) -> list[Action]:
+        """Seek at once, or repeat the prepare request where this acceptor rejected for that holding."""
+        if message.token >= self._highest_token:
             self.holder = ""
-        if self.phase is Phase.REST:
-            wait_s = 0.0 if message.follow else self._random.uniform(*FREED_S)
-            self.due_s = min(self.due_s, now_s + wait_s)
-            self.hinted, self.freed = self.hinted or message.follow, True
-        elif self.phase is Phase.ASK and self._refused.pop(sender, None) is not None:
-            return [SendMessage(sender, self._question())]
+        if self.state is ProposerState.IDLE:
+            delay_s = 0.0 if message.nominated_successor else self._random.uniform(*RELEASED_DELAY_S)
+            self.next_attempt_s = min(self.next_attempt_s, now_s + delay_s)
+            self.nominated = self.nominated or message.nominated_successor
+            self.duty_released = True
+        elif self.state is ProposerState.PREPARING and self._responses.withdraw_rejection(sender):
+            return [SendMessage(sender, self._requests.prepare(self._prepare_number, self.nominated))]
         return []
--- a/ringledge/decide/leases/recovery.py
+++ b/ringledge/decide/leases/recovery.py
@@ -1,72 +1,105 @@
-"""How a voter that started comes to vote again, without a disk.
+"""How a restarted acceptor regains what it needs to vote, without a disk.
 
-First it is silent for the longest lease, so that what its predecessor locked has run out. Then it asks the
-other voters, and votes once it knows a token that is not below any that was ever begun:
+First it is silent for the longest lease, so that every lock of its predecessor has expired. Then it requests
+the state of the other acceptors, and becomes active once it knows a token not below any that was ever begun:
 
-- a majority of voters answered that are active: one of them knows the highest, or
-- every voter answered, active or not: then either one of the majority that took the highest token still
-  runs, or all of that majority have started since, and the sum of all voters' starts, which heads the token,
-  has grown.
+- a majority of acceptors responded that are active: one of them knows the highest token, or
+- every acceptor responded, active or not: then either one of the majority that accepted the highest token
+  still runs, or all of that majority have restarted since, and the sum of all acceptors' start numbers, which
+  heads the token, has grown.
 
-Rests on: start numbers of a name grow; a name is one process at a time; fewer than 2**COUNT_BITS holdings of
-a duty for each unit by which the sum of starts grows. Why it is enough: docs/design/coordination-leases.md.
+Relies on: start numbers of a name grow; a name is one process at a time; fewer than 2**COUNTER_BITS holdings
+of a duty for each unit by which the sum of start numbers grows. Proof: docs/design/coordination-leases.md.
 """
 
 from __future__ import annotations
 
 from ringledge.decide.interface import Action, SendMessage
-from ringledge.decide.leases.messages import MOST_START, Known, Learn, LeaseTerms
+from ringledge.decide.leases.messages import (
+    START_NUMBER_LIMIT,
+    LeaseTerms,
+    StateTransferRequest,
+    StateTransferResponse,
+)
 
-ASK_AGAIN_S = 0.3  # a question or its answer is lost at times
+RETRY_INTERVAL_S = 0.3  # of state transfer requests: a request or its response is lost at times
 
 
-class Learning:
-    """Silent, then learning, then active; `base` is the least that any further token has to be above."""
+class AcceptorRecovery:
+    """The recovery of one acceptor: silent, then requesting state, then active."""
 
-    def __init__(self, now_s: float, name: str, start: int, terms: LeaseTerms) -> None:
-        if not 0 <= start < MOST_START:
-            raise ValueError(f"start: 0 to {MOST_START - 1}, such as milliseconds since 1970")
-        self._name, self._start, self._terms = name, start, terms
-        self._silent_until_s = now_s + terms.silence_s
-        self._ask_s = self._silent_until_s
-        self._heard: dict[str, Known] = {}
+    def __init__(self, now_s: float, name: str, start_number: int, terms: LeaseTerms) -> None:
+        if not 0 <= start_number < START_NUMBER_LIMIT:
+            raise ValueError(f"start: 0 to {START_NUMBER_LIMIT - 1}, such as milliseconds since 1970")
+        self._name = name
+        self._start_number = start_number
+        self._terms = terms
+        self._silent_until_s = now_s + terms.startup_silence_s
+        self._next_request_s = self._silent_until_s
+        self._responses: dict[str, StateTransferResponse] = {}  # the latest, by acceptor
         self.active = False
-        self.base = 0
+        # Invariant: once active, not below any token that any predecessor of this acceptor accepted.
+        self.token_floor = 0
 
-    def silent(self, now_s: float) -> None:
-        """Begin the silence now: only from here on nobody else can vote under this name."""
-        self._silent_until_s = self._ask_s = now_s + self._terms.silence_s
+    def restart_silence(self, now_s: float) -> None:
+        """Begin the silence now: only from here on no other process can vote under this name."""
+        self._silent_until_s = now_s + self._terms.startup_silence_s
+        self._next_request_s = self._silent_until_s
 
-    def receive(self, now_s: float, sender: str, message: Learn | Known, top: int) -> list[Action]:
-        """Take a message between voters; `top`: the highest token that this voter took itself."""
-        if now_s < self._silent_until_s or sender not in self._terms.voters:
+    def receive(
+        self,
+        now_s: float,
+        sender: str,
+        message: StateTransferRequest | StateTransferResponse,
+        highest_token: int,
+    ) -> list[Action]:
+        """Handle a message between acceptors; `highest_token`: that this acceptor accepted itself."""
+        if now_s < self._silent_until_s or sender not in self._terms.acceptors:
             return []
-        if isinstance(message, Learn):
-            known = Known(message.start, self._start, self.active, max(self.base, top), message.terms)
-            return [SendMessage(sender, known)]
-        if not self.active and message.echo == self._start and sender != self._name:
-            self._heard[sender] = message
-            self._conclude()
+        match message:
+            case StateTransferRequest():
+                return [SendMessage(sender, self._response(message, highest_token))]
+            case StateTransferResponse():
+                self._on_response(sender, message)
         return []
 
-    def _conclude(self) -> None:
-        """Begin to vote, where enough is known."""
-        heard = self._heard.values()
-        top = max(each.top for each in heard)
-        if sum(each.active for each in heard) >= self._terms.majority:
-            self.base, self.active = max(self.base, top), True
-        elif len(heard) == len(self._terms.voters) - 1:
-            floor = self._terms.floor(self._start + sum(each.start for each in heard))
-            self.base, self.active = max(self.base, top, floor), True
-
     def tick(self, now_s: float) -> list[Action]:
-        """Ask those who haven't answered; who wasn't active may be by now."""
-        if self.active or now_s < self._ask_s:
+        """Request the state of all other acceptors; one that was not active may be by now."""
+        if self.active or now_s < self._next_request_s:
             return []
-        self._ask_s = now_s + ASK_AGAIN_S
-        others = (each for each in self._terms.voters if each != self._name)
-        return [SendMessage(each, Learn(self._start, self._terms.digest)) for each in others]
+        self._next_request_s = now_s + RETRY_INTERVAL_S
+        request = StateTransferRequest(self._start_number, self._terms.digest)
+        others = (acceptor for acceptor in self._terms.acceptors if acceptor != self._name)
+        return [SendMessage(acceptor, request) for acceptor in others]
 
     def next_s(self) -> float:
-        """When the next call of `tick` is wanted."""
-        return float("inf") if self.active else self._ask_s
+        """When the next call of `tick` is needed."""
+        return float("inf") if self.active else self._next_request_s
+
+    def _response(self, request: StateTransferRequest, highest_token: int) -> StateTransferResponse:
+        return StateTransferResponse(
+            request.start_number,
+            self._start_number,
+            self.active,
+            max(self.token_floor, highest_token),
+            request.terms_digest,
+        )
+
+    def _on_response(self, sender: str, message: StateTransferResponse) -> None:
+        if self.active or message.requester_start_number != self._start_number or sender == self._name:
+            return
+        self._responses[sender] = message
+        self._activate_if_recovered()
+
+    def _activate_if_recovered(self) -> None:
+        """Become active, where the responses tell a token not below any that was begun."""
+        responses = self._responses.values()
+        highest_token = max(response.highest_token for response in responses)
+        if sum(response.active for response in responses) >= self._terms.majority:
+            self.token_floor = max(self.token_floor, highest_token)
+            self.active = True
+        elif len(responses) == len(self._terms.acceptors) - 1:
+            start_numbers = sum(response.start_number for response in responses)
+            restart_floor = self._terms.token_floor(self._start_number + start_numbers)
+            self.token_floor = max(self.token_floor, highest_token, restart_floor)
+            self.active = True
--- a/ringledge/decide/rendezvous.py
+++ b/ringledge/decide/rendezvous.py
@@ -1,4 +1,4 @@
-"""Highest random weight: who of some takes a thing, agreed by all who know the same ones, without a word."""
+"""Rendezvous hashing (highest random weight): members that know the same names agree without messages."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from hashlib import blake2b
 
 
-def weight(thing: str, name: str) -> int:
-    """64 bits, evenly spread over pairs; Thaler and Ravishankar 1998."""
-    return int.from_bytes(blake2b(f"{thing}\0{name}".encode(), digest_size=8).digest(), "big")
+def weight(key: str, name: str) -> int:
+    """64 bits, evenly distributed over pairs; Thaler and Ravishankar 1998."""
+    return int.from_bytes(blake2b(f"{key}\0{name}".encode(), digest_size=8).digest(), "big")
 
 
-def ranked(thing: str, names: Iterable[str]) -> list[str]:
-    """The names, the first to take the thing first; one that goes moves what it had, and nothing else."""
-    return sorted(names, key=lambda name: (weight(thing, name), name), reverse=True)
+def ranked(key: str, names: Iterable[str]) -> list[str]:
+    """The names by descending weight; a name that disappears moves its own keys and no others."""
+    return sorted(names, key=lambda name: (weight(key, name), name), reverse=True)
--- a/ringledge/lifecycle/components/duties.py
+++ b/ringledge/lifecycle/components/duties.py
@@ -7,8 +7,8 @@
 
 import anyio
 
-from ringledge.decide.leases.manager import MESSAGES, Leases
-from ringledge.decide.leases.recovery import Learning
+from ringledge.decide.leases.manager import MESSAGES, LeaseManager
+from ringledge.decide.leases.recovery import AcceptorRecovery
 from ringledge.decide.membership.swim import Change, Restarted
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.shared import Part, Shared
@@ -27,27 +27,29 @@
         raise ConfigError("duties.toml: members.toml has to be enabled, too")
     members = fleet.members
     me = members.membership.me
-    leases = Leases(now_s(), me.name, me.start, told.terms(), random.Random(), told.spread())
+    leases = LeaseManager(
+        now_s(), me.name, me.start, told.terms(), random.Random(), told.acquisition_delays()
+    )
     duties = Duties(fleet.duties, leases, shared.tasks, lambda duty: give_up(duty), now_s)
 
     def give_up(duty: str) -> None:
         if members.service is not None:
-            members.service.act(leases.give_up(now_s(), duty))
+            members.service.act(leases.release(now_s(), duty))
 
     def changed(change: Change) -> None:
-        leases.alive(each.name for each in members.membership.alive())
+        leases.set_live_members(each.name for each in members.membership.alive())
         if isinstance(change, Restarted) and members.service is not None:
             # Our wall clock had stepped back: under so low a start no vote may be given and no duty held.
             members.service.act(leases.stop(now_s()))
 
     def bound() -> None:
         # A predecessor that hands over votes until it lets the address go; what it locked has to run out.
-        if leases.voter is not None:
-            leases.voter.learning.silent(now_s())
+        if leases.acceptor is not None:
+            leases.acceptor.recovery.restart_silence(now_s())
 
     def ready() -> None:
         for duty in fleet.duties:
-            leases.want(now_s(), duty)
+            leases.start_seeking(now_s(), duty)
         if members.service is not None:
             members.service.wake()
 
@@ -57,8 +59,8 @@
         await duties.stopped()
 
     def start() -> None:
-        if leases.voter is not None:
-            shared.tasks.start_soon(_tell_voting, leases.voter.learning)
+        if leases.acceptor is not None:
+            shared.tasks.start_soon(_tell_voting, leases.acceptor.recovery)
 
     fleet.give_up = give_up
     members.add("leases", ClockAdapter(leases, now_s, time.monotonic), MESSAGES)
@@ -68,9 +70,9 @@
     return Part(start=start, ready=ready, stop=stop)
 
 
-async def _tell_voting(learning: Learning) -> None:
+async def _tell_voting(recovery: AcceptorRecovery) -> None:
     """Say once that this voter votes: until then no other one should be restarted."""
     began_s = time.monotonic()
-    while not learning.active:
+    while not recovery.active:
         await anyio.sleep(LOOK_S)
     log.info("voting", after_s=round(time.monotonic() - began_s, 2))
--- a/ringledge/members/duty_settings.py
+++ b/ringledge/members/duty_settings.py
@@ -1,4 +1,4 @@
-"""What deploy/duties.toml may say."""
+"""The settings in deploy/duties.toml."""
 
 from __future__ import annotations
 
@@ -7,33 +7,40 @@
 import msgspec
 from msgspec import Meta
 
-from ringledge.decide.leases.manager import Spread
-from ringledge.decide.leases.messages import MOST_GENERATION, MOST_NAME, LeaseTerms
+from ringledge.decide.leases.acquisition import AcquisitionDelays
+from ringledge.decide.leases.messages import MAX_GENERATION, MAX_NAME_BYTES, LeaseTerms
 
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
+LeaseSeconds = Annotated[float, Meta(ge=0.5, le=60)]
 
 
 class DutiesConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who votes, for how long a duty is held, and how far clocks may be off."""
-
-    voters: Annotated[list[Name], Meta(min_length=3, max_length=5)]
-    generation: Annotated[int, Meta(ge=1, le=MOST_GENERATION)] = 1
-    lease_s: Annotated[float, Meta(ge=0.5, le=60)] = 3.0
-    longest_s: Annotated[float, Meta(ge=0.5, le=60)] | None = None  # lease_s, where it isn't given
-    rate: Annotated[float, Meta(ge=0, le=0.5)] = 0.1
-    candidates: Annotated[int, Meta(ge=2, le=200)] = 5
-    overloaded_s: Annotated[float, Meta(ge=0, le=3600)] = 10.0
+    """Who the acceptors are, how long a lease lasts, and how far clocks may drift."""
+
+    acceptors: Annotated[list[Name], Meta(min_length=3, max_length=5)] = msgspec.field(name="voters")
+    generation: Annotated[int, Meta(ge=1, le=MAX_GENERATION)] = 1
+    lease_s: LeaseSeconds = 3.0
+    max_lease_s: LeaseSeconds | None = msgspec.field(name="longest_s", default=None)  # None: lease_s
+    clock_drift: Annotated[float, Meta(ge=0, le=0.5)] = msgspec.field(name="rate", default=0.1)
+    max_candidates: Annotated[int, Meta(ge=2, le=200)] = msgspec.field(name="candidates", default=5)
+    overloaded_delay_s: Annotated[float, Meta(ge=0, le=3600)] = msgspec.field(
+        name="overloaded_s", default=10.0
+    )
 
     def __post_init__(self) -> None:
-        self.terms()  # says what is wrong with them
-        if any(len(each.encode()) > MOST_NAME for each in self.voters):
-            raise ValueError(f"voters: names of at most {MOST_NAME} bytes")
+        self.terms()  # raises ValueError where they are inconsistent
+        if any(len(name.encode()) > MAX_NAME_BYTES for name in self.acceptors):
+            raise ValueError(f"voters: names of at most {MAX_NAME_BYTES} bytes")
 
     def terms(self) -> LeaseTerms:
         """What all members have to agree on."""
-        longest_s = self.lease_s if self.longest_s is None else self.longest_s
-        return LeaseTerms(tuple(self.voters), self.lease_s, longest_s, self.rate, self.generation)
-
-    def spread(self) -> Spread:
-        """How duties come to be spread over members."""
-        return Spread(candidates=self.candidates, overloaded_s=self.overloaded_s, rest_s=self.lease_s)
+        max_lease_s = self.lease_s if self.max_lease_s is None else self.max_lease_s
+        return LeaseTerms(tuple(self.acceptors), self.lease_s, max_lease_s, self.clock_drift, self.generation)
+
+    def acquisition_delays(self) -> AcquisitionDelays:
+        """How duties are spread over members."""
+        return AcquisitionDelays(
+            max_candidates=self.max_candidates,
+            overloaded_s=self.overloaded_delay_s,
+            after_release_s=self.lease_s,
+        )
--- a/tests/compatibility/lease_trace.py
+++ b/tests/compatibility/lease_trace.py
@@ -65,7 +65,7 @@
     process = fleet.world.processes.get(fleet.holder(fleet.duties[0]))
     if process is not None and not process.stopped:
         leases = fleet.leases[process.name]
-        process.run(lambda: process.act(leases.give_up(process.clock_s(), fleet.duties[0])))
+        process.run(lambda: process.act(leases.release(process.clock_s(), fleet.duties[0])))
 
 
 def _stand_still(fleet: _RecordedFleet, name: str, length_s: float) -> None:
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -38,6 +38,15 @@
     "TimerFired": "Timer",
     "UnreachableServers": "Unreachable",
     "WatchEndpoints": "Subscribe",
+    "PrepareRequest": "Ask",
+    "PrepareResponse": "Promise",
+    "ProposeRequest": "Take",
+    "ProposeAccepted": "Taken",
+    "Rejected": "Refused",
+    "LeaseRelease": "Release",
+    "LeaseReleased": "Freed",
+    "StateTransferRequest": "Learn",
+    "StateTransferResponse": "Known",
 }
 
 
--- a/tests/decide/leases/test_manager.py
+++ b/tests/decide/leases/test_manager.py
@@ -1,4 +1,4 @@
-"""Leases by themselves: what a voter says to each message, what fits a datagram, what a fence lets in."""
+"""The acceptor, the size of messages, the terms, and fencing, each by itself."""
 
 from __future__ import annotations
 
@@ -8,38 +8,39 @@
 import pytest
 
 from ringledge.decide.interface import MAX_DATAGRAM_BYTES, Action, SendMessage
-from ringledge.decide.leases.acceptor import MOST_DUTIES, MOST_WAITING, RESERVED_S, LeaseAcceptor
+from ringledge.decide.leases.acceptor import MAX_DUTIES, RESERVATION_S, LeaseAcceptor
+from ringledge.decide.leases.duty_locks import MAX_WAITERS
 from ringledge.decide.leases.fencing import FencingTokenCheck
-from ringledge.decide.leases.manager import Leases, LeaseTerms
+from ringledge.decide.leases.manager import LeaseManager, LeaseTerms
 from ringledge.decide.leases.messages import (
+    MAX_GENERATION,
+    MAX_NAME_BYTES,
     MESSAGES,
-    MOST_GENERATION,
-    MOST_NAME,
-    MOST_START,
-    Ask,
-    Freed,
-    Known,
-    Learn,
-    Promise,
-    Refused,
-    Release,
-    Take,
-    Taken,
+    START_NUMBER_LIMIT,
+    LeaseRelease,
+    LeaseReleased,
+    PrepareRequest,
+    PrepareResponse,
+    ProposeAccepted,
+    ProposeRequest,
+    Rejected,
+    StateTransferRequest,
+    StateTransferResponse,
 )
 
 TERMS = LeaseTerms(("a", "b", "c"))
 DIGEST = TERMS.digest
-LOCKED_S = TERMS.locked_s(3000)
+LOCKED_S = TERMS.acceptor_lock_s(3000)
 
 
 def _active(now_s: float = 0.0) -> LeaseAcceptor:
     """A voter that has learned from two that were active."""
     voter = LeaseAcceptor(now_s, "a", 5, TERMS)
-    now_s += TERMS.silence_s
+    now_s += TERMS.startup_silence_s
     voter.tick(now_s)
     for name in "bc":
-        voter.receive(now_s, name, Known(5, 5, True, 10, DIGEST))
-    assert voter.learning.active
+        voter.receive(now_s, name, StateTransferResponse(5, 5, True, 10, DIGEST))
+    assert voter.recovery.active
     return voter
 
 
@@ -49,23 +50,23 @@
     return only.message
 
 
-def _take(token: int, held: bool = False, start: int = 1) -> Take:
-    return Take("d", start, token, 1, 3000, held, DIGEST)
+def _take(token: int, held: bool = False, start: int = 1) -> ProposeRequest:
+    return ProposeRequest("d", start, token, 1, 3000, held, DIGEST)
 
 
 def test_every_message_fits_with_the_longest_names_and_the_highest_numbers() -> None:
-    name, start, token, digest = "n" * MOST_NAME, MOST_START - 1, 2**63 - 1, 2**32 - 1
+    name, start, token, digest = "n" * MAX_NAME_BYTES, START_NUMBER_LIMIT - 1, 2**63 - 1, 2**32 - 1
     many = 10**9
     longest = (
-        Ask(name, start, many, True, digest),
-        Promise(name, start, many, token),
-        Take(name, start, token, many, 60_000, True, digest),
-        Taken(name, start, token, many),
-        Refused(name, start, many, token, token, name, 66_000),
-        Release(name, start, token),
-        Freed(name, token, True),
-        Learn(start, digest),
-        Known(start, start, True, token, digest),
+        PrepareRequest(name, start, many, True, digest),
+        PrepareResponse(name, start, many, token),
+        ProposeRequest(name, start, token, many, 60_000, True, digest),
+        ProposeAccepted(name, start, token, many),
+        Rejected(name, start, many, token, token, name, 66_000),
+        LeaseRelease(name, start, token),
+        LeaseReleased(name, token, True),
+        StateTransferRequest(start, digest),
+        StateTransferResponse(start, start, True, token, digest),
     )
     assert {type(each) for each in longest} == {*MESSAGES}
     sizes = {type(each).__name__: len(msgspec.msgpack.encode(each)) for each in longest}
@@ -73,108 +74,128 @@
 
 
 def test_the_highest_token_fits_a_signed_number_of_64_bits() -> None:
-    terms = LeaseTerms(("a", "b", "c", "d", "e"), generation=MOST_GENERATION)
-    assert terms.floor(5 * (MOST_START - 1)) < 2**63
-    later = LeaseTerms(terms.voters, generation=2)
-    assert later.floor(0) > LeaseTerms(terms.voters).floor(5 * (MOST_START - 1))
+    terms = LeaseTerms(("a", "b", "c", "d", "e"), generation=MAX_GENERATION)
+    assert terms.token_floor(5 * (START_NUMBER_LIMIT - 1)) < 2**63
+    later = LeaseTerms(terms.acceptors, generation=2)
+    assert later.token_floor(0) > LeaseTerms(terms.acceptors).token_floor(5 * (START_NUMBER_LIMIT - 1))
 
 
 def test_a_voter_that_started_says_nothing_for_the_longest_lease_and_nothing_to_seekers_till_it_knows() -> (
     None
 ):
     voter = LeaseAcceptor(0.0, "a", 5, TERMS)
-    almost_s = TERMS.silence_s - 0.001
-    for message in (Ask("d", 1, 1, False, DIGEST), _take(9), Learn(7, DIGEST), Known(5, 5, True, 9, DIGEST)):
+    almost_s = TERMS.startup_silence_s - 0.001
+    for message in (
+        PrepareRequest("d", 1, 1, False, DIGEST),
+        _take(9),
+        StateTransferRequest(7, DIGEST),
+        StateTransferResponse(5, 5, True, 9, DIGEST),
+    ):
         assert voter.receive(almost_s, "b", message) == []
     assert voter.tick(almost_s) == []
     now_s = voter.next_s()
-    assert now_s == TERMS.silence_s
+    assert now_s == TERMS.startup_silence_s
     assert [each.recipient for each in voter.tick(now_s) if isinstance(each, SendMessage)] == ["b", "c"]
-    assert voter.receive(now_s, "x", Ask("d", 1, 1, False, DIGEST)) == []
-    assert _said(voter.receive(now_s, "b", Learn(7, DIGEST))) == Known(7, 5, False, 0, DIGEST)
-    voter.receive(now_s, "b", Known(5, 3, True, 9, DIGEST))
-    assert voter.receive(now_s, "x", Ask("d", 1, 1, False, DIGEST)) == []  # one that is active is no majority
-    voter.receive(now_s, "c", Known(4, 3, True, 99, DIGEST))  # meant for its predecessor
-    assert voter.receive(now_s, "x", Ask("d", 1, 1, False, DIGEST)) == []
-    voter.receive(now_s, "c", Known(5, 3, True, 8, DIGEST))
-    assert _said(voter.receive(now_s, "x", Ask("d", 1, 1, False, DIGEST))) == Promise("d", 1, 1, 9)
+    assert voter.receive(now_s, "x", PrepareRequest("d", 1, 1, False, DIGEST)) == []
+    assert _said(voter.receive(now_s, "b", StateTransferRequest(7, DIGEST))) == StateTransferResponse(
+        7, 5, False, 0, DIGEST
+    )
+    voter.receive(now_s, "b", StateTransferResponse(5, 3, True, 9, DIGEST))
+    assert (
+        voter.receive(now_s, "x", PrepareRequest("d", 1, 1, False, DIGEST)) == []
+    )  # one that is active is no majority
+    voter.receive(now_s, "c", StateTransferResponse(4, 3, True, 99, DIGEST))  # meant for its predecessor
+    assert voter.receive(now_s, "x", PrepareRequest("d", 1, 1, False, DIGEST)) == []
+    voter.receive(now_s, "c", StateTransferResponse(5, 3, True, 8, DIGEST))
+    assert _said(voter.receive(now_s, "x", PrepareRequest("d", 1, 1, False, DIGEST))) == PrepareResponse(
+        "d", 1, 1, 9
+    )
 
 
 def test_voters_that_all_started_go_on_above_what_their_starts_add_up_to() -> None:
     voter = LeaseAcceptor(0.0, "a", 5, TERMS)
-    now_s = TERMS.silence_s
-    voter.receive(now_s, "b", Known(5, 100, False, 0, DIGEST))
-    assert not voter.learning.active
-    voter.receive(now_s, "c", Known(5, 1000, False, 0, DIGEST))
-    assert voter.learning.base == TERMS.floor(1105) > TERMS.floor(1104) + 4000
+    now_s = TERMS.startup_silence_s
+    voter.receive(now_s, "b", StateTransferResponse(5, 100, False, 0, DIGEST))
+    assert not voter.recovery.active
+    voter.receive(now_s, "c", StateTransferResponse(5, 1000, False, 0, DIGEST))
+    assert voter.recovery.token_floor == TERMS.token_floor(1105) > TERMS.token_floor(1104) + 4000
 
 
 def test_locked_for_one_until_the_lock_runs_out_and_then_above_the_highest_only() -> None:
     voter = _active(0.0)
-    now_s = TERMS.silence_s
-    assert isinstance(_said(voter.receive(now_s, "x", _take(11))), Taken)
+    now_s = TERMS.startup_silence_s
+    assert isinstance(_said(voter.receive(now_s, "x", _take(11))), ProposeAccepted)
     refused = _said(voter.receive(now_s + LOCKED_S - 0.01, "y", _take(99)))
-    assert isinstance(refused, Refused)
-    assert (refused.holder, refused.top) == ("x", 11)
-    assert 0 < refused.left_ms <= 11
-    assert isinstance(_said(voter.receive(now_s + LOCKED_S - 0.01, "x", _take(99, start=2))), Refused)
+    assert isinstance(refused, Rejected)
+    assert (refused.holder, refused.highest_token) == ("x", 11)
+    assert 0 < refused.remaining_ms <= 11
+    assert isinstance(_said(voter.receive(now_s + LOCKED_S - 0.01, "x", _take(99, start=2))), Rejected)
     low = _said(voter.receive(now_s + LOCKED_S, "y", _take(11)))
-    assert isinstance(low, Refused)
-    assert low.left_ms == 0
-    assert isinstance(_said(voter.receive(now_s + LOCKED_S, "y", _take(12))), Taken)
+    assert isinstance(low, Rejected)
+    assert low.remaining_ms == 0
+    assert isinstance(_said(voter.receive(now_s + LOCKED_S, "y", _take(12))), ProposeAccepted)
 
 
 def test_a_holder_goes_on_at_a_voter_that_does_not_know_it_and_a_late_take_of_an_ended_one_does_not() -> None:
-    voter, now_s = _active(0.0), TERMS.silence_s
-    assert isinstance(_said(voter.receive(now_s, "x", _take(7))), Refused)
-    assert isinstance(_said(voter.receive(now_s, "x", _take(7, held=True))), Taken)
-    refused = _said(voter.receive(now_s, "y", Ask("d", 1, 1, False, DIGEST)))
-    assert isinstance(refused, Refused)
-    assert refused.top == 10  # what it learned, above the holder's
-    assert _said(voter.receive(now_s, "x", Release("d", 1, 7))) == Freed("d", 7, False)
-    assert isinstance(_said(voter.receive(now_s, "x", _take(7, held=True))), Refused)
+    voter, now_s = _active(0.0), TERMS.startup_silence_s
+    assert isinstance(_said(voter.receive(now_s, "x", _take(7))), Rejected)
+    assert isinstance(_said(voter.receive(now_s, "x", _take(7, held=True))), ProposeAccepted)
+    refused = _said(voter.receive(now_s, "y", PrepareRequest("d", 1, 1, False, DIGEST)))
+    assert isinstance(refused, Rejected)
+    assert refused.highest_token == 10  # what it learned, above the holder's
+    assert _said(voter.receive(now_s, "x", LeaseRelease("d", 1, 7))) == LeaseReleased("d", 7, False)
+    assert isinstance(_said(voter.receive(now_s, "x", _take(7, held=True))), Rejected)
 
 
 def test_a_release_that_overtakes_its_take_wins_and_one_of_another_frees_nothing() -> None:
-    voter, now_s = _active(0.0), TERMS.silence_s
-    voter.receive(now_s, "x", Release("d", 1, 11))
-    assert isinstance(_said(voter.receive(now_s, "x", _take(11))), Refused)
+    voter, now_s = _active(0.0), TERMS.startup_silence_s
+    voter.receive(now_s, "x", LeaseRelease("d", 1, 11))
+    assert isinstance(_said(voter.receive(now_s, "x", _take(11))), Rejected)
     voter.receive(now_s, "y", _take(12))
-    voter.receive(now_s, "x", Release("d", 1, 13))
-    voter.receive(now_s, "y", Release("d", 2, 12))
-    assert isinstance(_said(voter.receive(now_s, "x", Ask("d", 1, 1, False, DIGEST))), Refused)
+    voter.receive(now_s, "x", LeaseRelease("d", 1, 13))
+    voter.receive(now_s, "y", LeaseRelease("d", 2, 12))
+    assert isinstance(_said(voter.receive(now_s, "x", PrepareRequest("d", 1, 1, False, DIGEST))), Rejected)
 
 
 def test_it_is_kept_for_who_asked_first_for_a_moment() -> None:
-    voter, now_s = _active(0.0), TERMS.silence_s
-    assert isinstance(_said(voter.receive(now_s, "x", Ask("d", 1, 1, False, DIGEST))), Promise)
-    refused = _said(voter.receive(now_s, "y", Ask("d", 1, 1, False, DIGEST)))
-    assert isinstance(refused, Refused)
+    voter, now_s = _active(0.0), TERMS.startup_silence_s
+    assert isinstance(
+        _said(voter.receive(now_s, "x", PrepareRequest("d", 1, 1, False, DIGEST))), PrepareResponse
+    )
+    refused = _said(voter.receive(now_s, "y", PrepareRequest("d", 1, 1, False, DIGEST)))
+    assert isinstance(refused, Rejected)
     assert refused.holder == "x"
     assert isinstance(
-        _said(voter.receive(now_s, "z", Ask("d", 1, 1, True, DIGEST))), Promise
+        _said(voter.receive(now_s, "z", PrepareRequest("d", 1, 1, True, DIGEST))), PrepareResponse
     )  # named to follow
-    voter.receive(now_s, "z", Release("d", 1, 0))  # and lets go of it
-    voter.receive(now_s, "x", Ask("d", 1, 2, False, DIGEST))
-    assert isinstance(_said(voter.receive(now_s + RESERVED_S, "y", Ask("d", 1, 1, False, DIGEST))), Promise)
+    voter.receive(now_s, "z", LeaseRelease("d", 1, 0))  # and lets go of it
+    voter.receive(now_s, "x", PrepareRequest("d", 1, 2, False, DIGEST))
+    assert isinstance(
+        _said(voter.receive(now_s + RESERVATION_S, "y", PrepareRequest("d", 1, 1, False, DIGEST))),
+        PrepareResponse,
+    )
 
 
 def test_what_a_voter_remembers_is_bounded_and_no_token_is_forgotten() -> None:
-    voter, now_s = _active(0.0), TERMS.silence_s
-    for each in range(3 * MOST_DUTIES):
-        voter.receive(now_s + 10 * each, "x", Take(f"d{each}", 1, 100 + each, 1, 3000, False, DIGEST))
-    assert len(voter._votes) <= MOST_DUTIES + 1
-    late_s = now_s + 10 * 3 * MOST_DUTIES
-    assert isinstance(_said(voter.receive(late_s, "y", Take("d0", 1, 100, 1, 3000, False, DIGEST))), Refused)
-    for each in range(2 * MOST_WAITING):
-        voter.receive(now_s, f"y{each}", Ask(f"d{3 * MOST_DUTIES - 1}", 1, 1, False, DIGEST))
-    assert all(len(vote.waiting) <= MOST_WAITING for vote in voter._votes.values())
+    voter, now_s = _active(0.0), TERMS.startup_silence_s
+    for each in range(3 * MAX_DUTIES):
+        voter.receive(
+            now_s + 10 * each, "x", ProposeRequest(f"d{each}", 1, 100 + each, 1, 3000, False, DIGEST)
+        )
+    assert len(voter._locks) <= MAX_DUTIES + 1
+    late_s = now_s + 10 * 3 * MAX_DUTIES
+    assert isinstance(
+        _said(voter.receive(late_s, "y", ProposeRequest("d0", 1, 100, 1, 3000, False, DIGEST))), Rejected
+    )
+    for each in range(2 * MAX_WAITERS):
+        voter.receive(now_s, f"y{each}", PrepareRequest(f"d{3 * MAX_DUTIES - 1}", 1, 1, False, DIGEST))
+    assert all(len(lock.waiters) <= MAX_WAITERS for lock in voter._locks.values())
 
 
 @pytest.mark.parametrize("lease_ms", [0, -1, 3001])
 def test_a_lease_that_is_none_or_beyond_the_longest_is_refused(lease_ms: int) -> None:
-    message = Take("d", 1, 11, 1, lease_ms, False, DIGEST)
-    assert isinstance(_said(_active(0.0).receive(TERMS.silence_s, "x", message)), Refused)
+    message = ProposeRequest("d", 1, 11, 1, lease_ms, False, DIGEST)
+    assert isinstance(_said(_active(0.0).receive(TERMS.startup_silence_s, "x", message)), Rejected)
 
 
 def test_terms_names_and_starts_that_do_not_hold_are_told() -> None:
@@ -182,11 +203,11 @@
         with pytest.raises(ValueError, match="voters"):
             LeaseTerms(voters)
     with pytest.raises(ValueError, match="start"):
-        Leases(0.0, "a", MOST_START, TERMS, Random(1))
+        LeaseManager(0.0, "a", START_NUMBER_LIMIT, TERMS, Random(1))
     with pytest.raises(ValueError, match="name"):
-        Leases(0.0, "ä" * 30, 1, TERMS, Random(1))
+        LeaseManager(0.0, "ä" * 30, 1, TERMS, Random(1))
     with pytest.raises(ValueError, match="duty"):
-        Leases(0.0, "x", 1, TERMS, Random(1)).want(0.0, "")
+        LeaseManager(0.0, "x", 1, TERMS, Random(1)).start_seeking(0.0, "")
 
 
 def test_a_fence_lets_the_same_and_higher_tokens_in_and_remembers_before_it_does() -> None:
@@ -194,7 +215,7 @@
     fence = FencingTokenCheck(persist=kept.__setitem__)
     assert [fence.admit("d", each) for each in (5, 5, 7, 6, 7)] == [True, True, True, False, True]
     assert fence.admit("e", 1)
-    assert (fence.refused, kept) == (1, {"d": 7, "e": 1})
+    assert (fence.rejected, kept) == (1, {"d": 7, "e": 1})
     again = FencingTokenCheck(kept)
     assert not again.admit("d", 6)
 
--- a/tests/fleet/child.py
+++ b/tests/fleet/child.py
@@ -17,7 +17,8 @@
 from typing import Any
 
 from ringledge.cli import main
-from ringledge.decide.leases.proposer import LeaseProposer, Phase
+from ringledge.decide.leases.proposer import LeaseProposer
+from ringledge.decide.leases.proposer_state import ProposerState
 from ringledge.lifecycle import components as parts
 from ringledge.lifecycle.shared import Part, Shared
 
@@ -67,7 +68,7 @@
     mutant = told.get("mutant")
     if mutant == "never_expires":  # a holder goes on by what it knew, whatever its clock says
         seeker: Any = LeaseProposer
-        seeker.token_at = lambda self, now_s: self.token if self.phase is Phase.HOLD else None
+        seeker.token_at = lambda self, now_s: self.token if self.state is ProposerState.HOLDING else None
         seeker._expire = lambda self, now_s: []
     return Part()
 
--- a/tests/fleet/test_voting.py
+++ b/tests/fleet/test_voting.py
@@ -22,11 +22,11 @@
         node, began_s = fleet.nodes["c3"], time.monotonic()
         node.__enter__()
         # It runs for longer than the silence: a silence from its start would be over.
-        fleet.receiver.until(lambda: time.monotonic() - began_s > 1.5 * terms.silence_s)
+        fleet.receiver.until(lambda: time.monotonic() - began_s > 1.5 * terms.startup_silence_s)
         predecessor.close()
         listens = node.logged("members_listen")
         fleet.links.moved("c3", listens["address"])
         votes = node.logged("voting")
-        assert votes["at"] - listens["at"] >= terms.silence_s - 0.1
+        assert votes["at"] - listens["at"] >= terms.startup_silence_s - 0.1
     finally:
         fleet.__exit__()
--- a/tests/members/test_duty_settings.py
+++ b/tests/members/test_duty_settings.py
@@ -22,8 +22,8 @@
     assert strict.read(DutiesConfig, SHIPPED) is None
     told = _read(tmp_path, SHIPPED.read_text().replace("enabled = false", "enabled = true"))
     assert told is not None
-    assert told.terms().silence_s == pytest.approx(3.3)
-    assert told.terms().held_s == pytest.approx(2.7)
+    assert told.terms().startup_silence_s == pytest.approx(3.3)
+    assert told.terms().holder_lease_s == pytest.approx(2.7)
 
 
 @pytest.mark.parametrize(
--- a/tests/simulated/cases.py
+++ b/tests/simulated/cases.py
@@ -26,7 +26,7 @@
 def give_up(held: Held, name: str) -> None:
     """Have it end the planner's duty in good order."""
     process = held.world.processes[name]
-    process.act(held.leases[name].give_up(process.clock_s(), "planner"))
+    process.act(held.leases[name].release(process.clock_s(), "planner"))
 
 
 def stopped_before_the_effect(
@@ -52,14 +52,14 @@
 
 def apart(seed: int, terms: LeaseTerms, rates: tuple[float, float] = (0.9, 1.1)) -> Held:
     """Voters that hold nothing, and x or y that does."""
-    held = Held(seed, [*terms.voters, "x", "y"], terms, rates=rates)
+    held = Held(seed, [*terms.acceptors, "x", "y"], terms, rates=rates)
     return _begun_apart(held)
 
 
 def _begun_apart(held: Held) -> Held:
     held.start_all()
-    for each in held.terms.voters:
-        held.leases[each].able(False)
+    for each in held.terms.acceptors:
+        held.leases[each].set_eligible(False)
     held.covered_within(30, ["x", "y"])
     held.world.run_for(2)
     return held
@@ -76,7 +76,7 @@
     """All voters, one after another within a lease, while the holder is well but cut off."""
     held = apart(seed, terms)
     others = cut_off(held)
-    for each in terms.voters:
+    for each in terms.acceptors:
         held.world.start(each)
         held.world.run_for(0.1)
     held.covered_within(9, others)
@@ -87,10 +87,10 @@
 def voters_restart_in_turn(seed: int, terms: LeaseTerms) -> Held:
     """Each voter restarts once the one before votes again; nobody else is heard meanwhile."""
     held = apart(seed, terms)
-    held.world.network.cut("xy", terms.voters)
-    for each in terms.voters:
+    held.world.network.cut("xy", terms.acceptors)
+    for each in terms.acceptors:
         held.world.start(each)
-        held.leases[each].drop(0, "planner")
+        held.leases[each].stop_seeking(0, "planner")
         held.world.run_for(6)
     held.world.network.heal()
     return held
@@ -98,8 +98,8 @@
 
 def rates_apart(seed: int, terms: LeaseTerms) -> Held:
     """The voters' clocks run 10% fast, the holder's 10% slow, and it is cut off."""
-    held = Held(seed, [*terms.voters, "x", "y"], terms)
-    held.world.rate_of = {**dict.fromkeys(terms.voters, 1.1), "x": 0.9, "y": 0.9}
+    held = Held(seed, [*terms.acceptors, "x", "y"], terms)
+    held.world.rate_of = {**dict.fromkeys(terms.acceptors, 1.1), "x": 0.9, "y": 0.9}
     others = cut_off(_begun_apart(held))
     held.covered_within(5, others)
     held.world.run_for(1)
@@ -110,7 +110,7 @@
     """Answers to the holder come 1.6 s late, then it is cut off, with some of them still under way."""
     held = apart(seed, terms, rates=(1.0, 1.0))
     before = held.holder()
-    held.world.network.slow_s = {(each, before): 1.6 for each in terms.voters}
+    held.world.network.slow_s = {(each, before): 1.6 for each in terms.acceptors}
     held.world.run_for(5.0)
     others = cut_off(held)
     held.covered_within(6, others)
--- a/tests/simulated/exhaustive.py
+++ b/tests/simulated/exhaustive.py
@@ -2,9 +2,9 @@
 
 A state is all five processes, the set of all datagrams ever sent, and the time. Since any datagram sent may
 arrive next, or again, or never, all losses, doubles, delays and orders are among the paths. Time goes in
-whole steps, in which no process need get its turn: one that stands still is among the paths too. The seekers'
-clocks run slow and the voters' fast, as far as the terms allow. A question (Ask, Learn) and its answer are
-one event: answers only raise the token that is tried next.
+whole steps, in which no process need get its turn: a suspended process is among the paths too. The proposers'
+clocks run slow and the acceptors' fast, as far as the terms allow. A `PrepareRequest` or a
+`StateTransferRequest` and its response are one event: a response only raises the token that is proposed next.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from ringledge.decide.interface import Action, LeaseAcquired, SendMessage
 from ringledge.decide.leases.acceptor import LeaseAcceptor
-from ringledge.decide.leases.messages import Ask, Learn, LeaseTerms
+from ringledge.decide.leases.messages import LeaseTerms, PrepareRequest, StateTransferRequest
 from ringledge.decide.leases.proposer import LeaseProposer
 
 VOTERS, SEEKERS = ("a", "b", "c"), ("x", "y")
@@ -96,7 +96,7 @@
         processes = []
         for name in VOTERS:
             voter = LeaseAcceptor(0.0, name, 1, self.terms)
-            voter.learning.active, voter.learning._silent_until_s = True, 0.0
+            voter.recovery.active, voter.recovery._silent_until_s = True, 0.0
             processes.append(self._frozen(voter))
         for name in SEEKERS:
             seeker = LeaseProposer(DUTY, name, 1, self.terms, First())  # type: ignore[arg-type]
@@ -110,7 +110,7 @@
         for number in state.sent:
             sender, to, message = self._sent[number]
             after, actions = self._event(state, to, ("hear", sender, message))
-            if isinstance(message, Ask | Learn):  # there and back in one event
+            if isinstance(message, PrepareRequest | StateTransferRequest):  # there and back in one event
                 for each in actions:
                     assert isinstance(each, SendMessage)
                     after, then = self._event(after, sender, ("hear", to, each.message))
@@ -225,8 +225,15 @@
 def starts(model: Model) -> dict[str, State]:
     """Where a search begins: a fleet at rest, and situations that lie too deep to be reached from there."""
     rest = model.first()
-    asked = walk(model, rest, "x ticks", "a hears Ask", "b hears Ask")
-    taken = walk(model, asked, "a hears Take", "b hears Take", "x hears Taken", "x hears Taken")
+    asked = walk(model, rest, "x ticks", "a hears PrepareRequest", "b hears PrepareRequest")
+    taken = walk(
+        model,
+        asked,
+        "a hears ProposeRequest",
+        "b hears ProposeRequest",
+        "x hears ProposeAccepted",
+        "x hears ProposeAccepted",
+    )
     assert taken.begun
     wanted = walk(model, taken, "y ticks")
     late = walk(model, wanted, "wait", "wait")
--- a/tests/simulated/faults.py
+++ b/tests/simulated/faults.py
@@ -44,7 +44,7 @@
     network.late = random.choice((0, 0, 0.1))
     for _ in range(random.randrange(1, 6)):
         at_s = world.true_s + random.uniform(0, BURST_S)
-        name = random.choice([*names, *held.terms.voters, *held.terms.voters])
+        name = random.choice([*names, *held.terms.acceptors, *held.terms.acceptors])
         some = random.sample(names, random.randrange(1, len(names)))
         rest = [each for each in names if each not in some]
         kind = random.choice(
@@ -56,7 +56,7 @@
         elif kind == "restart":
             world.at(at_s, partial(world.start, name))
         elif kind == "restart_all":
-            for each in held.terms.voters:
+            for each in held.terms.acceptors:
                 again_s = at_s + random.uniform(0, 2)
                 world.at(again_s, partial(world.start, each))
         elif kind == "give_up":
@@ -82,7 +82,7 @@
     process = held.world.processes.get(held.holder(held.duties[0]))
     if process is not None and not process.stopped:
         leases = held.leases[process.name]
-        process.run(lambda: process.act(leases.give_up(process.clock_s(), held.duties[0])))
+        process.run(lambda: process.act(leases.release(process.clock_s(), held.duties[0])))
 
 
 def play(seed: int, terms: LeaseTerms | None = None) -> Report:
@@ -111,5 +111,5 @@
     except BrokenError as error:
         report.broken = str(error)
     report.steps, report.begins = held.world.steps, sum(held.begins.values())
-    report.applied, report.refused = held.receiver.applied, held.receiver.fence.refused
+    report.applied, report.refused = held.receiver.applied, held.receiver.fence.rejected
     return report
--- a/tests/simulated/held.py
+++ b/tests/simulated/held.py
@@ -8,7 +8,7 @@
 
 from ringledge.decide.interface import LeaseAcquired, LeaseEnded
 from ringledge.decide.leases.fencing import FencingTokenCheck
-from ringledge.decide.leases.manager import MESSAGES, Leases, LeaseTerms
+from ringledge.decide.leases.manager import MESSAGES, LeaseManager, LeaseTerms
 from tests.simulated.world import Process, World
 
 STEP_S = 0.25  # between two effects of a holder
@@ -52,7 +52,7 @@
         self.world, self.terms, self.duties = World(seed, rates), terms, [*duties]
         self.names = [*names]
         self.receiver = Receiver(fence())
-        self.leases: dict[str, Leases] = {}
+        self.leases: dict[str, LeaseManager] = {}
         self.begun: defaultdict[str, dict[Process, int]] = defaultdict(dict)  # by duty: holders' tokens
         self.tops: Counter[str] = Counter()
         self.begins: Counter[str] = Counter()
@@ -69,10 +69,10 @@
 
     def _make(self, process: Process) -> None:
         now_s = process.clock_s()
-        leases = Leases(now_s, process.name, process.start, self.terms, self.world.random)
-        leases.alive(self.names)
+        leases = LeaseManager(now_s, process.name, process.start, self.terms, self.world.random)
+        leases.set_live_members(self.names)
         for duty in self.duties:
-            leases.want(now_s, duty)
+            leases.start_seeking(now_s, duty)
         self.leases[process.name] = leases
         process.deciders = [leases]
         process.routes = dict.fromkeys(MESSAGES, leases)
--- a/tests/simulated/mutants.py
+++ b/tests/simulated/mutants.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from ringledge.decide.leases import acceptor as lease_voter
-from ringledge.decide.leases import proposer as lease_seeker
+from ringledge.decide.leases.acceptor import LeaseAcceptor
 from ringledge.decide.leases.fencing import FencingTokenCheck
 from ringledge.decide.leases.manager import LeaseTerms
 from ringledge.decide.leases.proposer import LeaseProposer
-from ringledge.decide.leases.recovery import Learning
+from ringledge.decide.leases.proposer_state import ProposerState
+from ringledge.decide.leases.recovery import AcceptorRecovery
 from tests.simulated import cases
 
 TERMS = LeaseTerms(("a", "b", "c"))
@@ -33,15 +33,15 @@
 class Silent(LeaseTerms):
     """No silence after a start."""
 
-    silence_s = property(lambda self: 0.0)  # type: ignore[assignment]
+    startup_silence_s = property(lambda self: 0.0)  # type: ignore[assignment]
 
 
 class NoMargin(LeaseTerms):
     """As if all clocks ran alike."""
 
-    held_s = property(lambda self: self.lease_s)  # type: ignore[assignment]
+    holder_lease_s = property(lambda self: self.lease_s)  # type: ignore[assignment]
 
-    def locked_s(self, lease_ms: int) -> float:
+    def acceptor_lock_s(self, lease_ms: int) -> float:
         """No longer than the lease."""
         return lease_ms / 1000
 
@@ -55,7 +55,7 @@
 class NoStarts(LeaseTerms):
     """Tokens begin anew with the voters."""
 
-    def floor(self, starts: int) -> int:
+    def token_floor(self, start_number_sum: int) -> int:
         """As if nobody had ever started before."""
         return 0
 
@@ -63,33 +63,34 @@
 def votes_at_once(patch: Patch) -> None:
     """A voter that started doesn't learn."""
 
-    def tick(self: Learning, now_s: float) -> list[Any]:
-        self.active = self.active or now_s >= self._ask_s
+    def tick(self: AcceptorRecovery, now_s: float) -> list[Any]:
+        self.active = self.active or now_s >= self._next_request_s
         return []
 
-    patch.setattr(Learning, "tick", tick)
+    patch.setattr(AcceptorRecovery, "tick", tick)
 
 
 def _from_arrival(patch: Patch) -> None:
     """The holder's term runs from when the answer came."""
-    taken = LeaseProposer._taken
+    on_accepted = LeaseProposer._on_accepted
 
     def late(self: LeaseProposer, now_s: float, sender: str, message: Any) -> list[Any]:
-        self._sent_s = dict.fromkeys(self._sent_s, now_s)
-        return taken(self, now_s, sender, message)
+        self._rounds._sent_s = dict.fromkeys(self._rounds._sent_s, now_s)
+        return on_accepted(self, now_s, sender, message)
 
-    patch.setattr(LeaseProposer, "_taken", late)
+    patch.setattr(LeaseProposer, "_on_accepted", late)
 
 
 def _any_round(patch: Patch) -> None:
-    """An answer counts for the latest Take, whichever it names."""
-    taken = LeaseProposer._taken
+    """An answer counts for the latest ProposeRequest, whichever it names."""
+    on_accepted = LeaseProposer._on_accepted
 
     def latest(self: LeaseProposer, now_s: float, sender: str, message: Any) -> list[Any]:
-        self._sent_s = dict.fromkeys(self._sent_s, max(self._sent_s.values(), default=0.0))
-        return taken(self, now_s, sender, message)
+        sent_s = self._rounds._sent_s
+        self._rounds._sent_s = dict.fromkeys(sent_s, max(sent_s.values(), default=0.0))
+        return on_accepted(self, now_s, sender, message)
 
-    patch.setattr(LeaseProposer, "_taken", latest)
+    patch.setattr(LeaseProposer, "_on_accepted", latest)
 
 
 def _no_expiry(patch: Patch) -> None:
@@ -97,13 +98,13 @@
     patch.setattr(
         LeaseProposer,
         "token_at",
-        lambda self, now_s: self.token if self.phase is lease_seeker.Phase.HOLD else None,
+        lambda self, now_s: self.token if self.state is ProposerState.HOLDING else None,
     )
 
 
 def no_lock(patch: Patch) -> None:
     """A voter lets another take what is locked."""
-    patch.setattr(lease_voter.LeaseAcceptor, "_refuse", lambda *told: None)
+    patch.setattr(LeaseAcceptor, "_reject_unavailable", lambda *args: None)
 
 
 class Open(FencingTokenCheck):
@@ -147,13 +148,13 @@
 
 
 MUTANTS = (
-    Mutant("no silence after a restart", cases.voters_restart, terms=Silent(TERMS.voters)),
+    Mutant("no silence after a restart", cases.voters_restart, terms=Silent(TERMS.acceptors)),
     Mutant("no learning after a restart", _restarted_in_turn, votes_at_once),
-    Mutant("no margin for the rates of clocks", cases.rates_apart, terms=NoMargin(TERMS.voters)),
-    Mutant("a minority decides", _split, terms=Minority(TERMS.voters)),
-    Mutant("tokens begin anew with all voters", _restarted_together, terms=NoStarts(TERMS.voters)),
+    Mutant("no margin for the rates of clocks", cases.rates_apart, terms=NoMargin(TERMS.acceptors)),
+    Mutant("a minority decides", _split, terms=Minority(TERMS.acceptors)),
+    Mutant("tokens begin anew with all voters", _restarted_together, terms=NoStarts(TERMS.acceptors)),
     Mutant("the term runs from the answer's arrival", cases.slow_answers, _from_arrival),
-    Mutant("an answer counts for a later Take", cases.slow_answers, _any_round),
+    Mutant("an answer counts for a later ProposeRequest", cases.slow_answers, _any_round),
     Mutant("no look at the clock before acting", _stopped, _no_expiry),
     Mutant("a voter lets go of what it locked", cases.settled_long, no_lock),
     Mutant("no fence at the receiver", _open_fence),
--- a/tests/simulated/test_lease_cases.py
+++ b/tests/simulated/test_lease_cases.py
@@ -16,7 +16,7 @@
 
 def test_a_holder_stopped_between_check_and_effect_is_refused_when_it_goes_on() -> None:
     held = cases.stopped_before_the_effect(1, TERMS)
-    assert held.receiver.fence.refused >= 1
+    assert held.receiver.fence.rejected >= 1
     assert held.begins["planner"] == 2
 
 
@@ -102,7 +102,7 @@
     before = held.holder()
     process, leases = held.world.processes[before], held.leases[before]
     process.run(lambda: process.act(leases.stop(process.clock_s())))
-    assert leases.voter is None
+    assert leases.acceptor is None
     held.covered_within(0.2)
     held.world.run_for(10)
     assert held.holder() not in ("", before)
@@ -148,10 +148,10 @@
     before = held.holder()
     well = next(each for each in held.names if each != before)
     for name in held.names:
-        held.leases[name].able(name == well)
+        held.leases[name].set_eligible(name == well)
     held.world.processes[before].run(partial(cases.give_up, held, before))
     held.covered_within(0.5, [well])
-    held.leases[well].able(False)
+    held.leases[well].set_eligible(False)
     held.world.processes[well].run(partial(cases.give_up, held, well))
     assert held.covered_within(15) > 5
 
@@ -164,8 +164,8 @@
     held.world.start(stray)
     held.world.run_for(10)
     assert held.holder() == holder
-    voter = held.leases["a"].voter
-    assert voter is not None and voter.misfits > 0
+    voter = held.leases["a"].acceptor
+    assert voter is not None and voter.mismatched_terms > 0
 
 
 def test_without_a_majority_that_remembers_nobody_holds_until_all_voters_met_or_are_named_anew() -> None:
