--- a/benchmarks/ratio_lab.py
+++ b/benchmarks/ratio_lab.py
@@ -18,9 +18,9 @@
 from benchmarks.ratio_facts import Kept, Store
 from benchmarks.ratio_servers import Job, Server
 from ringledge.decide.interface import ClassDemand, ServerObservation
-from ringledge.decide.ratio.planner import Listed
-from ringledge.decide.ratio.role_records import rows
-from ringledge.decide.ratio.role_registry import RoleBook, State
+from ringledge.decide.ratio.planner import ListedServer
+from ringledge.decide.ratio.role_records import decode_assignments
+from ringledge.decide.ratio.role_registry import RolePhase, RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
 
 READ_PACE, WRITE_PACE, SLOTS = 8_000.0, 1_200.0, 20  # tokens per s of a server, streams at once
@@ -37,7 +37,7 @@
 
     def __init__(self, lab: Lab, name: str, site: str) -> None:
         self.lab, self.name, self.site = lab, name, site
-        self.book, self.facts = RoleBook(lab.settings), Store(lab.facts, lab.rng, name)
+        self.book, self.facts = RoleRegistry(lab.settings), Store(lab.facts, lab.rng, name)
         self.reads, self.streams, self.states = Counter[str](), Counter[str](), Counter[str]()
         self.counts: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])  # arrivals, unread, by class
         self.answers: dict[str, float] = defaultdict(lambda: 200.0)  # usual answer, by class
@@ -47,20 +47,20 @@
     def tick(self) -> None:
         lab, book = self.lab, self.book
         if self.heard:
-            for server, row in rows(self.facts.values(lab.now_s, "plan/")):
+            for server, row in decode_assignments(self.facts.values(lab.now_s, "plan/")):
                 book.receive(lab.now_s, server, row)
-        changing = book.changing()
+        changing = book.changing_servers()
         waiting = Counter[str]()
         for (_, key), value in (self.facts.values(lab.now_s, "server/") if changing else {}).items():
             if key[7:] in changing:
                 waiting[key[7:]] += lab.seen.decode(value).waiting_entries
         for name in changing:
-            book.work(name, self.reads[name], self.streams[name])
-            book.seen(name, waiting[name], 1.0)
+            book.update_in_flight(name, self.reads[name], self.streams[name])
+            book.update_observation(name, waiting[name], 1.0)
         for name, state in book.tick(lab.now_s):
-            if state is State.CHANGED and book.places[name].role == "read":
+            if state is RolePhase.CHANGED and book.entries[name].role == "read":
                 lab.servers[name].cold_s = max(lab.servers[name].cold_s, lab.now_s)
-        roles = book.roles()
+        roles = book.accepted_work()
         its = [lab.servers[name] for name in roles if lab.servers[name].site == self.site]
         self.readers = [server for server in its if "read" in roles[server.name]] or its
         self.writers = [server for server in its if "write" in roles[server.name]] or its
@@ -80,7 +80,7 @@
                     pace * lab.rng.lognormvariate(0, NOISE) * (server in its)
                     for pace, its in ((server.read_pace, reads), (server.write_pace, writes))
                 )
-                warmth = min(1.0, (lab.now_s - server.cold_s) / lab.settings.warm_s)
+                warmth = min(1.0, (lab.now_s - server.cold_s) / lab.settings.warm_up_s)
                 told_s = ServerObservation(read, write, warmth, self.states[server.name])
                 self.facts.write(lab.now_s, f"server/{server.name}", encode(told_s))
         lab.after(TELL_S, self.tell)
@@ -114,12 +114,12 @@
             name, rack = f"b{at:03}", at // each
             read, write = (pace * self.rng.uniform(0.85, 1.15) for pace in (READ_PACE, WRITE_PACE))
             self.servers[name] = Server(name, f"s{rack // racks}", f"r{rack}", read, write)
-        self.listed = [Listed(s.name, s.site, s.rack, "both") for s in self.servers.values()]
+        self.listed = [ListedServer(s.name, s.site, s.rack, "both") for s in self.servers.values()]
         self.conductors = [
             Conductor(self, f"c{site}{at}", f"s{site}") for site in range(sites) for at in range(members)
         ]
         for conductor in self.conductors:
-            conductor.book.listed(0.0, dict.fromkeys(self.servers, "both"))
+            conductor.book.update_servers(0.0, dict.fromkeys(self.servers, "both"))
             self.after(self.rng.uniform(0, TICK_S), conductor.tick)
             self.after(self.rng.uniform(0, TELL_S), conductor.tell)
         self.after(2 * TICK_S, self._arrive)  # conductors have their rows by then
@@ -155,7 +155,7 @@
         few = self.rng.choices(home.readers, k=3)
         server = job.reader = min(few, key=lambda s: s.unread / s.read_pace + s.streams / SLOTS)
         since_s = self.now_s - server.cold_s
-        job.prompt *= 1 + (ANEW - 1) * max(0.0, 1 - since_s / self.settings.warm_s)
+        job.prompt *= 1 + (ANEW - 1) * max(0.0, 1 - since_s / self.settings.warm_up_s)
         counts = home.counts[job.kind]
         counts[0], counts[1] = counts[0] + 1, counts[1] + job.prompt
         if server.unread / server.read_pace > AIM_S:
--- a/benchmarks/ratio_ways.py
+++ b/benchmarks/ratio_ways.py
@@ -11,8 +11,8 @@
 
 from benchmarks.ratio_lab import READ_PACE, WRITE_PACE, Lab
 from ringledge.decide.interface import RoleAssignment
-from ringledge.decide.ratio.planner import Listed
-from ringledge.decide.ratio.role_records import encode
+from ringledge.decide.ratio.planner import ListedServer
+from ringledge.decide.ratio.role_records import encode_assignment
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.members.planner import Planner
 
@@ -47,20 +47,20 @@
     def _tell(self, name: str, role: str) -> None:
         self.number += 1
         self.roles[name] = role
-        self.facts.write(self.lab.now_s, *encode(name, RoleAssignment(1, self.number, role)))
+        self.facts.write(self.lab.now_s, *encode_assignment(name, RoleAssignment(1, self.number, role)))
 
     def _step(self) -> None:
         """One change at a time in a rack, as for the planner; a server may change again at once."""
         book = self.lab.conductors[0].book
-        busy = {each.rack for each in self.lab.listed if each.name in book.changing()}
-        sites = defaultdict[str, list[Listed]](list)
+        busy = {each.rack for each in self.lab.listed if each.name in book.changing_servers()}
+        sites = defaultdict[str, list[ListedServer]](list)
         for each in spread(self.lab.listed):
             sites[each.site].append(each)
         for servers in sites.values():
             short = self.plan(self.lab.now_s) - sum(self.roles[each.name] == "read" for each in servers)
             role = "read" if short > 0 else "write"
             for each in servers if short < 0 else servers[::-1]:
-                told = book.rows.get(each.name)
+                told = book.assignments.get(each.name)
                 late = told is None or told.role != self.roles[each.name]
                 if short and self.roles[each.name] != role and each.rack not in busy and not late:
                     busy.add(each.rack)
@@ -70,12 +70,12 @@
         self.lab.after(0.5, self._step)
 
 
-def its(lab: Lab) -> list[Listed]:
+def its(lab: Lab) -> list[ListedServer]:
     """The servers of one site; all sites are alike."""
     return [each for each in lab.listed if each.site == lab.listed[0].site]
 
 
-def spread(listed: Sequence[Listed]) -> list[Listed]:
+def spread(listed: Sequence[ListedServer]) -> list[ListedServer]:
     """By site, and within it so that neighbours stand in different racks."""
     racks, at = defaultdict[str, int](int), dict[str, int]()
     for each in listed:
@@ -102,7 +102,7 @@
 
     What changes serves neither role for the time of a change. `start_s`: of its grid.
     """
-    step_s = settings.spread_s + DRAINS_S + settings.warm_s / 2
+    step_s = settings.propagation_s + DRAINS_S + settings.warm_up_s / 2
     steps = ceil((until_s - start_s) / step_s) + 1
     counts = numpy.arange(1.0, servers)
     value, follow = numpy.zeros(len(counts)), list[numpy.typing.NDArray[numpy.int64]]()
@@ -140,7 +140,7 @@
         facts = lab.conductors[0].facts
         for at, each in enumerate(spread(lab.listed)):
             role = "read" if at % len(its(lab)) < start else "write"
-            facts.write(0.0, *encode(each.name, RoleAssignment(1, 1, role)))
+            facts.write(0.0, *encode_assignment(each.name, RoleAssignment(1, 1, role)))
         self.planner = self._new()
         lab.after(3.0, self.begin)
 
@@ -148,7 +148,7 @@
         member = self.lab.conductors[self.holder]
         return Planner(self.lab.settings, member.facts, self, member.book, lambda: self.lab.now_s)
 
-    def servers(self) -> list[Listed]:
+    def servers(self) -> list[ListedServer]:
         return self.lab.listed
 
     def members(self) -> dict[str, str]:
--- a/ringledge/decide/ratio/demand_estimate.py
+++ b/ringledge/decide/ratio/demand_estimate.py
@@ -1,9 +1,10 @@
-"""What each role needs and what each server gets through, from what members tell; free of I/O and clocks.
+"""Each site's demand for prefill and decode, from what members report; free of I/O and clocks.
 
-Each site's tokens to read and to write are followed at two horizons. While they agree within their noise the
-slow one counts; once they don't, the fast one does. The way that the mix goes up and down is kept as legs
-between its turning points (a retracement beyond noise ends a leg): so a mix that swings is told from one that
-has shifted, and how long the present leg will last is expected from those before.
+Each site's token rates are averaged exponentially over two horizons. While the two agree within their noise
+the slow one counts; once they differ significantly, the fast one does. The mix of prefill and decode is
+followed from turning point to turning point (a reversal beyond noise ends a half-period): so a mix that
+oscillates is told from one that has shifted, and the rest of the present half-period is predicted from the
+ones before.
 """
 
 from __future__ import annotations
@@ -13,217 +14,310 @@
 from dataclasses import dataclass, field
 from math import exp, inf, log, sqrt
 from statistics import median
+from typing import NamedTuple
 
 from ringledge.decide.interface import ClassDemand, ServerObservation
 from ringledge.decide.ratio.settings import RatioConfig
 
-BEYOND = 8.0  # times its site's median that one member's demand counts at most, where three or more tell
-LEGS = 6  # of the mix's way that are kept: three swings
-TURN = log(1.5)  # least retracement that ends a leg: half as much again of one role is a tenth of the servers
-OVERDUE = 1.25  # times its usual length from which a leg is taken to be none of a swing's
-MOST_FIGURE = 1e12  # requests or tokens a second that a member may tell: past any site, and sums stay finite
-FEW = 1e-9  # tokens per s: less is none
+OUTLIER_FACTOR = 8.0  # times the median of its site that one member's demand counts at most
+MIN_OUTLIER_REPORTS = 3  # fewer reports have no outliers
+MAX_HALF_PERIODS = 6  # of the mix that are retained: three periods
+MIN_REVERSAL = log(1.5)  # that ends a half-period: half as much again of one role is a tenth of the servers
+OVERDUE_FACTOR = 1.25  # times the usual half-period after which the mix is no longer expected to turn
+END_FACTOR = 3  # times the usual half-period without a turn after which the oscillation has ended
+MAX_RATE = 1e12  # requests or tokens per s that a member may report: above any site's, and sums stay finite
+EPSILON = 1e-9  # tokens per s: less is none
+
+
+class TokenRates(NamedTuple):
+    """Tokens per s of the two roles: a demand, or a capacity."""
+
+    prefill: float
+    decode: float
+
+
+class TokenRateSample(NamedTuple):
+    """Token rates (tokens per s) at a time (s)."""
+
+    at_s: float
+    prefill: float
+    decode: float
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
-    """What a site asks for."""
+class SiteDemand:
+    """The demand of a site."""
 
-    read: float  # tokens per s to read, after reuse
-    write: float  # tokens per s to write
-    doubt: float  # standard deviation of either, as a part of it; what isn't heard included
-    spans: tuple[tuple[float, float], ...]  # mixes to be served: one, or those of a swing's legs
-    lasts_s: float  # how long the present mix is expected to last; inf: nothing tells of an end
-    fresh: int  # members heard
-    absent: int  # members that tell nothing, nonsense, or what is old
+    prefill_rate: float  # tokens per s to prefill, after reuse of cached prefixes
+    decode_rate: float  # tokens per s to decode
+    relative_error: float  # standard deviation of either rate as a fraction of it, with missing members
+    mixes: tuple[TokenRates, ...]  # to be served: one, or those of an oscillation
+    expected_duration_s: float  # of the present mix; inf: no end is expected
+    reporting_members: int
+    missing_members: int  # whose reports are absent, implausible or stale
 
 
 @dataclass(slots=True)
-class Level:
-    """One figure at two horizons, with its noise."""
+class DualHorizonMean:
+    """Exponentially weighted means of one series over two horizons, with the variance of its noise."""
 
     fast: float = 0.0
     slow: float = 0.0
-    last: float = 0.0  # sample
-    noise: float = 0.0  # variance of one sample, by the difference to the one before: a trend adds little
+    last_sample: float = 0.0
+    noise_variance: float = 0.0  # of one sample, by its difference to the one before: a trend adds little
 
-    def add(self, value: float, fast: float, slow: float, first: bool) -> None:
-        """Take a sample with the weights of the two horizons."""
+    def add(self, value: float, fast_weight: float, slow_weight: float, first: bool) -> None:
+        """Add a sample with its weight at each horizon; the first one sets both means."""
         if first:
-            self.fast = self.slow = self.last = value
+            self.fast = self.slow = self.last_sample = value
             return
-        self.noise += slow * ((value - self.last) ** 2 / 2 - self.noise)
-        self.last = value
-        self.fast += fast * (value - self.fast)
-        self.slow += slow * (value - self.slow)
+        sample_variance = (value - self.last_sample) ** 2 / 2
+        self.noise_variance += slow_weight * (sample_variance - self.noise_variance)
+        self.last_sample = value
+        self.fast += fast_weight * (value - self.fast)
+        self.slow += slow_weight * (value - self.slow)
 
     def deviation(self, weight: float) -> float:
-        """Standard deviation of a horizon's mean, were samples independent."""
-        return sqrt(self.noise * weight / (2 - weight))
+        """Standard deviation of the mean with this weight, if samples are independent."""
+        return sqrt(self.noise_variance * weight / (2 - weight))
 
-    def value(self, fast: float, slow: float, sure: float, lead: float) -> tuple[float, float]:
-        """The figure as it is now, and its standard deviation.
+    def estimate(
+        self, fast_weight: float, slow_weight: float, significance: float, trend_gain: float
+    ) -> tuple[float, float]:
+        """The present value and its standard deviation.
 
-        The further the horizons are apart, the more the fast one counts, up to all of it at `sure`
-        deviations; `lead` times their distance makes up for what it lags behind a trend.
+        The larger the difference of the horizons, the more the fast one counts, fully from `significance`
+        deviations on; `trend_gain` times the difference compensates for its lag behind a trend.
         """
-        apart, deviation = self.fast - self.slow, self.deviation(fast)
-        trust = min(1.0, (apart / (sure * deviation + FEW)) ** 2)
-        value = self.slow + trust * ((1 + lead) * apart)
-        return max(0.0, value), trust * deviation + (1 - trust) * self.deviation(slow)
+        difference = self.fast - self.slow
+        deviation = self.deviation(fast_weight)
+        trust = min(1.0, (difference / (significance * deviation + EPSILON)) ** 2)
+        value = self.slow + trust * ((1 + trend_gain) * difference)
+        return max(0.0, value), trust * deviation + (1 - trust) * self.deviation(slow_weight)
 
 
 @dataclass(slots=True)
-class Way:
-    """How the mix (log of read to write) went: turning points, and the legs between them."""
+class MixOscillation:
+    """The course of the mix (log of prefill to decode): turning points, and the half-periods between them."""
 
     extreme: float = 0.0
-    extreme_s: float = -inf
-    rises: bool | None = None
-    turned_s: float = -inf  # when the present leg began
-    legs: deque[float] = field(default_factory=lambda: deque(maxlen=LEGS))  # how long they were, s
-
-    def add(self, now_s: float, mix: float, turn: float) -> None:
-        """Take the mix as it is; a retracement by `turn` or more ends the leg at its extreme."""
-        if self.turned_s == -inf:
-            self.extreme, self.extreme_s, self.turned_s = mix, now_s, now_s
-        elif self.rises is None:
-            if abs(mix - self.extreme) >= turn:
-                self.rises, self.turned_s = mix > self.extreme, now_s
-                self.extreme, self.extreme_s = mix, now_s
-        elif (mix > self.extreme) is self.rises and mix != self.extreme:
-            self.extreme, self.extreme_s = mix, now_s
-        elif abs(mix - self.extreme) >= turn:
-            self.legs.append(now_s - self.turned_s)
-            self.rises, self.turned_s = not self.rises, now_s
-            self.extreme, self.extreme_s = mix, now_s
-        if self.legs and now_s - self.turned_s > 3 * median(self.legs):
-            self.legs.clear()  # it has stopped to swing
-
-    def leg_s(self) -> float:
-        """How long a leg usually lasts; inf where no two have ended."""
-        return median(self.legs) if len(self.legs) >= 2 else inf
+    rising: bool | None = None  # None: no direction yet
+    half_period_start_s: float = -inf
+    half_periods_s: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_HALF_PERIODS))
+
+    def add(self, now_s: float, mix: float, min_reversal: float) -> None:
+        """Add the present mix; a reversal by `min_reversal` or more ends the half-period."""
+        reversal = abs(mix - self.extreme)
+        if self.half_period_start_s == -inf:
+            self._turn(now_s, mix, None)
+        elif self.rising is None:
+            if reversal >= min_reversal:
+                self._turn(now_s, mix, mix > self.extreme)
+        elif (mix > self.extreme) is self.rising and mix != self.extreme:
+            self.extreme = mix
+        elif reversal >= min_reversal:
+            self.half_periods_s.append(now_s - self.half_period_start_s)
+            self._turn(now_s, mix, not self.rising)
+        if self.half_periods_s:
+            max_half_period_s = END_FACTOR * median(self.half_periods_s)
+            if now_s - self.half_period_start_s > max_half_period_s:
+                self.half_periods_s.clear()  # the oscillation has ended
+
+    def _turn(self, now_s: float, mix: float, rising: bool | None) -> None:
+        self.rising = rising
+        self.half_period_start_s = now_s
+        self.extreme = mix
+
+    def median_half_period_s(self) -> float:
+        """The usual length of a half-period; inf while fewer than two have ended."""
+        return median(self.half_periods_s) if len(self.half_periods_s) >= 2 else inf
 
 
 @dataclass(slots=True)
-class Site:
-    """What is known of one site's demand."""
+class SiteState:
+    """What is measured of one site's demand."""
 
-    read: Level = field(default_factory=Level)
-    write: Level = field(default_factory=Level)
-    way: Way = field(default_factory=Way)
-    at_s: float = -inf
-    per_request: dict[str, float] = field(default_factory=dict)  # unread tokens a request, by class
-    past: deque[tuple[float, float, float]] = field(default_factory=deque)  # time, read, write
-    need: Need | None = None
+    prefill: DualHorizonMean = field(default_factory=DualHorizonMean)
+    decode: DualHorizonMean = field(default_factory=DualHorizonMean)
+    oscillation: MixOscillation = field(default_factory=MixOscillation)
+    updated_s: float = -inf
+    prefill_tokens_per_request: dict[str, float] = field(default_factory=dict)  # by class
+    history: deque[TokenRateSample] = field(default_factory=deque)
 
 
-class Estimate:
-    """The demand of all sites and the paces of all servers."""
+@dataclass(slots=True)
+class SiteReports:
+    """The plausible and fresh reports of a site's members, by class."""
+
+    by_member: list[dict[str, ClassDemand]]
+    missing_members: int
+
+
+@dataclass(slots=True)
+class HorizonWeights:
+    """The weight of a new sample at each horizon."""
+
+    fast: float
+    slow: float
+
+
+class DemandEstimator:
+    """The demand of all sites."""
 
     def __init__(self, settings: RatioConfig) -> None:
         self.settings = settings
-        self.sites = dict[str, Site]()
-        self._told = dict[tuple[str, str], tuple[float, ClassDemand]]()  # by member and class, since when
+        self.sites = dict[str, SiteState]()
+        # By member and class: the report, and since when it has been the same.
+        self._reports = dict[tuple[str, str], tuple[float, ClassDemand]]()
 
-    def look(
+    def update(
         self,
         now_s: float,
         demand: Mapping[tuple[str, str], ClassDemand],
-        members: Mapping[str, str],
-        cold: Mapping[str, float] | None = None,
-    ) -> dict[str, Need]:
-        """Take what members tell, by member and class; gives each site's need, where anything is known.
-
-        `members`: the site of each that is there, whether it tells anything or not. `cold`: the part of each
-        site's reading that changed its role lately: its prompts are read anew, which the plan itself caused.
+        member_sites: Mapping[str, str],
+        cold_fractions: Mapping[str, float] | None = None,
+    ) -> dict[str, SiteDemand]:
+        """Process the reports by member and class; returns the demand of each site that reports any.
+
+        `member_sites`: the site of each member that is alive, reporting or not. `cold_fractions`: of each
+        site's prefill capacity, the fraction that changed its role recently: its cache is cold, as an effect
+        of the plan itself.
         """
-        told: dict[str, dict[str, ClassDemand]] = {member: {} for member in members}
-        for key in self._told.keys() - demand.keys():
-            del self._told[key]
-        for key, each in demand.items():
-            if key[0] in told and sane(each):
-                if key not in self._told or self._told[key][1] != each:
-                    self._told[key] = (now_s, each)
-                # One with nothing to do has no news; one that is busy says never twice the same.
-                if each.arrivals <= FEW or now_s - self._told[key][0] <= self.settings.old_s:
-                    told[key[0]][key[1]] = each
-        needs, cold = dict[str, Need](), cold or {}
-        for site in sorted(set(members.values())):
-            its = [member for member, at in members.items() if at == site]
-            heard = [told[member] for member in its if told[member]]
-            if heard:
-                needs[site] = self._site(now_s, site, heard, len(its) - len(heard), cold.get(site, 0.0))
-        for site in self.sites.keys() - set(members.values()):
+        reports = self._valid_reports(now_s, demand, member_sites)
+        cold_fractions = cold_fractions or {}
+        demands = dict[str, SiteDemand]()
+        for site in sorted(set(member_sites.values())):
+            members = [member for member, member_site in member_sites.items() if member_site == site]
+            reporting = [reports[member] for member in members if reports[member]]
+            if reporting:
+                site_reports = SiteReports(reporting, len(members) - len(reporting))
+                demands[site] = self._update_site(now_s, site, site_reports, cold_fractions.get(site, 0.0))
+        for site in self.sites.keys() - set(member_sites.values()):
             del self.sites[site]
-        return needs
-
-    def _site(
-        self, now_s: float, name: str, heard: list[dict[str, ClassDemand]], absent: int, cold: float
-    ) -> Need:
-        site = self.sites.setdefault(name, Site())
-        first, step_s = site.at_s == -inf, now_s - site.at_s
-        site.at_s = now_s
-        fast, slow = (1 - exp(-step_s / each) for each in (self.settings.fast_s, self.settings.slow_s))
-        # Who isn't heard is taken to have what the others have in the mean: clients spread over all.
-        scale = (len(heard) + absent) / len(heard)
-        read, write = 0.0, 0.0
-        for kind in sorted({kind for each in heard for kind in each}):
-            rows = [each[kind] for each in heard if kind in each]
-            arrivals = clipped([row.arrivals for row in rows])
-            to_read = clipped([row.prefill_tokens for row in rows])
-            read += self._uncaused(site, kind, arrivals, to_read, cold, slow)
-            write += clipped([row.decode_tokens for row in rows])
-        site.read.add(read * scale, fast, slow, first)
-        site.write.add(write * scale, fast, slow, first)
-        return self._need(now_s, site, (fast, slow), len(heard), absent)
-
-    def _uncaused(
-        self, site: Site, kind: str, arrivals: float, to_read: float, cold: float, weight: float
+        return demands
+
+    def _valid_reports(
+        self,
+        now_s: float,
+        demand: Mapping[tuple[str, str], ClassDemand],
+        member_sites: Mapping[str, str],
+    ) -> dict[str, dict[str, ClassDemand]]:
+        """The plausible reports that are not stale, by member and class."""
+        reports: dict[str, dict[str, ClassDemand]] = {member: {} for member in member_sites}
+        for key in self._reports.keys() - demand.keys():
+            del self._reports[key]
+        for key, report in demand.items():
+            member, class_name = key
+            if member not in reports or not is_plausible(report):
+                continue
+            if key not in self._reports or self._reports[key][1] != report:
+                self._reports[key] = (now_s, report)
+            # An idle member has no changes to report; a busy one never reports the same figures twice.
+            is_idle = report.arrivals <= EPSILON
+            if is_idle or now_s - self._reports[key][0] <= self.settings.stale_after_s:
+                reports[member][class_name] = report
+        return reports
+
+    def _update_site(self, now_s: float, name: str, reports: SiteReports, cold_fraction: float) -> SiteDemand:
+        site = self.sites.setdefault(name, SiteState())
+        is_first = site.updated_s == -inf
+        step_s = now_s - site.updated_s
+        site.updated_s = now_s
+        weights = HorizonWeights(
+            fast=1 - exp(-step_s / self.settings.fast_s), slow=1 - exp(-step_s / self.settings.slow_s)
+        )
+        # Members that don't report are taken to have the mean of the others: clients spread over all.
+        reporting = len(reports.by_member)
+        scale = (reporting + reports.missing_members) / reporting
+        prefill, decode = 0.0, 0.0
+        for class_name in sorted({name for member in reports.by_member for name in member}):
+            rows = [member[class_name] for member in reports.by_member if class_name in member]
+            arrivals = clipped_sum([row.arrivals for row in rows])
+            prefill_tokens = clipped_sum([row.prefill_tokens for row in rows])
+            prefill += self._exclude_cold_prefill(
+                site, class_name, arrivals, prefill_tokens, cold_fraction, weights.slow
+            )
+            decode += clipped_sum([row.decode_tokens for row in rows])
+        site.prefill.add(prefill * scale, weights.fast, weights.slow, is_first)
+        site.decode.add(decode * scale, weights.fast, weights.slow, is_first)
+        return self._estimate_demand(now_s, site, weights, reports)
+
+    def _exclude_cold_prefill(
+        self,
+        site: SiteState,
+        class_name: str,
+        arrivals: float,
+        prefill_tokens: float,
+        cold_fraction: float,
+        weight: float,
     ) -> float:
-        """Tokens to read less what the plan's own changes can have added to them."""
-        if arrivals <= FEW:
-            return to_read
-        each = to_read / arrivals
-        before = site.per_request.get(kind, each)
-        each = max(min(each, before), each * (1 - min(1.0, cold)))
-        site.per_request[kind] = before + weight * (each - before)
-        return each * arrivals
-
-    def _need(self, now_s: float, site: Site, weights: tuple[float, float], fresh: int, absent: int) -> Need:
+        """Prefill tokens per s without what the plan's own changes can have added by cold caches."""
+        if arrivals <= EPSILON:
+            return prefill_tokens
+        per_request = prefill_tokens / arrivals
+        before = site.prefill_tokens_per_request.get(class_name, per_request)
+        per_request = max(min(per_request, before), per_request * (1 - min(1.0, cold_fraction)))
+        site.prefill_tokens_per_request[class_name] = before + weight * (per_request - before)
+        return per_request * arrivals
+
+    def _estimate_demand(
+        self, now_s: float, site: SiteState, weights: HorizonWeights, reports: SiteReports
+    ) -> SiteDemand:
         settings = self.settings
-        lead = settings.fast_s / (settings.slow_s - settings.fast_s)
-        (read, read_off), (write, write_off) = (
-            level.value(*weights, settings.sure, lead) for level in (site.read, site.write)
+        trend_gain = settings.fast_s / (settings.slow_s - settings.fast_s)
+        estimate_args = (weights.fast, weights.slow, settings.significance, trend_gain)
+        prefill, prefill_error = site.prefill.estimate(*estimate_args)
+        decode, decode_error = site.decode.estimate(*estimate_args)
+        reporting = len(reports.by_member)
+        missing_fraction = reports.missing_members / (reporting + reports.missing_members)
+        error = max(prefill_error / max(prefill, EPSILON), decode_error / max(decode, EPSILON))
+        error += missing_fraction / sqrt(reporting + 1)
+        self._update_oscillation(now_s, site, weights.fast)
+        mixes, duration_s = self._expected_mixes(now_s, site, TokenRates(prefill, decode))
+        return SiteDemand(
+            prefill_rate=prefill,
+            decode_rate=decode,
+            relative_error=min(1.0, error),
+            mixes=mixes,
+            expected_duration_s=duration_s,
+            reporting_members=reporting,
+            missing_members=reports.missing_members,
+        )
+
+    def _update_oscillation(self, now_s: float, site: SiteState, fast_weight: float) -> None:
+        mix = log(max(site.prefill.fast, EPSILON) / max(site.decode.fast, EPSILON))
+        noise = max(
+            mean.deviation(fast_weight) / max(mean.fast, EPSILON) for mean in (site.prefill, site.decode)
         )
-        unheard = absent / (fresh + absent)
-        doubt = max(read_off / max(read, FEW), write_off / max(write, FEW)) + unheard / sqrt(fresh + 1)
-        doubt = min(1.0, doubt)
-        mix = log(max(site.read.fast, FEW) / max(site.write.fast, FEW))
-        noise = max(each.deviation(weights[0]) / max(each.fast, FEW) for each in (site.read, site.write))
-        site.way.add(now_s, mix, max(TURN, settings.sure * noise))
-        leg_s = site.way.leg_s()
-        site.past.append((now_s, site.read.fast, site.write.fast))
-        while site.past and now_s - site.past[0][0] > min(LEGS * leg_s, LEGS * settings.least_stay_s):
-            site.past.popleft()
-        spans: tuple[tuple[float, float], ...] = ((read, write),)
-        lasts_s = inf
-        if leg_s < 2 * settings.change_s:  # over before a change to it would have paid: serve all its legs
-            spans = tuple((read, write) for _, read, write in site.past)
-        elif now_s - site.way.turned_s < OVERDUE * leg_s < inf:
-            lasts_s = max(0.0, leg_s - (now_s - site.way.turned_s))
-        site.need = Need(read, write, doubt, spans, lasts_s, fresh, absent)
-        return site.need
-
-
-def clipped(values: list[float]) -> float:
-    """Their sum; one that tells far more than the rest counts as far as that could be chance."""
+        site.oscillation.add(now_s, mix, max(MIN_REVERSAL, self.settings.significance * noise))
+        half_period_s = site.oscillation.median_half_period_s()
+        site.history.append(TokenRateSample(now_s, site.prefill.fast, site.decode.fast))
+        history_s = min(MAX_HALF_PERIODS * half_period_s, MAX_HALF_PERIODS * self.settings.min_dwell_s)
+        while site.history and now_s - site.history[0].at_s > history_s:
+            site.history.popleft()
+
+    def _expected_mixes(
+        self, now_s: float, site: SiteState, current: TokenRates
+    ) -> tuple[tuple[TokenRates, ...], float]:
+        """The mixes to be served, and how long the present one is expected to last (s)."""
+        half_period_s = site.oscillation.median_half_period_s()
+        elapsed_s = now_s - site.oscillation.half_period_start_s
+        if half_period_s < 2 * self.settings.max_change_s:  # over before a change would pay: serve them all
+            return tuple(TokenRates(sample.prefill, sample.decode) for sample in site.history), inf
+        if elapsed_s < OVERDUE_FACTOR * half_period_s < inf:
+            return (current,), max(0.0, half_period_s - elapsed_s)
+        return (current,), inf
+
+
+def clipped_sum(values: list[float]) -> float:
+    """The sum, with outliers clipped: of three or more values each counts up to a multiple of the median."""
     middle = median(values)
-    most = BEYOND * middle if len(values) >= 3 and middle > FEW else inf
-    return sum(min(value, most) for value in values)
+    is_clipped = len(values) >= MIN_OUTLIER_REPORTS and middle > EPSILON
+    upper_bound = OUTLIER_FACTOR * middle if is_clipped else inf
+    return sum(min(value, upper_bound) for value in values)
 
 
-def sane(told: ClassDemand | ServerObservation) -> bool:
-    """Whether all its figures are numbers that can be."""
-    figures = (getattr(told, name) for name in told.__struct_fields__)
-    return all(0 <= figure <= MOST_FIGURE for figure in figures)
+def is_plausible(report: ClassDemand | ServerObservation) -> bool:
+    """Whether all figures of a report are numbers from 0 to `MAX_RATE`."""
+    figures = (getattr(report, name) for name in report.__struct_fields__)
+    return all(0 <= figure <= MAX_RATE for figure in figures)
--- a/ringledge/decide/ratio/measurements.py
+++ b/ringledge/decide/ratio/measurements.py
@@ -1,7 +1,7 @@
-"""What one conductor sees of demand and of servers' paces, by its own requests; free of I/O and clocks.
+"""Demand and service rates as one conductor measures them on its own requests; free of I/O and clocks.
 
-It tells the planner of roles two kinds of rows: by class what is asked for, by server what that gets through.
-What is turned away is asked for all the same: demand is what came in, times what such requests usually take.
+It reports two kinds of figures to the planner of roles: the demand by class, and what each server processes.
+Rejected requests count as demand too: demand is the rate of arrivals times what such requests usually take.
 """
 
 from __future__ import annotations
@@ -11,117 +11,150 @@
 
 from ringledge.decide.interface import ClassDemand, ServerObservation
 
-WINDOW_S = 5.0  # over which arrivals fade: shorter than the planner's fast horizon and its look together
-NEW = 0.1  # weight of a new sample of a mean: some ten requests of a class tell it
-LEAST_READ = 64.0  # unread tokens from which the time of a read tells a pace: shorter ones tell the way there
-LEAST_WRITE = 8.0  # answer tokens from which the time of a stream does
-LEAST_S = 1e-3  # that work takes: what says less is a clock's step
-MOST_TOKENS = 1e7  # of one request: more is nonsense
+WINDOW_S = 5.0  # decay time of arrivals: shorter than the planner's fast horizon and its interval together
+SAMPLE_WEIGHT = 0.1  # of a new sample in a mean: some ten requests of a class determine it
+MIN_PREFILL_TOKENS = 64.0  # uncached tokens from which a prefill measures a rate, not the network's latency
+MIN_DECODE_TOKENS = 8.0  # answer tokens from which a stream measures a rate
+MIN_DURATION_S = 1e-3  # of work: shorter ones are a clock's step
+MAX_TOKENS = 1e7  # of one request: more is implausible
 
 
 @dataclass(slots=True)
-class Mean:
-    """A running mean; `known` once a sample came."""
+class RunningMean:
+    """An exponentially weighted mean; `known` is set by the first sample."""
 
     value: float = 0.0
     known: bool = False
 
     def add(self, sample: float) -> None:
-        """Take one in."""
-        self.value += (NEW if self.known else 1.0) * (sample - self.value)
+        """Add a sample; the first one sets the mean."""
+        self.value += (SAMPLE_WEIGHT if self.known else 1.0) * (sample - self.value)
         self.known = True
 
+    def set_default(self, value: float) -> None:
+        """Set the value that holds until the first sample, if it is plausible."""
+        if not self.known and _is_valid_token_count(value):
+            self.value = value
+
 
 @dataclass(slots=True)
-class Kind:
-    """One class."""
+class ClassStatistics:
+    """The requests of one class."""
+
+    arrivals: float = 0.0  # exponentially decaying count
+    updated_s: float = 0.0
+    prefill_tokens: RunningMean = field(default_factory=RunningMean)  # uncached tokens per request
+    decode_tokens: RunningMean = field(default_factory=RunningMean)  # answer tokens per request
 
-    arrivals: float = 0.0  # fading count
-    at_s: float = 0.0
-    read: Mean = field(default_factory=Mean)  # unread tokens a request
-    write: Mean = field(default_factory=Mean)  # answer tokens a request
+    def decayed_arrivals(self, now_s: float) -> float:
+        """The count of arrivals as it has decayed until now."""
+        return self.arrivals * exp((self.updated_s - now_s) / WINDOW_S)
 
 
 @dataclass(slots=True)
-class Box:
-    """One server."""
+class ServerStatistics:
+    """The work of one server for this conductor."""
 
-    read: Mean = field(default_factory=Mean)  # unread tokens per s of a read
-    write: Mean = field(default_factory=Mean)  # answer tokens per s of a stream
-    held: Mean = field(default_factory=Mean)  # tokens that a stream holds, half of its answer counted
-    together: float = 1.0  # most streams of ours there at once, fading with each look
+    prefill_rate: RunningMean = field(default_factory=RunningMean)  # uncached tokens per s of a prefill
+    stream_rate: RunningMean = field(default_factory=RunningMean)  # answer tokens per s of a stream
+    stream_tokens: RunningMean = field(default_factory=RunningMean)  # in memory, with half of the answer
+    concurrent_streams: float = 1.0  # decaying maximum of this conductor's streams
 
+    def decode_rate(self, memory_tokens: float | None, routers: int) -> float:
+        """Answer tokens per s of all streams; 0 where it is unknown.
+
+        A server runs as many streams as its memory holds; where that is unknown, as many as this conductor
+        has there, times the number of routers.
+        """
+        if not self.stream_rate.known:
+            return 0.0
+        if memory_tokens:
+            streams = memory_tokens / max(1.0, self.stream_tokens.value)
+        else:
+            streams = self.concurrent_streams * routers
+        return self.stream_rate.value * max(1.0, streams)
 
-class Measures:
-    """Events in, rows out; times in s, tokens as counts."""
+
+class LocalMeasurements:
+    """Demand by class and rates by server, from the events of this conductor's requests; times in s."""
 
     def __init__(self) -> None:
-        self._kinds: dict[int, Kind] = {}
-        self._boxes: dict[str, Box] = {}
-
-    def taken(self, now_s: float, kind: int, prompt: float, answer: float) -> None:
-        """A request came in; `prompt`, `answer`: its tokens at most, which count until some have ended."""
-        its = self._kinds.setdefault(kind, Kind())
-        its.arrivals = its.arrivals * exp((its.at_s - now_s) / WINDOW_S) + 1
-        its.at_s = now_s
-        for mean, tokens in ((its.read, prompt), (its.write, answer / 2)):
-            if not mean.known and _sane(tokens):
-                mean.value = tokens
-
-    def has_read(self, kind: int, server: str, unread: float, took_s: float) -> None:
-        """A read ended well."""
-        if not _sane(unread):
+        self._classes: dict[int, ClassStatistics] = {}
+        self._servers: dict[str, ServerStatistics] = {}
+
+    def request_received(
+        self, now_s: float, class_index: int, prompt_tokens: float, max_output_tokens: float
+    ) -> None:
+        """Count a request; its token limits stand for the means of its class until some requests ended."""
+        statistics = self._class(class_index)
+        statistics.arrivals = statistics.decayed_arrivals(now_s) + 1
+        statistics.updated_s = now_s
+        statistics.prefill_tokens.set_default(prompt_tokens)
+        statistics.decode_tokens.set_default(max_output_tokens / 2)
+
+    def prefill_finished(
+        self, class_index: int, server: str, uncached_tokens: float, duration_s: float
+    ) -> None:
+        """Measure a successful prefill."""
+        if not _is_valid_token_count(uncached_tokens):
             return
-        self._kinds.setdefault(kind, Kind()).read.add(unread)
-        if unread >= LEAST_READ and took_s > LEAST_S:
-            self._box(server).read.add(unread / took_s)
-
-    def has_written(self, kind: int, server: str, prompt: float, answer: float, took_s: float) -> None:
-        """A stream ended well; `took_s` from its first token on."""
-        if not (_sane(prompt) and _sane(answer)):
+        self._class(class_index).prefill_tokens.add(uncached_tokens)
+        if uncached_tokens >= MIN_PREFILL_TOKENS and duration_s > MIN_DURATION_S:
+            self._server(server).prefill_rate.add(uncached_tokens / duration_s)
+
+    def decode_finished(
+        self, class_index: int, server: str, prompt_tokens: float, answer_tokens: float, duration_s: float
+    ) -> None:
+        """Measure a successful stream; `duration_s`: from its first token on."""
+        if not (_is_valid_token_count(prompt_tokens) and _is_valid_token_count(answer_tokens)):
             return
-        self._kinds.setdefault(kind, Kind()).write.add(answer)
-        if answer >= LEAST_WRITE and took_s > LEAST_S:
-            box = self._box(server)
-            box.write.add(answer / took_s)
-            box.held.add(prompt + answer / 2)
-
-    def streams(self, server: str, count: int) -> None:
-        """How many of ours run there at this look."""
-        if count or server in self._boxes:
-            box = self._box(server)
-            box.together = max(1.0, float(count), (1 - NEW) * box.together)
+        self._class(class_index).decode_tokens.add(answer_tokens)
+        if answer_tokens >= MIN_DECODE_TOKENS and duration_s > MIN_DURATION_S:
+            statistics = self._server(server)
+            statistics.stream_rate.add(answer_tokens / duration_s)
+            statistics.stream_tokens.add(prompt_tokens + answer_tokens / 2)
+
+    def update_streams(self, server: str, count: int) -> None:
+        """Record how many streams of this conductor a server runs now."""
+        if count or server in self._servers:
+            statistics = self._server(server)
+            decayed = (1 - SAMPLE_WEIGHT) * statistics.concurrent_streams
+            statistics.concurrent_streams = max(1.0, float(count), decayed)
 
     def demand(self, now_s: float) -> dict[int, ClassDemand]:
-        """By class, what is asked for."""
-        told = {}
-        for kind, its in self._kinds.items():
-            per_s = its.arrivals * exp((its.at_s - now_s) / WINDOW_S) / WINDOW_S
-            told[kind] = ClassDemand(per_s, per_s * its.read.value, per_s * its.write.value)
-        return told
-
-    def seen(
-        self, server: str, memory: float | None, routers: int, warmth: float, waiting: int
+        """The demand by class, in requests and tokens per s."""
+        demand = {}
+        for class_index, statistics in self._classes.items():
+            arrival_rate = statistics.decayed_arrivals(now_s) / WINDOW_S
+            demand[class_index] = ClassDemand(
+                arrival_rate,
+                arrival_rate * statistics.prefill_tokens.value,
+                arrival_rate * statistics.decode_tokens.value,
+            )
+        return demand
+
+    def server_observation(
+        self, server: str, memory_tokens: float | None, routers: int, warmth: float, waiting_entries: int
     ) -> ServerObservation:
-        """What a server gets through as far as known, 0 where it is not.
+        """What a server processes as far as it is known, rates of 0 where it is not.
 
-        Reading is one queue, so the pace of a read is the server's. A writer runs as many streams as its
-        memory (tokens) holds; where that is not told, as many as we had there, times `routers`.
+        Prefill is one queue, so the rate of one prefill is the server's.
         """
-        box, write = self._boxes.get(server, Box()), 0.0
-        if box.write.known:
-            many = memory / max(1.0, box.held.value) if memory else box.together * routers
-            write = box.write.value * max(1.0, many)
-        return ServerObservation(box.read.value, write, warmth, waiting)
+        statistics = self._servers.get(server, ServerStatistics())
+        decode_rate = statistics.decode_rate(memory_tokens, routers)
+        return ServerObservation(statistics.prefill_rate.value, decode_rate, warmth, waiting_entries)
+
+    def retain_servers(self, servers: set[str]) -> None:
+        """Remove the statistics of all other servers."""
+        for name in self._servers.keys() - servers:
+            del self._servers[name]
 
-    def keep(self, servers: set[str]) -> None:
-        """Forget those that are listed no more."""
-        for name in self._boxes.keys() - servers:
-            del self._boxes[name]
+    def _class(self, class_index: int) -> ClassStatistics:
+        return self._classes.setdefault(class_index, ClassStatistics())
 
-    def _box(self, server: str) -> Box:
-        return self._boxes.setdefault(server, Box())
+    def _server(self, server: str) -> ServerStatistics:
+        return self._servers.setdefault(server, ServerStatistics())
 
 
-def _sane(tokens: float) -> bool:
-    return isfinite(tokens) and 0 <= tokens <= MOST_TOKENS
+def _is_valid_token_count(tokens: float) -> bool:
+    return isfinite(tokens) and 0 <= tokens <= MAX_TOKENS
--- a/ringledge/decide/ratio/plan.py
+++ b/ringledge/decide/ratio/plan.py
@@ -1,117 +1,188 @@
 """Which servers of a site change their role now; free of I/O and clocks.
 
-A change costs what the server would have done meanwhile. So few move: only where enough is gained, for as
-long as it is expected to last, one at a time in a rack, and never so that the loss of a rack, a release, or
-cold servers would leave a role short that was not.
+A change costs what the server would have processed meanwhile. So few servers change: only where the gain is
+large enough, for as long as it is expected to last, one at a time in a rack, and never so that the loss of a
+rack, a release, or cold servers would leave a role short that was not.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
+from enum import Enum
 
-from ringledge.decide.ratio.demand_estimate import Need
+from ringledge.decide.ratio.demand_estimate import SiteDemand
 from ringledge.decide.ratio.settings import RatioConfig
-from ringledge.decide.ratio.target import Box, advantage, bears, covered, served, split
+from ringledge.decide.ratio.target import (
+    ServerState,
+    capacity_rates,
+    choose_prefill_servers,
+    prefill_advantage,
+    rack_loss_coverage,
+    served_fraction,
+    total_capacity,
+)
 
-DOUBT = 0.5  # deviations of the estimate that a gain must exceed: at one, ten servers follow a shift too late
-OTHER = {"read": "write", "write": "read"}
+# Relative errors of the demand estimate that a gain must exceed: at one, ten servers follow a shift too late.
+ERROR_MARGIN = 0.5
+OPPOSITE_ROLE = {"read": "write", "write": "read"}
+
+
+class PlanReason(Enum):
+    """Why a site's plan is as it is."""
+
+    RELEASE = "release"  # too many servers are cold: a release is probably being rolled out
+    TOO_FEW_REPORTS = "too few heard"  # less than half of the members report
+    RATES_UNKNOWN = "paces not known"  # of at least one role
+    NEAR_TARGET = "near enough"  # the gain may be chance
+    NO_MOVE_ALLOWED = "none may move"
+    NOT_WORTHWHILE = "would not pay"  # the change costs more than it gains while the mix lasts
+    MOVES = "moves"
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What a site's look has come to."""
+class SitePlan:
+    """The result of one planning round for one site."""
 
     moves: dict[str, str]  # new roles by server
-    wanted: int  # servers that should read
-    why: str  # in a word, for the log
-
-
-def plan(boxes: Sequence[Box], need: Need, settings: RatioConfig) -> Plan:
-    """The changes that a site should begin now."""
-    target = split(boxes, need.spans, settings)
-    if why := held(boxes, need, settings):
-        return Plan({}, len(target), why)
-    steady = [box for box in boxes if not box.changing]
-    now = served(bears(boxes, "read"), bears(boxes, "write"), need.spans, settings)
-    roles = {box.name: "read" if box.name in target else "write" for box in boxes if box.kind == "both"}
-    aim = moved(boxes, roles)
-    gain = served(bears(aim, "read"), bears(aim, "write"), need.spans, settings) - now
-    undecided = any(box.role == "both" and box.kind == "both" for box in boxes)
-    if gain <= max(settings.least_gain, DOUBT * need.doubt) and not undecided:  # less may be chance
-        return Plan({}, len(target), "near enough")
-    moves = choose(boxes, target, need)
+    prefill_target: int  # mixed servers that should do prefill
+    reason: PlanReason
+
+
+def plan_site(servers: Sequence[ServerState], demand: SiteDemand, settings: RatioConfig) -> SitePlan:
+    """The changes of role that a site should begin now."""
+    target = choose_prefill_servers(servers, demand.mixes, settings)
+    if reason := hold_reason(servers, demand, settings):
+        return SitePlan({}, len(target), reason)
+    gain = _gain(servers, target, demand, settings)
+    min_gain = max(settings.min_gain, ERROR_MARGIN * demand.relative_error)
+    has_undecided = any(server.role == "both" and server.kind == "both" for server in servers)
+    if gain <= min_gain and not has_undecided:
+        return SitePlan({}, len(target), PlanReason.NEAR_TARGET)
+    moves = choose_moves(servers, target, demand)
     if not moves:
-        return Plan({}, len(target), "none may move")
-    during = [box for box in steady if box.name not in moves]
-    dip = served(bears(steady, "read"), bears(steady, "write"), need.spans, settings)
-    dip -= served(bears(during, "read"), bears(during, "write"), need.spans, settings)
-    if not undecided and gain * (need.lasts_s - settings.change_s) <= max(0.0, dip) * settings.change_s:
-        return Plan({}, len(target), "would not pay")
-    return Plan(moves, len(target), "moves")
-
-
-def held(boxes: Sequence[Box], need: Need, settings: RatioConfig) -> str:
-    """Why nothing may move in a site, if so."""
-    cold = sum(not box.warm and not box.changing for box in boxes)
-    if cold > settings.release_part * len(boxes):
-        return "release"
-    if need.absent > need.fresh:
-        return "too few heard"
-    if not bears(boxes, "read") or not bears(boxes, "write"):
-        return "paces not known"
-    return ""
-
-
-def choose(boxes: Sequence[Box], target: set[str], need: Need) -> dict[str, str]:
-    """Servers that may move toward a target's number, one a rack, racks with least of the role first.
-
-    Servers that do both are decided first, so that none that has a role has to change it for their sake.
-    """
-    mixed = sorted((box for box in boxes if box.kind == "both"), key=advantage)
-    short = len(target) - sum(box.role == "read" for box in mixed)
-    role, left = ("read" if short > 0 else "write"), abs(short)
-    wanted = {box.name: role for box in mixed if box.role == OTHER[role]}
-    if undecided := [box.name for box in mixed if box.role == "both"]:
-        left = len(undecided)
-        wanted = {name: "read" if at < short else "write" for at, name in enumerate(undecided)}
-    busy, moves = {box.rack for box in boxes if box.changing}, dict[str, str]()
-    free = [box for box in mixed if box.name in wanted and box.free and not box.changing]
-    for box in sorted(free, key=lambda box: (beside(box, boxes, wanted[box.name]), box.name)):
-        others = moved(boxes, moves, changing=True)
-        if len(moves) < left and box.rack not in busy and allowed(others, box, wanted[box.name], need):
-            moves[box.name] = wanted[box.name]
-            busy.add(box.rack)
+        return SitePlan({}, len(target), PlanReason.NO_MOVE_ALLOWED)
+    if not has_undecided and _costs_more(servers, moves, gain, demand, settings):
+        return SitePlan({}, len(target), PlanReason.NOT_WORTHWHILE)
+    return SitePlan(moves, len(target), PlanReason.MOVES)
+
+
+def _gain(
+    servers: Sequence[ServerState], target: set[str], demand: SiteDemand, settings: RatioConfig
+) -> float:
+    """The served fraction that the target adds, once all changes toward it are over."""
+    current = served_fraction(capacity_rates(servers), demand.mixes, settings)
+    roles = {
+        server.name: "read" if server.name in target else "write"
+        for server in servers
+        if server.kind == "both"
+    }
+    return served_fraction(capacity_rates(with_roles(servers, roles)), demand.mixes, settings) - current
+
+
+def _costs_more(
+    servers: Sequence[ServerState],
+    moves: dict[str, str],
+    gain: float,
+    demand: SiteDemand,
+    settings: RatioConfig,
+) -> bool:
+    """Whether the work lost during the moves outweighs their gain while the present mix lasts."""
+    steady = [server for server in servers if not server.changing]
+    remaining = [server for server in steady if server.name not in moves]
+    loss = served_fraction(capacity_rates(steady), demand.mixes, settings)
+    loss -= served_fraction(capacity_rates(remaining), demand.mixes, settings)
+    gain_duration_s = demand.expected_duration_s - settings.max_change_s
+    return gain * gain_duration_s <= max(0.0, loss) * settings.max_change_s
+
+
+def hold_reason(
+    servers: Sequence[ServerState], demand: SiteDemand, settings: RatioConfig
+) -> PlanReason | None:
+    """Why nothing may change in a site now; None where changes are allowed."""
+    cold = sum(not server.warm and not server.changing for server in servers)
+    if cold > settings.max_cold_fraction * len(servers):
+        return PlanReason.RELEASE
+    if demand.missing_members > demand.reporting_members:
+        return PlanReason.TOO_FEW_REPORTS
+    if not total_capacity(servers, "read") or not total_capacity(servers, "write"):
+        return PlanReason.RATES_UNKNOWN
+    return None
+
+
+def choose_moves(servers: Sequence[ServerState], target: set[str], demand: SiteDemand) -> dict[str, str]:
+    """New roles by server: one change a rack at a time, racks with the least capacity of the role first."""
+    wanted, max_moves = _wanted_roles(servers, len(target))
+
+    def priority(server: ServerState) -> tuple[float, str]:
+        return rack_capacity(server, servers, wanted[server.name]), server.name
+
+    candidates = [
+        server for server in servers if server.name in wanted and server.movable and not server.changing
+    ]
+    busy_racks = {server.rack for server in servers if server.changing}
+    moves = dict[str, str]()
+    for server in sorted(candidates, key=priority):
+        if len(moves) >= max_moves:
+            break
+        role = wanted[server.name]
+        after_moves = with_roles(servers, moves, changing=True)
+        if server.rack not in busy_racks and is_safe_move(after_moves, server, role, demand):
+            moves[server.name] = role
+            busy_racks.add(server.rack)
     return moves
 
 
-def beside(box: Box, boxes: Sequence[Box], role: str) -> float:
-    """What a server's rack bears of a role."""
-    return bears((each for each in boxes if each.rack == box.rack), role)
-
-
-def allowed(boxes: Sequence[Box], mover: Box, new: str, need: Need) -> bool:
-    """Whether a server may leave its old role, with all changes under way as they are."""
-    after = moved(boxes, {mover.name: new}, changing=True)
-    for old in {"read", "write"} - {new}:
-        if not mover.bears(old):
-            continue
-        stay = [box for box in after if not box.changing and box.bears(old)]
-        if not any(box.warm for box in stay):
-            return False  # the last warm one
-        needs = {"read": need.read * (1 + need.doubt), "write": need.write * (1 + need.doubt)}
-        # What covers the loss of the largest rack stays, unless the role that gains is still worse off.
-        gains = covered(boxes, new, needs[new])
-        if covered(stay, old, needs[old]) < min(1.0, gains):
-            return False
-    return True
-
-
-def moved(boxes: Sequence[Box], roles: dict[str, str], changing: bool | None = None) -> list[Box]:
-    """The servers with some roles changed; where `changing` is told, those that do change carry it."""
-    return [
-        replace(box, role=roles[box.name], changing=box.changing if changing is None else changing)
-        if box.name in roles and roles[box.name] != box.role
-        else box
-        for box in boxes
-    ]
+def _wanted_roles(servers: Sequence[ServerState], prefill_target: int) -> tuple[dict[str, str], int]:
+    """The roles that servers may change to, and how many of them are to change.
+
+    Servers that do both are decided first, so that none that has a role has to change it for their sake.
+    """
+    mixed = sorted((server for server in servers if server.kind == "both"), key=prefill_advantage)
+    shortage = prefill_target - sum(server.role == "read" for server in mixed)
+    undecided = [server.name for server in mixed if server.role == "both"]
+    if undecided:
+        wanted = {name: "read" if rank < shortage else "write" for rank, name in enumerate(undecided)}
+        return wanted, len(undecided)
+    role = "read" if shortage > 0 else "write"
+    wanted = {server.name: role for server in mixed if server.role == OPPOSITE_ROLE[role]}
+    return wanted, abs(shortage)
+
+
+def rack_capacity(server: ServerState, servers: Sequence[ServerState], role: str) -> float:
+    """Tokens per s that the rack of a server processes in a role."""
+    return total_capacity((other for other in servers if other.rack == server.rack), role)
+
+
+def is_safe_move(
+    servers: Sequence[ServerState], candidate: ServerState, new_role: str, demand: SiteDemand
+) -> bool:
+    """Whether a server may leave its old role, counting all changes in progress as unfinished."""
+    old_role = OPPOSITE_ROLE[new_role]
+    if not candidate.capacity(old_role):
+        return True
+    after = with_roles(servers, {candidate.name: new_role}, changing=True)
+    staying = [server for server in after if not server.changing and server.capacity(old_role)]
+    if not any(server.warm for server in staying):
+        return False  # it is the last warm one
+    demand_rates = {
+        "read": demand.prefill_rate * (1 + demand.relative_error),
+        "write": demand.decode_rate * (1 + demand.relative_error),
+    }
+    # What covers the loss of the largest rack stays, unless the role that gains is still worse off.
+    new_coverage = rack_loss_coverage(servers, new_role, demand_rates[new_role])
+    old_coverage = rack_loss_coverage(staying, old_role, demand_rates[old_role])
+    return old_coverage >= min(1.0, new_coverage)
+
+
+def with_roles(
+    servers: Sequence[ServerState], roles: dict[str, str], changing: bool | None = None
+) -> list[ServerState]:
+    """The servers with other roles; `changing`, where given, is set on those whose role differs."""
+    return [_with_role(server, roles.get(server.name, server.role), changing) for server in servers]
+
+
+def _with_role(server: ServerState, role: str, changing: bool | None) -> ServerState:
+    if role == server.role:
+        return server
+    return replace(server, role=role, changing=server.changing if changing is None else changing)
--- a/ringledge/decide/ratio/planner.py
+++ b/ringledge/decide/ratio/planner.py
@@ -1,8 +1,8 @@
-"""Which servers read and which write: the planner's look, from facts to rows; free of I/O and clocks.
+"""Which servers do prefill and which decode: a planning round, from observations to assignments.
 
-One planner at a time decides for all sites, with the token of its duty. It holds nothing that the rows and
-the measures don't give again: another that takes over tells the rows in force anew under its own token, lets
-changes under way come to their end, measures for a while, and goes on.
+One planner at a time decides for all sites, with the fencing token of its lease. It holds no state that the
+assignments and the measurements don't restore: a successor reissues the assignments in force under its own
+token, lets changes in progress end, measures for a while, and goes on. Free of I/O and clocks.
 """
 
 from __future__ import annotations
@@ -12,107 +12,150 @@
 from math import inf
 
 from ringledge.decide.interface import ClassDemand, RoleAssignment, ServerObservation
-from ringledge.decide.ratio.demand_estimate import Estimate, Need
-from ringledge.decide.ratio.plan import Plan, plan
-from ringledge.decide.ratio.role_registry import WARM, RoleBook, State
-from ringledge.decide.ratio.service_rates import Pace, Paces
+from ringledge.decide.ratio.demand_estimate import EPSILON, DemandEstimator, SiteDemand
+from ringledge.decide.ratio.plan import SitePlan, plan_site
+from ringledge.decide.ratio.role_registry import WARM_THRESHOLD, RolePhase, RoleRegistry
+from ringledge.decide.ratio.service_rates import ServiceRate, ServiceRateEstimator
 from ringledge.decide.ratio.settings import RatioConfig
-from ringledge.decide.ratio.target import Box, bears
+from ringledge.decide.ratio.target import ServerState, total_capacity
+
+REISSUE_DELAY = 2  # times `propagation_s` from the begin of a term until assignments are reissued
+MEASURING_TIME = 2  # times `fast_s` from the begin of a term until the first plan
+RECENT_CHANGE = 2  # times `max_change_s` for which a changed server counts as recently changed
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """A server on the list."""
+class ListedServer:
+    """A server of the server list."""
 
     name: str
     site: str
     rack: str
-    kind: str  # read, write, both
+    kind: str  # "read", "write" or "both"
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """What members tell, as one look finds it."""
+class Observations:
+    """What members report, as one planning round finds it."""
 
     demand: Mapping[tuple[str, str], ClassDemand]  # by member and class
-    seen: Mapping[tuple[str, str], ServerObservation]  # by member and server
-    members: Mapping[str, str]  # the site of each member that is there
+    servers: Mapping[tuple[str, str], ServerObservation]  # by member and server
+    member_sites: Mapping[str, str]  # the site of each member that is alive
 
 
 @dataclass(slots=True)
-class Looked:
-    """What a look has come to."""
+class PlanningRound:
+    """The result of one planning round."""
 
-    rows: dict[str, RoleAssignment] = field(default_factory=dict)  # to be told, by server
-    plans: dict[str, Plan] = field(default_factory=dict)  # by site
-    needs: dict[str, Need] = field(default_factory=dict)
+    assignments: dict[str, RoleAssignment] = field(default_factory=dict)  # to be published, by server
+    plans: dict[str, SitePlan] = field(default_factory=dict)  # by site
+    demands: dict[str, SiteDemand] = field(default_factory=dict)  # by site
 
 
-class Ratio:
-    """The planner's decisions while it holds its duty."""
+class RolePlanner:
+    """The planner's decisions while it holds its lease."""
 
-    def __init__(self, settings: RatioConfig, book: RoleBook) -> None:
-        """`book`: the roles as this member's conductor has them, which hears the rows told here as well."""
-        self.settings, self.book = settings, book
-        self.token, self.number = 0, 0
-        self._since_s = inf
-        self._estimate, self._paces = Estimate(settings), Paces(settings)
+    def __init__(self, settings: RatioConfig, registry: RoleRegistry) -> None:
+        """`registry`: of this member's own conductor, which receives the assignments made here as well."""
+        self.settings = settings
+        self.registry = registry
+        self.token = 0
+        self.number = 0  # of the last plan under the token
+        self._started_s = inf
+        self._demand_estimator = DemandEstimator(settings)
+        self._rate_estimator = ServiceRateEstimator(settings)
 
     def begin(self, now_s: float, token: int) -> None:
-        """Take the duty up."""
-        self.token, self.number, self._since_s = token, 1, now_s
-        self._estimate, self._paces = Estimate(self.settings), Paces(self.settings)
-
-    def again(self, now_s: float) -> dict[str, RoleAssignment]:
-        """Rows in force that are still to be told under the present token.
-
-        None at first: what the planner before told last may still be on its way here, and to tell what was
-        in force before it would turn a change back that others have begun.
+        """Begin a term under a new fencing token, with nothing measured yet."""
+        self.token = token
+        self.number = 1
+        self._started_s = now_s
+        self._demand_estimator = DemandEstimator(self.settings)
+        self._rate_estimator = ServiceRateEstimator(self.settings)
+
+    def reissued_assignments(self, now_s: float) -> dict[str, RoleAssignment]:
+        """Assignments in force that are still to be published under the present token.
+
+        None at first: the last ones of the predecessor may still be on their way here, and to reissue those
+        before them would reverse a change that others have begun.
         """
-        if now_s - self._since_s < 2 * self.settings.spread_s:
+        if now_s - self._started_s < REISSUE_DELAY * self.settings.propagation_s:
             return {}
-        old = sorted((server, row) for server, row in self.book.rows.items() if row.token < self.token)
-        return {server: RoleAssignment(self.token, 1, row.role) for server, row in old}
-
-    def look(self, now_s: float, heard: Heard, listed: Sequence[Listed]) -> Looked:
-        """Measure, and decide what changes now; rows are to be told and given to the book."""
-        looked = Looked()
-        paces = self._paces.look(now_s, heard.seen, {each.name for each in listed}, self.book.changing())
-        for name, pace in paces.items():
-            self.book.seen(name, pace.waiting, pace.warmth)
-        boxes = [self._box(now_s, each, paces[each.name]) for each in listed if each.name in self.book.places]
-        sites: dict[str, list[Box]] = {each.site: [] for each in listed}
-        for box in boxes:
-            sites[box.site].append(box)
-        cold = {site: self._cold(now_s, its, paces) for site, its in sites.items()}
-        looked.needs = self._estimate.look(now_s, heard.demand, heard.members, cold)
-        if now_s - self._since_s < 2 * self.settings.fast_s:
-            return looked  # one that is new measures first
-        for site, need in looked.needs.items():
+        outdated = sorted(
+            (server, assignment)
+            for server, assignment in self.registry.assignments.items()
+            if assignment.token < self.token
+        )
+        return {server: RoleAssignment(self.token, 1, assignment.role) for server, assignment in outdated}
+
+    def run_round(
+        self, now_s: float, observations: Observations, listed: Sequence[ListedServer]
+    ) -> PlanningRound:
+        """Measure and decide; the caller publishes the assignments and gives them to the registry."""
+        result = PlanningRound()
+        rates = self._update_rates(now_s, observations, listed)
+        sites = self._servers_by_site(now_s, listed, rates)
+        cold = {site: self._cold_prefill_fraction(now_s, servers, rates) for site, servers in sites.items()}
+        result.demands = self._demand_estimator.update(
+            now_s, observations.demand, observations.member_sites, cold
+        )
+        if now_s - self._started_s < MEASURING_TIME * self.settings.fast_s:
+            return result
+        for site, demand in result.demands.items():
             if sites.get(site):
-                looked.plans[site] = plan(sites[site], need, self.settings)
-        moves = {server: role for each in looked.plans.values() for server, role in each.moves.items()}
+                result.plans[site] = plan_site(sites[site], demand, self.settings)
+        moves = {server: role for plan in result.plans.values() for server, role in plan.moves.items()}
         if moves:
             self.number += 1
-            looked.rows = {
+            result.assignments = {
                 server: RoleAssignment(self.token, self.number, role) for server, role in moves.items()
             }
-        return looked
-
-    def _box(self, now_s: float, listed: Listed, pace: Pace) -> Box:
-        place, warmth = self.book.places[listed.name], pace.warmth
-        changing = place.state is not State.BACK
-        free = listed.kind == "both" and now_s - place.asked_s >= self.settings.least_stay_s
-        role = place.role if listed.kind == "both" else listed.kind
-        bearing = 1.0 if changing else warmth  # one on its way counts as what it will be
-        read, write = pace.read * bearing, pace.write * bearing
-        its = (listed.name, listed.site, listed.rack, listed.kind)
-        return Box(*its, role, changing, free, warmth >= WARM, read, write)
-
-    def _cold(self, now_s: float, boxes: Sequence[Box], paces: Mapping[str, Pace]) -> float:
-        """The part of a site's reading that is cold since its server has come to it lately."""
-        lately = [
-            box for box in boxes if now_s - self.book.places[box.name].asked_s < 2 * self.settings.change_s
+        return result
+
+    def _update_rates(
+        self, now_s: float, observations: Observations, listed: Sequence[ListedServer]
+    ) -> dict[str, ServiceRate]:
+        names = {server.name for server in listed}
+        changing = self.registry.changing_servers()
+        rates = self._rate_estimator.update(now_s, observations.servers, names, changing)
+        for name, rate in rates.items():
+            self.registry.update_observation(name, rate.waiting_entries, rate.warmth)
+        return rates
+
+    def _servers_by_site(
+        self, now_s: float, listed: Sequence[ListedServer], rates: Mapping[str, ServiceRate]
+    ) -> dict[str, list[ServerState]]:
+        sites: dict[str, list[ServerState]] = {server.site: [] for server in listed}
+        for server in listed:
+            if server.name in self.registry.entries:
+                sites[server.site].append(self._server_state(now_s, server, rates[server.name]))
+        return sites
+
+    def _server_state(self, now_s: float, listed: ListedServer, rate: ServiceRate) -> ServerState:
+        entry = self.registry.entries[listed.name]
+        is_mixed = listed.kind == "both"
+        changing = entry.phase is not RolePhase.STABLE
+        scale = 1.0 if changing else rate.warmth  # a changing server counts as what it will be
+        return ServerState(
+            name=listed.name,
+            site=listed.site,
+            rack=listed.rack,
+            kind=listed.kind,
+            role=entry.role if is_mixed else listed.kind,
+            changing=changing,
+            movable=is_mixed and now_s - entry.requested_s >= self.settings.min_dwell_s,
+            warm=rate.warmth >= WARM_THRESHOLD,
+            prefill_rate=rate.prefill_rate * scale,
+            decode_rate=rate.decode_rate * scale,
+        )
+
+    def _cold_prefill_fraction(
+        self, now_s: float, servers: Sequence[ServerState], rates: Mapping[str, ServiceRate]
+    ) -> float:
+        """The fraction of a site's prefill capacity that is cold because of recent changes of role."""
+        recent_s = RECENT_CHANGE * self.settings.max_change_s
+        recent = [
+            server for server in servers if now_s - self.registry.entries[server.name].requested_s < recent_s
         ]
-        cold = sum(bears([box], "read") * (1 - paces[box.name].warmth) for box in lately)
-        return cold / max(bears(boxes, "read"), 1e-9)
+        cold = sum(server.capacity("read") * (1 - rates[server.name].warmth) for server in recent)
+        return cold / max(total_capacity(servers, "read"), EPSILON)
--- a/ringledge/decide/ratio/role_records.py
+++ b/ringledge/decide/ratio/role_records.py
@@ -1,4 +1,4 @@
-"""Plan rows as facts: their keys and bytes, and which of two rows is in force."""
+"""Role assignments as replicated records: their keys and bytes, and which of two is in force."""
 
 from __future__ import annotations
 
@@ -8,43 +8,54 @@
 
 from ringledge.decide.interface import RoleAssignment
 
-PREFIX = "plan/"
+KEY_PREFIX = "plan/"
 ROLES = ("read", "write", "both")
-MOST = 2**62  # of a token or number: a row beyond it is nonsense that no later plan could outdo
-MOST_BYTES = 64  # of a row: two numbers and a word; longer ones are not even looked at
+MAX_NUMBER = 2**62  # of a token or plan: no later plan could supersede an assignment beyond it
+MAX_ENCODED_BYTES = 64  # of an assignment, two numbers and a word: longer values are not even decoded
 
 _decoder: msgspec.msgpack.Decoder[RoleAssignment] = msgspec.msgpack.Decoder(RoleAssignment)
 _encoder = msgspec.msgpack.Encoder()
 
 
-def encode(server: str, row: RoleAssignment) -> tuple[str, bytes]:
-    """The fact that tells a server's row: key and value."""
-    return PREFIX + server, _encoder.encode(row)
+def encode_assignment(server: str, assignment: RoleAssignment) -> tuple[str, bytes]:
+    """Key and value of the record of a server's assignment."""
+    return KEY_PREFIX + server, _encoder.encode(assignment)
 
 
-def decode(key: str, value: bytes) -> tuple[str, RoleAssignment] | None:
-    """The server and row that a fact tells; None where it tells none."""
-    server = key.removeprefix(PREFIX)
-    if not server or server == key or len(value) > MOST_BYTES:
+def decode_assignment(key: str, value: bytes) -> tuple[str, RoleAssignment] | None:
+    """The server and the assignment of a record; None where it is invalid or no assignment."""
+    server = key.removeprefix(KEY_PREFIX)
+    if not server or server == key or len(value) > MAX_ENCODED_BYTES:
         return None
     try:
-        row = _decoder.decode(value)
+        assignment = _decoder.decode(value)
     except (msgspec.DecodeError, msgspec.ValidationError):
         return None
-    sane = 0 < row.token <= MOST and 0 <= row.number <= MOST and row.role in ROLES
-    return (server, row) if sane else None
+    return (server, assignment) if _is_valid(assignment) else None
 
 
-def newer(row: RoleAssignment, than: RoleAssignment | None) -> bool:
-    """Whether a row takes the place of another.
+def _is_valid(assignment: RoleAssignment) -> bool:
+    has_valid_token = 0 < assignment.token <= MAX_NUMBER
+    has_valid_number = 0 <= assignment.number <= MAX_NUMBER
+    return has_valid_token and has_valid_number and assignment.role in ROLES
 
-    By token, then number. Two that are alike in both can't come from one planner; the role decides then, so
-    that all conductors agree, whichever they heard first.
+
+def supersedes(assignment: RoleAssignment, current: RoleAssignment | None) -> bool:
+    """Whether an assignment replaces the current one of its server.
+
+    By token, then number. Two that are equal in both can't come from one planner; the role decides then, so
+    that all conductors agree, whichever they received first.
     """
-    return than is None or (row.token, row.number, row.role) > (than.token, than.number, than.role)
+    return current is None or precedence(assignment) > precedence(current)
+
+
+def precedence(assignment: RoleAssignment) -> tuple[int, int, str]:
+    """Sort key: the assignment with the largest one is in force."""
+    return assignment.token, assignment.number, assignment.role
 
 
-def rows(facts: Mapping[tuple[str, str], bytes]) -> Iterator[tuple[str, RoleAssignment]]:
-    """All rows among facts, by any writer; the lowest first, so that the newest of a server is heard last."""
-    found = [each for (_, key), value in facts.items() if (each := decode(key, value)) is not None]
-    return iter(sorted(found, key=lambda each: (each[1].token, each[1].number, each[1].role)))
+def decode_assignments(records: Mapping[tuple[str, str], bytes]) -> Iterator[tuple[str, RoleAssignment]]:
+    """All assignments among records, by any writer, in ascending precedence: a server's newest comes last."""
+    decoded = (decode_assignment(key, value) for (_, key), value in records.items())
+    valid = [pair for pair in decoded if pair is not None]
+    return iter(sorted(valid, key=lambda pair: precedence(pair[1])))
--- a/ringledge/decide/ratio/role_registry.py
+++ b/ringledge/decide/ratio/role_registry.py
@@ -1,181 +1,224 @@
-"""Which role each server has now, as one conductor sees it; free of I/O and clocks.
+"""The current role of each server, as one conductor sees it; free of I/O and clocks.
 
-The planner's rows come late, out of order, twice or never. A server whose kind reads or writes does that,
-whatever a row says; one that does both follows its row, and does both where there is none. A change passes
-through: asked (nothing new of the old role from here), draining (told to all by now: waiting states are
-fetched or let go, streams end), changed, warming, back. Nothing that is under way is ever cut off here: what
-a conductor with an older row still sends is work that the server can do.
+The planner's assignments arrive late, out of order, twice or never. A server whose configured kind is prefill
+or decode always keeps that role; a mixed server follows its assignment, and does both kinds of work while it
+has none. A change of role passes through the phases of `RolePhase`. Nothing in flight is ever cancelled here:
+what a conductor with an older assignment still sends is work that the server is able to do.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
 from math import inf
 
 from ringledge.decide.interface import RoleAssignment
-from ringledge.decide.ratio.role_records import newer
+from ringledge.decide.ratio.role_records import supersedes
 from ringledge.decide.ratio.settings import RatioConfig
 
-MOST_ROWS = 4096  # kept, for servers that no list names yet too
-DOES = {"read": frozenset({"read"}), "write": frozenset({"write"}), "both": frozenset({"read", "write"})}
-WARM = 0.9  # of its capacity: so warm counts as back
+MAX_ASSIGNMENTS = 4096  # retained, including those of servers that are not listed yet
+# Work that a server of each role does; kinds of servers have the same three names.
+WORK_OF_ROLE = {
+    "read": frozenset({"read"}),
+    "write": frozenset({"write"}),
+    "both": frozenset({"read", "write"}),
+}
+WARM_THRESHOLD = 0.9  # part of a server's full capacity from which it counts as warm
+WARM_UP_LIMIT = 2  # times `warm_up_s` after which warming up ends, whatever warmth is reported
 
 
-class State(Enum):
-    """How far a server is with the change to its role."""
+class RolePhase(Enum):
+    """How far a server is with a change of its role."""
 
-    ASKED = "asked"
-    DRAINING = "draining"
-    CHANGED = "changed"
-    WARMING = "warming"
-    BACK = "back"
+    REQUESTED = "asked"  # no new work of the old role is sent from here
+    DRAINING = "draining"  # every conductor knows by now: cache entries are fetched or released, streams end
+    CHANGED = "changed"  # the new role has begun
+    WARMING = "warming"  # slow start in the new role
+    STABLE = "back"  # no change is in progress
 
 
 @dataclass(slots=True)
-class Place:
-    """One server's role and what is left of the one before."""
+class RoleEntry:
+    """One server's role, and the work that may remain there from the role before."""
 
-    kind: str  # by the list
+    kind: str  # configured: "read", "write" or "both"
     role: str = "both"  # that it has, or changes to
-    before: frozenset[str] = DOES["both"]  # what may still be under way there from before
-    state: State = State.BACK
-    state_s: float = -inf  # since when
-    asked_s: float = -inf  # when its role was changed last; -inf: never
-    reads: int = 0  # of this conductor, under way
-    streams: int = 0
-    waiting: int = 0  # read states of all members
-    warmth: float = 1.0
-
-    def open(self) -> frozenset[str]:
-        """What new work it gets from here."""
+    previous_work: frozenset[str] = WORK_OF_ROLE["both"]  # may still be in flight from before the change
+    phase: RolePhase = RolePhase.STABLE
+    phase_since_s: float = -inf
+    requested_s: float = -inf  # when its role was last changed; -inf: never
+    active_prefills: int = 0  # sent by this conductor
+    active_streams: int = 0  # sent by this conductor
+    waiting_entries: int = 0  # cache entries of all members that wait to be fetched
+    warmth: float = 1.0  # 0 to 1
+
+    def accepted_work(self) -> frozenset[str]:
+        """The kinds of new work that this conductor sends to it."""
         if self.kind != "both":
-            return DOES[self.kind]
-        does = DOES[self.role]
-        return does & self.before if self.state in (State.ASKED, State.DRAINING) else does
+            return WORK_OF_ROLE[self.kind]
+        work = WORK_OF_ROLE[self.role]
+        if self.phase in (RolePhase.REQUESTED, RolePhase.DRAINING):
+            return work & self.previous_work
+        return work
 
-    def left(self) -> bool:
+    def has_remaining_work(self) -> bool:
         """Whether work of a role that it gives up is known to be there."""
-        dropped = self.before - DOES[self.role]
-        reads, streams = "read" in dropped, "write" in dropped
-        return (reads and self.reads + self.waiting > 0) or (streams and self.streams > 0)
+        ending_work = self.previous_work - WORK_OF_ROLE[self.role]
+        if "read" in ending_work and self.active_prefills + self.waiting_entries > 0:
+            return True
+        return "write" in ending_work and self.active_streams > 0
 
+    def request_role(self, now_s: float, role: str) -> None:
+        """Begin a change of role; without effect where the kind is fixed or the role is the same.
 
-class RoleBook:
-    """The roles of all servers, from rows, the list, and what is under way."""
+        The same role comes again from each new planner, and a change in progress then goes on.
+        """
+        if self.kind != "both" or role == self.role:
+            return
+        if self.phase in (RolePhase.REQUESTED, RolePhase.DRAINING):
+            # Reversed while it drains, it may hold work of either role: only what both do is accepted.
+            self.previous_work = self.previous_work | WORK_OF_ROLE[self.role]
+        else:
+            self.previous_work = WORK_OF_ROLE[self.role]
+        self.role = role
+        self.requested_s = now_s
+        self.phase = RolePhase.REQUESTED
+        self.phase_since_s = now_s
+
+    def change_kind(self, now_s: float, kind: str, assignment: RoleAssignment | None) -> None:
+        """Follow the server list at once: a server accepts only work of its configured kind."""
+        self.kind = kind
+        self.phase = RolePhase.STABLE
+        self.phase_since_s = now_s
+        self.role = initial_role(kind, assignment)
+        self.previous_work = WORK_OF_ROLE[self.role]
+        self.requested_s = now_s
+
+    def next_phase(self, now_s: float, settings: RatioConfig) -> RolePhase:
+        """The phase that the server should be in now."""
+        elapsed_s = now_s - self.phase_since_s
+        match self.phase:
+            case RolePhase.REQUESTED if elapsed_s >= settings.propagation_s:
+                return RolePhase.DRAINING
+            case RolePhase.DRAINING if not self.has_remaining_work() or elapsed_s >= settings.drain_timeout_s:
+                return RolePhase.CHANGED
+            case RolePhase.CHANGED:
+                return RolePhase.WARMING
+            case RolePhase.WARMING if self._has_warmed_up(elapsed_s, settings.warm_up_s):
+                return RolePhase.STABLE
+            case _:
+                return self.phase
+
+    def _has_warmed_up(self, elapsed_s: float, warm_up_s: float) -> bool:
+        """Warm for long enough; a wrongly reported warmth must not block a rack's changes for ever."""
+        if elapsed_s >= warm_up_s and self.warmth >= WARM_THRESHOLD:
+            return True
+        return elapsed_s >= WARM_UP_LIMIT * warm_up_s
+
+
+class RoleRegistry:
+    """The roles of all servers, from assignments, the server list, and the work in flight.
+
+    Invariants: assignments below the highest token seen are never accepted (fencing), and each role is
+    accepted by some server as long as one that is able to do it is listed.
+    """
 
     def __init__(self, settings: RatioConfig) -> None:
         self.settings = settings
-        self.rows = dict[str, RoleAssignment]()  # the newest of each server
-        self.places = dict[str, Place]()  # servers on the list
-        self.token = 0  # the highest that was seen: whatever is below comes from a planner that was followed
-        self.refused = 0  # rows below it, or older than the one in force
-
-    def receive(self, now_s: float, server: str, row: RoleAssignment) -> bool:
-        """Take a row; False where it is refused."""
-        if row.token < self.token or not newer(row, self.rows.get(server)):
-            self.refused += row != self.rows.get(server)
+        self.assignments = dict[str, RoleAssignment]()  # the newest of each server
+        self.entries = dict[str, RoleEntry]()  # of listed servers
+        self.token = 0  # the highest seen: a lower one belongs to a planner that has been replaced
+        self.rejected = 0  # assignments below that token, or older than the one in force
+
+    def receive(self, now_s: float, server: str, assignment: RoleAssignment) -> bool:
+        """Accept an assignment; False where it is rejected."""
+        current = self.assignments.get(server)
+        if assignment.token < self.token or not supersedes(assignment, current):
+            self.rejected += assignment != current
             return False
-        if server not in self.rows and len(self.rows) >= MOST_ROWS:
-            self.refused += 1
+        if current is None and len(self.assignments) >= MAX_ASSIGNMENTS:
+            self.rejected += 1
             return False
-        self.token = row.token
-        self.rows[server] = row
-        if server in self.places:
-            self._ask(now_s, self.places[server], row.role)
+        self.token = assignment.token
+        self.assignments[server] = assignment
+        if server in self.entries:
+            self.entries[server].request_role(now_s, assignment.role)
         return True
 
-    def listed(self, now_s: float, kinds: Mapping[str, str]) -> None:
-        """Take the list: what each server can do by its kind (read, write, both); others are gone."""
-        for server in self.places.keys() - kinds.keys():
-            del self.places[server]
+    def update_servers(self, now_s: float, kinds: Mapping[str, str]) -> None:
+        """Apply the server list, the kind ("read", "write", "both") of each; others are removed."""
+        for server in self.entries.keys() - kinds.keys():
+            del self.entries[server]
         for server, kind in kinds.items():
-            place = self.places.get(server)
-            if place is None:  # nothing of ours is under way there: its row holds at once
-                row = self.rows.get(server)
-                role = row.role if row is not None and kind == "both" else kind
-                self.places[server] = Place(kind, role, DOES[role], asked_s=now_s if row else -inf)
-            elif place.kind != kind:  # the list leads: at once, for a server takes no more than its kind does
-                place.kind, place.state, place.state_s = kind, State.BACK, now_s
-                row = self.rows.get(server)
-                place.role = row.role if row is not None and kind == "both" else kind
-                place.before, place.asked_s = DOES[place.role], now_s
-
-    def work(self, server: str, reads: int, streams: int) -> None:
-        """What this conductor has under way at a server."""
-        if server in self.places:
-            self.places[server].reads, self.places[server].streams = reads, streams
-
-    def seen(self, server: str, waiting: int, warmth: float) -> None:
-        """What all members tell of a server: read states that wait there, and how warm it is."""
-        if server in self.places:
-            self.places[server].waiting, self.places[server].warmth = waiting, warmth
-
-    def tick(self, now_s: float) -> list[tuple[str, State]]:
-        """Go on with what is due; gives the servers that went on, and to which state."""
-        moved = []
-        for server, place in self.places.items():
-            state = self._next(now_s, place)
-            if state is not place.state:
-                place.state, place.state_s = state, now_s
-                if state is State.CHANGED:
-                    place.before = DOES[place.role]
-                moved.append((server, state))
-        return moved
-
-    def roles(self) -> dict[str, frozenset[str]]:
-        """What new work each server on the list gets from here.
-
-        Where a role would be open nowhere, each server that can do it gets it again: a plan that came to
-        pieces on its way may cost speed, but never leaves requests without a server.
+            assignment = self.assignments.get(server)
+            entry = self.entries.get(server)
+            if entry is None:  # nothing of ours is in flight there: its assignment holds at once
+                self.entries[server] = new_entry(now_s, kind, assignment)
+            elif entry.kind != kind:
+                entry.change_kind(now_s, kind, assignment)
+
+    def update_in_flight(self, server: str, prefills: int, streams: int) -> None:
+        """Set what this conductor has in flight at a server."""
+        if server in self.entries:
+            entry = self.entries[server]
+            entry.active_prefills = prefills
+            entry.active_streams = streams
+
+    def update_observation(self, server: str, waiting_entries: int, warmth: float) -> None:
+        """Set what all members report of a server: cache entries waiting there, and its warmth (0 to 1)."""
+        if server in self.entries:
+            entry = self.entries[server]
+            entry.waiting_entries = waiting_entries
+            entry.warmth = warmth
+
+    def tick(self, now_s: float) -> list[tuple[str, RolePhase]]:
+        """Advance the changes that are due; returns the servers whose phase changed, with the new phase."""
+        advanced = []
+        for server, entry in self.entries.items():
+            phase = entry.next_phase(now_s, self.settings)
+            if phase is not entry.phase:
+                entry.phase = phase
+                entry.phase_since_s = now_s
+                if phase is RolePhase.CHANGED:
+                    entry.previous_work = WORK_OF_ROLE[entry.role]
+                advanced.append((server, phase))
+        return advanced
+
+    def accepted_work(self) -> dict[str, frozenset[str]]:
+        """The kinds of new work that each listed server gets from here.
+
+        Where a role would be accepted nowhere, each server that is able to do it gets it again: an incomplete
+        plan may cost speed, but never leaves requests without a server.
         """
-        roles = {server: place.open() for server, place in self.places.items()}
-        for role in DOES["both"]:
-            if not any(role in does for does in roles.values()):
-                for server, place in self.places.items():
-                    roles[server] |= DOES[place.kind] & {role}
-        return roles
-
-    def shut(self) -> tuple[frozenset[str], frozenset[str]]:
-        """Servers that get no new reads, and those that get no new writes, as the policy wants to hear."""
-        roles = self.roles()
-        reads, writes = (
-            frozenset(server for server, does in roles.items() if role not in does)
-            for role in ("read", "write")
-        )
-        return reads, writes
-
-    def changing(self) -> set[str]:
-        """Servers whose change has not come to its end."""
-        return {server for server, place in self.places.items() if place.state is not State.BACK}
-
-    def told(self, servers: Iterable[str]) -> dict[str, str]:
-        """The role that each of these servers has or changes to."""
-        return {server: self.places[server].role for server in servers if server in self.places}
-
-    def _ask(self, now_s: float, place: Place, role: str) -> None:
-        if place.kind != "both" or role == place.role:
-            return  # told anew by another planner: a change that runs goes on
-        running = place.state in (State.ASKED, State.DRAINING)
-        # Turned back while it drains, it may hold work of either role: only what both do stays open.
-        place.before = (place.before | DOES[place.role]) if running else DOES[place.role]
-        place.role, place.asked_s = role, now_s
-        place.state, place.state_s = State.ASKED, now_s
-
-    def _next(self, now_s: float, place: Place) -> State:
-        settings, here_s = self.settings, now_s - place.state_s
-        if place.state is State.ASKED:
-            return State.DRAINING if here_s >= settings.spread_s else State.ASKED
-        if place.state is State.DRAINING:
-            done = not place.left() or here_s >= settings.drain_s
-            return State.CHANGED if done else State.DRAINING
-        if place.state is State.CHANGED:
-            return State.WARMING
-        if place.state is State.WARMING:
-            return State.BACK if here_s >= settings.warm_s and place.warmth >= WARM else self._at_last(here_s)
-        return State.BACK
-
-    def _at_last(self, here_s: float) -> State:
-        """Warmth that nobody tells right must not hold a rack's changes up for ever."""
-        return State.BACK if here_s >= 2 * self.settings.warm_s else State.WARMING
+        accepted = {server: entry.accepted_work() for server, entry in self.entries.items()}
+        for role in WORK_OF_ROLE["both"]:
+            if not any(role in work for work in accepted.values()):
+                for server, entry in self.entries.items():
+                    accepted[server] |= WORK_OF_ROLE[entry.kind] & {role}
+        return accepted
+
+    def excluded_servers(self) -> tuple[frozenset[str], frozenset[str]]:
+        """Servers that get no new prefills, and those that get no new decodes: the fields of `RolePlan`."""
+        accepted = self.accepted_work()
+        no_prefill = frozenset(server for server, work in accepted.items() if "read" not in work)
+        no_decode = frozenset(server for server, work in accepted.items() if "write" not in work)
+        return no_prefill, no_decode
+
+    def changing_servers(self) -> set[str]:
+        """Servers whose change of role has not ended."""
+        return {server for server, entry in self.entries.items() if entry.phase is not RolePhase.STABLE}
+
+
+def initial_role(kind: str, assignment: RoleAssignment | None) -> str:
+    """The role of a server of this kind while no change is in progress."""
+    if assignment is not None and kind == "both":
+        return assignment.role
+    return kind
+
+
+def new_entry(now_s: float, kind: str, assignment: RoleAssignment | None) -> RoleEntry:
+    """The entry of a server that has just been listed."""
+    role = initial_role(kind, assignment)
+    requested_s = now_s if assignment else -inf
+    return RoleEntry(kind, role, WORK_OF_ROLE[role], requested_s=requested_s)
--- a/ringledge/decide/ratio/service_rates.py
+++ b/ringledge/decide/ratio/service_rates.py
@@ -1,7 +1,7 @@
-"""What each server gets through in each role and how warm it is, from all members; free of I/O and clocks.
+"""The service rate of each server in each role and its warmth, from all members; free of I/O and clocks.
 
-The median of what members tell counts, so that one that is slow itself, or tells nonsense, moves nothing. A
-server's pace stands still while its role changes: what little it does then says nothing of what it can do.
+The median of the members' reports counts, so that one that is slow itself, or implausible, changes nothing. A
+server's rates are not updated while its role changes: what little it does then says nothing of its capacity.
 """
 
 from __future__ import annotations
@@ -13,63 +13,84 @@
 from statistics import median
 
 from ringledge.decide.interface import ServerObservation
-from ringledge.decide.ratio.demand_estimate import sane
+from ringledge.decide.ratio.demand_estimate import is_plausible
 from ringledge.decide.ratio.settings import RatioConfig
 
 
 @dataclass(slots=True)
-class Pace:
-    """One server's; a pace of 0 is not known, and the median of the others stands for it."""
+class ServiceRate:
+    """One server's service rates; a rate of 0 is unknown."""
 
-    read: float = 0.0  # prompt tokens per s
-    write: float = 0.0  # answer tokens per s
+    prefill_rate: float = 0.0  # prompt tokens per s
+    decode_rate: float = 0.0  # answer tokens per s
     warmth: float = 1.0  # 0 to 1
-    waiting: int = 0  # read states of all members
+    waiting_entries: int = 0  # cache entries of all members that wait to be fetched
 
 
-class Paces:
-    """The paces of all servers that are listed."""
+class ServiceRateEstimator:
+    """The service rates of all listed servers."""
 
     def __init__(self, settings: RatioConfig) -> None:
         self._slow_s = settings.slow_s
-        self._at_s: float | None = None
-        self._known = dict[str, Pace]()
+        self._updated_s: float | None = None
+        self._rates = dict[str, ServiceRate]()
 
-    def look(
+    def update(
         self,
         now_s: float,
-        seen: Mapping[tuple[str, str], ServerObservation],
+        observations: Mapping[tuple[str, str], ServerObservation],
         listed: Collection[str],
         changing: Collection[str],
-    ) -> dict[str, Pace]:
-        """Take what members tell, by member and server; gives each listed server's, guessed where need be."""
-        weight = 1.0 if self._at_s is None else 1 - exp((self._at_s - now_s) / self._slow_s)
-        self._at_s = now_s
-        told = defaultdict[str, list[ServerObservation]](list)
-        for (_, server), each in seen.items():
-            if sane(each):
-                told[server].append(each)
-        for server in self._known.keys() - set(listed):
-            del self._known[server]
+    ) -> dict[str, ServiceRate]:
+        """Process the reports by member and server; returns the rates of each listed server.
+
+        Where a rate is unknown, the median of the other servers stands for it.
+        """
+        weight = 1.0 if self._updated_s is None else 1 - exp((self._updated_s - now_s) / self._slow_s)
+        self._updated_s = now_s
+        reports = defaultdict[str, list[ServerObservation]](list)
+        for (_, server), observation in observations.items():
+            if is_plausible(observation):
+                reports[server].append(observation)
+        for server in self._rates.keys() - set(listed):
+            del self._rates[server]
         for server in listed:
-            known, rows = self._known.setdefault(server, Pace()), told[server]
-            known.waiting = sum(row.waiting_entries for row in rows)
-            if rows:
-                known.warmth = min(1.0, median(row.warmth for row in rows))
-            if server not in changing:
-                known.read = smoothed(known.read, [row.prefill_rate for row in rows], weight)
-                known.write = smoothed(known.write, [row.decode_rate for row in rows], weight)
-        reads = median([each.read for each in self._known.values() if each.read] or [0.0])
-        writes = median([each.write for each in self._known.values() if each.write] or [0.0])
+            rate = self._rates.setdefault(server, ServiceRate())
+            update_rate(rate, reports[server], weight, server in changing)
+        return self._with_defaults()
+
+    def _with_defaults(self) -> dict[str, ServiceRate]:
+        rates = self._rates.values()
+        prefill_rate = median([rate.prefill_rate for rate in rates if rate.prefill_rate] or [0.0])
+        decode_rate = median([rate.decode_rate for rate in rates if rate.decode_rate] or [0.0])
         return {
-            server: Pace(each.read or reads, each.write or writes, each.warmth, each.waiting)
-            for server, each in self._known.items()
+            server: ServiceRate(
+                rate.prefill_rate or prefill_rate,
+                rate.decode_rate or decode_rate,
+                rate.warmth,
+                rate.waiting_entries,
+            )
+            for server, rate in self._rates.items()
         }
 
 
-def smoothed(known: float, told: list[float], weight: float) -> float:
-    """A pace with the median of what members know of it taken in."""
-    paces = [pace for pace in told if pace > 0]
-    if not paces:
-        return known
-    return median(paces) if not known else known + weight * (median(paces) - known)
+def update_rate(
+    rate: ServiceRate, reports: list[ServerObservation], weight: float, is_changing: bool
+) -> None:
+    """Update one server's figures by what members report of it now."""
+    rate.waiting_entries = sum(report.waiting_entries for report in reports)
+    if reports:
+        rate.warmth = min(1.0, median(report.warmth for report in reports))
+    if not is_changing:
+        prefill_rates = [report.prefill_rate for report in reports]
+        decode_rates = [report.decode_rate for report in reports]
+        rate.prefill_rate = smoothed_rate(rate.prefill_rate, prefill_rates, weight)
+        rate.decode_rate = smoothed_rate(rate.decode_rate, decode_rates, weight)
+
+
+def smoothed_rate(current: float, reported: list[float], weight: float) -> float:
+    """The exponentially weighted mean of the median of those reports that know the rate."""
+    known = [rate for rate in reported if rate > 0]
+    if not known:
+        return current
+    return median(known) if not current else current + weight * (median(known) - current)
--- a/ringledge/decide/ratio/target.py
+++ b/ringledge/decide/ratio/target.py
@@ -1,7 +1,7 @@
-"""How many of a site's servers should read; free of I/O and clocks.
+"""How many of a site's mixed servers should do prefill; free of I/O and clocks.
 
-What counts is the part of the demand that both roles can serve, each request needing both, in the mean over
-the mixes that have to be served. While what is there comes near enough to the best, it is left as it is.
+The objective is the fraction of the demand that both roles can serve, as each request needs both, averaged
+over the mixes of prefill and decode that have to be served.
 """
 
 from __future__ import annotations
@@ -10,92 +10,118 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from ringledge.decide.ratio.demand_estimate import FEW
+from ringledge.decide.ratio.demand_estimate import EPSILON, TokenRates
 from ringledge.decide.ratio.settings import RatioConfig
 
-Spans = Sequence[tuple[float, float]]  # tokens per s to read and to write, a look each
-
-SHARED = 0.5  # of what a server gets through in a role that counts while it does both
+MIXED_EFFICIENCY = 0.5  # part of a server's rate in a role that counts while it does both
+MAX_CAPACITY_RATIO = 2.0  # capacity beyond this multiple of the demand is worth nothing
+OBJECTIVE_DIGITS = 6  # candidates that differ by less are equally good
 
 
 @dataclass(frozen=True, slots=True)
-class Box:
-    """One server as the planner sees it."""
+class ServerState:
+    """One server as the planner sees it; rates in tokens per s, scaled by its warmth."""
 
     name: str
     site: str
     rack: str
-    kind: str  # by the list: read, write, both
+    kind: str  # configured: "read", "write" or "both"
     role: str  # that it has, or changes to
-    changing: bool  # on its way to it
-    free: bool  # its kind does both, and it has had its role for the least stay
+    changing: bool  # its change of role is in progress
+    movable: bool  # it is mixed, and has had its role for `min_dwell_s`
     warm: bool
-    read: float  # tokens per s that it bears, reading alone, as warm as it is
-    write: float  # and writing alone
-
-    def bears(self, role: str) -> float:
-        """What it adds to a role, were its change over."""
-        pace = self.read if role == "read" else self.write
-        return pace if self.role == role else SHARED * pace if self.role == "both" else 0.0
-
+    prefill_rate: float  # while it does prefill alone
+    decode_rate: float  # while it does decode alone
 
-def bears(boxes: Iterable[Box], role: str) -> float:
-    """Tokens per s that servers get through in a role."""
-    return sum(box.bears(role) for box in boxes)
+    def capacity(self, role: str) -> float:
+        """Tokens per s that it adds to a role once its change is over."""
+        rate = self.prefill_rate if role == "read" else self.decode_rate
+        if self.role == role:
+            return rate
+        return MIXED_EFFICIENCY * rate if self.role == "both" else 0.0
 
 
-def served(read: float, write: float, spans: Spans, settings: RatioConfig) -> float:
-    """The part of the demand that both roles can serve.
-
-    Of a mix that stays: what the shorter role bears with headroom. Of one that swings, look by look: what
-    waits in one leg is done in the next, up to the wait that requests bear; the rest is lost.
-    """
-    if len(spans) == 1:
-        return min(1.0, room(read, write, spans[0], settings.headroom))
-    bears, behind, sum_of_parts = (read, write), [0.0, 0.0], 0.0
-    for needs in spans:
-        part = 1.0
-        for role, (bear, need) in enumerate(zip(bears, needs, strict=True)):
-            most = bear * settings.wait_s
-            behind[role] = max(0.0, behind[role] + (need - bear) * settings.look_s)
-            if behind[role] > most:
-                behind[role], part = most, min(part, bear / max(need, FEW))
-        sum_of_parts += part
-    return sum_of_parts / len(spans)
+def total_capacity(servers: Iterable[ServerState], role: str) -> float:
+    """Tokens per s that servers process in a role."""
+    return sum(server.capacity(role) for server in servers)
 
 
-def room(read: float, write: float, need: tuple[float, float], headroom: float) -> float:
-    """How many times the demand the role that is shorter can serve."""
-    return headroom * min(read / max(need[0], FEW), write / max(need[1], FEW))
+def capacity_rates(servers: Sequence[ServerState]) -> TokenRates:
+    """Tokens per s that servers process in both roles."""
+    return TokenRates(total_capacity(servers, "read"), total_capacity(servers, "write"))
 
 
-def split(boxes: Sequence[Box], spans: Spans, settings: RatioConfig) -> set[str]:
-    """The servers of both kinds that should read for the most demand served, then for the most room.
+def served_fraction(capacity: TokenRates, mixes: Sequence[TokenRates], settings: RatioConfig) -> float:
+    """The fraction of the demand that both roles can serve.
 
-    Those that read well against how they write come first, so one number tells the whole split.
+    Of one steady mix: what the scarcer role can serve with headroom. Of an oscillating one, interval by
+    interval: the backlog of one half-period is served in the next, up to the longest wait; the rest is lost.
     """
-    mixed = sorted((box for box in boxes if box.kind == "both"), key=advantage)
-    read = sum(box.read for box in boxes if box.kind == "read")
-    write = sum(box.write for box in boxes if box.kind != "read")
-    best, chosen = (-1.0, -1.0), 0
+    if len(mixes) == 1:
+        return min(1.0, capacity_ratio(capacity, mixes[0], settings.headroom))
+    backlogs = [0.0, 0.0]
+    sum_of_fractions = 0.0
+    for demand in mixes:
+        fraction = 1.0
+        for role, (capacity_rate, demand_rate) in enumerate(zip(capacity, demand, strict=True)):
+            max_backlog = capacity_rate * settings.max_wait_s
+            growth = (demand_rate - capacity_rate) * settings.planning_interval_s
+            backlogs[role] = max(0.0, backlogs[role] + growth)
+            if backlogs[role] > max_backlog:
+                backlogs[role] = max_backlog
+                fraction = min(fraction, capacity_rate / max(demand_rate, EPSILON))
+        sum_of_fractions += fraction
+    return sum_of_fractions / len(mixes)
+
+
+def capacity_ratio(capacity: TokenRates, demand: TokenRates, headroom: float) -> float:
+    """How many times the demand the scarcer role can serve."""
+    prefill_ratio = capacity.prefill / max(demand.prefill, EPSILON)
+    decode_ratio = capacity.decode / max(demand.decode, EPSILON)
+    return headroom * min(prefill_ratio, decode_ratio)
+
+
+def choose_prefill_servers(
+    servers: Sequence[ServerState], mixes: Sequence[TokenRates], settings: RatioConfig
+) -> set[str]:
+    """The mixed servers that should do prefill: for the largest served fraction, then for the most capacity.
+
+    Servers are taken in the order of their relative advantage at prefill, so only their number is searched.
+    """
+    mixed = sorted((server for server in servers if server.kind == "both"), key=prefill_advantage)
+    prefill = sum(server.prefill_rate for server in servers if server.kind == "read")
+    decode = sum(server.decode_rate for server in servers if server.kind != "read")
+    best_objective = (-1.0, -1.0)
+    best_count = 0
     for count in range(len(mixed) + 1):
         if count:
-            read, write = read + mixed[count - 1].read, write - mixed[count - 1].write
-        rooms = [min(2.0, room(read, write, need, settings.headroom)) for need in spans]
-        found = (round(served(read, write, spans, settings), 6), round(sum(rooms) / len(rooms), 6))
-        if found > best:
-            best, chosen = found, count
-    return {box.name for box in mixed[:chosen]}
-
-
-def advantage(box: Box) -> tuple[float, str]:
-    """Sorts by how much better a server reads than writes, against others."""
-    return (-box.read / max(box.write, FEW), box.name)
-
-
-def covered(boxes: Sequence[Box], role: str, need: float) -> float:
-    """The part of a role's need that is left when the rack that adds most to it is lost."""
-    racks = defaultdict[str, float](float)
-    for box in boxes:
-        racks[box.rack] += box.bears(role)
-    return (sum(racks.values()) - max(racks.values(), default=0.0)) / max(need, FEW)
+            prefill += mixed[count - 1].prefill_rate
+            decode -= mixed[count - 1].decode_rate
+        objective = _objective(TokenRates(prefill, decode), mixes, settings)
+        if objective > best_objective:
+            best_objective = objective
+            best_count = count
+    return {server.name for server in mixed[:best_count]}
+
+
+def _objective(
+    capacity: TokenRates, mixes: Sequence[TokenRates], settings: RatioConfig
+) -> tuple[float, float]:
+    """Served fraction and mean capacity ratio, rounded; larger is better, compared in this order."""
+    ratios = [min(MAX_CAPACITY_RATIO, capacity_ratio(capacity, mix, settings.headroom)) for mix in mixes]
+    fraction = served_fraction(capacity, mixes, settings)
+    return round(fraction, OBJECTIVE_DIGITS), round(sum(ratios) / len(ratios), OBJECTIVE_DIGITS)
+
+
+def prefill_advantage(server: ServerState) -> tuple[float, str]:
+    """Sort key: servers with the largest ratio of prefill rate to decode rate come first."""
+    return (-server.prefill_rate / max(server.decode_rate, EPSILON), server.name)
+
+
+def rack_loss_coverage(servers: Sequence[ServerState], role: str, demand_rate: float) -> float:
+    """Fraction of a role's demand (tokens per s) that is covered after the loss of its largest rack."""
+    rack_capacity = defaultdict[str, float](float)
+    for server in servers:
+        rack_capacity[server.rack] += server.capacity(role)
+    remaining = sum(rack_capacity.values()) - max(rack_capacity.values(), default=0.0)
+    return remaining / max(demand_rate, EPSILON)
--- a/ringledge/lifecycle/components/ratio.py
+++ b/ringledge/lifecycle/components/ratio.py
@@ -4,7 +4,7 @@
 
 import time
 
-from ringledge.decide.ratio.role_registry import RoleBook
+from ringledge.decide.ratio.role_registry import RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.shared import Part, Shared
@@ -20,7 +20,7 @@
     members, zones = fleet.members, config.names.zones
     if members.membership.me.site not in zones:
         raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
-    book = RoleBook(told)
+    book = RoleRegistry(told)
     keeper = RoleKeeper(told, members.facts, members.membership, shared.conductor, config.names, book)
     fleet.duties[NAME] = Planner(told, members.facts, keeper, book, time.monotonic)
     shared.conductor.context.observer = keeper
--- a/ringledge/members/planner.py
+++ b/ringledge/members/planner.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from ringledge.decide.interface import ClassDemand, RecordStore, RoleAssignment, ServerObservation
-from ringledge.decide.ratio.planner import Heard, Listed, Looked, Ratio
-from ringledge.decide.ratio.role_records import PREFIX, encode, rows
-from ringledge.decide.ratio.role_registry import RoleBook
+from ringledge.decide.ratio.planner import ListedServer, Observations, PlanningRound, RolePlanner
+from ringledge.decide.ratio.role_records import KEY_PREFIX, decode_assignments, encode_assignment
+from ringledge.decide.ratio.role_registry import RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.members.duty import Still
 from ringledge.observe.logging import log
@@ -28,7 +28,7 @@
 class Fleet(Protocol):
     """Who is there."""
 
-    def servers(self) -> Sequence[Listed]:
+    def servers(self) -> Sequence[ListedServer]:
         """The servers on the list."""
         ...
 
@@ -45,13 +45,13 @@
         settings: RatioConfig,
         facts: RecordStore,
         fleet: Fleet,
-        book: RoleBook,
+        book: RoleRegistry,
         clock: Callable[[], float],
     ) -> None:
         """`book`: this conductor's own, which hears rows as everybody's does; `clock`: s, monotonic."""
         self.settings = settings
         self._facts, self._fleet, self._book, self._clock = facts, fleet, book, clock
-        self._ratio = Ratio(settings, book)
+        self._ratio = RolePlanner(settings, book)
         self._told = set[str]()  # keys of ours
         self._next_s = 0.0
         self.malformed = 0  # facts that could not be read
@@ -65,28 +65,30 @@
     async def step(self, token: int, still: Still) -> float:
         """One look, if it is time for one; gives s until the next. Each effect asks `still` before."""
         if token != self._ratio.token:
-            return self.settings.look_s  # of a holding that has ended
+            return self.settings.planning_interval_s  # of a holding that has ended
         now_s = self._clock()
-        for server, row in rows(self._facts.values(now_s, PREFIX)):  # above all those of the planner before
+        for server, row in decode_assignments(
+            self._facts.values(now_s, KEY_PREFIX)
+        ):  # above all those of the planner before
             self._book.receive(now_s, server, row)
-        for server, row in self._ratio.again(now_s).items():
+        for server, row in self._ratio.reissued_assignments(now_s).items():
             if not self._tell(server, row, still):
-                return self.settings.look_s
+                return self.settings.planning_interval_s
         if now_s < self._next_s:
             return self._next_s - now_s
-        self._next_s = now_s + self.settings.look_s
+        self._next_s = now_s + self.settings.planning_interval_s
         demand = self._read(now_s, DEMAND, ClassDemand)
-        heard = Heard(demand, self._read(now_s, SERVER, ServerObservation), self._fleet.members())
+        heard = Observations(demand, self._read(now_s, SERVER, ServerObservation), self._fleet.members())
         listed = self._fleet.servers()
-        looked = self._ratio.look(now_s, heard, listed)
+        looked = self._ratio.run_round(now_s, heard, listed)
         self._forget(now_s, {each.name for each in listed})
-        for server, row in looked.rows.items():
+        for server, row in looked.assignments.items():
             if not self._tell(server, row, still):
-                return self.settings.look_s
+                return self.settings.planning_interval_s
             self.changes += 1
-        if looked.rows:
+        if looked.assignments:
             log.info("plan", token=token, number=self._ratio.number, **self._counts(looked))
-        return self.settings.look_s
+        return self.settings.planning_interval_s
 
     def stop(self) -> None:
         """The duty has ended here; rows told stay where they were heard."""
@@ -96,7 +98,7 @@
         if not still():
             return False
         now_s = self._clock()
-        key, value = encode(server, row)
+        key, value = encode_assignment(server, row)
         self._facts.write(now_s, key, value)
         self._told.add(key)
         self._book.receive(now_s, server, row)
@@ -118,10 +120,10 @@
                 self.malformed += 1
         return found
 
-    def _counts(self, looked: Looked) -> dict[str, object]:
+    def _counts(self, looked: PlanningRound) -> dict[str, object]:
         return {
-            "moves": {server: row.role for server, row in looked.rows.items()},
-            "wanted": {site: plan.wanted for site, plan in looked.plans.items()},
-            "read": {site: round(need.read) for site, need in looked.needs.items()},
-            "write": {site: round(need.write) for site, need in looked.needs.items()},
+            "moves": {server: row.role for server, row in looked.assignments.items()},
+            "wanted": {site: plan.prefill_target for site, plan in looked.plans.items()},
+            "read": {site: round(need.prefill_rate) for site, need in looked.demands.items()},
+            "write": {site: round(need.decode_rate) for site, need in looked.demands.items()},
         }
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -69,7 +69,7 @@
 def record_rows() -> dict[str, bytes]:
     """Keys and values of records."""
     rows = {key: msgspec.msgpack.encode(row) for key, row in (ROWS | _lending_rows()).items()}
-    key, value = role_rows.encode("s1", RoleAssignment(9, 4, "read"))
+    key, value = role_rows.encode_assignment("s1", RoleAssignment(9, 4, "read"))
     return rows | {key: value}
 
 
--- a/tests/compatibility/ratio_trace.py
+++ b/tests/compatibility/ratio_trace.py
@@ -1,4 +1,4 @@
-"""Drives the planner of roles and the book of roles with scripted random measures from fixed seeds."""
+"""Drives the planner and the registry of roles with scripted random reports from fixed seeds."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from random import Random
 
 from ringledge.decide.interface import ClassDemand, RoleAssignment, ServerObservation
-from ringledge.decide.ratio.planner import Heard, Listed, Ratio
-from ringledge.decide.ratio.role_registry import RoleBook
+from ringledge.decide.ratio.planner import ListedServer, Observations, RolePlanner
+from ringledge.decide.ratio.role_registry import RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
 from tests.compatibility.rendering import render
 
 SEEDS = range(6)
-LOOKS = 160
+ROUNDS = 160
 SITES = ("north", "south")
 MEMBERS = dict.fromkeys(("c1", "c2", "c3"), "north") | dict.fromkeys(("c4", "c5", "c6"), "south")
 
 
-def _servers(rng: Random) -> list[Listed]:
+def _servers(rng: Random) -> list[ListedServer]:
     return [
-        Listed(
+        ListedServer(
             f"s{number}",
             rng.choice(SITES),
             f"rack{number % 3}",
@@ -30,7 +30,7 @@
 
 
 def _demand(rng: Random, mix: float) -> dict[tuple[str, str], ClassDemand]:
-    """What members see of two classes; one in ten tells nonsense."""
+    """What members see of two classes; some reports are implausible or missing."""
     demand = {}
     for member in MEMBERS:
         for name in ("query", "booking"):
@@ -40,7 +40,7 @@
     return {key: each for key, each in demand.items() if rng.random() < 0.9}
 
 
-def _seen(rng: Random, listed: list[Listed]) -> dict[tuple[str, str], ServerObservation]:
+def _observations(rng: Random, listed: list[ListedServer]) -> dict[tuple[str, str], ServerObservation]:
     return {
         (member, each.name): ServerObservation(
             rng.uniform(6000, 9000),
@@ -56,39 +56,40 @@
 
 def _steps(seed: int) -> Iterator[str]:
     rng, now_s = Random(seed), 100.0
-    settings = RatioConfig(least_stay_s=rng.choice([11.0, 30.0]), warm_s=rng.choice([2.0, 5.0]))
-    book = RoleBook(settings)
-    ratio, listed, mix, token = Ratio(settings, book), _servers(rng), 1.0, 1
-    book.listed(now_s, {each.name: each.kind for each in listed})
-    ratio.begin(now_s, token)
-    for look in range(LOOKS):
+    settings = RatioConfig(min_dwell_s=rng.choice([11.0, 30.0]), warm_up_s=rng.choice([2.0, 5.0]))
+    registry = RoleRegistry(settings)
+    planner, listed, mix, token = RolePlanner(settings, registry), _servers(rng), 1.0, 1
+    registry.update_servers(now_s, {each.name: each.kind for each in listed})
+    planner.begin(now_s, token)
+    for number in range(ROUNDS):
         now_s += rng.uniform(0.8, 1.3)
-        swings = seed % 2 and look // 12 % 2
+        swings = seed % 2 and number // 12 % 2
         if seed % 2:
             mix = 2.5 if swings else 0.5
         elif rng.random() < 0.06:
             mix = rng.choice([0.3, 1.0, 3.0])
         if rng.random() < 0.03:
             token += rng.randrange(1, 5)
-            ratio.begin(now_s, token)
+            planner.begin(now_s, token)
         if rng.random() < 0.05:
             listed = [each for each in listed if rng.random() < 0.95] or listed
-            book.listed(now_s, {each.name: each.kind for each in listed})
+            registry.update_servers(now_s, {each.name: each.kind for each in listed})
         for each in rng.sample(listed, min(3, len(listed))):
-            book.work(each.name, rng.randrange(3), rng.randrange(3))
-        heard = Heard(_demand(rng, mix), _seen(rng, listed), MEMBERS)
-        looked = ratio.look(now_s, heard, listed)
-        rows = {**ratio.again(now_s), **looked.rows}
-        taken = [book.receive(now_s, server, row) for server, row in sorted(rows.items())]
-        if rng.random() < 0.1:  # a row of a planner that was followed, or of nobody
+            registry.update_in_flight(each.name, rng.randrange(3), rng.randrange(3))
+        observations = Observations(_demand(rng, mix), _observations(rng, listed), MEMBERS)
+        result = planner.run_round(now_s, observations, listed)
+        rows = {**planner.reissued_assignments(now_s), **result.assignments}
+        accepted_now = [registry.receive(now_s, server, row) for server, row in sorted(rows.items())]
+        if rng.random() < 0.1:  # a row of a replaced planner, or of none
             late = RoleAssignment(
                 rng.choice([0, 1, token]), rng.randrange(4), rng.choice(["read", "write", "both"])
             )
-            taken.append(book.receive(now_s, rng.choice(listed).name, late))
-        moved = book.tick(now_s)
-        yield f"{now_s!r} {render(looked)} {render(taken)} {render(moved)}"
-        roles = {name: sorted(does) for name, does in sorted(book.roles().items())}
-        yield f"{render(roles)} {render(book.shut())} {render(book.changing())} {book.refused}"
+            accepted_now.append(registry.receive(now_s, rng.choice(listed).name, late))
+        advanced = registry.tick(now_s)
+        yield f"{now_s!r} {render(result)} {render(accepted_now)} {render(advanced)}"
+        accepted = {name: sorted(work) for name, work in sorted(registry.accepted_work().items())}
+        excluded, changing = render(registry.excluded_servers()), render(registry.changing_servers())
+        yield f"{render(accepted)} {excluded} {changing} {registry.rejected}"
 
 
 def ratio_steps() -> Iterator[str]:
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -11,6 +11,9 @@
 
 # Types that have been renamed since the golden files were written: name now, name then.
 RENAMED_TYPES = {
+    "SitePlan": "Plan",
+    "SiteDemand": "Need",
+    "PlanningRound": "Looked",
     "SendMessage": "Tell",
     "LeaseAcquired": "Begin",
     "LeaseEnded": "End",
--- a/tests/compatibility/test_formats.py
+++ b/tests/compatibility/test_formats.py
@@ -124,7 +124,7 @@
 
 
 def test_a_renamed_record_key_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(role_rows, "PREFIX", "role/")
+    monkeypatch.setattr(role_rows, "KEY_PREFIX", "role/")
     assert "plan/s1" not in record_rows()
     assert write_datagrams()["records.hex"] != path("records.hex").read_bytes()
 
--- a/tests/compatibility/test_traces.py
+++ b/tests/compatibility/test_traces.py
@@ -24,7 +24,7 @@
     "gate": ("ringledge.core.gate", "GIVE_UP_PART", 0.11),
     "leases": ("ringledge.decide.leases.proposer", "EXTEND", 0.26),
     "membership": ("ringledge.decide.membership.swim", "AGAIN", 4),
-    "ratio": ("ringledge.decide.ratio.demand_estimate", "BEYOND", 1.2),
+    "ratio": ("ringledge.decide.ratio.demand_estimate", "OUTLIER_FACTOR", 1.2),
     "replay": ("ringledge.decide.replay.rate_control", "FALL", 0.51),
 }
 
--- a/tests/decide/ratio/factories.py
+++ b/tests/decide/ratio/factories.py
@@ -1,4 +1,4 @@
-"""Boxes, demand and needs for the tests of the planner."""
+"""Servers, demand and reports for the tests of the planner."""
 
 from dataclasses import replace
 from math import inf
@@ -6,92 +6,112 @@
 from hypothesis import strategies as st
 
 from ringledge.decide.interface import ClassDemand
-from ringledge.decide.ratio.demand_estimate import Estimate, Need
+from ringledge.decide.ratio.demand_estimate import DemandEstimator, SiteDemand, TokenRates
 from ringledge.decide.ratio.settings import RatioConfig
-from ringledge.decide.ratio.target import Box, covered
+from ringledge.decide.ratio.target import ServerState, rack_loss_coverage
 
-SET = RatioConfig()
+SETTINGS = RatioConfig()
 MEMBERS = {f"m{n}": "s" for n in range(4)}
 
 
-def box(name: str, rack: str, role: str, **more: object) -> Box:
-    made = Box(name, "s", rack, "both", role, False, True, True, 8_000.0, 1_200.0)
-    return replace(made, **more)  # type: ignore[arg-type]
+def make_server(name: str, rack: str, role: str, **overrides: object) -> ServerState:
+    server = ServerState(name, "s", rack, "both", role, False, True, True, 8_000.0, 1_200.0)
+    return replace(server, **overrides)  # type: ignore[arg-type]
 
 
-def site(readers: int, writers: int, racks: int = 4, **more: object) -> list[Box]:
-    roles = ["read"] * readers + ["write"] * writers
-    return [box(f"b{at}", f"r{at % racks}", role, **more) for at, role in enumerate(roles)]
+def make_site(
+    prefill_servers: int, decode_servers: int, racks: int = 4, **overrides: object
+) -> list[ServerState]:
+    roles = ["read"] * prefill_servers + ["write"] * decode_servers
+    return [
+        make_server(f"b{index}", f"r{index % racks}", role, **overrides) for index, role in enumerate(roles)
+    ]
 
 
-def need(read: float, write: float, **more: object) -> Need:
-    made = Need(read, write, 0.0, ((read, write),), inf, 4, 0)
-    return replace(made, **more)  # type: ignore[arg-type]
+def make_demand(prefill_rate: float, decode_rate: float, **overrides: object) -> SiteDemand:
+    mixes = (TokenRates(prefill_rate, decode_rate),)
+    demand = SiteDemand(prefill_rate, decode_rate, 0.0, mixes, inf, 4, 0)
+    return replace(demand, **overrides)  # type: ignore[arg-type]
 
 
-def look(
-    estimate: Estimate, at_s: float, read: float, write: float, rate: float = 20.0, cold: float = 0.0
-) -> Need:
-    """Four members that share a site's demand, each with a little of its own noise."""
-    told = {
-        (member, "query"): ClassDemand(rate / 4, read / 4 * (1 + wave), write / 4 * (1 - wave))
+def report_demand(
+    estimator: DemandEstimator,
+    now_s: float,
+    prefill_rate: float,
+    decode_rate: float,
+    arrival_rate: float = 20.0,
+    cold_fraction: float = 0.0,
+) -> SiteDemand:
+    """Four members report a quarter of a site's demand each, with a little noise of their own."""
+    reports = {
+        (member, "query"): ClassDemand(
+            arrival_rate / 4, prefill_rate / 4 * (1 + noise), decode_rate / 4 * (1 - noise)
+        )
         for n, member in enumerate(MEMBERS)
-        for wave in [0.05 * ((at_s * (n + 3)) % 7 - 3) / 3]
+        for noise in [0.05 * ((now_s * (n + 3)) % 7 - 3) / 3]
     }
-    return estimate.look(at_s, told, MEMBERS, {"s": cold})["s"]
+    return estimator.update(now_s, reports, MEMBERS, {"s": cold_fraction})["s"]
 
 
 @st.composite
-def sites(draw: st.DrawFn) -> list[Box]:
+def sites(draw: st.DrawFn) -> list[ServerState]:
     racks = draw(st.integers(1, 4))
-    made = []
-    for at in range(draw(st.integers(2, 12))):
+    servers = []
+    for index in range(draw(st.integers(2, 12))):
         kind = draw(st.sampled_from(["both", "both", "both", "read", "write"]))
         role = draw(st.sampled_from(["read", "write", "both"])) if kind == "both" else kind
-        flags = [draw(st.sampled_from(often)) for often in ((False, False, True), (True, True, False))]
+        changing = draw(st.sampled_from((False, False, True)))
+        movable = draw(st.sampled_from((True, True, False)))
         warm = draw(st.sampled_from((True, True, True, False)))
-        paces = [draw(st.sampled_from((400.0, 1_000.0, 1_500.0))) for _ in range(2)]
-        changing = flags[0] and kind == "both"
-        made.append(
-            Box(
-                f"b{at}",
-                "s",
-                f"r{at % racks}",
-                kind,
-                role,
-                changing,
-                flags[1] and kind == "both",
-                warm,
-                *paces,
+        prefill_rate, decode_rate = (draw(st.sampled_from((400.0, 1_000.0, 1_500.0))) for _ in range(2))
+        servers.append(
+            ServerState(
+                name=f"b{index}",
+                site="s",
+                rack=f"r{index % racks}",
+                kind=kind,
+                role=role,
+                changing=changing and kind == "both",
+                movable=movable and kind == "both",
+                warm=warm,
+                prefill_rate=prefill_rate,
+                decode_rate=decode_rate,
             )
         )
-    return made
+    return servers
 
 
-NEEDS = st.builds(need, st.floats(1, 8_000), st.floats(1, 8_000), doubt=st.floats(0, 0.5))
+DEMANDS = st.builds(make_demand, st.floats(1, 8_000), st.floats(1, 8_000), relative_error=st.floats(0, 0.5))
 
 
-def breach(boxes: list[Box], moves: dict[str, str], its: Need) -> str:
+def find_violation(servers: list[ServerState], moves: dict[str, str], demand: SiteDemand) -> str:
     """The first rule that a site's moves break; all of them count as made at once."""
-    by_name = {each.name: each for each in boxes}
+    by_name = {server.name: server for server in servers}
     racks = [by_name[name].rack for name in moves]
-    if len(set(racks)) < len(racks) or any(each.changing and each.rack in racks for each in boxes):
+    if len(set(racks)) < len(racks) or any(server.changing and server.rack in racks for server in servers):
         return "two changes in a rack"
-    if any(not by_name[name].free or by_name[name].kind != "both" for name in moves):
-        return "within its least stay, or against the list"
-    if moves and sum(not each.warm and not each.changing for each in boxes) > SET.release_part * len(boxes):
+    if any(not by_name[name].movable or by_name[name].kind != "both" for name in moves):
+        return "within its minimum dwell time, or against its kind"
+    cold = sum(not server.warm and not server.changing for server in servers)
+    if moves and cold > SETTINGS.max_cold_fraction * len(servers):
         return "during a release"
-    needs = {"read": its.read * (1 + its.doubt), "write": its.write * (1 + its.doubt)}
-    now, staying = {each.name: each.role for each in boxes}, [each for each in boxes if not each.changing]
-    for name, new in moves.items():
-        staying = [each for each in staying if each.name != name]
-        for old in {"read": ("write",), "write": ("read",)}[new]:
-            if not by_name[name].bears(old):
+    demand_rates = {
+        "read": demand.prefill_rate * (1 + demand.relative_error),
+        "write": demand.decode_rate * (1 + demand.relative_error),
+    }
+    roles = {server.name: server.role for server in servers}
+    staying = [server for server in servers if not server.changing]
+    for name, new_role in moves.items():
+        staying = [server for server in staying if server.name != name]
+        for old_role in {"read": ("write",), "write": ("read",)}[new_role]:
+            if not by_name[name].capacity(old_role):
                 continue
-            if not any(each.warm and each.bears(old) for each in staying):
-                return "the last warm one"
-            before = [replace(each, role=now[each.name]) for each in boxes]
-            if covered(staying, old, needs[old]) < min(1.0, covered(before, new, needs[new])):
-                return "less than covers a rack"
-        now[name] = new
+            if not any(server.warm and server.capacity(old_role) for server in staying):
+                return "the last warm server of its role"
+            before = [replace(server, role=roles[server.name]) for server in servers]
+            old_coverage = rack_loss_coverage(staying, old_role, demand_rates[old_role])
+            new_coverage = rack_loss_coverage(before, new_role, demand_rates[new_role])
+            if old_coverage < min(1.0, new_coverage):
+                return "the loss of a rack is not covered"
+        roles[name] = new_role
     return ""
--- a/tests/decide/ratio/test_role_registry.py
+++ b/tests/decide/ratio/test_role_registry.py
@@ -1,4 +1,4 @@
-"""A conductor's book of roles: what is open to new work, in each state of a change and whatever is heard."""
+"""The registry of roles: accepted work in each phase of a change, whatever assignments are received."""
 
 from collections.abc import Callable
 
@@ -7,222 +7,237 @@
 from hypothesis import strategies as st
 
 from ringledge.decide.interface import RoleAssignment
-from ringledge.decide.ratio import role_registry as roles
-from ringledge.decide.ratio.role_records import decode, encode, newer, rows
-from ringledge.decide.ratio.role_registry import RoleBook, State
+from ringledge.decide.ratio import role_registry as registry_module
+from ringledge.decide.ratio.role_records import (
+    decode_assignment,
+    decode_assignments,
+    encode_assignment,
+    supersedes,
+)
+from ringledge.decide.ratio.role_registry import RolePhase, RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
 
-SET = RatioConfig()
+SETTINGS = RatioConfig()
 READ, WRITE = frozenset({"read"}), frozenset({"write"})
 BOTH = READ | WRITE
-Heard = list[tuple[str, RoleAssignment]]
+Received = list[tuple[str, RoleAssignment]]
+TimedAssignments = list[tuple[str, RoleAssignment, float]]
 
-ROW = st.builds(
+ASSIGNMENT = st.builds(
     RoleAssignment, st.integers(1, 4), st.integers(0, 4), st.sampled_from(["read", "write", "both"])
 )
-HEARD = st.lists(st.tuples(st.sampled_from("abc"), ROW), max_size=12)
+RECEIVED = st.lists(st.tuples(st.sampled_from("abc"), ASSIGNMENT), max_size=12)
 
 
-def book(*servers: str, kind: str = "both") -> RoleBook:
-    made = RoleBook(SET)
-    made.listed(0.0, dict.fromkeys(servers, kind))
-    return made
+def make_registry(*servers: str, kind: str = "both") -> RoleRegistry:
+    registry = RoleRegistry(SETTINGS)
+    registry.update_servers(0.0, dict.fromkeys(servers, kind))
+    return registry
 
 
-def test_a_change_goes_through_its_states_and_opens_the_new_role_last() -> None:
-    its = book("a", "b")
-    its.receive(0.0, "b", RoleAssignment(1, 1, "write"))
-    its.receive(0.0, "a", RoleAssignment(1, 1, "read"))
-    seen = [(at, state) for at in range(60) for server, state in its.tick(at) if server == "a"]
-    assert [state for _, state in seen] == [State.DRAINING, State.CHANGED, State.WARMING, State.BACK]
-    assert its.roles() == {"a": READ, "b": WRITE}
-    its.work("a", reads=3, streams=0)
-    its.receive(100.0, "a", RoleAssignment(1, 2, "write"))
-    assert its.places["a"].open() == frozenset()
+def test_change_of_role_passes_through_its_phases_and_accepts_new_role_last() -> None:
+    registry = make_registry("a", "b")
+    registry.receive(0.0, "b", RoleAssignment(1, 1, "write"))
+    registry.receive(0.0, "a", RoleAssignment(1, 1, "read"))
+    advanced = [phase for now_s in range(60) for server, phase in registry.tick(now_s) if server == "a"]
+    assert advanced == [RolePhase.DRAINING, RolePhase.CHANGED, RolePhase.WARMING, RolePhase.STABLE]
+    assert registry.accepted_work() == {"a": READ, "b": WRITE}
+    registry.update_in_flight("a", prefills=3, streams=0)
+    registry.receive(100.0, "a", RoleAssignment(1, 2, "write"))
+    assert registry.entries["a"].accepted_work() == frozenset()
     for at in (101.0, 102.0, 103.0):
-        its.tick(at)
-    assert its.places["a"].state is State.DRAINING  # its own reads are not done
-    its.work("a", reads=0, streams=0)
-    its.seen("a", waiting=2, warmth=1.0)
-    its.tick(104.0)
-    assert its.places["a"].state is State.DRAINING  # another member's states wait there
-    its.seen("a", waiting=0, warmth=1.0)
-    its.tick(105.0)
-    assert its.places["a"].open() == WRITE
-
-
-def test_what_does_not_end_holds_a_change_up_no_longer_than_the_longest_drain() -> None:
-    its = book("a", "b")
-    its.receive(0.0, "a", RoleAssignment(1, 1, "read"))
-    its.work("a", reads=0, streams=9)
-    its.tick(SET.spread_s)
-    its.tick(SET.spread_s + SET.drain_s - 0.1)
-    assert its.tick(SET.spread_s + SET.drain_s - 0.1) == []
-    assert its.tick(SET.spread_s + SET.drain_s) == [("a", State.CHANGED)]
-
-
-def test_the_list_leads_and_a_row_never_goes_against_a_kind() -> None:
-    its = book("a", kind="read")
-    its.receive(0.0, "a", RoleAssignment(1, 1, "write"))
-    assert its.places["a"].open() == READ
-    its.listed(5.0, {"a": "write"})
-    assert its.places["a"].open() == WRITE
-    its.listed(6.0, {"a": "both"})  # now the row counts
-    assert its.places["a"].open() == WRITE
-    its.listed(7.0, {})
-    assert its.roles() == {}
-
-
-def test_the_planner_changes_in_the_middle_of_a_change() -> None:
-    its = book("a", "b")
-    its.receive(0.0, "a", RoleAssignment(1, 7, "read"))
-    its.tick(SET.spread_s)
-    assert its.receive(2.0, "a", RoleAssignment(2, 1, "read"))  # told anew: the change goes on where it is
-    assert (its.places["a"].state, its.places["a"].asked_s) == (State.DRAINING, 0.0)
-    assert not its.receive(3.0, "a", RoleAssignment(1, 8, "write"))  # the old planner, late
-    assert not its.receive(
+        registry.tick(at)
+    assert registry.entries["a"].phase is RolePhase.DRAINING  # its own prefills have not ended
+    registry.update_in_flight("a", prefills=0, streams=0)
+    registry.update_observation("a", waiting_entries=2, warmth=1.0)
+    registry.tick(104.0)
+    assert registry.entries["a"].phase is RolePhase.DRAINING  # cache entries of another member wait there
+    registry.update_observation("a", waiting_entries=0, warmth=1.0)
+    registry.tick(105.0)
+    assert registry.entries["a"].accepted_work() == WRITE
+
+
+def test_drain_timeout_ends_draining_while_streams_remain() -> None:
+    registry = make_registry("a", "b")
+    registry.receive(0.0, "a", RoleAssignment(1, 1, "read"))
+    registry.update_in_flight("a", prefills=0, streams=9)
+    registry.tick(SETTINGS.propagation_s)
+    registry.tick(SETTINGS.propagation_s + SETTINGS.drain_timeout_s - 0.1)
+    assert registry.tick(SETTINGS.propagation_s + SETTINGS.drain_timeout_s - 0.1) == []
+    assert registry.tick(SETTINGS.propagation_s + SETTINGS.drain_timeout_s) == [("a", RolePhase.CHANGED)]
+
+
+def test_configured_kind_takes_precedence_over_assignment() -> None:
+    registry = make_registry("a", kind="read")
+    registry.receive(0.0, "a", RoleAssignment(1, 1, "write"))
+    assert registry.entries["a"].accepted_work() == READ
+    registry.update_servers(5.0, {"a": "write"})
+    assert registry.entries["a"].accepted_work() == WRITE
+    registry.update_servers(6.0, {"a": "both"})  # now the assignment counts
+    assert registry.entries["a"].accepted_work() == WRITE
+    registry.update_servers(7.0, {})
+    assert registry.accepted_work() == {}
+
+
+def test_planner_failover_during_a_change_keeps_it_and_fences_the_old_planner() -> None:
+    registry = make_registry("a", "b")
+    registry.receive(0.0, "a", RoleAssignment(1, 7, "read"))
+    registry.tick(SETTINGS.propagation_s)
+    assert registry.receive(
+        2.0, "a", RoleAssignment(2, 1, "read")
+    )  # reissued: the change goes on where it is
+    assert (registry.entries["a"].phase, registry.entries["a"].requested_s) == (RolePhase.DRAINING, 0.0)
+    assert not registry.receive(3.0, "a", RoleAssignment(1, 8, "write"))  # a late one of the old planner
+    assert not registry.receive(
         3.0, "b", RoleAssignment(1, 8, "write")
-    )  # also where the new one has said nothing yet
-    assert (its.places["a"].role, its.places["b"].role, its.refused) == ("read", "both", 2)
-    assert its.receive(
+    )  # also where the new one has assigned nothing yet
+    assert (registry.entries["a"].role, registry.entries["b"].role, registry.rejected) == ("read", "both", 2)
+    assert registry.receive(
         4.0, "a", RoleAssignment(3, 1, "write")
-    )  # turned back: nothing it may still hold is added to
-    assert its.places["a"].open() == WRITE & its.places["a"].before
+    )  # reversed: nothing is added to its remaining work
+    assert registry.entries["a"].accepted_work() == WRITE & registry.entries["a"].previous_work
 
 
-def test_two_plans_with_the_same_number_the_higher_token_wins_in_either_order() -> None:
-    for heard in ([(3, "read"), (2, "write")], [(2, "write"), (3, "read")]):
-        its = book("a", "b")
-        for token, role in heard:
-            its.receive(0.0, "a", RoleAssignment(token, 5, role))
-        assert its.places["a"].role == "read"
+def test_of_equal_plan_numbers_the_higher_token_wins_in_either_order() -> None:
+    for received in ([(3, "read"), (2, "write")], [(2, "write"), (3, "read")]):
+        registry = make_registry("a", "b")
+        for token, role in received:
+            registry.receive(0.0, "a", RoleAssignment(token, 5, role))
+        assert registry.entries["a"].role == "read"
 
 
-def test_no_planner_the_plan_last_in_force_stays() -> None:
-    its = book("a", "b")
-    its.receive(0.0, "a", RoleAssignment(1, 1, "read"))
-    its.receive(0.0, "b", RoleAssignment(1, 1, "write"))
+def test_without_a_planner_the_last_assignments_stay_in_force() -> None:
+    registry = make_registry("a", "b")
+    registry.receive(0.0, "a", RoleAssignment(1, 1, "read"))
+    registry.receive(0.0, "b", RoleAssignment(1, 1, "write"))
     for at in range(10_000):
-        its.tick(float(at))
-    assert its.roles() == {"a": READ, "b": WRITE}
-
-
-def converges(heard: Heard, order: list[int]) -> bool:
-    """Whether two conductors that hear the same rows in two orders end with the same roles."""
-    ends = []
-    for which in (heard, [heard[at] for at in order]):
-        its = book("a", "b", "c")
-        top = max(row.token for _, row in heard)
-        # A planner that begins tells all rows in force anew, so each server has one of the highest token.
-        which = [*which, *((name, RoleAssignment(top, 9, "both")) for name in "abc")]
-        for server, row in which:
-            its.receive(0.0, server, row)
-        ends.append({name: place.role for name, place in its.places.items()})
-    return ends[0] == ends[1]
-
-
-@given(HEARD.filter(len).flatmap(lambda h: st.tuples(st.just(h), st.permutations(range(len(h))))))
-def test_rows_in_any_order_and_twice_end_in_the_same_roles(told: tuple[Heard, list[int]]) -> None:
-    heard, order = told
+        registry.tick(float(at))
+    assert registry.accepted_work() == {"a": READ, "b": WRITE}
+
+
+def converges(received: Received, order: list[int]) -> bool:
+    """Whether two conductors that receive the same assignments in two orders end with the same roles."""
+    results = []
+    for ordered in (received, [received[at] for at in order]):
+        registry = make_registry("a", "b", "c")
+        max_token = max(assignment.token for _, assignment in received)
+        # A new planner reissues all assignments in force, so each server has one of the highest token.
+        ordered = [*ordered, *((name, RoleAssignment(max_token, 9, "both")) for name in "abc")]
+        for server, assignment in ordered:
+            registry.receive(0.0, server, assignment)
+        results.append({name: entry.role for name, entry in registry.entries.items()})
+    return results[0] == results[1]
+
+
+@given(RECEIVED.filter(len).flatmap(lambda h: st.tuples(st.just(h), st.permutations(range(len(h))))))
+def test_reordered_and_duplicate_assignments_converge_to_the_same_roles(
+    case: tuple[Received, list[int]],
+) -> None:
+    received, order = case
     assert converges(
-        [*heard, *heard[:2]], [*order, *order[:2], *range(len(heard), len(heard) + 2)][: len(heard)]
+        [*received, *received[:2]],
+        [*order, *order[:2], *range(len(received), len(received) + 2)][: len(received)],
     )
 
 
-def refuses_old_tokens(heard: Heard) -> bool:
-    its, top = book("a", "b", "c"), 0
-    for server, row in heard:
-        taken = its.receive(0.0, server, row)
-        if taken and row.token < top:
+def rejects_old_tokens(received: Received) -> bool:
+    registry, max_token = make_registry("a", "b", "c"), 0
+    for server, assignment in received:
+        is_accepted = registry.receive(0.0, server, assignment)
+        if is_accepted and assignment.token < max_token:
             return False
-        top = max(top, row.token if taken else 0)
+        max_token = max(max_token, assignment.token if is_accepted else 0)
     return True
 
 
-@given(HEARD)
-def test_below_the_highest_token_seen_nothing_is_taken(heard: Heard) -> None:
-    assert refuses_old_tokens(heard)
+@given(RECEIVED)
+def test_tokens_below_the_highest_seen_are_rejected(received: Received) -> None:
+    assert rejects_old_tokens(received)
 
 
-def never_shut(heard: list[tuple[str, RoleAssignment, float]]) -> bool:
-    """Whether at every moment some server is open for each role, and none for the role it drains of."""
-    its, now_s = book("a", "b", "c"), 0.0
-    for server, row, wait_s in heard:
-        its.receive(now_s, server, row)
+def always_accepted(received: TimedAssignments) -> bool:
+    """Whether at every moment some server accepts each role."""
+    registry, now_s = make_registry("a", "b", "c"), 0.0
+    for server, assignment, wait_s in received:
+        registry.receive(now_s, server, assignment)
         now_s += wait_s
-        its.tick(now_s)
-        opened = its.roles()
-        if not all(any(role in does for does in opened.values()) for role in BOTH):
+        registry.tick(now_s)
+        accepted = registry.accepted_work()
+        if not all(any(role in work for work in accepted.values()) for role in BOTH):
             return False
     return True
 
 
-STEPS = st.lists(st.tuples(st.sampled_from("abc"), ROW, st.floats(0, 20)), max_size=12)
+STEPS = st.lists(st.tuples(st.sampled_from("abc"), ASSIGNMENT, st.floats(0, 20)), max_size=12)
 
 
 @given(STEPS)
-def test_at_every_moment_each_role_is_open_somewhere(heard: list[tuple[str, RoleAssignment, float]]) -> None:
-    assert never_shut(heard)
+def test_each_role_is_accepted_by_some_server_at_every_moment(
+    received: TimedAssignments,
+) -> None:
+    assert always_accepted(received)
 
 
-def test_mutants_of_the_book_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    late: Heard = [("a", RoleAssignment(2, 1, "read")), ("b", RoleAssignment(1, 1, "write"))]
-    same: Heard = [("a", RoleAssignment(1, 1, "read")), ("a", RoleAssignment(1, 1, "write"))]
+def test_mutants_of_the_registry_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    outdated: Received = [("a", RoleAssignment(2, 1, "read")), ("b", RoleAssignment(1, 1, "write"))]
+    equal_numbers: Received = [("a", RoleAssignment(1, 1, "read")), ("a", RoleAssignment(1, 1, "write"))]
 
-    class Unfenced(RoleBook):
-        def receive(self, now_s: float, server: str, row: RoleAssignment) -> bool:
+    class Unfenced(RoleRegistry):
+        def receive(self, now_s: float, server: str, assignment: RoleAssignment) -> bool:
             self.token = 0
-            return super().receive(now_s, server, row)
+            return super().receive(now_s, server, assignment)
 
-    class Shuts(RoleBook):
-        def roles(self) -> dict[str, frozenset[str]]:
-            return {server: place.open() for server, place in self.places.items()}
+    class NoFallback(RoleRegistry):
+        def accepted_work(self) -> dict[str, frozenset[str]]:
+            return {server: entry.accepted_work() for server, entry in self.entries.items()}
 
-    def last_wins(row: RoleAssignment, than: RoleAssignment | None) -> bool:
+    def last_wins(assignment: RoleAssignment, current: RoleAssignment | None) -> bool:
         return True
 
-    shut = [(name, RoleAssignment(1, 1, "read"), 1.0) for name in "abc"]
+    all_prefill = [(name, RoleAssignment(1, 1, "read"), 1.0) for name in "abc"]
     mutants: list[tuple[str, object, Callable[[], bool]]] = [
-        ("RoleBook", Unfenced, lambda: refuses_old_tokens(late)),
-        ("RoleBook", Shuts, lambda: never_shut(shut)),
-        ("newer", last_wins, lambda: order_free(same)),
+        ("RoleRegistry", Unfenced, lambda: rejects_old_tokens(outdated)),
+        ("RoleRegistry", NoFallback, lambda: always_accepted(all_prefill)),
+        ("supersedes", last_wins, lambda: is_order_independent(equal_numbers)),
     ]
     for name, mutant, holds in mutants:
         assert holds()
         with monkeypatch.context() as patch:
-            patch.setattr(roles, name, mutant)
-            if name == "RoleBook":
-                patch.setitem(globals(), "RoleBook", mutant)
+            patch.setattr(registry_module, name, mutant)
+            if name == "RoleRegistry":
+                patch.setitem(globals(), "RoleRegistry", mutant)
             assert not holds(), mutant
 
 
-def order_free(heard: Heard) -> bool:
-    ends = set()
-    for which in (heard, heard[::-1]):
-        its = book("a", "b")
-        for server, row in which:
-            its.receive(0.0, server, row)
-        ends.add(its.places["a"].role)
-    return len(ends) == 1
+def is_order_independent(received: Received) -> bool:
+    results = set()
+    for ordered in (received, received[::-1]):
+        registry = make_registry("a", "b")
+        for server, assignment in ordered:
+            registry.receive(0.0, server, assignment)
+        results.add(registry.entries["a"].role)
+    return len(results) == 1
 
 
-@given(ROW, st.text(min_size=1, max_size=30))
-def test_rows_go_out_and_come_back(row: RoleAssignment, server: str) -> None:
-    key, value = encode(server, row)
-    assert decode(key, value) == (server, row)
+@given(ASSIGNMENT, st.text(min_size=1, max_size=30))
+def test_encoded_assignment_decodes_to_itself(row: RoleAssignment, server: str) -> None:
+    key, value = encode_assignment(server, row)
+    assert decode_assignment(key, value) == (server, row)
     assert len(key) + len(value) < 200
 
 
 @given(st.binary(max_size=80), st.sampled_from(["plan/a", "plan/", "demand/a", ""]))
-def test_nonsense_is_no_row(value: bytes, key: str) -> None:
-    found = decode(key, value)
+def test_malformed_record_is_no_assignment(value: bytes, key: str) -> None:
+    found = decode_assignment(key, value)
     assert found is None or (key == "plan/a" and found[1].role in ("read", "write", "both"))
 
 
-def test_a_token_beyond_measure_is_no_row() -> None:
-    assert decode(*encode("a", RoleAssignment(2**63, 1, "read"))) is None
-    assert decode(*encode("a", RoleAssignment(1, -1, "read"))) is None
-    assert decode(*encode("a", RoleAssignment(1, 1, "paint"))) is None
-    facts = dict(((f"m{n}", "plan/a"), encode("a", RoleAssignment(n, 1, "read"))[1]) for n in (3, 1, 2))
-    assert [row.token for _, row in rows(facts)] == [1, 2, 3]
-    assert newer(RoleAssignment(2, 1, "read"), RoleAssignment(1, 9, "write"))
+def test_out_of_range_figures_and_unknown_roles_are_no_assignment() -> None:
+    assert decode_assignment(*encode_assignment("a", RoleAssignment(2**63, 1, "read"))) is None
+    assert decode_assignment(*encode_assignment("a", RoleAssignment(1, -1, "read"))) is None
+    assert decode_assignment(*encode_assignment("a", RoleAssignment(1, 1, "paint"))) is None
+    records = dict(
+        ((f"m{n}", "plan/a"), encode_assignment("a", RoleAssignment(n, 1, "read"))[1]) for n in (3, 1, 2)
+    )
+    assert [row.token for _, row in decode_assignments(records)] == [1, 2, 3]
+    assert supersedes(RoleAssignment(2, 1, "read"), RoleAssignment(1, 9, "write"))
--- a/tests/decide/ratio/test_simulation.py
+++ b/tests/decide/ratio/test_simulation.py
@@ -1,4 +1,4 @@
-"""The planner at stand-ins in virtual time: handed on, cut off, over many changes; and each step."""
+"""The planner with simulated servers in virtual time: failover, partitions, many changes; and each step."""
 
 import re
 from collections.abc import Callable
@@ -12,28 +12,28 @@
 from benchmarks.ratio_lab import Lab
 from benchmarks.ratio_ways import Planned, spread
 from ringledge.decide.interface import RoleAssignment
-from ringledge.decide.ratio import planner as ratio
-from ringledge.decide.ratio.planner import Listed
-from ringledge.decide.ratio.role_records import decode
-from ringledge.decide.ratio.role_registry import RoleBook
+from ringledge.decide.ratio import planner as planner_module
+from ringledge.decide.ratio.planner import ListedServer
+from ringledge.decide.ratio.role_records import decode_assignment
+from ringledge.decide.ratio.role_registry import RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
-from ringledge.decide.ratio.target import Box
+from ringledge.decide.ratio.target import ServerState
 from ringledge.lifecycle.settings_files import SettingsError, read
 from ringledge.members.planner import Planner
 from ringledge.observe.logging import log
 
 SHAPES = ((1_000.0, 300.0), (4_000.0, 120.0))
-QUICK = RatioConfig(fast_s=2.0, slow_s=8.0, least_stay_s=9.0, drain_s=3.0, warm_s=2.0)
+QUICK = RatioConfig(fast_s=2.0, slow_s=8.0, min_dwell_s=9.0, drain_timeout_s=3.0, warm_up_s=2.0)
 END_S = 240.0
 
 
 def mix(servers: int, every_s: float, now_s: float) -> tuple[float, float]:
-    """Requests per s and the part of long prompts; it moves to and fro."""
+    """Requests per s and the fraction of long prompts; the mix oscillates."""
     return (0.0 if now_s >= END_S else servers * (1.6 - 0.7 * (now_s // every_s % 2)), now_s // every_s % 2)
 
 
 class World:
-    """A lab whose first book is watched: each change of a role, and that none is shut at any moment."""
+    """A simulation that records each change of a role in one registry."""
 
     def __init__(self, settings: RatioConfig, every_s: float, seed: int = 1) -> None:
         log.configure("error", "test")
@@ -42,39 +42,39 @@
         self.planned = Planned(self.lab, 6)
         self.changes = list[tuple[str, float, str]]()
         self.tokens = list[int]()
-        self.book = self.lab.conductors[-1].book
-        receive = self.book.receive
+        self.registry = self.lab.conductors[-1].book
+        receive = self.registry.receive
 
-        def heard(now_s: float, server: str, row: RoleAssignment) -> bool:
-            role, known = self.book.places[server].role, server in self.book.rows
-            taken = receive(now_s, server, row)
-            if taken:
-                self.tokens.append(row.token)
-                if known and self.book.places[server].role != role:
-                    self.changes.append((server, now_s, row.role))
-            return taken
+        def recorded_receive(now_s: float, server: str, assignment: RoleAssignment) -> bool:
+            role, known = self.registry.entries[server].role, server in self.registry.assignments
+            accepted = receive(now_s, server, assignment)
+            if accepted:
+                self.tokens.append(assignment.token)
+                if known and self.registry.entries[server].role != role:
+                    self.changes.append((server, now_s, assignment.role))
+            return accepted
 
-        self.book.receive = heard  # type: ignore[method-assign]
+        self.registry.receive = recorded_receive  # type: ignore[method-assign]
 
-    def breach(self) -> str:
+    def violation(self) -> str:
         """The first rule that was broken, once all is over."""
         lab = self.lab
         if any(job.sends > 1 for job in lab.jobs):
             return "sent twice"
         if any(not job.end for job in lab.jobs) or any(server.states for server in lab.servers.values()):
-            return "a request without an end, or a state stranded"
+            return "a request without an end, or a cache entry that is never released"
         if self.tokens != sorted(self.tokens):
             return "tokens out of order"
-        late_s = 1.5  # facts come up to a second and a tick apart
+        late_s = 1.5  # records arrive up to a second and a tick apart
         for server in {name for name, _, _ in self.changes}:
             times = [at_s for name, at_s, _ in self.changes if name == server]
-            if any(after - before < lab.settings.least_stay_s - late_s for before, after in pairwise(times)):
-                return "within its least stay"
+            if any(after - before < lab.settings.min_dwell_s - late_s for before, after in pairwise(times)):
+                return "within its minimum dwell time"
         return ""
 
 
-def test_over_200_changes_nothing_is_lost_or_sent_twice() -> None:
-    """One conductor hears no rows for a while; the planner dies again and again, in the middle of changes."""
+def test_no_request_is_lost_or_sent_twice_over_200_changes() -> None:
+    """One conductor receives no assignments for a while; the planner fails repeatedly during changes."""
     changes = 0
     for seed in range(1, 9):
         world = World(QUICK, 30.0, seed)
@@ -83,7 +83,7 @@
         for at in (33.0, 64.0, 91.0):
             world.lab.after(at, world.planned.hand_on)
         world.lab.play(END_S + 60)
-        assert world.breach() == ""
+        assert world.violation() == ""
         assert len(set(world.tokens)) >= 4
         changes += len(world.changes)
         if changes >= 200:
@@ -91,57 +91,59 @@
     assert changes >= 200
 
 
-def dies_after_each_plan(world: World) -> int:
-    """The planner dies before all have heard what it told last; how often it did."""
-    changes = died = 0
+def fail_over_after_each_plan(world: World) -> int:
+    """The planner fails before its last plan has reached all; returns the number of failures."""
+    changes = failures = 0
     for at in range(4 * 5, 4 * int(END_S)):
         world.lab.play(at / 4)
         if world.planned.changes > changes:
             world.planned.hand_on()
-            changes, died = world.planned.changes, died + 1
+            changes, failures = world.planned.changes, failures + 1
     world.lab.play(END_S + 60)
-    return died
+    return failures
 
 
-def test_the_planner_changes_in_the_middle_of_a_change_of_roles_in_a_lab() -> None:
+def test_planner_failover_during_changes_breaks_no_rule() -> None:
     world = World(QUICK, 40.0)
-    assert dies_after_each_plan(world) >= 3
-    assert world.changes and world.breach() == ""
+    assert fail_over_after_each_plan(world) >= 3
+    assert world.changes and world.violation() == ""
 
 
-def test_no_planner_in_a_lab_leaves_roles_and_service_as_they_are() -> None:
+def test_roles_and_service_persist_without_a_planner() -> None:
     world = World(QUICK, 1_000.0)
     world.lab.play(60.0)
-    roles = {name: place.role for name, place in world.book.places.items()}
+    roles = {name: entry.role for name, entry in world.registry.entries.items()}
     world.planned.planner.stop()
     world.lab.play(END_S + 60)
-    assert roles == {name: place.role for name, place in world.book.places.items()}
-    assert world.lab.worth(60.0, END_S) > 0.9 and world.breach() == ""
+    assert roles == {name: entry.role for name, entry in world.registry.entries.items()}
+    assert world.lab.worth(60.0, END_S) > 0.9 and world.violation() == ""
 
 
-def broken_stay(monkeypatch: pytest.MonkeyPatch) -> None:
-    box = ratio.Ratio._box
+def without_min_dwell(monkeypatch: pytest.MonkeyPatch) -> None:
+    server_state = planner_module.RolePlanner._server_state
 
-    def free(self: ratio.Ratio, *told: object) -> Box:
-        return replace(box(self, *told), free=True)  # type: ignore[arg-type]
+    def always_movable(self: planner_module.RolePlanner, *args: object) -> ServerState:
+        return replace(server_state(self, *args), movable=True)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(ratio.Ratio, "_box", free)
+    monkeypatch.setattr(planner_module.RolePlanner, "_server_state", always_movable)
 
 
-def told_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    again = ratio.Ratio.again
-    monkeypatch.setattr(ratio.Ratio, "again", lambda self, now_s: again(self, now_s + 100.0))
+def reissued_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    reissue = planner_module.RolePlanner.reissued_assignments
+    monkeypatch.setattr(
+        planner_module.RolePlanner, "reissued_assignments", lambda self, now_s: reissue(self, now_s + 100.0)
+    )
 
 
-def unfenced(monkeypatch: pytest.MonkeyPatch) -> None:
-    def receive(self: RoleBook, now_s: float, server: str, row: RoleAssignment) -> bool:
-        self.rows[server] = row
+def without_fencing(monkeypatch: pytest.MonkeyPatch) -> None:
+    def receive(self: RoleRegistry, now_s: float, server: str, row: RoleAssignment) -> bool:
+        self.assignments[server] = row
         return True
 
-    monkeypatch.setattr(RoleBook, "receive", receive)
+    monkeypatch.setattr(RoleRegistry, "receive", receive)
 
 
-def sent_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def sent_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     write = Lab._write
 
     def twice(self: Lab, job: object) -> None:
@@ -151,27 +153,27 @@
     monkeypatch.setattr(Lab, "_write", twice)
 
 
-@pytest.mark.parametrize("mutant", [broken_stay, told_at_once, unfenced, sent_again])
-def test_a_mutant_is_caught(
+@pytest.mark.parametrize("mutant", [without_min_dwell, reissued_at_once, without_fencing, sent_twice])
+def test_mutant_is_detected(
     monkeypatch: pytest.MonkeyPatch, mutant: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
     mutant(monkeypatch)
-    stay = RatioConfig(fast_s=2.0, slow_s=8.0, least_stay_s=60.0, drain_s=3.0, warm_s=2.0)
-    world = World(stay if mutant is broken_stay else QUICK, 35.0)
-    dies_after_each_plan(world)
-    assert world.breach() != ""
+    stay = RatioConfig(fast_s=2.0, slow_s=8.0, min_dwell_s=60.0, drain_timeout_s=3.0, warm_up_s=2.0)
+    world = World(stay if mutant is without_min_dwell else QUICK, 35.0)
+    fail_over_after_each_plan(world)
+    assert world.violation() != ""
 
 
-class Paper:
-    """Facts on paper: all is heard at once."""
+class RecordedAssignments:
+    """A record store and a fleet of servers that record what is published."""
 
     def __init__(self) -> None:
-        self.told = list[tuple[str, RoleAssignment]]()
+        self.published = list[tuple[str, RoleAssignment]]()
 
     def write(self, now_s: float, key: str, value: bytes) -> None:
-        row = decode(key, value)
+        row = decode_assignment(key, value)
         assert row is not None
-        self.told.append(row)
+        self.published.append(row)
 
     def delete(self, now_s: float, key: str) -> None:
         pass
@@ -179,8 +181,8 @@
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
         return {("m", f"{prefix}x"): b"\xff not a fact"}
 
-    def servers(self) -> list[Listed]:
-        return [Listed(f"b{at}", "s", f"r{at % 2}", "both") for at in range(4)]
+    def servers(self) -> list[ListedServer]:
+        return [ListedServer(f"b{at}", "s", f"r{at % 2}", "both") for at in range(4)]
 
     def members(self) -> dict[str, str]:
         return {"m": "s"}
@@ -191,32 +193,32 @@
         planner.step(token, still).send(None)
 
 
-def test_each_effect_asks_whether_the_lease_still_runs() -> None:
-    paper, book, lease = Paper(), RoleBook(QUICK), iter([True, True, False])
-    book.listed(0.0, {each.name: "both" for each in spread(paper.servers())})
+def test_each_effect_checks_the_lease() -> None:
+    records, registry, lease = RecordedAssignments(), RoleRegistry(QUICK), iter([True, True, False])
+    registry.update_servers(0.0, {each.name: "both" for each in spread(records.servers())})
     for at in range(4):
-        book.receive(0.0, f"b{at}", RoleAssignment(1, 3, "read" if at < 2 else "write"))
+        registry.receive(0.0, f"b{at}", RoleAssignment(1, 3, "read" if at < 2 else "write"))
     for at in range(20):
-        book.tick(float(at))
+        registry.tick(float(at))
     clock = [20.0]
-    planner = Planner(QUICK, paper, paper, book, lambda: clock[0])
+    planner = Planner(QUICK, records, records, registry, lambda: clock[0])
     planner.begin(7)
     step(planner, 7, lambda: True)
-    assert not paper.told  # what the planner before told last may still be on its way
-    clock[0] += 2 * QUICK.spread_s
+    assert not records.published  # the last assignments of the predecessor may still be on their way
+    clock[0] += 2 * QUICK.propagation_s
     step(planner, 7, lambda: next(lease))
-    assert [row.token for _, row in paper.told] == [7, 7]
+    assert [row.token for _, row in records.published] == [7, 7]
     step(planner, 7, lambda: True)
-    assert sorted(name for name, _ in paper.told) == ["b0", "b1", "b2", "b3"]
-    assert planner.malformed == 4 and not book.changing()  # the rows told anew change nothing
+    assert sorted(name for name, _ in records.published) == ["b0", "b1", "b2", "b3"]
+    assert planner.malformed == 4 and not registry.changing_servers()  # reissued assignments change nothing
     step(planner, 6, lambda: True)
     planner.stop()
     step(planner, 7, lambda: True)
-    assert len(paper.told) == 4
+    assert len(records.published) == 4
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("enabled = true\nslow_s = 5.0", "slow_s is at least twice"),
         ("enabled = true\nleast_stay_s = 3.0", "least_stay_s is at least"),
@@ -224,16 +226,16 @@
         ("enabled = true\nheadroom = 2", "headroom"),
     ],
 )
-def test_settings_are_checked(tmp_path: Path, text: str, said: str) -> None:
+def test_invalid_settings_are_reported_with_their_key(tmp_path: Path, text: str, message: str) -> None:
     path = tmp_path / "ratio.toml"
     path.write_text(text)
-    with pytest.raises(SettingsError, match=re.escape(said)):
+    with pytest.raises(SettingsError, match=re.escape(message)):
         read(RatioConfig, path)
 
 
-def test_the_file_in_deploy_says_what_the_settings_are_by_themselves(tmp_path: Path) -> None:
-    told = Path("deploy/ratio.toml")
-    assert read(RatioConfig, told) is None
+def test_deployed_file_equals_default_settings(tmp_path: Path) -> None:
+    deployed = Path("deploy/ratio.toml")
+    assert read(RatioConfig, deployed) is None
     path = tmp_path / "ratio.toml"
-    path.write_text(told.read_text().replace("enabled = false", "enabled = true"))
+    path.write_text(deployed.read_text().replace("enabled = false", "enabled = true"))
     assert read(RatioConfig, path) == RatioConfig()
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -1,7 +1,7 @@
 """Roles by plan in the decisions: what servers that do both get new, and what they end all the same."""
 
 from ringledge.decide.interface import RoleAssignment
-from ringledge.decide.ratio.role_registry import RoleBook
+from ringledge.decide.ratio.role_registry import RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.routing.interface import (
     AttemptStatus,
@@ -54,12 +54,12 @@
 
 
 def test_the_book_says_what_the_decisions_take() -> None:
-    book = RoleBook(RatioConfig())
-    book.listed(0.0, {"m0": "both", "m1": "both", "r0": "read", "w0": "write"})
+    book = RoleRegistry(RatioConfig())
+    book.update_servers(0.0, {"m0": "both", "m1": "both", "r0": "read", "w0": "write"})
     book.receive(0.0, "m0", RoleAssignment(1, 1, "read"))
     for at in range(60):
         book.tick(float(at))
-    assert book.shut() == (frozenset({"w0"}), frozenset({"m0", "r0"}))
+    assert book.excluded_servers() == (frozenset({"w0"}), frozenset({"m0", "r0"}))
     world = World((*MIXES[:2], entry("r0", READER), entry("w0", WRITER)))
-    world.give(RolePlan(*book.shut()))
+    world.give(RolePlan(*book.excluded_servers()))
     assert used(world) <= {"m0", "m1", "r0"}
