--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -24,7 +24,7 @@
 from ringledge.members.replay_sender import Result, Sending
 from ringledge.members.replayer import Replayer
 from ringledge.observe.logging import log
-from ringledge.store.entry import Asked, Entry
+from ringledge.store.entry import Entry, QueuedRequest
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 
@@ -83,7 +83,7 @@
         assert entry is not None
         self._start(entry, token)
         await anyio.sleep(LATE_S)
-        await self._queue.begin(entry.name, token)
+        await self._queue.begin_attempt(entry.name, token)
         return True
 
 
@@ -103,7 +103,9 @@
         for number in range(entries):
             now_s, safe = time.time(), number % 2 == 0
             kind = "query" if safe else "booking"
-            asked = Asked(uuid4().hex, f"t{number % 3}", kind, safe, b"?" * 100, 10.0, now_s, now_s + 600)
+            asked = QueuedRequest(
+                uuid4().hex, f"t{number % 3}", kind, safe, b"?" * 100, 10.0, now_s, now_s + 600
+            )
             await queue.enqueue(asked)
             say("taken", asked.name, kind)
             await anyio.sleep(TAKE_S)
@@ -115,11 +117,11 @@
         replayer.tasks = tasks
         tasks.start_soon(stand_in.receive)
         tasks.start_soon(clients)
-        token = await queue.highest() + 1
+        token = await queue.highest_token() + 1
         replayer.begin(token)
         say("began", str(token))
         await replayer.step(token, lambda: True)  # settles what earlier holders had begun
-        while not stand_in.over or replayer.under_way or replayer.owed or await queue.waiting():
+        while not stand_in.over or replayer.under_way or replayer.owed or await queue.backlog_by_tenant():
             await replayer.news(0.005)
             await replayer.step(token, lambda: True)
         tasks.cancel_scope.cancel()
--- a/benchmarks/queue_cost.py
+++ b/benchmarks/queue_cost.py
@@ -18,7 +18,7 @@
 import orjson
 import psutil
 
-from ringledge.store.entry import Asked
+from ringledge.store.entry import QueuedRequest
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 
@@ -28,11 +28,13 @@
 TENANTS = 20
 
 
-def asked(number: int, size: int) -> Asked:
+def asked(number: int, size: int) -> QueuedRequest:
     """One request; a booking every fourth."""
     now_s, safe = time.time(), number % 4 != 0
     kind = "query" if safe else "booking"
-    return Asked(uuid4().hex, f"t{number % TENANTS}", kind, safe, b"?" * size, 900.0, now_s, now_s + 86_400)
+    return QueuedRequest(
+        uuid4().hex, f"t{number % TENANTS}", kind, safe, b"?" * size, 900.0, now_s, now_s + 86_400
+    )
 
 
 async def rate(folder: Path, clients: int, size: int) -> dict[str, float]:
@@ -81,18 +83,18 @@
     queue = Queue(QueueConfig(path=str(path), busy_s=30.0))
     queue.start()
     steps = (
-        ("open", queue.highest()), ("adopt", queue.adopt(10**6)), ("heads", queue.heads(4)),
-        ("waiting", queue.waiting()), ("tidy", queue.tidy()),
+        ("open", queue.highest_token()), ("adopt", queue.adopt(10**6)), ("heads", queue.oldest_entries(4)),
+        ("waiting", queue.backlog_by_tenant()), ("tidy", queue.expire_and_purge()),
     )  # fmt: skip
     for name, step in steps:
         await step
         times[f"{name}_ms"] = round((time.monotonic() - began) * 1000, 1)
         began = time.monotonic()
-    head = (await queue.heads(1))[0]
+    head = (await queue.oldest_entries(1))[0]
     began = time.monotonic()
-    await queue.begin(head.name, 10**6)
+    await queue.begin_attempt(head.name, 10**6)
     times["begin_ms"] = round((time.monotonic() - began) * 1000, 1)
-    await queue.give_back(head.name, 10**6, ran=False)
+    await queue.record_failed_attempt(head.name, 10**6, may_have_run=False)
     times["memory_mb"] = round((process.memory_info().rss - before) / 2**20, 1)
     queue.stop()
     return times
--- a/benchmarks/queue_kills.py
+++ b/benchmarks/queue_kills.py
@@ -22,9 +22,9 @@
 import click
 import orjson
 
-from ringledge.store.entry import End, Entry, State
+from ringledge.store.entry import Entry, EntryOutcome, EntryState
+from ringledge.store.queries import get_entry
 from ringledge.store.schema import connect
-from ringledge.store.transitions import get
 
 ROOT = Path(__file__).parent.parent
 PER_LIFE = 40  # requests that each process takes in; each brings two lines at least
@@ -97,7 +97,7 @@
     """What the file holds of these."""
     db = connect(path, 5.0)
     try:
-        return {name: get(db, name) for name in names}
+        return {name: get_entry(db, name) for name in names}
     finally:
         db.close()
 
@@ -109,14 +109,14 @@
         entry = found[name]
         if entry is None:
             told.append(f"lost: {name} was answered 202")
-        elif entry.state is not State.ENDED or entry.end is None:
+        elif entry.state is not EntryState.ENDED or entry.outcome is None:
             told.append(f"no end: {name} is {entry.state.name}")
         elif kind == "booking" and world.sent[name] > 1:
             told.append(f"twice: booking {name} was sent {world.sent[name]} times")
-        elif entry.end is End.SERVED and not world.sent[name]:
+        elif entry.outcome is EntryOutcome.SERVED and not world.sent[name]:
             told.append(f"never sent: {name} is said to be served")
-        elif kind == "query" and entry.end is not End.SERVED:
-            told.append(f"not served: {name} may run twice, and ended as {entry.end.value}")
+        elif kind == "query" and entry.outcome is not EntryOutcome.SERVED:
+            told.append(f"not served: {name} may run twice, and ended as {entry.outcome.value}")
     return told
 
 
@@ -135,7 +135,9 @@
         life.kill()
     Life(path, world, seed, entries=0).finish()
     found = read(path, list(world.taken))
-    ends = Counter(entry.end.value for entry in found.values() if entry is not None and entry.end is not None)
+    ends = Counter(
+        entry.outcome.value for entry in found.values() if entry is not None and entry.outcome is not None
+    )
     return world, faults(world, found), ends
 
 
--- a/ringledge/cli/queue.py
+++ b/ringledge/cli/queue.py
@@ -57,14 +57,14 @@
 @click.pass_obj
 def list_(path: Path | None, state: str | None, most: int) -> None:
     """Entries by age, a line of JSON each; questions and answers are left out."""
-    from ringledge.store.entry import State
+    from ringledge.store.entry import EntryState
 
-    db, wanted = _open(path), [State[state.upper()]] if state else list(State)
+    db, wanted = _open(path), [EntryState[state.upper()]] if state else list(EntryState)
     told = f"""SELECT name, tenant, kind, work, created_s, state, attempts, end, token FROM entries
         WHERE state IN ({", ".join(str(int(each)) for each in wanted)}) ORDER BY seq LIMIT ?"""
     for name, tenant, kind, work, created_s, stands, attempts, end, token in db.execute(told, (most,)):
         line = {"entry": name, "tenant": tenant, "class": kind, "tokens": work}
-        line |= {"age_s": round(time.time() - created_s, 1), "state": State(stands).name.lower()}
+        line |= {"age_s": round(time.time() - created_s, 1), "state": EntryState(stands).name.lower()}
         click.echo(orjson.dumps(line | {"attempts": attempts, "end": end, "token": token}))
 
 
@@ -74,19 +74,24 @@
 @click.pass_obj
 def show(path: Path | None, name: str, with_text: bool) -> None:
     """One entry."""
-    from ringledge.store.transitions import get
+    from ringledge.store.queries import get_entry
 
-    entry = get(_open(path), name)
+    entry = get_entry(_open(path), name)
     if entry is None:
         raise click.ClickException(f"{name}: no such entry, or its end was kept for long enough")
-    asked = entry.asked
-    line = {"entry": name, "tenant": asked.tenant, "class": asked.kind, "may_repeat": asked.safe}
+    asked = entry.request
+    line = {
+        "entry": name,
+        "tenant": asked.tenant,
+        "class": asked.request_class,
+        "may_repeat": asked.idempotent,
+    }
     line |= {"created": asked.created_s, "expires": asked.expires_s, "state": entry.state.name.lower()}
     line |= {"attempts": entry.attempts, "token": entry.token, "ended": entry.ended_s}
-    line["end"] = entry.end.value if entry.end else None
+    line["end"] = entry.outcome.value if entry.outcome else None
     if with_text:
-        line |= {"question": asked.question.decode(errors="replace")}
-        line |= {"answer": (entry.answer or b"").decode(errors="replace")}
+        line |= {"question": asked.body.decode(errors="replace")}
+        line |= {"answer": (entry.response or b"").decode(errors="replace")}
     click.echo(orjson.dumps(line, option=orjson.OPT_INDENT_2))
 
 
@@ -94,7 +99,7 @@
 @click.pass_obj
 def verify(path: Path | None) -> None:
     """Check the file and each row of it; ends with 1 where something is spoilt."""
-    from ringledge.store.queries import highest
+    from ringledge.store.queries import highest_token
 
     db, counts, wrong = _open(path), Counter[str](), list[str]()
     (found,) = db.execute("PRAGMA integrity_check(1)").fetchone()
@@ -103,7 +108,7 @@
     for stands, fault in _rows(db):
         counts[stands] += 1
         wrong += [fault] if fault else []
-    told = {"token": highest(db), "entries": dict(counts), "wrong": wrong}
+    told = {"token": highest_token(db), "entries": dict(counts), "wrong": wrong}
     click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2))
     sys.exit(bool(wrong))
 
@@ -112,15 +117,15 @@
     """How each row stands, and what is wrong with it."""
     import sqlite3
 
-    from ringledge.store.seal import COLUMNS, SpoiltError, from_row
+    from ringledge.store.seal import COLUMNS, CorruptRowError, from_row
 
     try:
         for row in db.execute(f"SELECT {COLUMNS}, seal FROM entries ORDER BY seq"):
             try:
                 entry = from_row(row)
-            except SpoiltError:
+            except CorruptRowError:
                 yield "spoilt", f"{row[0]}: its bytes do not fit their seal"
                 continue
-            yield entry.end.value if entry.end else entry.state.name.lower(), ""
+            yield entry.outcome.value if entry.outcome else entry.state.name.lower(), ""
     except sqlite3.DatabaseError as error:
         yield "unread", f"rows: {error}"
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -6,7 +6,7 @@
 
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.shared import Part, Shared
-from ringledge.store.component import QueuePart
+from ringledge.store.component import QueueComponent
 from ringledge.store.settings import QueueConfig
 from ringledge.wire.clients.chat.queued import QueuedChat
 from ringledge.wire.clients.chat.replaying import ReplaySender
@@ -24,7 +24,7 @@
     sight = Sight(shared.conductor, shared.upstream.reach, shared.metrics)
     fleet, leased = shared.fleet, "duties" in config.extras
     facts = None if fleet is None else fleet.members.facts
-    queue = QueuePart(told, sight, shared.metrics.registry, Random(), facts, leased)
+    queue = QueueComponent(told, sight, shared.metrics.registry, Random(), facts, leased)
     if fleet is not None and leased:
         fleet.duties[queue.duty] = queue.replayer
     queue.sender = ReplaySender(chat, settings, names, shared.conductor)
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -17,9 +17,15 @@
 from ringledge.members.duty import Still
 from ringledge.members.replay_sender import Result, Sender, Sending
 from ringledge.observe.logging import log
-from ringledge.store.entry import End, Entry, MovedError, StaleError, StoreError
-from ringledge.store.entry import State as Stands
-from ringledge.store.metrics import Figures
+from ringledge.store.entry import (
+    Entry,
+    EntryOutcome,
+    EntryState,
+    InvalidTransitionError,
+    QueueError,
+    StaleTokenError,
+)
+from ringledge.store.metrics import QueueMetrics
 from ringledge.store.queue import Queue
 
 EACH = 4  # oldest entries of each tenant that are looked at: those under way leave gaps
@@ -44,7 +50,7 @@
         decider: Callable[[float, int], Replay],
         site: Callable[[], State],
         now_s: Callable[[], float],
-        figures: Figures | None = None,
+        figures: QueueMetrics | None = None,
     ) -> None:
         """`decider`: made for each holding, from time and token; `tasks` is set before the first step."""
         self._queue, self._send, self._decider = queue, send, decider
@@ -96,10 +102,10 @@
             await self.settle()
             if self.replay is not None:
                 await self._send_some(self.replay, token, still)
-        except StaleError as error:
+        except StaleTokenError as error:
             self._stale(token, error)
-        except StoreError as error:
-            log.often("queue_step_failed", why=error.why.value, error=str(error))
+        except QueueError as error:
+            log.often("queue_step_failed", why=error.reason.value, error=str(error))
 
     async def news(self, timeout_s: float) -> None:
         """Wait until an entry has ended, so that the next step may come sooner."""
@@ -118,8 +124,8 @@
         found = await self._queue.adopt(token)
         self._adopted = True
         for name in found.unknown:
-            self._tell_end(name, End.UNKNOWN, token)
-        log.info("queue_adopted", token=token, again=found.again, unknown=len(found.unknown))
+            self._tell_end(name, EntryOutcome.UNKNOWN, token)
+        log.info("queue_adopted", token=token, again=found.requeued, unknown=len(found.unknown))
 
     async def _send_some(self, replay: Replay, token: int, still: Still) -> None:
         probing = self._site() is not State.OPEN
@@ -127,7 +133,7 @@
             replay.pace.closed()
         else:
             replay.pace.opened(self._now())
-        heads = await self._queue.heads(EACH + replay.under_way)
+        heads = await self._queue.oldest_entries(EACH + replay.under_way)
         self._busy = bool(heads) or bool(replay.under_way)
         for _ in range(AT_ONCE):
             head = replay.choose(self._now(), heads, probing)
@@ -143,18 +149,18 @@
         try:
             if not still():
                 return False
-            entry = await self._queue.begin(head.name, token)
-            if entry.state is not Stands.BEGUN:  # too late for it, or its row is spoilt
-                assert entry.end is not None
-                self._tell_end(entry.name, entry.end, token)
+            entry = await self._queue.begin_attempt(head.name, token)
+            if entry.state is not EntryState.BEGUN:  # too late for it, or its row is spoilt
+                assert entry.outcome is not None
+                self._tell_end(entry.name, entry.outcome, token)
                 return True
             if not still() or self.replay is not replay:  # the sync took long; nothing was sent
-                await self._queue.give_back(entry.name, token, ran=False)
+                await self._queue.record_failed_attempt(entry.name, token, may_have_run=False)
                 return False
             verdict = None
             self._start(entry, token)
             return True
-        except MovedError:  # its client took it back meanwhile
+        except InvalidTransitionError:  # its client took it back meanwhile
             return True
         finally:
             if verdict is not None:
@@ -193,32 +199,32 @@
         entry, token, result = outcome.entry, outcome.token, outcome.result
         try:
             if result.verdict is Verdict.SERVED:
-                now = await self._queue.finish(entry.name, token, End.SERVED, result.answer)
+                now = await self._queue.complete(entry.name, token, EntryOutcome.SERVED, result.answer)
             elif result.answer:
-                now = await self._queue.finish(entry.name, token, End.FAILED, result.answer)
+                now = await self._queue.complete(entry.name, token, EntryOutcome.FAILED, result.answer)
             else:
-                now = await self._queue.give_back(entry.name, token, result.ran)
-        except StaleError as error:
+                now = await self._queue.record_failed_attempt(entry.name, token, result.ran)
+        except StaleTokenError as error:
             self._stale(token, error)
             return
-        except MovedError as error:
+        except InvalidTransitionError as error:
             log.warning("queue_entry_moved", entry=entry.name, error=str(error))
             return
-        except StoreError as error:
-            log.often("queue_step_failed", why=error.why.value, error=str(error))
+        except QueueError as error:
+            log.often("queue_step_failed", why=error.reason.value, error=str(error))
             self._unsettled.append(outcome)
             return
-        if now.end is not None:
-            self._tell_end(entry.name, now.end, token)
+        if now.outcome is not None:
+            self._tell_end(entry.name, now.outcome, token)
         self._news.set()
         self._news = anyio.Event()
 
-    def _tell_end(self, name: str, end: End, token: int) -> None:
+    def _tell_end(self, name: str, end: EntryOutcome, token: int) -> None:
         log.info("queue_entry_ended", entry=name, how=end.value, token=token)
         if self._figures is not None:
             self._figures.ended.labels(end.value).inc()
 
-    def _stale(self, token: int, error: StaleError) -> None:
+    def _stale(self, token: int, error: StaleTokenError) -> None:
         log.warning("queue_effect_refused", token=token, error=str(error))
         if self._figures is not None:
             self._figures.stale.inc()
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -32,10 +32,10 @@
 from ringledge.members.replay_sender import Result, Sender, Sending
 from ringledge.members.replayer import Replayer
 from ringledge.observe.logging import log
-from ringledge.store.entry import Entry, StoreError
+from ringledge.store.entry import Entry, QueueError
 from ringledge.store.holder import Holder
-from ringledge.store.metrics import Figures
-from ringledge.store.queries import Waiting
+from ringledge.store.metrics import QueueMetrics
+from ringledge.store.queries import TenantBacklog
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 
@@ -45,7 +45,7 @@
 DRAIN_S = 2.5  # at the stop, for bookings under way: SIGKILL comes 3.7 s after SIGTERM
 
 
-class Looks(Protocol):
+class SiteObservations(Protocol):
     """What this process sees of its servers and answers."""
 
     def servers(self, now_s: float) -> list[Seen]:
@@ -57,13 +57,13 @@
         ...
 
 
-class QueuePart:
+class QueueComponent:
     """Start, ready and stop of a site's queue."""
 
     def __init__(
         self,
         config: QueueConfig,
-        looks: Looks,
+        looks: SiteObservations,
         registry: CollectorRegistry,
         random: Random,
         facts: RecordStore | None = None,
@@ -71,7 +71,7 @@
     ) -> None:
         """`leased`: leases begin and stop the replay; else the lock beside the file does."""
         self.config, self._looks, self._random, self._facts = config, looks, random, facts
-        self.figures = Figures(registry)
+        self.figures = QueueMetrics(registry)
         self.queue = Queue(config)
         self.cut_off = CutOff()
         self.duty = f"replay/{config.site}"
@@ -79,7 +79,7 @@
         self.replayer = Replayer(
             self.queue, self._send, self._decider, self.state, time.monotonic, self.figures
         )
-        self._leased, self._waiting, self._token = leased, list[Waiting](), 0
+        self._leased, self._waiting, self._token = leased, list[TenantBacklog](), 0
         self._holder: Holder | None = None
         self._answers, self._told_s, self._stopping = looks.answers(), 0.0, False
         self._state = State.OPEN
@@ -126,8 +126,8 @@
                     await self._tidy(now_s)
                 if self._holder is not None:
                     await self._holder.step()
-            except StoreError as error:
-                log.often("queue_step_failed", why=error.why.value, error=str(error))
+            except QueueError as error:
+                log.often("queue_step_failed", why=error.reason.value, error=str(error))
             await self.replayer.news(STEP_S if self._waiting else IDLE_S)
 
     def _look(self, now_s: float) -> None:
@@ -154,12 +154,12 @@
 
     async def _tidy(self, now_s: float) -> None:
         """End what expired, remove old ends, tell the other sites."""
-        for name in await self.queue.tidy():
+        for name in await self.queue.expire_and_purge():
             self.figures.ended.labels("expired").inc()
             log.info("queue_entry_ended", entry=name, how="expired", token=0)
-        self._waiting = await self.queue.waiting()
+        self._waiting = await self.queue.backlog_by_tenant()
         entries = sum(each.entries for each in self._waiting)
-        oldest_s = max((time.time() - each.oldest_s for each in self._waiting), default=0.0)
+        oldest_s = max((time.time() - each.oldest_created_s for each in self._waiting), default=0.0)
         self.figures.waiting.set(entries)
         self.figures.oldest.set(oldest_s)
         replay = self.replayer.replay
--- a/ringledge/store/holder.py
+++ b/ringledge/store/holder.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from ringledge.members.duty import Duty
-from ringledge.store.entry import StoreError
+from ringledge.store.entry import QueueError
 from ringledge.store.queue import Queue
 
 
@@ -50,8 +50,8 @@
             if self._fd < 0:
                 self._fd = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             fcntl.flock(self._fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            token = await self._queue.highest() + 1
-        except (OSError, StoreError):  # another has it, or the file can't be used: both are told elsewhere
+            token = await self._queue.highest_token() + 1
+        except (OSError, QueueError):  # another has it, or the file can't be used: both are told elsewhere
             return
         self.token = token
         self._duty.begin(token)
--- a/ringledge/store/metrics.py
+++ b/ringledge/store/metrics.py
@@ -5,7 +5,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
 
-class Figures:
+class QueueMetrics:
     """What the queue counts."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
--- a/ringledge/store/queries.py
+++ b/ringledge/store/queries.py
@@ -1,4 +1,4 @@
-"""What the queue shows to those who only look: what waits, whose turn could be next, the highest token."""
+"""Read-only queries on the durable queue: an entry, the backlog by tenant, the oldest entries, the token."""
 
 from __future__ import annotations
 
@@ -8,49 +8,110 @@
 from typing import Any
 
 from ringledge.decide.replay.scheduler import Head
+from ringledge.store.entry import Entry, EntryOutcome, EntryState, QueuedRequest
+from ringledge.store.seal import COLUMNS, CorruptRowError, from_row
+
+CORRUPT_ENTRY_MESSAGE = b"the entry is spoilt on the disk; it may have run"
 
 
 @dataclass(slots=True, frozen=True)
-class Waiting:
-    """What waits of one tenant."""
+class TenantBacklog:
+    """The waiting entries of one tenant."""
 
     tenant: str
     entries: int
-    oldest_s: float  # when the oldest came, Unix seconds
+    oldest_created_s: float  # Unix seconds
+
+
+def get_entry(db: sqlite3.Connection, name: str) -> Entry | None:
+    """The entry of that name; a corrupt one is returned as ended with an unknown outcome."""
+    row = db.execute(f"SELECT {COLUMNS}, seal FROM entries WHERE name = ?", (name,)).fetchone()
+    if row is None:
+        return None
+    try:
+        return from_row(row)
+    except CorruptRowError:
+        tenant, request_class = (value if isinstance(value, str) else "" for value in row[1:3])
+        return _corrupt_entry(name, tenant, request_class)
+
+
+def find_by_idempotency_key(db: sqlite3.Connection, tenant: str, idempotency_key: str) -> Entry | None:
+    """The entry that the tenant enqueued with that idempotency key."""
+    name = name_by_idempotency_key(db, tenant, idempotency_key)
+    return None if name is None else get_entry(db, name)
+
 
+def name_by_idempotency_key(db: sqlite3.Connection, tenant: str, idempotency_key: str) -> str | None:
+    """The name of the entry that the tenant enqueued with that idempotency key."""
+    query = "SELECT name FROM entries WHERE tenant = ? AND key = ?"
+    row = db.execute(query, (tenant, idempotency_key)).fetchone()
+    return None if row is None else row[0]
 
-def waiting(db: sqlite3.Connection) -> list[Waiting]:
-    """What waits, by tenant."""
+
+def backlog_by_tenant(db: sqlite3.Connection) -> list[TenantBacklog]:
+    """The backlog of each tenant that has waiting entries."""
     count = "SELECT count(*) FROM entries INDEXED BY waiting WHERE state = 0 AND tenant = ?"
     oldest = """SELECT created_s FROM entries INDEXED BY waiting
         WHERE state = 0 AND tenant = ? ORDER BY seq LIMIT 1"""
-    return [Waiting(tenant, _first(db, count, tenant), _first(db, oldest, tenant)) for tenant in _tenants(db)]
+    return [
+        TenantBacklog(tenant, _scalar(db, count, tenant), _scalar(db, oldest, tenant))
+        for tenant in _waiting_tenants(db)
+    ]
+
 
+def oldest_entries(db: sqlite3.Connection, per_tenant: int) -> list[Head]:
+    """The oldest waiting entries, up to `per_tenant` of each tenant.
 
-def heads(db: sqlite3.Connection, each: int) -> list[Head]:
-    """The oldest waiting entries of each tenant, so many of each; costs by tenants, not by entries."""
-    found = list[Head]()
+    The cost grows with the number of tenants, not with the number of entries.
+    """
+    heads = list[Head]()
     oldest = """SELECT name, tenant, work, created_s, safe FROM entries INDEXED BY waiting
         WHERE state = 0 AND tenant = ? ORDER BY seq LIMIT ?"""
-    for tenant in _tenants(db):
-        rows = db.execute(oldest, (tenant, each)).fetchall()
-        found += [Head(name, tenant, work, came_s, bool(safe)) for name, tenant, work, came_s, safe in rows]
-    return found
-
-
-def highest(db: sqlite3.Connection) -> int:
-    """The highest token that was seen."""
-    return int(db.execute("SELECT value FROM meta WHERE name = 'token'").fetchone()[0])
-
-
-def _tenants(db: sqlite3.Connection) -> Iterator[str]:
-    """Tenants with something waiting: a step in the index for each, however much waits."""
+    for tenant in _waiting_tenants(db):
+        rows = db.execute(oldest, (tenant, per_tenant)).fetchall()
+        heads += [
+            Head(name, tenant, estimated_tokens, created_s, bool(idempotent))
+            for name, tenant, estimated_tokens, created_s, idempotent in rows
+        ]
+    return heads
+
+
+def highest_token(db: sqlite3.Connection) -> int:
+    """The highest fencing token that the file has seen."""
+    return int(_scalar(db, "SELECT value FROM meta WHERE name = 'token'"))
+
+
+def _corrupt_entry(name: str, tenant: str, request_class: str) -> Entry:
+    request = QueuedRequest(
+        name,
+        tenant,
+        request_class,
+        idempotent=False,
+        body=b"",
+        estimated_tokens=0.0,
+        created_s=0.0,
+        expires_s=0.0,
+    )
+    return Entry(
+        request,
+        EntryState.ENDED,
+        token=0,
+        attempts=0,
+        ended_s=0.0,
+        outcome=EntryOutcome.UNKNOWN,
+        response=CORRUPT_ENTRY_MESSAGE,
+    )
+
+
+def _waiting_tenants(db: sqlite3.Connection) -> Iterator[str]:
+    """Tenants with waiting entries: one index seek for each, however many entries wait (a loose scan)."""
     first = "SELECT min(tenant) FROM entries INDEXED BY waiting WHERE state = 0"
-    tenant = _first(db, first)
+    tenant = _scalar(db, first)
     while tenant is not None:
         yield tenant
-        tenant = _first(db, f"{first} AND tenant > ?", tenant)
+        tenant = _scalar(db, f"{first} AND tenant > ?", tenant)
 
 
-def _first(db: sqlite3.Connection, told: str, *values: Any) -> Any:
-    return db.execute(told, values).fetchone()[0]
+def _scalar(db: sqlite3.Connection, query: str, *values: Any) -> Any:
+    """The first column of the first row."""
+    return db.execute(query, values).fetchone()[0]
--- a/ringledge/store/queue.py
+++ b/ringledge/store/queue.py
@@ -1,95 +1,116 @@
-"""The queue of a site as the rest of the program has it: what is promised is on the disk on return."""
+"""The durable queue of a site as the program uses it: a call returns once its effect is on the disk."""
 
 from __future__ import annotations
 
 import os
+import sqlite3
 import time
 from collections.abc import Callable
 from functools import partial
 from pathlib import Path
 
 from ringledge.decide.replay.scheduler import Head
-from ringledge.store import queries as looks
-from ringledge.store import transitions as steps
-from ringledge.store.entry import Asked, End, Entry
-from ringledge.store.queries import Waiting
+from ringledge.store import queries, transitions
+from ringledge.store.admission import QueueLimits
+from ringledge.store.entry import Entry, EntryOutcome, QueuedRequest
+from ringledge.store.queries import TenantBacklog
 from ringledge.store.settings import QueueConfig
-from ringledge.store.transitions import Adopted, Limits
-from ringledge.store.worker import Worker
+from ringledge.store.transitions import AdoptionResult
+from ringledge.store.worker import DatabaseWorker
 
 
 class Queue:
-    """One site's file. Each call may raise StoreError; those with a token StaleError and MovedError too."""
+    """One site's queue file.
+
+    Each call may raise QueueError; one that carries a fencing token also StaleTokenError, and one that
+    changes the state of an entry also InvalidTransitionError.
+    """
 
     def __init__(self, config: QueueConfig, clock: Callable[[], float] = time.time) -> None:
-        """`clock`: Unix seconds; ages must outlive the process, so it is no monotonic one."""
-        self._config, self._now = config, clock
-        self._limits = Limits(config.entries, config.most_bytes, config.tenant_share, config.entry_bytes)
-        self._folder = Path(config.path).parent
-        self.worker = Worker(Path(config.path), config.busy_s)
+        """`clock`: Unix seconds, not a monotonic clock: ages have to outlive the process."""
+        self._config = config
+        self._clock = clock
+        self._limits = QueueLimits(
+            max_entries=config.entries,
+            max_bytes=config.most_bytes,
+            tenant_quota=config.tenant_share,
+            max_entry_bytes=config.entry_bytes,
+        )
+        path = Path(config.path)
+        self._directory = path.parent
+        self.worker = DatabaseWorker(path, config.busy_s)
 
     def start(self) -> None:
-        """Begin."""
+        """Start the worker thread."""
         self.worker.start()
 
     def stop(self) -> None:
-        """Have what waits done, then close the file."""
+        """Finish pending calls, then close the file."""
         self.worker.stop()
 
-    async def enqueue(self, asked: Asked) -> Entry:
-        """Put a request in; a 202 may be said once this returns."""
-        return await self.worker.run(
-            lambda db: steps.enqueue(db, asked, self._now(), self._limits, self._free())
-        )
-
-    def _free(self) -> float:
-        """Bytes that the disk has for us; asked for in the thread that waits for disks."""
-        told = os.statvfs(self._folder)
-        return float(told.f_bavail * told.f_frsize)
+    async def enqueue(self, request: QueuedRequest) -> Entry:
+        """Insert a request; once this returns it is durable and may be answered 202."""
+        return await self.worker.run(partial(self._enqueue, request=request))
 
     async def get(self, name: str) -> Entry | None:
         """The entry of that name."""
-        return await self.worker.run(lambda db: steps.get(db, name), writes=False)
+        return await self.worker.run(lambda db: queries.get_entry(db, name), writes=False)
 
-    async def by_key(self, tenant: str, key: str) -> Entry | None:
-        """The entry that a tenant's idempotency key has put in."""
-        return await self.worker.run(lambda db: steps.by_key(db, tenant, key), writes=False)
+    async def find_by_idempotency_key(self, tenant: str, idempotency_key: str) -> Entry | None:
+        """The entry that the tenant enqueued with that idempotency key."""
+        return await self.worker.run(
+            lambda db: queries.find_by_idempotency_key(db, tenant, idempotency_key), writes=False
+        )
 
     async def withdraw(self, name: str) -> Entry:
-        """Take a waiting entry back for its client."""
-        return await self.worker.run(lambda db: steps.withdraw(db, name, self._now()))
-
-    async def adopt(self, token: int) -> Adopted:
-        """Take the queue over under a new token."""
-        return await self.worker.run(lambda db: steps.adopt(db, token, self._now()))
-
-    async def begin(self, name: str, token: int) -> Entry:
-        """Write down that an attempt starts; only what comes back as begun may be sent."""
-        return await self.worker.run(lambda db: steps.begin(db, name, token, self._now()))
-
-    async def give_back(self, name: str, token: int, ran: bool) -> Entry:
-        """An attempt did not serve it."""
-        most = self._config.attempts
-        return await self.worker.run(lambda db: steps.give_back(db, name, token, ran, most, self._now()))
-
-    async def finish(self, name: str, token: int, end: End, answer: bytes) -> Entry:
-        """What was begun has its end."""
-        return await self.worker.run(lambda db: steps.finish(db, name, token, end, answer, self._now()))
-
-    async def tidy(self) -> tuple[str, ...]:
-        """Tell what has waited too long as expired, remove old ends; the names of those that expired."""
-        expired = await self.worker.run(lambda db: steps.expire(db, self._now()))
-        await self.worker.run(lambda db: steps.purge(db, self._now(), self._config.keep_s))
+        """Cancel a waiting entry for its client."""
+        return await self.worker.run(lambda db: transitions.withdraw(db, name, self._clock()))
+
+    async def adopt(self, token: int) -> AdoptionResult:
+        """Take the queue over as the lease holder with a new fencing token."""
+        return await self.worker.run(lambda db: transitions.adopt(db, token, self._clock()))
+
+    async def begin_attempt(self, name: str, token: int) -> Entry:
+        """Record that an attempt starts; only an entry that is returned as BEGUN may be sent."""
+        return await self.worker.run(lambda db: transitions.begin_attempt(db, name, token, self._clock()))
+
+    async def record_failed_attempt(self, name: str, token: int, may_have_run: bool) -> Entry:
+        """Requeue or end an entry whose attempt failed."""
+        max_attempts = self._config.attempts
+        return await self.worker.run(
+            lambda db: transitions.record_failed_attempt(
+                db, name, token, may_have_run, max_attempts, self._clock()
+            )
+        )
+
+    async def complete(self, name: str, token: int, outcome: EntryOutcome, response: bytes) -> Entry:
+        """End an entry that has begun."""
+        return await self.worker.run(
+            lambda db: transitions.complete(db, name, token, outcome, response, self._clock())
+        )
+
+    async def expire_and_purge(self) -> tuple[str, ...]:
+        """End entries that have expired and delete old ended ones; returns the names of the expired."""
+        expired = await self.worker.run(lambda db: transitions.expire(db, self._clock()))
+        await self.worker.run(lambda db: transitions.purge(db, self._clock(), self._config.keep_s))
         return expired
 
-    async def heads(self, each: int) -> list[Head]:
-        """The oldest waiting entries of each tenant, so many of each."""
-        return await self.worker.run(partial(looks.heads, each=each), writes=False)
+    async def oldest_entries(self, per_tenant: int) -> list[Head]:
+        """The oldest waiting entries, up to `per_tenant` of each tenant."""
+        return await self.worker.run(partial(queries.oldest_entries, per_tenant=per_tenant), writes=False)
+
+    async def backlog_by_tenant(self) -> list[TenantBacklog]:
+        """The backlog of each tenant that has waiting entries."""
+        return await self.worker.run(queries.backlog_by_tenant, writes=False)
+
+    async def highest_token(self) -> int:
+        """The highest fencing token that the file has seen."""
+        return await self.worker.run(queries.highest_token, writes=False)
 
-    async def waiting(self) -> list[Waiting]:
-        """What waits, by tenant."""
-        return await self.worker.run(looks.waiting, writes=False)
+    def _enqueue(self, db: sqlite3.Connection, request: QueuedRequest) -> Entry:
+        return transitions.enqueue(db, request, self._clock(), self._limits, self._free_disk_bytes())
 
-    async def highest(self) -> int:
-        """The highest token that the file has seen."""
-        return await self.worker.run(looks.highest, writes=False)
+    def _free_disk_bytes(self) -> float:
+        """Bytes available on the file system; runs in the worker thread, which may wait for the disk."""
+        file_system = os.statvfs(self._directory)
+        return float(file_system.f_bavail * file_system.f_frsize)
--- a/ringledge/store/schema.py
+++ b/ringledge/store/schema.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from ringledge.store.entry import StoreError, Why
+from ringledge.store.entry import QueueError, QueueRejectionReason
 
 VERSION = 2  # PRAGMA user_version
 MAGIC = 0x52_4C_51_31  # PRAGMA application_id: "RLQ1", so that another program's file is not taken for ours
@@ -74,13 +74,13 @@
         path.touch(mode=0o600)  # questions are their clients' own
         db = sqlite3.connect(path, timeout=busy_s, isolation_level=None, check_same_thread=False)
     except (sqlite3.Error, OSError) as error:
-        raise StoreError(Why.CLOSED, f"{path}: {error}") from error
+        raise QueueError(QueueRejectionReason.UNAVAILABLE, f"{path}: {error}") from error
     try:
         _prepare(db, path, checked)
     except sqlite3.Error as error:
         db.close()
-        raise told(error, path) from error
-    except StoreError:
+        raise queue_error(error, path) from error
+    except QueueError:
         db.close()
         raise
     return db
@@ -89,11 +89,15 @@
 def _prepare(db: sqlite3.Connection, path: Path, checked: bool) -> None:
     db.execute("PRAGMA synchronous = FULL")
     if (mine := _one(db, "PRAGMA application_id")) not in (0, MAGIC):
-        raise StoreError(Why.CLOSED, f"{path}: another program's database (application_id {mine})")
+        raise QueueError(
+            QueueRejectionReason.UNAVAILABLE, f"{path}: another program's database (application_id {mine})"
+        )
     if _one(db, "PRAGMA journal_mode = WAL") != "wal":
-        raise StoreError(Why.CLOSED, f"{path}: its file system allows no write-ahead log")
+        raise QueueError(
+            QueueRejectionReason.UNAVAILABLE, f"{path}: its file system allows no write-ahead log"
+        )
     if checked and (found := _one(db, "PRAGMA quick_check(1)")) != "ok":
-        raise StoreError(Why.CLOSED, f"{path}: spoilt: {found}")
+        raise QueueError(QueueRejectionReason.UNAVAILABLE, f"{path}: spoilt: {found}")
     if _version(db, path) < VERSION:
         _bring_up(db, path)
 
@@ -118,9 +122,12 @@
     version: int = _one(db, "PRAGMA user_version")
     if version > VERSION:
         text = f"{path}: of version {version}, this program knows {VERSION} at most; it is left as it is"
-        raise StoreError(Why.CLOSED, text)
+        raise QueueError(QueueRejectionReason.UNAVAILABLE, text)
     if version == 0 and _one(db, "SELECT count(*) FROM sqlite_schema"):
-        raise StoreError(Why.CLOSED, f"{path}: a database without a version: not one of this program's")
+        raise QueueError(
+            QueueRejectionReason.UNAVAILABLE,
+            f"{path}: a database without a version: not one of this program's",
+        )
     return version
 
 
@@ -128,13 +135,13 @@
     return db.execute(text).fetchone()[0]
 
 
-def told(error: sqlite3.Error, path: Path) -> StoreError:
+def queue_error(error: sqlite3.Error, path: Path) -> QueueError:
     """What went wrong, by what can be done about it."""
     code = getattr(error, "sqlite_errorcode", 0) & 0xFF
     if code in (sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED):
-        return StoreError(Why.BUSY, f"{path}: another process holds it")
+        return QueueError(QueueRejectionReason.LOCKED, f"{path}: another process holds it")
     if code == sqlite3.SQLITE_FULL:
-        return StoreError(Why.DISK, f"{path}: no room on the disk")
+        return QueueError(QueueRejectionReason.DISK_FULL, f"{path}: no room on the disk")
     if code == sqlite3.SQLITE_IOERR:
-        return StoreError(Why.FAILED, f"{path}: the disk failed: {error}")
-    return StoreError(Why.CLOSED, f"{path}: {error}")
+        return QueueError(QueueRejectionReason.IO_ERROR, f"{path}: the disk failed: {error}")
+    return QueueError(QueueRejectionReason.UNAVAILABLE, f"{path}: {error}")
--- a/ringledge/store/worker.py
+++ b/ringledge/store/worker.py
@@ -19,7 +19,7 @@
 
 from ringledge.observe.logging import log
 from ringledge.store import schema
-from ringledge.store.entry import MovedError, StaleError, StoreError, Why
+from ringledge.store.entry import InvalidTransitionError, QueueError, QueueRejectionReason, StaleTokenError
 
 T = TypeVar("T")
 Step = Callable[[sqlite3.Connection], T]
@@ -36,14 +36,14 @@
     result: Future[Any] = field(default_factory=Future)
 
 
-class Worker:
+class DatabaseWorker:
     """Runs steps on one file in a thread of its own."""
 
     def __init__(self, path: Path, busy_s: float) -> None:
         self._path, self._busy_s = path, busy_s
         self._jobs = SimpleQueue[_Job | None]()
         self._db: sqlite3.Connection | None = None
-        self._closed: StoreError | None = None
+        self._closed: QueueError | None = None
         self._look_again_s = 0.0
         self._stopped = False
         self.commits = 0  # transactions that have written
@@ -65,7 +65,7 @@
         Raises StoreError, StaleError, MovedError. The step may be run more than once; its last run counts.
         """
         if self._stopped:
-            raise StoreError(Why.CLOSED, f"{self._path}: closed, the process ends")
+            raise QueueError(QueueRejectionReason.UNAVAILABLE, f"{self._path}: closed, the process ends")
         job = _Job(step, writes)
         self._jobs.put(job)
         result: T = await asyncio.wrap_future(job.result)
@@ -91,12 +91,12 @@
             return
         try:
             told = self._transaction(group)
-        except (sqlite3.Error, StoreError) as error:
-            if len(group) > 1 and not isinstance(error, StoreError):
+        except (sqlite3.Error, QueueError) as error:
+            if len(group) > 1 and not isinstance(error, QueueError):
                 for job in group:
                     self._together([job])
                 return
-            told = [error if isinstance(error, StoreError) else self._told(error)] * len(group)
+            told = [error if isinstance(error, QueueError) else self._told(error)] * len(group)
         for job, result in zip(group, told, strict=True):
             if isinstance(result, Exception):
                 job.result.set_exception(result)
@@ -122,7 +122,7 @@
         db.execute("SAVEPOINT step")
         try:
             return step(db)
-        except (StoreError, StaleError, MovedError) as error:
+        except (QueueError, StaleTokenError, InvalidTransitionError) as error:
             db.execute("ROLLBACK TO step")
             return error
         except sqlite3.Error:
@@ -141,26 +141,26 @@
                 raise self._closed
             try:
                 self._db = schema.connect(self._path, self._busy_s)
-            except StoreError as error:
+            except QueueError as error:
                 self._close(error)
                 raise
             self._closed = None
         return self._db
 
-    def _told(self, error: sqlite3.Error) -> StoreError:
-        told = schema.told(error, self._path)
+    def _told(self, error: sqlite3.Error) -> QueueError:
+        told = schema.queue_error(error, self._path)
         if getattr(error, "sqlite_errorcode", 0) & 0xFF in SPOILT:
             self._close(told)
-        elif told.why is Why.FAILED:
+        elif told.reason is QueueRejectionReason.IO_ERROR:
             self._close(None)  # what the file holds is read anew: this connection may know it wrongly
         return told
 
-    def _close(self, why: StoreError | None) -> None:
+    def _close(self, why: QueueError | None) -> None:
         if self._db is not None:
             with contextlib.suppress(sqlite3.Error):
                 self._db.close()
             self._db = None
         if why is not None:
             if self._closed is None or str(self._closed) != str(why):
-                log.error("queue_closed", why=why.why.value, error=str(why))
+                log.error("queue_closed", why=why.reason.value, error=str(why))
             self._closed, self._look_again_s = why, time.monotonic() + AGAIN_S
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -22,9 +22,16 @@
     Request,
     RouterSettings,
 )
-from ringledge.store.entry import Asked, End, Entry, MovedError, StoreError, Why
-from ringledge.store.entry import State as Stands
-from ringledge.store.metrics import Figures
+from ringledge.store.entry import (
+    Entry,
+    EntryOutcome,
+    EntryState,
+    InvalidTransitionError,
+    QueuedRequest,
+    QueueError,
+    QueueRejectionReason,
+)
+from ringledge.store.metrics import QueueMetrics
 from ringledge.store.queue import Queue
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
@@ -38,23 +45,23 @@
 
 # What a request is refused with that can't be queued: status, code.
 REFUSALS = {
-    Why.ENTRIES: (503, "queue_full"),
-    Why.BYTES: (503, "queue_full"),
-    Why.TENANT: (429, "queue_share_used"),
-    Why.LARGE: (413, "queue_entry_too_large"),
-    Why.AGE: (503, "queue_too_late"),
-    Why.DISK: (503, "queue_disk_full"),
-    Why.BUSY: (503, "queue_busy"),
-    Why.CLOSED: (503, "queue_closed"),
-    Why.FAILED: (500, "may_be_queued"),
+    QueueRejectionReason.MAX_ENTRIES: (503, "queue_full"),
+    QueueRejectionReason.MAX_BYTES: (503, "queue_full"),
+    QueueRejectionReason.TENANT_QUOTA: (429, "queue_share_used"),
+    QueueRejectionReason.TOO_LARGE: (413, "queue_entry_too_large"),
+    QueueRejectionReason.ALREADY_EXPIRED: (503, "queue_too_late"),
+    QueueRejectionReason.DISK_FULL: (503, "queue_disk_full"),
+    QueueRejectionReason.LOCKED: (503, "queue_busy"),
+    QueueRejectionReason.UNAVAILABLE: (503, "queue_closed"),
+    QueueRejectionReason.IO_ERROR: (500, "may_be_queued"),
 }
 
 # What is told of an entry that ended without an answer: status, code, words.
 ENDS = {
-    End.FAILED: (500, "failed", "it failed"),
-    End.EXPIRED: (410, "expired", "its time was up before it could be sent; it never ran"),
-    End.UNKNOWN: (409, "may_have_run", "it may have run and is not run again"),
-    End.WITHDRAWN: (410, "withdrawn", "it was taken back; it never ran"),
+    EntryOutcome.FAILED: (500, "failed", "it failed"),
+    EntryOutcome.EXPIRED: (410, "expired", "its time was up before it could be sent; it never ran"),
+    EntryOutcome.UNKNOWN: (409, "may_have_run", "it may have run and is not run again"),
+    EntryOutcome.WITHDRAWN: (410, "withdrawn", "it was taken back; it never ran"),
 }
 
 
@@ -64,13 +71,13 @@
     return any(each.partition(";")[0].strip().lower() == "respond-async" for each in told.split(","))
 
 
-def refusal(error: StoreError, place: Headers | None = None) -> HttpError:
+def refusal(error: QueueError, place: Headers | None = None) -> HttpError:
     """What a client is told that the queue could not serve."""
-    status, code = REFUSALS[error.why]
-    if error.why is Why.FAILED:
+    status, code = REFUSALS[error.reason]
+    if error.reason is QueueRejectionReason.IO_ERROR:
         return HttpError(status, "the disk failed; it may have been queued", code, headers=place)
     later = [LATER] if status in (429, 503) else []
-    return HttpError(status, f"not queued, nothing has run ({error.why.value})", code, headers=later)
+    return HttpError(status, f"not queued, nothing has run ({error.reason.value})", code, headers=later)
 
 
 class QueuedChat:
@@ -84,7 +91,7 @@
         settings: RouterSettings,
         tenant: str,
         expire_s: float,
-        figures: Figures,
+        figures: QueueMetrics,
     ) -> None:
         """`tenant`: of a client that names none."""
         self._queue, self._site, self._tenant, self._expire_s = queue, site, tenant, expire_s
@@ -102,7 +109,7 @@
         key, wished = told.decode("ascii", "replace") if told else None, prefers_async(head)
         tenant = self._owner(head)
         if key is not None and (entry := await self._known(tenant, key, request.class_index)) is not None:
-            if entry.end is not None:
+            if entry.outcome is not None:
                 await _tell(conn, entry)
                 return True
             if not wished:
@@ -113,7 +120,7 @@
         if not wished or self._site() is State.OPEN:
             return False
         now_s = time()
-        asked = Asked(
+        asked = QueuedRequest(
             uuid4().hex,
             tenant,
             self._classes[request.class_index],
@@ -126,12 +133,12 @@
         )
         try:
             entry = await self._queue.enqueue(asked)
-        except StoreError as error:
-            self._figures.refused.labels(error.why.value).inc()
-            log.often("queue_refused", why=error.why.value, error=str(error))
+        except QueueError as error:
+            self._figures.refused.labels(error.reason.value).inc()
+            log.often("queue_refused", why=error.reason.value, error=str(error))
             raise refusal(error, [(b"Location", PLACE + asked.name.encode())]) from error
         self._figures.queued.inc()
-        log.info("queue_entry_taken", entry=entry.name, tenant=tenant, **{"class": asked.kind})
+        log.info("queue_entry_taken", entry=entry.name, tenant=tenant, **{"class": asked.request_class})
         await _accepted(conn, entry)
         return True
 
@@ -144,19 +151,19 @@
             raise HttpError(405, "only GET and DELETE here", "method_not_allowed", headers=allow)
         try:
             entry = await self._queue.get(name)
-            if entry is None or entry.asked.tenant != self._owner(head):  # others learn nothing of it
+            if entry is None or entry.request.tenant != self._owner(head):  # others learn nothing of it
                 raise HttpError(404, "no such entry, or its answer was kept for long enough", "not_found")
             if head.method == b"DELETE":
                 await self._queue.withdraw(name)
-                self._figures.ended.labels(End.WITHDRAWN.value).inc()
-                log.info("queue_entry_ended", entry=name, how=End.WITHDRAWN.value, token=0)
+                self._figures.ended.labels(EntryOutcome.WITHDRAWN.value).inc()
+                log.info("queue_entry_ended", entry=name, how=EntryOutcome.WITHDRAWN.value, token=0)
                 told = {"id": name, "object": "queue.entry", "status": "withdrawn"}
                 return await respond(conn, 200, orjson.dumps(told))
-        except MovedError as error:
+        except InvalidTransitionError as error:
             raise HttpError(409, "it has begun or ended, and can't be taken back", "begun") from error
-        except StoreError as error:
+        except QueueError as error:
             # Not 404: the entry may well be there.
-            text = f"the queue can't be read ({error.why.value})"
+            text = f"the queue can't be read ({error.reason.value})"
             raise HttpError(503, text, "queue_closed", headers=[LATER]) from error
         await _tell(conn, entry)
 
@@ -167,8 +174,8 @@
     async def _known(self, tenant: str, key: str, class_index: int) -> Entry | None:
         """The entry of an idempotency key. Where the file can't tell, only what may run twice may go on."""
         try:
-            return await self._queue.by_key(tenant, key)
-        except StoreError as error:
+            return await self._queue.find_by_idempotency_key(tenant, key)
+        except QueueError as error:
             if self._settings.classes[class_index].idempotency is Idempotency.IDEMPOTENT:
                 return None
             raise refusal(error) from error
@@ -184,16 +191,20 @@
 
 async def _tell(conn: Connection, entry: Entry) -> None:
     """How an entry stands, or how it ended."""
-    if entry.end is None:
+    if entry.outcome is None:
         return await respond(conn, 202, _status(entry), [LOOK_AGAIN])
-    if entry.end is End.SERVED:
-        return await respond(conn, 200, entry.answer or b"")
-    status, code, text = ENDS[entry.end]
-    raise HttpError(status, f"{text}: {(entry.answer or b'').decode('utf-8', 'replace')}".rstrip(": "), code)
+    if entry.outcome is EntryOutcome.SERVED:
+        return await respond(conn, 200, entry.response or b"")
+    status, code, text = ENDS[entry.outcome]
+    raise HttpError(
+        status, f"{text}: {(entry.response or b'').decode('utf-8', 'replace')}".rstrip(": "), code
+    )
 
 
 def _status(entry: Entry) -> bytes:
-    stands = {Stands.WAITING: "queued", Stands.BEGUN: "in_progress", Stands.ENDED: "ended"}[entry.state]
+    stands = {EntryState.WAITING: "queued", EntryState.BEGUN: "in_progress", EntryState.ENDED: "ended"}[
+        entry.state
+    ]
     told = {"id": entry.name, "object": "queue.entry", "status": stands}
-    times = {"created": int(entry.asked.created_s), "expires_at": int(entry.asked.expires_s)}
+    times = {"created": int(entry.request.created_s), "expires_at": int(entry.request.expires_s)}
     return orjson.dumps(told | times)
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -80,16 +80,16 @@
 
     def __call__(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
         """Start one; None where its class or model is not served any more."""
-        told: dict[str, Any] = orjson.loads(entry.asked.question)
+        told: dict[str, Any] = orjson.loads(entry.request.body)
         try:
-            asked, shop = entry.asked, (self._config, self._names, self._settings)
-            index, request = class_and_request(*shop, told, asked.kind, asked.tenant, _id(entry))
+            asked, shop = entry.request, (self._config, self._names, self._settings)
+            index, request = class_and_request(*shop, told, asked.request_class, asked.tenant, _id(entry))
         except HttpError:
             return None
         name = f"chatcmpl-{entry.name}"
-        session = Session(name, told, index, request.max_output_tokens, len(entry.asked.question))
+        session = Session(name, told, index, request.max_output_tokens, len(entry.request.body))
         safe = self._settings.classes[index].idempotency is Idempotency.IDEMPOTENT
-        run = (_Run if safe and entry.asked.safe else _Booking)(session, self._conductor, ended)
+        run = (_Run if safe and entry.request.idempotent else _Booking)(session, self._conductor, ended)
         body = told | {"stream": True, "max_tokens": int(request.max_output_tokens)}
         body.pop("max_completion_tokens", None)
         payload = Payload(b"/v1/chat/completions", orjson.dumps(body))
--- a/tests/compatibility/queue_files.py
+++ b/tests/compatibility/queue_files.py
@@ -5,26 +5,27 @@
 import sqlite3
 import tempfile
 from collections.abc import Callable
+from dataclasses import replace
 from functools import partial
 from pathlib import Path
 
-from ringledge.store import schema, seal
-from ringledge.store import transitions as steps
-from ringledge.store.entry import Asked, End, Entry, State
+from ringledge.store import schema, seal, transitions
+from ringledge.store.admission import QueueLimits
+from ringledge.store.entry import Entry, EntryOutcome, EntryState, QueuedRequest
 
 NOW_S = 1_000.0
 TOKEN = 7
-LIMITS = steps.Limits(entries=100, most_bytes=100_000, tenant_share=0.5, entry_bytes=10_000)
+LIMITS = QueueLimits(max_entries=100, max_bytes=100_000, tenant_quota=0.5, max_entry_bytes=10_000)
 
 ENTRIES = (
-    Asked("waits", "farm", "query", True, b"question 1", 10.0, NOW_S, NOW_S + 9000, "key-1"),
-    Asked("withdrawn", "farm", "query", True, b"question 2", 20.5, NOW_S, NOW_S + 9000),
-    Asked("begun", "farm", "booking", False, b"question 3", 30.0, NOW_S, NOW_S + 9000),
-    Asked("served", "fish", "query", True, b"question 4", 40.0, NOW_S, NOW_S + 9000),
-    Asked("failed", "fish", "query", True, b"question 5", 50.0, NOW_S, NOW_S + 9000),
-    Asked("unknown", "fish", "booking", False, b"question 6", 60.0, NOW_S, NOW_S + 9000),
-    Asked("expired", "rail", "query", True, b"question 7", 70.0, NOW_S, NOW_S + 5, "key-7"),
-    Asked("again", "rail", "query", True, b"question 8", 80.0, NOW_S, NOW_S + 9000),
+    QueuedRequest("waits", "farm", "query", True, b"question 1", 10.0, NOW_S, NOW_S + 9000, "key-1"),
+    QueuedRequest("withdrawn", "farm", "query", True, b"question 2", 20.5, NOW_S, NOW_S + 9000),
+    QueuedRequest("begun", "farm", "booking", False, b"question 3", 30.0, NOW_S, NOW_S + 9000),
+    QueuedRequest("served", "fish", "query", True, b"question 4", 40.0, NOW_S, NOW_S + 9000),
+    QueuedRequest("failed", "fish", "query", True, b"question 5", 50.0, NOW_S, NOW_S + 9000),
+    QueuedRequest("unknown", "fish", "booking", False, b"question 6", 60.0, NOW_S, NOW_S + 9000),
+    QueuedRequest("expired", "rail", "query", True, b"question 7", 70.0, NOW_S, NOW_S + 5, "key-7"),
+    QueuedRequest("again", "rail", "query", True, b"question 8", 80.0, NOW_S, NOW_S + 9000),
 )
 
 
@@ -35,18 +36,20 @@
 
 
 def fill(db: sqlite3.Connection) -> None:
-    """Bring each entry to the state that it is named for, by the program's own steps."""
-    for asked in ENTRIES:
-        _within(db, partial(steps.enqueue, asked=asked, now_s=NOW_S, limits=LIMITS))
-    _within(db, lambda db: steps.withdraw(db, "withdrawn", NOW_S + 1))
-    _within(db, lambda db: steps.adopt(db, TOKEN, NOW_S + 2))
+    """Bring each entry to the state that it is named for, by the program's own transitions."""
+    for request in ENTRIES:
+        _within(db, partial(transitions.enqueue, request=request, now_s=NOW_S, limits=LIMITS))
+    _within(db, lambda db: transitions.withdraw(db, "withdrawn", NOW_S + 1))
+    _within(db, lambda db: transitions.adopt(db, TOKEN, NOW_S + 2))
     for name in ("begun", "served", "failed", "unknown", "again"):
-        _within(db, partial(steps.begin, name=name, token=TOKEN, now_s=NOW_S + 3))
-    _within(db, lambda db: steps.finish(db, "served", TOKEN, End.SERVED, b"an answer", NOW_S + 4))
-    _within(db, lambda db: steps.give_back(db, "failed", TOKEN, True, 1, NOW_S + 4))
-    _within(db, lambda db: steps.give_back(db, "unknown", TOKEN, True, 8, NOW_S + 4))
-    _within(db, lambda db: steps.give_back(db, "again", TOKEN, False, 8, NOW_S + 4))
-    _within(db, lambda db: steps.expire(db, NOW_S + 6))
+        _within(db, partial(transitions.begin_attempt, name=name, token=TOKEN, now_s=NOW_S + 3))
+    _within(
+        db, lambda db: transitions.complete(db, "served", TOKEN, EntryOutcome.SERVED, b"an answer", NOW_S + 4)
+    )
+    _within(db, lambda db: transitions.record_failed_attempt(db, "failed", TOKEN, True, 1, NOW_S + 4))
+    _within(db, lambda db: transitions.record_failed_attempt(db, "unknown", TOKEN, True, 8, NOW_S + 4))
+    _within(db, lambda db: transitions.record_failed_attempt(db, "again", TOKEN, False, 8, NOW_S + 4))
+    _within(db, lambda db: transitions.expire(db, NOW_S + 6))
 
 
 def write_current(path: Path) -> None:
@@ -66,13 +69,12 @@
     db.execute(f"PRAGMA application_id = {schema.MAGIC}")
     columns = seal.COLUMNS.removesuffix(", key")
     marks = ", ".join("?" * (len(columns.split(",")) + 1))
-    for asked in ENTRIES[:3]:
-        begun = asked.name == "begun"
-        keyless = Asked(
-            asked.name, asked.tenant, asked.kind, asked.safe, asked.question, asked.work, asked.created_s,
-            asked.expires_s,
-        )  # fmt: skip
-        entry = Entry(keyless, State.BEGUN if begun else State.WAITING, TOKEN if begun else 0, int(begun))
+    for request in ENTRIES[:3]:
+        begun = request.name == "begun"
+        keyless = replace(request, idempotency_key=None)
+        entry = Entry(
+            keyless, EntryState.BEGUN if begun else EntryState.WAITING, TOKEN if begun else 0, int(begun)
+        )
         *row, _, sealed = seal.to_row(entry)
         db.execute(f"INSERT INTO entries ({columns}, seal) VALUES ({marks})", (*row, sealed))
     db.execute("UPDATE meta SET value = ? WHERE name = 'token'", (TOKEN,))
--- a/tests/compatibility/test_formats.py
+++ b/tests/compatibility/test_formats.py
@@ -21,8 +21,7 @@
     Role,
 )
 from ringledge.routing.policy import Policy
-from ringledge.store import schema, seal
-from ringledge.store import transitions as steps
+from ringledge.store import queries, schema, seal
 from tests.compatibility.command_line import command_line_text
 from tests.compatibility.datagrams import KEY, MESSAGES, TABLES, packed, record_rows, write_datagrams
 from tests.compatibility.golden import path
@@ -155,10 +154,13 @@
 
 def test_an_older_queue_file_is_read_row_by_row(queues: Path) -> None:
     db = schema.connect(queues / "queue-2.db", 1.0)
-    entries = {each.name: each for each in map(lambda asked: steps.get(db, asked.name), ENTRIES) if each}
+    entries = {
+        each.name: each for each in map(lambda asked: queries.get_entry(db, asked.name), ENTRIES) if each
+    }
     db.close()
     told = {
-        name: (each.state.value, each.end and each.end.value, each.answer) for name, each in entries.items()
+        name: (each.state.value, each.outcome and each.outcome.value, each.response)
+        for name, each in entries.items()
     }
     assert told == {
         "waits": (0, None, None),
--- a/tests/store/helpers.py
+++ b/tests/store/helpers.py
@@ -10,19 +10,19 @@
 import pytest
 
 from ringledge.store import schema
-from ringledge.store.entry import Asked
-from ringledge.store.transitions import Limits
+from ringledge.store.admission import QueueLimits
+from ringledge.store.entry import QueuedRequest
 
 T = TypeVar("T")
-LIMITS = Limits(entries=100, most_bytes=100_000, tenant_share=0.5, entry_bytes=10_000)
+LIMITS = QueueLimits(max_entries=100, max_bytes=100_000, tenant_quota=0.5, max_entry_bytes=10_000)
 NOW_S = 1_000.0
 
 
 def asked(
     name: str, tenant: str = "farm", safe: bool = True, key: str | None = None, size: int = 10
-) -> Asked:
+) -> QueuedRequest:
     kind = "query" if safe else "booking"
-    return Asked(name, tenant, kind, safe, b"?" * size, 10.0, NOW_S, NOW_S + 100, key)
+    return QueuedRequest(name, tenant, kind, safe, b"?" * size, 10.0, NOW_S, NOW_S + 100, key)
 
 
 def within(db: sqlite3.Connection, step: Callable[[sqlite3.Connection], T]) -> T:
--- a/tests/store/test_command.py
+++ b/tests/store/test_command.py
@@ -12,8 +12,7 @@
 from click.testing import CliRunner, Result
 
 from ringledge.cli import main
-from ringledge.store import schema
-from ringledge.store import transitions as steps
+from ringledge.store import schema, transitions
 from tests.loopback import ROOT
 from tests.store.helpers import LIMITS, NOW_S, asked, within
 
@@ -26,10 +25,13 @@
     path = tmp_path / "queue.db"
     db = schema.connect(path, 1.0)
     for name in ("a", "b", "c"):
-        within(db, partial(steps.enqueue, asked=asked(name, safe=name != "b"), now_s=NOW_S, limits=LIMITS))
-    within(db, partial(steps.adopt, token=4, now_s=NOW_S))
-    within(db, partial(steps.begin, name="b", token=4, now_s=NOW_S))
-    within(db, partial(steps.withdraw, name="c", now_s=NOW_S))
+        within(
+            db,
+            partial(transitions.enqueue, request=asked(name, safe=name != "b"), now_s=NOW_S, limits=LIMITS),
+        )
+    within(db, partial(transitions.adopt, token=4, now_s=NOW_S))
+    within(db, partial(transitions.begin_attempt, name="b", token=4, now_s=NOW_S))
+    within(db, partial(transitions.withdraw, name="c", now_s=NOW_S))
     lines = [orjson.loads(line) for line in call(path, "list").output.splitlines()]
     assert [line["state"] for line in lines] == ["waiting", "begun", "ended"]
     assert len(call(path, "list", "--state", "begun").output.splitlines()) == 1
--- a/tests/store/test_component.py
+++ b/tests/store/test_component.py
@@ -18,8 +18,8 @@
 from ringledge.decide.replay.scheduler import Verdict
 from ringledge.lifecycle import settings_files as strict
 from ringledge.members.replay_sender import Result, Sending
-from ringledge.store.component import QueuePart
-from ringledge.store.entry import Asked, End, Entry
+from ringledge.store.component import QueueComponent
+from ringledge.store.entry import Entry, EntryOutcome, QueuedRequest
 from ringledge.store.settings import QueueConfig
 from tests.loopback import ROOT
 
@@ -65,8 +65,8 @@
     return None
 
 
-def request(name: str) -> Asked:
-    return Asked(name, "farm", "query", True, b"{}", 10.0, time.time(), time.time() + 60)
+def request(name: str) -> QueuedRequest:
+    return QueuedRequest(name, "farm", "query", True, b"{}", 10.0, time.time(), time.time() + 60)
 
 
 def test_cut_off_queued_and_replayed_once_the_link_is_back(tmp_path: Path) -> None:
@@ -74,7 +74,7 @@
         links, facts = Links(up=False), Told()
         sites = {"north": 1.0, "south": 1.0}
         config = QueueConfig(path=str(tmp_path / "queue.db"), site="north", sites=sites)
-        part = QueuePart(config, links, CollectorRegistry(), random.Random(1), facts)
+        part = QueueComponent(config, links, CollectorRegistry(), random.Random(1), facts)
         refused = list[str]()
 
         def send(entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
@@ -99,7 +99,7 @@
                 assert len(refused) == 1
                 links.up = True
                 for number in range(3):
-                    while (await part.queue.get(f"{number}")).end is not End.SERVED:  # type: ignore[union-attr]
+                    while (await part.queue.get(f"{number}")).outcome is not EntryOutcome.SERVED:  # type: ignore[union-attr]
                         await anyio.sleep(0.01)
                 row: QueueBacklog = msgspec.msgpack.decode(facts.own["backlog/north"], type=QueueBacklog)
                 assert row.token == 1 and row.weight == 1.0
@@ -116,7 +116,7 @@
         async with anyio.create_task_group() as tasks:
             for _ in range(2):
                 config = QueueConfig(path=str(tmp_path / "queue.db"))
-                part = QueuePart(config, Links(up=True), CollectorRegistry(), random.Random(1))
+                part = QueueComponent(config, Links(up=True), CollectorRegistry(), random.Random(1))
                 part.sender = answered
                 part.start(tasks)
                 parts.append(part)
@@ -126,13 +126,13 @@
                 await until(lambda: first.replayer.replay is not None)
                 second.ready()
                 await second.queue.enqueue(request("a"))
-                while (await second.queue.get("a")).end is not End.SERVED:  # type: ignore[union-attr]
+                while (await second.queue.get("a")).outcome is not EntryOutcome.SERVED:  # type: ignore[union-attr]
                     await anyio.sleep(0.01)
                 assert second.replayer.replay is None
-                assert await second.queue.highest() == 1
+                assert await second.queue.highest_token() == 1
                 await first.stop()
                 await until(lambda: second.replayer.replay is not None)
-                while await second.queue.highest() != 2:
+                while await second.queue.highest_token() != 2:
                     await anyio.sleep(0.01)
                 await second.stop()
                 for part in parts:
--- a/tests/store/test_kills.py
+++ b/tests/store/test_kills.py
@@ -8,14 +8,14 @@
 
 from benchmarks import queue_kills
 from benchmarks.queue_kills import Life, World, faults, read
-from ringledge.store.entry import End
+from ringledge.store.entry import EntryOutcome
 from ringledge.store.schema import connect
 
 
 def test_killed_at_random_no_202_is_lost_no_booking_sent_twice_and_each_has_one_end(tmp_path: Path) -> None:
     world, wrong, ends = queue_kills.play(tmp_path / "queue.db", kills=15, seed=7)
     assert not wrong and world.kills == 15
-    assert ends[End.SERVED.value] > 50
+    assert ends[EntryOutcome.SERVED.value] > 50
 
 
 def at_point(path: Path, word: str, late: bool = False) -> tuple[World, list[str]]:
@@ -38,8 +38,8 @@
     world, wrong = at_point(tmp_path / "queue.db", word)
     assert not wrong
     if word == "sent":
-        ends = [entry.end for entry in read(tmp_path / "queue.db", list(world.sent)).values() if entry]
-        assert End.UNKNOWN in ends
+        ends = [entry.outcome for entry in read(tmp_path / "queue.db", list(world.sent)).values() if entry]
+        assert EntryOutcome.UNKNOWN in ends
 
 
 def test_a_start_written_after_the_send_is_caught(tmp_path: Path) -> None:
@@ -62,9 +62,9 @@
     db = connect(path, 1.0)
     db.execute(change, (name,))
     if "state" in change:  # sealed, as a step that goes wrong would leave it
-        from ringledge.store.seal import COLUMNS, _seal
+        from ringledge.store.seal import COLUMNS, row_seal
 
         row = db.execute(f"SELECT {COLUMNS} FROM entries WHERE name = ?", (name,)).fetchone()
-        db.execute("UPDATE entries SET seal = ? WHERE name = ?", (_seal(tuple(row)), name))
+        db.execute("UPDATE entries SET seal = ? WHERE name = ?", (row_seal(tuple(row)), name))
     db.close()
     assert any(each.startswith(told) for each in faults(world, read(path, list(world.taken))))
--- a/tests/store/test_replayer.py
+++ b/tests/store/test_replayer.py
@@ -15,9 +15,8 @@
 from ringledge.decide.replay.scheduler import Replay, Verdict
 from ringledge.members.replay_sender import Result, Sending
 from ringledge.members.replayer import Replayer
-from ringledge.store.entry import End, Entry
-from ringledge.store.entry import State as Stands
-from ringledge.store.metrics import Figures
+from ringledge.store.entry import Entry, EntryOutcome, EntryState
+from ringledge.store.metrics import QueueMetrics
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 from tests.store.helpers import NOW_S, asked
@@ -39,7 +38,7 @@
         class Out:
             def cancel(self) -> bool:
                 outer.cancelled.append(entry.name)
-                return entry.asked.safe
+                return entry.request.idempotent
 
         return Out()
 
@@ -60,13 +59,13 @@
         queue.start()
         return queue
 
-    def holder(self, token: int, queue: Queue | None = None) -> tuple[Replayer, Figures]:
+    def holder(self, token: int, queue: Queue | None = None) -> tuple[Replayer, QueueMetrics]:
         def decider(now_s: float, token: int) -> Replay:
             pace = Pace(random.Random(1), jitter_s=0.0)
             pace.allot(now_s, 1e9)
             return Replay(pace, 8)
 
-        figures = Figures(CollectorRegistry())
+        figures = QueueMetrics(CollectorRegistry())
         at, site = queue or self.queue, self
         made = Replayer(at, self.servers, decider, lambda: site.state, lambda: site.now_s, figures)
         made.tasks = self.tasks
@@ -109,10 +108,10 @@
         second, figures = site.holder(2, site.process())
         await site.steps(second, 2)
         assert site.servers.sent.count("book") == 1 and site.servers.sent.count("ask") == 2
-        assert (await site.entry("book")).end is End.UNKNOWN
+        assert (await site.entry("book")).outcome is EntryOutcome.UNKNOWN
         site.servers.end("ask")
         await site.steps(second, 2)
-        assert (await site.entry("ask")).end is End.SERVED
+        assert (await site.entry("ask")).outcome is EntryOutcome.SERVED
         assert figures.ended.labels("unknown")._value.get() == 1
 
     play(tmp_path, game)
@@ -129,8 +128,8 @@
             ends[name](Result(Verdict.SERVED, True, b"{}"))
         await site.steps(first, 1)
         assert figures.stale._value.get() >= 2
-        assert (await site.entry("book")).end is End.UNKNOWN
-        assert (await site.entry("ask")).state is Stands.BEGUN  # the second holder's
+        assert (await site.entry("book")).outcome is EntryOutcome.UNKNOWN
+        assert (await site.entry("ask")).state is EntryState.BEGUN  # the second holder's
         assert site.servers.sent.count("book") == 1
 
     play(tmp_path, game)
@@ -144,7 +143,7 @@
         assert not site.servers.sent
         for name in ("book", "ask"):
             entry = await site.entry(name)
-            assert entry.state is Stands.WAITING and entry.attempts == 0
+            assert entry.state is EntryState.WAITING and entry.attempts == 0
 
     play(tmp_path, game)
 
@@ -166,13 +165,13 @@
         tries = len(site.servers.sent) - sent
         assert 1 <= tries <= (site.now_s - from_s) / PROBE_S + 1
         assert "book" not in site.servers.sent[sent:]
-        assert (await site.entry("book")).end is End.UNKNOWN
+        assert (await site.entry("book")).outcome is EntryOutcome.UNKNOWN
         site.state = State.OPEN
         for _ in range(40):
             await site.steps(replayer, 1)
             for name in list(site.servers.out):
                 site.servers.end(name)
-        assert not await site.queue.waiting()
+        assert not await site.queue.backlog_by_tenant()
         sends = [name for name in site.servers.sent if name.isdecimal() and int(name) % 2]
         assert len(sends) == len(set(sends)) == 10  # each booking once
 
@@ -198,8 +197,10 @@
             await site.steps(replayer, 1)
         names = [name for name in site.servers.sent if name != "ask"]
         assert len(names) == len(set(names)) == 41
-        ends = [(await site.entry(name)).end for name in names]
-        assert set(ends) <= {End.SERVED, End.UNKNOWN} and ends.count(End.SERVED) > 10
+        ends = [(await site.entry(name)).outcome for name in names]
+        assert (
+            set(ends) <= {EntryOutcome.SERVED, EntryOutcome.UNKNOWN} and ends.count(EntryOutcome.SERVED) > 10
+        )
 
     play(tmp_path, game)
 
@@ -212,10 +213,10 @@
         await site.queue.worker.run(lambda db: db.execute(most.format(1)).fetchone(), writes=False)
         site.servers.out.pop("book")(Result(Verdict.SERVED, True, b"?" * 200_000))
         await site.steps(replayer, 1)
-        assert replayer.owed == 1 and (await site.entry("book")).state is Stands.BEGUN
+        assert replayer.owed == 1 and (await site.entry("book")).state is EntryState.BEGUN
         await site.queue.worker.run(lambda db: db.execute(most.format(9_999)).fetchone(), writes=False)
         await site.steps(replayer, 1)
-        assert replayer.owed == 0 and (await site.entry("book")).end is End.SERVED
+        assert replayer.owed == 0 and (await site.entry("book")).outcome is EntryOutcome.SERVED
 
     play(tmp_path, game)
 
@@ -231,6 +232,6 @@
         assert replayer.under_way == 1  # the booking runs on
         site.servers.end("book")  # nobody has taken over yet: its end is taken
         await site.steps(replayer, 1)
-        assert (await site.entry("book")).end is End.SERVED
+        assert (await site.entry("book")).outcome is EntryOutcome.SERVED
 
     play(tmp_path, game)
--- a/tests/wire/clients/chat/queued.py
+++ b/tests/wire/clients/chat/queued.py
@@ -32,7 +32,7 @@
     ServerEntry,
     ServerKind,
 )
-from ringledge.store.metrics import Figures
+from ringledge.store.metrics import QueueMetrics
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 from ringledge.wire.clients.chat import Chat, error_body
@@ -102,7 +102,7 @@
         )
         self.queue = Queue(QueueConfig(**{"path": str(file)} | told))
         self.queue.start()
-        self.state, self.figures = State.CUT_OFF, Figures(CollectorRegistry())
+        self.state, self.figures = State.CUT_OFF, QueueMetrics(CollectorRegistry())
         queued = QueuedChat(
             self.queue, lambda: self.state, NAMES.classes, SETTINGS, "farm", 600.0, self.figures
         )
@@ -147,7 +147,7 @@
 
     async def replay(self, name: str, token: int) -> list[Result]:
         """Send one entry through the conductor, as the holder does; its end goes into the list."""
-        entry, ends = await self.queue.begin(name, token), list[Result]()
+        entry, ends = await self.queue.begin_attempt(name, token), list[Result]()
         self.sender(entry, ends.append)
         return ends
 
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -12,7 +12,7 @@
 from ringledge.routing.interface import (
     AttemptStatus,
 )
-from ringledge.store.entry import End
+from ringledge.store.entry import EntryOutcome
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 from tests.wire.clients.chat.queued import ASYNC, Process, play
@@ -31,7 +31,7 @@
         assert (await first.ask("GET", place))[2]["status"] == "in_progress"
         assert second.port.sent[0].record.payload.body.count(b"is room 14 free?") == 1
         await second.serve(second.port.sent[0], "yes, ", "two slots")
-        await second.queue.finish(told["id"], 1, End.SERVED, ends[0].answer)
+        await second.queue.complete(told["id"], 1, EntryOutcome.SERVED, ends[0].answer)
         for process in (first, second):  # and it stays for its time
             status, _, answer = await process.ask("GET", place)
             assert status == 200 and answer["choices"][0]["message"]["content"] == "yes, two slots"
@@ -56,7 +56,7 @@
             while not process.port.sent:
                 await anyio.sleep(0)
             await process.serve(process.port.sent[0], "yes")
-        assert answers == [200] and not await process.queue.waiting()
+        assert answers == [200] and not await process.queue.backlog_by_tenant()
 
     play(tmp_path, game)
 
@@ -75,7 +75,7 @@
         assert (await process.ask("DELETE", place))[0] == 409
         _, headers, told = await process.post(**ASYNC)
         await process.queue.adopt(1)
-        await process.queue.begin(told["id"], 1)
+        await process.queue.begin_attempt(told["id"], 1)
         assert (await process.ask("DELETE", headers["location"]))[0] == 409
 
     play(tmp_path, game)
@@ -86,11 +86,13 @@
         await process.queue.adopt(1)
         seen = {}
         for end, status, kind in (
-            (End.FAILED, 500, "failed"), (End.UNKNOWN, 409, "may_have_run"), (End.EXPIRED, 410, "expired")
-        ):  # fmt: skip
+            (EntryOutcome.FAILED, 500, "failed"),
+            (EntryOutcome.UNKNOWN, 409, "may_have_run"),
+            (EntryOutcome.EXPIRED, 410, "expired"),
+        ):
             _, headers, told = await process.post("book", **ASYNC)
-            await process.queue.begin(told["id"], 1)
-            await process.queue.finish(told["id"], 1, end, b"")
+            await process.queue.begin_attempt(told["id"], 1)
+            await process.queue.complete(told["id"], 1, end, b"")
             got, _, body = await process.ask("GET", headers["location"])
             seen[end] = (got, body["error"]["code"])
             assert seen[end] == (status, kind)
