--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -89,7 +89,7 @@
 
 async def run(path: str, entries: int, seed: int, late: bool) -> None:
     """Take so many requests in and replay all that the file holds."""
-    queue, stand_in = Queue(QueueConfig(path=path, busy_s=10.0)), StandIn()
+    queue, stand_in = Queue(QueueConfig(path=path, lock_timeout_s=10.0)), StandIn()
     queue.start()
 
     def decider(now_s: float, token: int) -> Replay:
--- a/benchmarks/queue_cost.py
+++ b/benchmarks/queue_cost.py
@@ -39,7 +39,7 @@
 
 async def rate(folder: Path, clients: int, size: int) -> dict[str, float]:
     """Enqueues a second by so many clients, each with one out."""
-    queue = Queue(QueueConfig(path=str(folder / f"{clients}.db"), entries=10**7, most_bytes=2**40))
+    queue = Queue(QueueConfig(path=str(folder / f"{clients}.db"), max_entries=10**7, max_bytes=2**40))
     queue.start()
     took = list[float]()
     until = time.monotonic() + RATE_S
@@ -67,7 +67,7 @@
 
 async def fill(path: Path, entries: int, size: int) -> None:
     """So many entries, all waiting."""
-    queue = Queue(QueueConfig(path=str(path), entries=10**7, most_bytes=2**40, tenant_share=1.0))
+    queue = Queue(QueueConfig(path=str(path), max_entries=10**7, max_bytes=2**40, tenant_quota=1.0))
     queue.start()
     for first in range(0, entries, 1000):
         async with anyio.create_task_group() as tasks:
@@ -80,7 +80,7 @@
     """Open the file as a process that starts does; times in ms, memory in MB."""
     process = psutil.Process()
     before, times, began = process.memory_info().rss, dict[str, float](), time.monotonic()
-    queue = Queue(QueueConfig(path=str(path), busy_s=30.0))
+    queue = Queue(QueueConfig(path=str(path), lock_timeout_s=30.0))
     queue.start()
     steps = (
         ("open", queue.highest_token()), ("adopt", queue.adopt(10**6)), ("heads", queue.oldest_entries(4)),
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -26,9 +26,9 @@
     facts = None if fleet is None else fleet.members.facts
     queue = QueueComponent(told, sight, shared.metrics.registry, Random(), facts, leased)
     if fleet is not None and leased:
-        fleet.duties[queue.duty] = queue.replayer
+        fleet.duties[queue.duty_name] = queue.replayer
     queue.sender = ReplaySender(chat, settings, names, shared.conductor)
     shared.queued = QueuedChat(
-        queue.queue, queue.state, names.classes, settings, chat.tenant, told.expire_s, queue.figures
+        queue.queue, queue.site_state, names.classes, settings, chat.tenant, told.expiry_s, queue.metrics
     )
     return Part(start=lambda: queue.start(shared.tasks), ready=queue.ready, stop=queue.stop)
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -172,7 +172,7 @@
             if self.replay is not None:
                 self.replay.ended(self._now(), entry.name, result.verdict, result.work, result.written)
             if self._figures is not None:
-                self._figures.sends.labels(result.verdict.value).inc()
+                self._figures.attempts.labels(result.verdict.value).inc()
             self._settling += 1
             self.tasks.start_soon(self._settle_first, _Outcome(entry, token, result))
 
@@ -222,11 +222,11 @@
     def _tell_end(self, name: str, end: EntryOutcome, token: int) -> None:
         log.info("queue_entry_ended", entry=name, how=end.value, token=token)
         if self._figures is not None:
-            self._figures.ended.labels(end.value).inc()
+            self._figures.outcomes.labels(end.value).inc()
 
     def _stale(self, token: int, error: StaleTokenError) -> None:
         log.warning("queue_effect_refused", token=token, error=str(error))
         if self._figures is not None:
-            self._figures.stale.inc()
+            self._figures.stale_effects.inc()
         if token == self._token:
             self.replay = None
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -33,7 +33,7 @@
 from ringledge.members.replayer import Replayer
 from ringledge.observe.logging import log
 from ringledge.store.entry import Entry, QueueError
-from ringledge.store.holder import Holder
+from ringledge.store.file_lock import FileLockLease
 from ringledge.store.metrics import QueueMetrics
 from ringledge.store.queries import TenantBacklog
 from ringledge.store.queue import Queue
@@ -71,23 +71,23 @@
     ) -> None:
         """`leased`: leases begin and stop the replay; else the lock beside the file does."""
         self.config, self._looks, self._random, self._facts = config, looks, random, facts
-        self.figures = QueueMetrics(registry)
+        self.metrics = QueueMetrics(registry)
         self.queue = Queue(config)
-        self.cut_off = CutOff()
-        self.duty = f"replay/{config.site}"
+        self.partition_detector = CutOff()
+        self.duty_name = f"replay/{config.site}"
         self.sender: Sender | None = None
         self.replayer = Replayer(
-            self.queue, self._send, self._decider, self.state, time.monotonic, self.figures
+            self.queue, self._send, self._decider, self.site_state, time.monotonic, self.metrics
         )
         self._leased, self._waiting, self._token = leased, list[TenantBacklog](), 0
-        self._holder: Holder | None = None
+        self._file_lock: FileLockLease | None = None
         self._answers, self._told_s, self._stopping = looks.answers(), 0.0, False
         self._state = State.OPEN
         self._said: State | None = None  # what the other conductors were told of our own view
         self._lending: Lending | None = None
         self._told: set[str] = set()  # keys of loans and questions that stand as facts
 
-    def state(self) -> State:
+    def site_state(self) -> State:
         """How the site stands."""
         return self._state
 
@@ -97,7 +97,7 @@
         self.queue.start()
         self._tasks = self.replayer.tasks = tasks
         if not self._leased:
-            self._holder = Holder(Path(self.config.path), self.queue, self.replayer)
+            self._file_lock = FileLockLease(Path(self.config.path), self.queue, self.replayer)
 
     def ready(self) -> None:
         """The list is known: begin to look at it, and to replay."""
@@ -109,8 +109,8 @@
         The file stays open: clients may still ask for their entries, and a kill does it no harm.
         """
         self._stopping = True
-        if self._holder is not None:
-            self._holder.end()
+        if self._file_lock is not None:
+            self._file_lock.release()
         with anyio.move_on_after(DRAIN_S):
             while self.replayer.under_way or self.replayer.owed:
                 await self.replayer.news(STEP_S)
@@ -124,8 +124,8 @@
                 if now_s - self._told_s >= TELL_S:
                     self._told_s = now_s
                     await self._tidy(now_s)
-                if self._holder is not None:
-                    await self._holder.step()
+                if self._file_lock is not None:
+                    await self._file_lock.step()
             except QueueError as error:
                 log.often("queue_step_failed", why=error.reason.value, error=str(error))
             await self.replayer.news(STEP_S if self._waiting else IDLE_S)
@@ -134,42 +134,46 @@
         """How the site stands now."""
         answered, refused = self._looks.answers()
         if answered > self._answers[0]:
-            self.cut_off.served(now_s)
+            self.partition_detector.served(now_s)
         elif refused > self._answers[1]:
             for _ in range(int(refused - self._answers[1])):
-                self.cut_off.refused()
+                self.partition_detector.refused()
         self._answers = answered, refused
         site = f"reach/{self.config.site}"
         if self._facts is not None:
             said = rows(self._facts.values(now_s, site), Reached)
-            self.cut_off.receive(now_s, [(name, row) for (name, key), row in said.items() if key == site])
+            self.partition_detector.receive(
+                now_s, [(name, row) for (name, key), row in said.items() if key == site]
+            )
         before = self._state
-        self._state = self.cut_off.look(now_s, self._looks.servers(now_s))
-        if self._facts is not None and self._said is not self.cut_off.own:
-            self._said = self.cut_off.own  # also at the start: who says nothing would not count as open
-            self._facts.write(now_s, site, msgspec.msgpack.encode(self.cut_off.row()))
+        self._state = self.partition_detector.look(now_s, self._looks.servers(now_s))
+        if self._facts is not None and self._said is not self.partition_detector.own:
+            self._said = (
+                self.partition_detector.own
+            )  # also at the start: who says nothing would not count as open
+            self._facts.write(now_s, site, msgspec.msgpack.encode(self.partition_detector.row()))
         if self._state is not before:
             log.info("site_state", site=self.config.site, state=self._state.name.lower())
-        self.figures.state.set(self._state.value)
+        self.metrics.site_state.set(self._state.value)
 
     async def _tidy(self, now_s: float) -> None:
         """End what expired, remove old ends, tell the other sites."""
         for name in await self.queue.expire_and_purge():
-            self.figures.ended.labels("expired").inc()
+            self.metrics.outcomes.labels("expired").inc()
             log.info("queue_entry_ended", entry=name, how="expired", token=0)
         self._waiting = await self.queue.backlog_by_tenant()
         entries = sum(each.entries for each in self._waiting)
         oldest_s = max((time.time() - each.oldest_created_s for each in self._waiting), default=0.0)
-        self.figures.waiting.set(entries)
-        self.figures.oldest.set(oldest_s)
+        self.metrics.backlog_entries.set(entries)
+        self.metrics.backlog_age.set(oldest_s)
         replay = self.replayer.replay
         if replay is None or self._lending is None:
-            self.figures.pace.set(0.0)
+            self.metrics.replay_rate.set(0.0)
             return
         self._share(now_s, replay, self._lending, entries)
-        self.figures.pace.set(replay.pace.rate)
+        self.metrics.replay_rate.set(replay.pace.rate)
         if self._facts is not None:
-            weight = self.config.sites.get(self.config.site, 1.0)
+            weight = self.config.site_weights.get(self.config.site, 1.0)
             row = QueueBacklog(self._token, entries, oldest_s, weight, replay.served)
             self._facts.write(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(row))
 
@@ -180,9 +184,9 @@
             seen = rows(self._facts.values(now_s, "server/"), ServerObservation)
             demand = rows(self._facts.values(now_s, "demand/"), ClassDemand)
             known = room(seen, demand)
-            left = spare(known, self.config.reserve, replay.written(known.written()))
+            left = spare(known, self.config.reserved_fraction, replay.written(known.written()))
         if left is not None:
-            left *= self.config.replay_part
+            left *= self.config.replay_fraction
         wished = 0.0
         if entries and self._state is State.OPEN:  # twice the pace: a loan is there before the pace needs it
             wished = 1.0 if not left else min(1.0, max(lending.base, 2 * replay.pace.rate / left))
@@ -211,9 +215,9 @@
     def _decider(self, now_s: float, token: int) -> Replay:
         """A new holding begins."""
         self._token = token
-        weights = self.config.sites or {self.config.site: 1.0}
+        weights = self.config.site_weights or {self.config.site: 1.0}
         self._lending = Lending(self.config.site, weights, token, now_s)
-        return Replay(Pace(self._random), self.config.in_flight, self.config.tenants)
+        return Replay(Pace(self._random), self.config.max_in_flight, self.config.tenant_weights)
 
 
 def _by_site(found: Mapping[tuple[str, str], Want], pattern: str) -> dict[str, Want]:
--- /dev/null
+++ b/ringledge/store/file_lock.py
@@ -0,0 +1,60 @@
+"""A file lock in place of a lease: decides which process replays a site's queue where there are no leases.
+
+The lock (flock) belongs to the kernel, which releases it when the process ends, however it ends. A process
+that hangs keeps the lock, and then the queue is not replayed: a holder that is not known to be dead is never
+replaced. The fencing token is one above the highest in the queue's file, so that effects of an earlier
+holder are rejected as they are under leases.
+"""
+
+from __future__ import annotations
+
+import fcntl
+import os
+from pathlib import Path
+
+from ringledge.members.duty import Duty
+from ringledge.store.entry import QueueError
+from ringledge.store.queue import Queue
+
+
+class FileLockLease:
+    """Runs one duty while this process holds the lock."""
+
+    def __init__(self, queue_path: Path, queue: Queue, duty: Duty) -> None:
+        """The lock is taken on a file of its own beside the queue's."""
+        self._lock_path = queue_path.with_name(queue_path.name + ".lock")
+        self._queue = queue
+        self._duty = duty
+        self._descriptor = -1
+        self.token: int | None = None
+
+    def is_held(self) -> bool:
+        """Whether this process holds the lock."""
+        return self.token is not None
+
+    async def step(self) -> None:
+        """Acquire the lock if it is free, then run a step of the duty if it is held."""
+        if self.token is None:
+            await self._try_acquire()
+        if self.token is not None:
+            await self._duty.step(self.token, self.is_held)
+
+    def release(self) -> None:
+        """Stop the duty and release the lock."""
+        if self.token is not None:
+            self._duty.stop()
+            self.token = None
+        if self._descriptor >= 0:
+            os.close(self._descriptor)
+            self._descriptor = -1
+
+    async def _try_acquire(self) -> None:
+        try:
+            if self._descriptor < 0:
+                self._descriptor = os.open(self._lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            token = await self._queue.highest_token() + 1
+        except (OSError, QueueError):  # held elsewhere, or the file is unusable, which others report
+            return
+        self.token = token
+        self._duty.begin(token)
--- a/ringledge/store/queue.py
+++ b/ringledge/store/queue.py
@@ -31,14 +31,14 @@
         self._config = config
         self._clock = clock
         self._limits = QueueLimits(
-            max_entries=config.entries,
-            max_bytes=config.most_bytes,
-            tenant_quota=config.tenant_share,
-            max_entry_bytes=config.entry_bytes,
+            max_entries=config.max_entries,
+            max_bytes=config.max_bytes,
+            tenant_quota=config.tenant_quota,
+            max_entry_bytes=config.max_entry_bytes,
         )
         path = Path(config.path)
         self._directory = path.parent
-        self.worker = DatabaseWorker(path, config.busy_s)
+        self.worker = DatabaseWorker(path, config.lock_timeout_s)
 
     def start(self) -> None:
         """Start the worker thread."""
@@ -76,7 +76,7 @@
 
     async def record_failed_attempt(self, name: str, token: int, may_have_run: bool) -> Entry:
         """Requeue or end an entry whose attempt failed."""
-        max_attempts = self._config.attempts
+        max_attempts = self._config.max_attempts
         return await self.worker.run(
             lambda db: transitions.record_failed_attempt(
                 db, name, token, may_have_run, max_attempts, self._clock()
@@ -92,7 +92,7 @@
     async def expire_and_purge(self) -> tuple[str, ...]:
         """End entries that have expired and delete old ended ones; returns the names of the expired."""
         expired = await self.worker.run(lambda db: transitions.expire(db, self._clock()))
-        await self.worker.run(lambda db: transitions.purge(db, self._clock(), self._config.keep_s))
+        await self.worker.run(lambda db: transitions.purge(db, self._clock(), self._config.retention_s))
         return expired
 
     async def oldest_entries(self, per_tenant: int) -> list[Head]:
--- a/ringledge/store/schema.py
+++ b/ringledge/store/schema.py
@@ -1,13 +1,12 @@
-"""The file: its tables, its version and the steps to it, and what is wrong with one that can't be used.
+"""The queue's SQLite file: its schema, migrations between versions of it, and checks when it is opened.
 
-    meta     name, value        'token': the highest token of the replay duty that was seen
-    entries  one row an entry; `seq` is the order of arrival, `seal` covers all other columns
-    totals   one row a tenant: its entries that have not ended, its bytes, ended ones too; kept by triggers,
-             so that limits cost no walk and can't drift from the rows
+    meta     name, value        'token': the highest fencing token of the replay lease that was seen
+    entries  one row per entry; `seq` is the order of arrival, `seal` a checksum over all other columns
+    totals   one row per tenant: its entries that have not ended, and its bytes, ended entries included;
+             maintained by triggers, so that a limit is checked without a scan and matches the rows
 
-The file is in WAL mode with full sync: a commit returns once the log is on the disk, and a torn last write of
-the log is found by its checksums. Pages of the file have none, so each row is sealed: a spoilt byte is never
-believed.
+The file is in WAL mode with full sync: a commit returns once the log is on the disk, and the log's checksums
+reveal a torn last write. Pages of the file have no checksum, hence the seal: no corrupt row is trusted.
 """
 
 from __future__ import annotations
@@ -18,11 +17,11 @@
 
 from ringledge.store.entry import QueueError, QueueRejectionReason
 
-VERSION = 2  # PRAGMA user_version
-MAGIC = 0x52_4C_51_31  # PRAGMA application_id: "RLQ1", so that another program's file is not taken for ours
+SCHEMA_VERSION = 2  # PRAGMA user_version
+APPLICATION_ID = 0x52_4C_51_31  # PRAGMA application_id, "RLQ1": tells the file from other programs' databases
 
-# By the version that they lead from. A step runs in one transaction with the change of the version.
-STEPS: dict[int, tuple[str, ...]] = {
+# Statements by the version that they start from; each migration runs in a transaction with its new version.
+MIGRATIONS: dict[int, tuple[str, ...]] = {
     0: (
         "CREATE TABLE meta (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID",
         """CREATE TABLE entries (
@@ -65,18 +64,18 @@
 }
 
 
-def connect(path: Path, busy_s: float, checked: bool = True) -> sqlite3.Connection:
-    """Open the file, make or bring it up to date where needed; StoreError where it can't be used.
+def connect(path: Path, lock_timeout_s: float) -> sqlite3.Connection:
+    """Open the file, create or migrate it where needed; QueueError if it can't be used.
 
-    A file that is spoilt or of a newer version is left exactly as it is: 202s were given for what it holds.
+    A file that is corrupt or of a newer version is not modified: 202s were given for what it holds.
     """
     try:
-        path.touch(mode=0o600)  # questions are their clients' own
-        db = sqlite3.connect(path, timeout=busy_s, isolation_level=None, check_same_thread=False)
+        path.touch(mode=0o600)  # requests are private to their clients
+        db = sqlite3.connect(path, timeout=lock_timeout_s, isolation_level=None, check_same_thread=False)
     except (sqlite3.Error, OSError) as error:
-        raise QueueError(QueueRejectionReason.UNAVAILABLE, f"{path}: {error}") from error
+        raise _unavailable(str(error), path) from error
     try:
-        _prepare(db, path, checked)
+        _prepare(db, path)
     except sqlite3.Error as error:
         db.close()
         raise queue_error(error, path) from error
@@ -86,31 +85,45 @@
     return db
 
 
-def _prepare(db: sqlite3.Connection, path: Path, checked: bool) -> None:
+def queue_error(error: sqlite3.Error, path: Path) -> QueueError:
+    """The error of SQLite as one of the queue, classified by what can be done about it."""
+    primary_code = getattr(error, "sqlite_errorcode", 0) & 0xFF
+    match primary_code:
+        case sqlite3.SQLITE_BUSY | sqlite3.SQLITE_LOCKED:
+            return QueueError(QueueRejectionReason.LOCKED, "another process holds it", path)
+        case sqlite3.SQLITE_FULL:
+            return QueueError(QueueRejectionReason.DISK_FULL, "no room on the disk", path)
+        case sqlite3.SQLITE_IOERR:
+            return QueueError(QueueRejectionReason.IO_ERROR, f"the disk failed: {error}", path)
+        case _:
+            return _unavailable(str(error), path)
+
+
+def _prepare(db: sqlite3.Connection, path: Path) -> None:
+    """Check that the file is ours and intact, then migrate it."""
     db.execute("PRAGMA synchronous = FULL")
-    if (mine := _one(db, "PRAGMA application_id")) not in (0, MAGIC):
-        raise QueueError(
-            QueueRejectionReason.UNAVAILABLE, f"{path}: another program's database (application_id {mine})"
-        )
-    if _one(db, "PRAGMA journal_mode = WAL") != "wal":
-        raise QueueError(
-            QueueRejectionReason.UNAVAILABLE, f"{path}: its file system allows no write-ahead log"
-        )
-    if checked and (found := _one(db, "PRAGMA quick_check(1)")) != "ok":
-        raise QueueError(QueueRejectionReason.UNAVAILABLE, f"{path}: spoilt: {found}")
-    if _version(db, path) < VERSION:
-        _bring_up(db, path)
-
-
-def _bring_up(db: sqlite3.Connection, path: Path) -> None:
-    """All steps in one transaction: another process sees the old version or the new one."""
+    application_id = _scalar(db, "PRAGMA application_id")
+    if application_id not in (0, APPLICATION_ID):
+        raise _unavailable(f"another program's database (application_id {application_id})", path)
+    if _scalar(db, "PRAGMA journal_mode = WAL") != "wal":
+        raise _unavailable("its file system allows no write-ahead log", path)
+    finding = _scalar(db, "PRAGMA quick_check(1)")
+    if finding != "ok":
+        raise _unavailable(f"spoilt: {finding}", path)
+    if _checked_version(db, path) < SCHEMA_VERSION:
+        _migrate(db, path)
+
+
+def _migrate(db: sqlite3.Connection, path: Path) -> None:
+    """Run all migrations in one transaction: another process sees the old version or the new one."""
     db.execute("BEGIN IMMEDIATE")
     try:
-        for version in range(_version(db, path), VERSION):  # read again: another process may have been first
-            for statement in STEPS[version]:
+        # The version is read again under the lock: another process may have migrated the file meanwhile.
+        for version in range(_checked_version(db, path), SCHEMA_VERSION):
+            for statement in MIGRATIONS[version]:
                 db.execute(statement)
             db.execute(f"PRAGMA user_version = {version + 1}")
-        db.execute(f"PRAGMA application_id = {MAGIC}")
+        db.execute(f"PRAGMA application_id = {APPLICATION_ID}")
         db.execute("COMMIT")
     except BaseException:
         if db.in_transaction:
@@ -118,30 +131,21 @@
         raise
 
 
-def _version(db: sqlite3.Connection, path: Path) -> int:
-    version: int = _one(db, "PRAGMA user_version")
-    if version > VERSION:
-        text = f"{path}: of version {version}, this program knows {VERSION} at most; it is left as it is"
-        raise QueueError(QueueRejectionReason.UNAVAILABLE, text)
-    if version == 0 and _one(db, "SELECT count(*) FROM sqlite_schema"):
-        raise QueueError(
-            QueueRejectionReason.UNAVAILABLE,
-            f"{path}: a database without a version: not one of this program's",
-        )
+def _checked_version(db: sqlite3.Connection, path: Path) -> int:
+    """The version of the file's schema; QueueError for a newer one and for a database without one."""
+    version: int = _scalar(db, "PRAGMA user_version")
+    if version > SCHEMA_VERSION:
+        message = f"of version {version}, this program knows {SCHEMA_VERSION} at most; it is left as it is"
+        raise _unavailable(message, path)
+    if version == 0 and _scalar(db, "SELECT count(*) FROM sqlite_schema"):
+        raise _unavailable("a database without a version: not one of this program's", path)
     return version
 
 
-def _one(db: sqlite3.Connection, text: str) -> Any:
-    return db.execute(text).fetchone()[0]
+def _unavailable(message: str, path: Path) -> QueueError:
+    return QueueError(QueueRejectionReason.UNAVAILABLE, message, path)
 
 
-def queue_error(error: sqlite3.Error, path: Path) -> QueueError:
-    """What went wrong, by what can be done about it."""
-    code = getattr(error, "sqlite_errorcode", 0) & 0xFF
-    if code in (sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED):
-        return QueueError(QueueRejectionReason.LOCKED, f"{path}: another process holds it")
-    if code == sqlite3.SQLITE_FULL:
-        return QueueError(QueueRejectionReason.DISK_FULL, f"{path}: no room on the disk")
-    if code == sqlite3.SQLITE_IOERR:
-        return QueueError(QueueRejectionReason.IO_ERROR, f"{path}: the disk failed: {error}")
-    return QueueError(QueueRejectionReason.UNAVAILABLE, f"{path}: {error}")
+def _scalar(db: sqlite3.Connection, query: str) -> Any:
+    """The first column of the first row."""
+    return db.execute(query).fetchone()[0]
--- a/ringledge/store/worker.py
+++ b/ringledge/store/worker.py
@@ -1,6 +1,7 @@
-"""The thread that has the file: steps wait in line, those that wait together are committed together.
+"""A thread that owns the SQLite connection and commits pending steps in groups.
 
-The event loop never waits for the disk, and one sync serves all who came while the last one ran.
+The event loop never waits for the disk, and one sync makes all steps durable that arrived while the last
+one ran (group commit).
 """
 
 from __future__ import annotations
@@ -19,14 +20,19 @@
 
 from ringledge.observe.logging import log
 from ringledge.store import schema
-from ringledge.store.entry import InvalidTransitionError, QueueError, QueueRejectionReason, StaleTokenError
+from ringledge.store.entry import (
+    InvalidTransitionError,
+    QueueError,
+    QueueRejectionReason,
+    StaleTokenError,
+)
 
 T = TypeVar("T")
 Step = Callable[[sqlite3.Connection], T]
 
-GROUP = 256  # steps of one transaction: it stays under a tenth of a second, so that others get at the file
-AGAIN_S = 5.0  # a file that can't be used is looked at again after so long: it may have been mended
-SPOILT = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
+MAX_BATCH = 256  # steps in one transaction: under a tenth of a second, so that other processes get the lock
+REOPEN_INTERVAL_S = 5.0  # between attempts to open an unusable file, which an operator may have repaired
+CORRUPTION_CODES = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
 
 
 @dataclass(slots=True)
@@ -35,90 +41,109 @@
     writes: bool
     result: Future[Any] = field(default_factory=Future)
 
+    def resolve(self, result: Any) -> None:
+        """Hand the step's result to its caller; an exception is raised there."""
+        if isinstance(result, Exception):
+            self.result.set_exception(result)
+        else:
+            self.result.set_result(result)
+
 
 class DatabaseWorker:
-    """Runs steps on one file in a thread of its own."""
+    """Runs steps on one file, in transactions, in a thread of its own."""
 
-    def __init__(self, path: Path, busy_s: float) -> None:
-        self._path, self._busy_s = path, busy_s
-        self._jobs = SimpleQueue[_Job | None]()
+    def __init__(self, path: Path, lock_timeout_s: float) -> None:
+        """`lock_timeout_s`: how long to wait while another process holds the file's lock."""
+        self._path = path
+        self._lock_timeout_s = lock_timeout_s
+        self._jobs = SimpleQueue[_Job | None]()  # None: stop
         self._db: sqlite3.Connection | None = None
-        self._closed: QueueError | None = None
-        self._look_again_s = 0.0
-        self._stopped = False
-        self.commits = 0  # transactions that have written
-        self._thread = threading.Thread(target=self._work, name="queue", daemon=True)
+        self._open_error: QueueError | None = None  # why the file can't be used at present
+        self._reopen_s = 0.0  # when to try to open it again, on the monotonic clock
+        self._stopped = False  # no more jobs are accepted
+        self._drained = False  # the thread has received the last job
+        self.commits = 0  # transactions with a step that writes
+        self._thread = threading.Thread(target=self._run_jobs, name="queue", daemon=True)
 
     def start(self) -> None:
-        """Begin; the file is opened by the first step."""
+        """Start the thread; the first step opens the file."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Have what waits done, then close the file."""
+        """Run the pending steps, then close the file."""
         self._stopped = True
         self._jobs.put(None)
         self._thread.join()
 
     async def run(self, step: Step[T], writes: bool = True) -> T:
-        """One step in a transaction. Its result comes once that is on the disk; an error: nothing is done.
+        """Run a step in a transaction; returns its result once the transaction is durable.
 
-        Raises StoreError, StaleError, MovedError. The step may be run more than once; its last run counts.
+        Raises QueueError, StaleTokenError or InvalidTransitionError; then none of the step's changes are
+        made. The step may be run more than once; only its last run takes effect.
         """
         if self._stopped:
-            raise QueueError(QueueRejectionReason.UNAVAILABLE, f"{self._path}: closed, the process ends")
+            raise QueueError(QueueRejectionReason.UNAVAILABLE, "closed, the process ends", self._path)
         job = _Job(step, writes)
         self._jobs.put(job)
         result: T = await asyncio.wrap_future(job.result)
         return result
 
-    def _work(self) -> None:
-        while (job := self._jobs.get()) is not None:
-            group, last = [job], False
-            with contextlib.suppress(Empty):
-                while len(group) < GROUP and not last:
-                    more = self._jobs.get_nowait()
-                    last = more is None
-                    group += [] if more is None else [more]
-            self._together([each for each in group if each.result.set_running_or_notify_cancel()])
-            if last:
-                break
+    def _run_jobs(self) -> None:
+        while not self._drained:
+            batch = self._next_batch()
+            self._run_batch([job for job in batch if job.result.set_running_or_notify_cancel()])
         if self._db is not None:
             self._db.close()
 
-    def _together(self, group: list[_Job]) -> None:
-        """One transaction for all; where it fails as a whole, one for each."""
-        if not group:
+    def _next_batch(self) -> list[_Job]:
+        """Wait for a job; returns it with those that are pending behind it."""
+        batch = list[_Job]()
+        job = self._jobs.get()
+        while job is not None:
+            batch.append(job)
+            if len(batch) >= MAX_BATCH:
+                return batch
+            try:
+                job = self._jobs.get_nowait()
+            except Empty:
+                return batch
+        self._drained = True
+        return batch
+
+    def _run_batch(self, batch: list[_Job]) -> None:
+        """Run a batch in one transaction; if SQLite rejects that as a whole, in one transaction each."""
+        if not batch:
             return
         try:
-            told = self._transaction(group)
-        except (sqlite3.Error, QueueError) as error:
-            if len(group) > 1 and not isinstance(error, QueueError):
-                for job in group:
-                    self._together([job])
+            results = self._transaction(batch)
+        except QueueError as error:
+            results = [error] * len(batch)
+        except sqlite3.Error as error:
+            if len(batch) > 1:
+                for job in batch:
+                    self._run_batch([job])
                 return
-            told = [error if isinstance(error, QueueError) else self._told(error)] * len(group)
-        for job, result in zip(group, told, strict=True):
-            if isinstance(result, Exception):
-                job.result.set_exception(result)
-            else:
-                job.result.set_result(result)
-
-    def _transaction(self, group: list[_Job]) -> list[Any]:
-        db = self._open()
-        writes = any(job.writes for job in group)
+            results = [self._classify(error)]
+        for job, result in zip(batch, results, strict=True):
+            job.resolve(result)
+
+    def _transaction(self, batch: list[_Job]) -> list[Any]:
+        """Results of the steps in their order; a step that was rejected has its exception there."""
+        db = self._connection()
+        writes = any(job.writes for job in batch)
         db.execute("BEGIN IMMEDIATE" if writes else "BEGIN")
         try:
-            told = [self._one(db, job.step) for job in group]
+            results = [self._run_step(db, job.step) for job in batch]
             db.execute("COMMIT")
         except BaseException:
-            if db.in_transaction:  # some errors have rolled back already
+            if db.in_transaction:  # after some errors SQLite has rolled back by itself
                 db.execute("ROLLBACK")
             raise
         self.commits += writes
-        return told
+        return results
 
-    def _one(self, db: sqlite3.Connection, step: Step[Any]) -> Any:
-        """A step's result, or the error that it alone is refused with; what it had done is undone."""
+    def _run_step(self, db: sqlite3.Connection, step: Step[Any]) -> Any:
+        """The step's result, or the exception that rejects it alone, with its changes rolled back."""
         db.execute("SAVEPOINT step")
         try:
             return step(db)
@@ -127,7 +152,7 @@
             return error
         except sqlite3.Error:
             raise
-        except Exception as error:  # a fault of ours costs this step, not the thread
+        except Exception as error:  # a defect of the program fails this step, not the thread
             db.execute("ROLLBACK TO step")
             log.fault("queue_step_crashed", error)
             return error
@@ -135,32 +160,39 @@
             if db.in_transaction:
                 db.execute("RELEASE step")
 
-    def _open(self) -> sqlite3.Connection:
-        if self._db is None:
-            if self._closed is not None and time.monotonic() < self._look_again_s:
-                raise self._closed
-            try:
-                self._db = schema.connect(self._path, self._busy_s)
-            except QueueError as error:
-                self._close(error)
-                raise
-            self._closed = None
+    def _connection(self) -> sqlite3.Connection:
+        """The open connection; QueueError while the file can't be used."""
+        if self._db is not None:
+            return self._db
+        if self._open_error is not None and time.monotonic() < self._reopen_s:
+            raise self._open_error
+        try:
+            self._db = schema.connect(self._path, self._lock_timeout_s)
+        except QueueError as error:
+            self._mark_unusable(error)
+            raise
+        self._open_error = None
         return self._db
 
-    def _told(self, error: sqlite3.Error) -> QueueError:
-        told = schema.queue_error(error, self._path)
-        if getattr(error, "sqlite_errorcode", 0) & 0xFF in SPOILT:
-            self._close(told)
-        elif told.reason is QueueRejectionReason.IO_ERROR:
-            self._close(None)  # what the file holds is read anew: this connection may know it wrongly
-        return told
-
-    def _close(self, why: QueueError | None) -> None:
+    def _classify(self, error: sqlite3.Error) -> QueueError:
+        """The error as one of the queue; closes a connection that can't be trusted any more."""
+        queue_error = schema.queue_error(error, self._path)
+        if getattr(error, "sqlite_errorcode", 0) & 0xFF in CORRUPTION_CODES:
+            self._close_connection()
+            self._mark_unusable(queue_error)
+        elif queue_error.reason is QueueRejectionReason.IO_ERROR:
+            self._close_connection()  # its cache may differ from the file, which is read again
+        return queue_error
+
+    def _close_connection(self) -> None:
         if self._db is not None:
             with contextlib.suppress(sqlite3.Error):
                 self._db.close()
             self._db = None
-        if why is not None:
-            if self._closed is None or str(self._closed) != str(why):
-                log.error("queue_closed", why=why.reason.value, error=str(why))
-            self._closed, self._look_again_s = why, time.monotonic() + AGAIN_S
+
+    def _mark_unusable(self, error: QueueError) -> None:
+        """Fail calls with this error until the file is opened again; logged once for the same error."""
+        if self._open_error is None or str(self._open_error) != str(error):
+            log.error("queue_closed", why=error.reason.value, error=str(error))
+        self._open_error = error
+        self._reopen_s = time.monotonic() + REOPEN_INTERVAL_S
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -134,10 +134,10 @@
         try:
             entry = await self._queue.enqueue(asked)
         except QueueError as error:
-            self._figures.refused.labels(error.reason.value).inc()
+            self._figures.rejected.labels(error.reason.value).inc()
             log.often("queue_refused", why=error.reason.value, error=str(error))
             raise refusal(error, [(b"Location", PLACE + asked.name.encode())]) from error
-        self._figures.queued.inc()
+        self._figures.accepted.inc()
         log.info("queue_entry_taken", entry=entry.name, tenant=tenant, **{"class": asked.request_class})
         await _accepted(conn, entry)
         return True
@@ -155,7 +155,7 @@
                 raise HttpError(404, "no such entry, or its answer was kept for long enough", "not_found")
             if head.method == b"DELETE":
                 await self._queue.withdraw(name)
-                self._figures.ended.labels(EntryOutcome.WITHDRAWN.value).inc()
+                self._figures.outcomes.labels(EntryOutcome.WITHDRAWN.value).inc()
                 log.info("queue_entry_ended", entry=name, how=EntryOutcome.WITHDRAWN.value, token=0)
                 told = {"id": name, "object": "queue.entry", "status": "withdrawn"}
                 return await respond(conn, 200, orjson.dumps(told))
--- a/tests/compatibility/queue_files.py
+++ b/tests/compatibility/queue_files.py
@@ -63,10 +63,10 @@
 def write_version_1(path: Path) -> None:
     """A file of version 1: no idempotency keys and no totals."""
     db = sqlite3.connect(path, isolation_level=None)
-    for statement in schema.STEPS[0]:
+    for statement in schema.MIGRATIONS[0]:
         db.execute(statement)
     db.execute("PRAGMA user_version = 1")
-    db.execute(f"PRAGMA application_id = {schema.MAGIC}")
+    db.execute(f"PRAGMA application_id = {schema.APPLICATION_ID}")
     columns = seal.COLUMNS.removesuffix(", key")
     marks = ", ".join("?" * (len(columns.split(",")) + 1))
     for request in ENTRIES[:3]:
--- a/tests/store/test_component.py
+++ b/tests/store/test_component.py
@@ -73,7 +73,7 @@
     async def run() -> None:
         links, facts = Links(up=False), Told()
         sites = {"north": 1.0, "south": 1.0}
-        config = QueueConfig(path=str(tmp_path / "queue.db"), site="north", sites=sites)
+        config = QueueConfig(path=str(tmp_path / "queue.db"), site="north", site_weights=sites)
         part = QueueComponent(config, links, CollectorRegistry(), random.Random(1), facts)
         refused = list[str]()
 
@@ -89,7 +89,7 @@
             async with anyio.create_task_group() as tasks:
                 part.start(tasks)
                 part.ready()
-                await until(lambda: part.state() is State.CUT_OFF)
+                await until(lambda: part.site_state() is State.CUT_OFF)
                 said: Reached = msgspec.msgpack.decode(facts.own["reach/north"], type=Reached)
                 assert said.state == State.CUT_OFF.value
                 for number in range(3):
--- a/tests/store/test_file.py
+++ b/tests/store/test_file.py
@@ -109,10 +109,10 @@
     path = tmp_path / "queue.db"
     schema.connect(path, 1.0).close()
     with sqlite3.connect(path) as newer:
-        newer.execute(f"PRAGMA user_version = {schema.VERSION + 1}")
+        newer.execute(f"PRAGMA user_version = {schema.SCHEMA_VERSION + 1}")
     newer.close()
     before = path.read_bytes()
-    assert f"version {schema.VERSION + 1}" in str(refused(path))
+    assert f"version {schema.SCHEMA_VERSION + 1}" in str(refused(path))
     assert path.read_bytes() == before
 
 
@@ -120,10 +120,10 @@
     path = tmp_path / "queue.db"
     older = sqlite3.connect(path, isolation_level=None)
     older.execute("PRAGMA journal_mode = WAL")
-    for statement in schema.STEPS[0]:
+    for statement in schema.MIGRATIONS[0]:
         older.execute(statement)
     older.execute("PRAGMA user_version = 1")
-    older.execute(f"PRAGMA application_id = {schema.MAGIC}")
+    older.execute(f"PRAGMA application_id = {schema.APPLICATION_ID}")
     entry = Entry(asked("a", safe=False), EntryState.BEGUN, 3, 1)
     row = to_row(entry)
     columns = COLUMNS.removesuffix(", key")
@@ -188,7 +188,7 @@
         assert told.pop("7") == "large" and set(told.values()) == {"kept"}
         assert queue.worker.commits < 20
 
-    play(tmp_path / "queue.db", game, entry_bytes=1_024, entries=1000)
+    play(tmp_path / "queue.db", game, max_entry_bytes=1_024, max_entries=1000)
 
 
 def test_another_process_at_the_file_is_waited_for_and_then_told(tmp_path: Path) -> None:
@@ -203,7 +203,7 @@
         threading.Timer(0.05, lambda: other.execute("ROLLBACK")).start()
         assert (await queue.enqueue(asked("a"))).state is EntryState.WAITING
 
-    play(path, game, busy_s=0.3)
+    play(path, game, lock_timeout_s=0.3)
     other.close()
 
 
--- a/tests/store/test_replayer.py
+++ b/tests/store/test_replayer.py
@@ -55,7 +55,7 @@
         self.queue = self.process()
 
     def process(self) -> Queue:
-        queue = Queue(QueueConfig(path=str(self.path), busy_s=5.0), lambda: NOW_S + self.now_s)
+        queue = Queue(QueueConfig(path=str(self.path), lock_timeout_s=5.0), lambda: NOW_S + self.now_s)
         queue.start()
         return queue
 
@@ -112,7 +112,7 @@
         site.servers.end("ask")
         await site.steps(second, 2)
         assert (await site.entry("ask")).outcome is EntryOutcome.SERVED
-        assert figures.ended.labels("unknown")._value.get() == 1
+        assert figures.outcomes.labels("unknown")._value.get() == 1
 
     play(tmp_path, game)
 
@@ -127,7 +127,7 @@
         for name in ("book", "ask"):  # it goes on where it stood: its answers come, its lease is gone
             ends[name](Result(Verdict.SERVED, True, b"{}"))
         await site.steps(first, 1)
-        assert figures.stale._value.get() >= 2
+        assert figures.stale_effects._value.get() >= 2
         assert (await site.entry("book")).outcome is EntryOutcome.UNKNOWN
         assert (await site.entry("ask")).state is EntryState.BEGUN  # the second holder's
         assert site.servers.sent.count("book") == 1
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -103,8 +103,8 @@
 @pytest.mark.parametrize(
     ("told", "status", "code"),
     [
-        ({"entries": 1, "tenant_share": 1.0}, 503, "queue_full"),
-        ({"entries": 2, "tenant_share": 0.5}, 429, "queue_share_used"),
+        ({"max_entries": 1, "tenant_quota": 1.0}, 503, "queue_full"),
+        ({"max_entries": 2, "tenant_quota": 0.5}, 429, "queue_share_used"),
         ({"path": "/dev/null/queue.db"}, 503, "queue_closed"),
     ],
 )
