--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -12,7 +12,7 @@
 import orjson
 
 from benchmarks.members_world import World
-from ringledge.decide.membership.swim import Died
+from ringledge.decide.membership.changes import FailureReason, MemberFailed
 
 STEP_S = 0.25  # how often it is looked whether all agree
 SETTLE_S = 120.0  # in which they have to
@@ -21,7 +21,7 @@
 def settle(world: World) -> float:
     """Until all agree on who is there; s."""
     began_s = world.now_s
-    while not world.agreed() and world.now_s - began_s < SETTLE_S:
+    while not world.has_converged() and world.now_s - began_s < SETTLE_S:
         world.run(STEP_S)
     return world.now_s - began_s
 
@@ -36,8 +36,8 @@
 def false_deaths(world: World, killed: set[tuple[str, int]]) -> int:
     """How many times a member that ran was taken for dead, by anyone."""
     return sum(
-        isinstance(change, Died)
-        and change.why == "silent"
+        isinstance(change, MemberFailed)
+        and change.reason is FailureReason.SILENT
         and (change.member.name, change.member.start) not in killed
         for node in world.nodes.values()
         for _, change in node.changes
@@ -50,7 +50,7 @@
         at_s - since_s
         for node in world.nodes.values()
         for at_s, change in node.changes
-        if isinstance(change, Died) and (change.member.name, change.member.start) == victim
+        if isinstance(change, MemberFailed) and (change.member.name, change.member.start) == victim
     ]
 
 
@@ -69,7 +69,7 @@
             for name in names:
                 node = world.nodes[name]
                 node.facts.write(world.now_s, f"demand/{world.rng.randrange(10)}", world.rng.randbytes(24))
-                world.poke(name)
+                world.notify_written(name)
             world.run(1 / changes)
         else:
             world.run(idle_s)
--- a/benchmarks/members_sockets.py
+++ b/benchmarks/members_sockets.py
@@ -57,7 +57,7 @@
                 if at < 3:
                     seeds[name] = address
             with anyio.fail_after(SETTLE_S):
-                while any(len(each.membership.alive()) < members for each in parts):
+                while any(len(each.membership.active_members()) < members for each in parts):
                     await anyio.sleep(LOOK_S)
             joined_s = time.monotonic() - began_s
             await anyio.sleep(5)  # news of the joining is through
--- a/benchmarks/members_world.py
+++ b/benchmarks/members_world.py
@@ -10,10 +10,11 @@
 
 import msgspec
 
-from ringledge.decide.datagram import FIXED_BYTES
+from ringledge.decide.datagram import FIXED_HEADER_BYTES
 from ringledge.decide.interface import MAX_DATAGRAM_BYTES, Action, Member, SendMessage
+from ringledge.decide.membership.changes import MembershipChange
 from ringledge.decide.membership.settings import ProbeConfig
-from ringledge.decide.membership.swim import EVERYONE, Change, Membership
+from ringledge.decide.membership.swim import BROADCAST, Membership
 from ringledge.decide.records.messages import MESSAGES as FACTS
 from ringledge.decide.records.replicated_records import ReplicatedRecords
 from ringledge.decide.records.settings import RecordsConfig
@@ -27,8 +28,8 @@
 
     membership: Membership
     facts: ReplicatedRecords
-    changes: list[tuple[float, Change]] = field(default_factory=list)
-    stopped: bool = False  # stands still; what comes meanwhile waits
+    changes: list[tuple[float, MembershipChange]] = field(default_factory=list)
+    paused: bool = False  # stands still; what comes meanwhile waits
     inbox: list[tuple[str, msgspec.Struct]] = field(default_factory=list)
     tick_s: float = float("inf")
     datagrams: int = 0
@@ -44,9 +45,9 @@
         self.rng, self.now_s = random.Random(seed), 0.0
         self.probe, self.facts = probe or ProbeConfig(), facts or RecordsConfig()
         self.nodes: dict[str, Node] = {}
-        self.loss = self.doubles = 0.0
-        self.cut: Callable[[str, str], bool] = lambda a, b: False
-        self.lost = 0  # datagrams that fell to loss or a cut
+        self.loss = self.duplication = 0.0
+        self.is_partitioned: Callable[[str, str], bool] = lambda a, b: False
+        self.lost_datagrams = 0  # datagrams that fell to loss or a cut
         self.checks: list[Callable[[World], None]] = []  # called after each event
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = itertools.count()
@@ -58,7 +59,7 @@
         me, rng = Member(name, number, f"{name}:1", "s"), random.Random(self.rng.random())
         node = Node(Membership(me, seeds, self.probe, rng), ReplicatedRecords(me, self.facts, rng))
         self.nodes[name] = node
-        self._arm(name, node)
+        self._schedule_tick(name, node)
         return node
 
     def kill(self, name: str) -> Node:
@@ -71,18 +72,18 @@
         self._act(name, node, node.membership.leave(self.now_s))
         del self.nodes[name]
 
-    def stop(self, name: str) -> None:
+    def pause(self, name: str) -> None:
         """It stands still."""
-        self.nodes[name].stopped = True
+        self.nodes[name].paused = True
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """It runs again, and hears first what waited."""
         node = self.nodes[name]
-        node.stopped = False
+        node.paused = False
         waited, node.inbox = node.inbox, []
         for sender, message in waited:
             self._receive(name, node, sender, message)
-        self._arm(name, node)
+        self._schedule_tick(name, node)
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> float:
         """Let time pass, until something holds or for so long; how long it took."""
@@ -97,67 +98,67 @@
         self.now_s = end_s
         return seconds
 
-    def poke(self, name: str) -> None:
+    def notify_written(self, name: str) -> None:
         """Something was put into its facts."""
-        self._arm(name, self.nodes[name])
+        self._schedule_tick(name, self.nodes[name])
 
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether each one takes just those for there who run."""
         running = {name: node.membership.me for name, node in self.nodes.items()}
         wanted = tuple(sorted(running.values()))
-        return all(node.membership.alive() == wanted for node in self.nodes.values())
+        return all(node.membership.active_members() == wanted for node in self.nodes.values())
 
-    def _at(self, at_s: float, event: Callable[[], None]) -> None:
+    def _schedule(self, at_s: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._events, (max(at_s, self.now_s), next(self._count), event))
 
-    def _arm(self, name: str, node: Node) -> None:
+    def _schedule_tick(self, name: str, node: Node) -> None:
         at_s = max(self.now_s, min(node.membership.next_s(), node.facts.next_s()))
         if at_s < node.tick_s:
             node.tick_s = at_s
-            self._at(at_s, lambda: self._tick(name, node, at_s))
+            self._schedule(at_s, lambda: self._tick(name, node, at_s))
 
     def _tick(self, name: str, node: Node, at_s: float) -> None:
         if self.nodes.get(name) is not node or node.tick_s != at_s:
             return
         node.tick_s = float("inf")
-        if node.stopped:
+        if node.paused:
             return
         self._act(name, node, node.membership.tick(self.now_s))
         self._act(name, node, node.facts.tick(self.now_s))
-        self._arm(name, node)
+        self._schedule_tick(name, node)
 
     def _receive(self, name: str, node: Node, sender: str, message: msgspec.Struct) -> None:
         decider = node.facts if isinstance(message, FACTS) else node.membership
         self._act(name, node, decider.receive(self.now_s, sender, message))  # type: ignore[arg-type]
-        self._arm(name, node)
+        self._schedule_tick(name, node)
 
     def _act(self, name: str, node: Node, actions: list[Action]) -> None:
-        if changes := node.membership.changes():
+        if changes := node.membership.take_changes():
             node.changes += [(self.now_s, each) for each in changes]
-            node.facts.members(self.now_s, node.membership.me, node.membership.alive())
+            node.facts.members(self.now_s, node.membership.me, node.membership.active_members())
         for action in actions:
             assert isinstance(action, SendMessage)
-            size = FIXED_BYTES + len(name) + len(self._encoder.encode(action.message))
+            size = FIXED_HEADER_BYTES + len(name) + len(self._encoder.encode(action.message))
             assert size <= MAX_DATAGRAM_BYTES, (size, action)
             node.datagrams += 1
             node.bytes += size
-            for _ in range(1 + (self.rng.random() < self.doubles)):
+            for _ in range(1 + (self.rng.random() < self.duplication)):
                 to_all = [each for each in self.nodes if each != name]
-                for to in to_all if action.recipient == EVERYONE else [action.recipient]:
+                for to in to_all if action.recipient == BROADCAST else [action.recipient]:
                     self._send(name, SendMessage(to, action.message))
 
     def _send(self, name: str, action: SendMessage) -> None:
-        if self.rng.random() < self.loss or self.cut(name, action.recipient):
-            self.lost += 1
+        if self.rng.random() < self.loss or self.is_partitioned(name, action.recipient):
+            self.lost_datagrams += 1
             return
         delay_s = self.rng.uniform(*DELAY_S)
-        self._at(self.now_s + delay_s, lambda: self._land(name, action))
+        self._schedule(self.now_s + delay_s, lambda: self._deliver(name, action))
 
-    def _land(self, sender: str, action: SendMessage) -> None:
+    def _deliver(self, sender: str, action: SendMessage) -> None:
         node = self.nodes.get(action.recipient)
         if node is None:
             return
-        if node.stopped:
+        if node.paused:
             node.inbox.append((sender, action.message))
         else:
             self._receive(action.recipient, node, sender, action.message)
--- a/ringledge/decide/datagram.py
+++ b/ringledge/decide/datagram.py
@@ -8,21 +8,23 @@
 
 from ringledge.decide.interface import MAX_DATAGRAM_BYTES
 
-NAME_MOST = 24  # bytes of a member's name in UTF-8
+MAX_NAME_BYTES = 24  # bytes of a member's name in UTF-8
 TAG_BYTES = 12  # of the keyed hash: 96 bits, guessed once in 10^28 datagrams
 # Version, kind, cluster (4), number (5), both starts (6 each), the tag, the length of the sender's name.
-FIXED_BYTES = 1 + 1 + 4 + 5 + 6 + 6 + TAG_BYTES + 1
-BODY_MOST = MAX_DATAGRAM_BYTES - FIXED_BYTES - NAME_MOST  # bytes of a message, whoever sends it
-START_MOST = (1 << 48) - 1  # a start number fits 6 bytes: ms of the wall clock until the year 10,889
-
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
-Start = Annotated[int, Meta(ge=0, le=START_MOST)]
+FIXED_HEADER_BYTES = 1 + 1 + 4 + 5 + 6 + 6 + TAG_BYTES + 1
+MAX_BODY_BYTES = (
+    MAX_DATAGRAM_BYTES - FIXED_HEADER_BYTES - MAX_NAME_BYTES
+)  # bytes of a message, whoever sends it
+MAX_START = (1 << 48) - 1  # a start number fits 6 bytes: ms of the wall clock until the year 10,889
+
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
+Start = Annotated[int, Meta(ge=0, le=MAX_START)]
 Count = Annotated[int, Meta(ge=0, lt=1 << 53)]
 Word = Annotated[int, Meta(ge=0, lt=1 << 32)]
 
 
-def checked_name(name: str) -> str:
+def validated_name(name: str) -> str:
     """The name itself; ValueError where a datagram has no room for it."""
-    if not 0 < len(name.encode()) <= NAME_MOST:
-        raise ValueError(f"a member's name has 1 to {NAME_MOST} bytes: {name!r}")
+    if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
+        raise ValueError(f"a member's name has 1 to {MAX_NAME_BYTES} bytes: {name!r}")
     return name
--- /dev/null
+++ b/ringledge/decide/membership/failure_detector.py
@@ -0,0 +1,187 @@
+"""SWIM's failure detector: whom to probe, by which helpers indirectly, and which suspects to ping again."""
+
+from __future__ import annotations
+
+import math
+import random
+from collections.abc import Collection
+from dataclasses import dataclass
+
+from ringledge.decide.membership.member_table import MemberTable
+from ringledge.decide.membership.messages import MemberStatus
+from ringledge.decide.membership.settings import ProbeConfig
+
+BROADCAST = "*"  # as a seed: the address at which all members receive
+SUSPECT_PINGS_PER_INTERVAL = 4  # a suspect is pinged so often, each time with the suspicion to refute
+LAST_CALL_INTERVALS = 3.0  # before a suspicion times out all who know of it ping the suspect for so long
+MAX_RELAYED_PROBES = 64  # probes on behalf of others that wait for their acknowledgement
+NONCE_RANGE = 1 << 32
+
+
+@dataclass(frozen=True, slots=True)
+class Probe:
+    """A ping to send: its target and its nonce."""
+
+    target: str
+    nonce: int
+
+
+@dataclass(frozen=True, slots=True)
+class IndirectProbe:
+    """A late probe to repeat, directly and by way of helpers."""
+
+    target: str
+    nonce: int
+    helpers: list[str]
+
+
+@dataclass(frozen=True, slots=True)
+class RelayedProbe:
+    """A probe on behalf of another member: who requested it, and the nonce of that request."""
+
+    origin: str
+    nonce: int
+
+
+@dataclass(slots=True)
+class _PendingProbe:
+    target: str
+    start: int
+    nonce: int
+    indirect_probe_due_s: float  # infinite once helpers were asked
+
+
+class FailureDetector:
+    """Probes one member per interval, all others in turn, each round in a newly shuffled order."""
+
+    def __init__(self, settings: ProbeConfig, rng: random.Random, table: MemberTable) -> None:
+        self._settings = settings
+        self._rng = rng
+        self._table = table
+        self._last_nonce = rng.randrange(NONCE_RANGE)
+        self._round: list[str] = []  # targets left in this round, the next one last
+        self._pending: _PendingProbe | None = None
+        self._relayed: dict[int, RelayedProbe] = {}  # by the nonce of our ping
+        self._own_suspects: set[str] = set()  # suspects that missed a probe of this member
+        self._next_probe_s = -math.inf
+        self._next_suspect_ping_s = -math.inf
+
+    def next_s(self) -> float:
+        """When the next probe, indirect probe or ping of a suspect is due."""
+        indirect_s = math.inf if self._pending is None else self._pending.indirect_probe_due_s
+        suspect_ping_s = self._next_suspect_ping_s if self._table.has_suspects() else math.inf
+        return min(self._next_probe_s, indirect_s, suspect_ping_s)
+
+    def cancel_pending(self) -> None:
+        """Suspect nobody for the probe that is under way."""
+        self._pending = None
+
+    def next_nonce(self) -> int:
+        """A nonce that no probe of the last hours had."""
+        self._last_nonce = (self._last_nonce + 1) % NONCE_RANGE
+        return self._last_nonce
+
+    def take_failed(self, now_s: float) -> str | None:
+        """At the end of an interval: the member that has just become suspected, since its Ack is missing."""
+        if now_s < self._next_probe_s or self._pending is None:
+            return None
+        pending, self._pending = self._pending, None
+        peer = self._table.peers.get(pending.target)
+        if peer is None or peer.member.start != pending.start:
+            return None
+        if not self._table.suspect(now_s, pending.target):
+            return None
+        self._own_suspects.add(pending.target)
+        return pending.target
+
+    def start_probe(self, now_s: float) -> Probe | None:
+        """At the start of an interval: the probe to send."""
+        if now_s < self._next_probe_s:
+            return None
+        self._next_probe_s = now_s + self._settings.interval_s
+        target = self._next_target()
+        if target is None:
+            return None
+        start = self._table.peers[target].member.start
+        nonce = self.next_nonce()
+        self._pending = _PendingProbe(target, start, nonce, now_s + self._settings.ack_timeout_s)
+        return Probe(target, nonce)
+
+    def start_indirect_probe(self, now_s: float) -> IndirectProbe | None:
+        """Where the Ack is late: the probe to repeat, and the helpers to request it from."""
+        pending = self._pending
+        if pending is None or now_s < pending.indirect_probe_due_s:
+            return None
+        pending.indirect_probe_due_s = math.inf
+        helpers = self.sample_active(self._settings.indirect_probes, {pending.target})
+        return IndirectProbe(pending.target, pending.nonce, helpers)
+
+    def suspects_to_ping(self, now_s: float) -> list[str]:
+        """Suspects to ping again, so that they learn of the suspicion and refute it in time.
+
+        The member whose probe they missed pings them all the time; one that learnt of the suspicion from
+        others does so only shortly before it times out, in case the refutation was lost.
+        """
+        if now_s < self._next_suspect_ping_s or not self._table.has_suspects():
+            return []
+        self._next_suspect_ping_s = now_s + self._settings.interval_s / SUSPECT_PINGS_PER_INTERVAL
+        suspects = self._table.suspects()
+        self._own_suspects.intersection_update(peer.member.name for peer in suspects)
+        last_call_s = now_s + LAST_CALL_INTERVALS * self._settings.interval_s
+        return [
+            peer.member.name
+            for peer in suspects
+            if peer.member.name in self._own_suspects or peer.suspicion_deadline_s <= last_call_s
+        ]
+
+    def relay(self, origin: str, nonce: int) -> int:
+        """Register a probe on behalf of another member; the nonce for our ping."""
+        relay_nonce = self.next_nonce()
+        self._relayed[relay_nonce] = RelayedProbe(origin, nonce)
+        if len(self._relayed) > MAX_RELAYED_PROBES:
+            del self._relayed[next(iter(self._relayed))]
+        return relay_nonce
+
+    def acknowledge(self, nonce: int) -> RelayedProbe | None:
+        """Take an Ack; the request that it answers, where the probe was on behalf of another member."""
+        if self._pending is not None and nonce == self._pending.nonce:
+            self._pending = None
+        return self._relayed.pop(nonce, None)
+
+    def sample_active(self, max_count: int, exclude: Collection[str] = ()) -> list[str]:
+        """A random sample of the active members, without those to exclude."""
+        names = [name for name in self._active_names() if name not in exclude]
+        return self._rng.sample(names, min(max_count, len(names)))
+
+    def rejoin_candidates(self, seeds: list[str]) -> list[str]:
+        """Whom to try to reach: seeds that are not active, and members that were declared dead."""
+        peers = self._table.peers
+        alone = not self._table.active_count
+        unknown = [name for name in seeds if name not in peers and (alone or name != BROADCAST)]
+        inactive = [name for name in seeds if name in peers and not peers[name].is_active()]
+        dead = [
+            name
+            for name, peer in peers.items()
+            if peer.status is MemberStatus.DEAD and peer.member.address and name not in seeds
+        ]
+        return unknown + inactive + dead
+
+    def _active_names(self) -> list[str]:
+        return [name for name, peer in self._table.peers.items() if peer.is_active()]
+
+    def _next_target(self) -> str | None:
+        """The next active member in this round's order; a new round is shuffled where it has none left."""
+        target = self._take_target()
+        if target is None:
+            self._round = self._active_names()
+            self._rng.shuffle(self._round)
+            target = self._take_target()
+        return target
+
+    def _take_target(self) -> str | None:
+        while self._round:
+            name = self._round.pop()
+            peer = self._table.peers.get(name)
+            if peer is not None and peer.is_active():
+                return name
+        return None
--- a/ringledge/decide/membership/gossip.py
+++ b/ringledge/decide/membership/gossip.py
@@ -1,46 +1,47 @@
-"""News that is passed on with other messages, each piece a bounded number of times."""
+"""Dissemination of membership updates: they are piggybacked on messages, each a bounded number of times."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from ringledge.decide.membership.messages import News
-from ringledge.decide.paging import size
+from ringledge.decide.membership.messages import MembershipUpdate
+from ringledge.decide.paging import encoded_size
 
 
 @dataclass(slots=True)
-class _Piece:
-    news: News
-    size: int  # bytes, packed
-    left: int  # times that it is still passed on
+class _QueuedUpdate:
+    update: MembershipUpdate
+    size_bytes: int
+    remaining_transmits: int
 
 
-class Gossip:
-    """The latest news of each member; newer news takes the place of older."""
+class TransmitLimitedQueue:
+    """The latest update of each member, until it has been transmitted often enough."""
 
     def __init__(self) -> None:
-        self._pieces: dict[str, _Piece] = {}
+        self._queued: dict[str, _QueuedUpdate] = {}  # by the member's name
 
-    def add(self, news: News, times: int) -> None:
-        """Pass it on so many times."""
-        self._pieces[news.name] = _Piece(news, size(news), times)
+    def enqueue(self, update: MembershipUpdate, transmit_limit: int) -> None:
+        """Transmit an update so many times; it replaces an earlier one of the same member."""
+        self._queued[update.name] = _QueuedUpdate(update, encoded_size(update), transmit_limit)
 
-    def quiet(self) -> bool:
-        """Whether there is nothing to pass on."""
-        return not self._pieces
+    def take(
+        self, budget_bytes: int, recipient: str, first: MembershipUpdate | None = None
+    ) -> tuple[MembershipUpdate, ...]:
+        """The updates for one message: `first`, then the least transmitted ones that fit into the budget.
 
-    def take(self, room: int, to: str, first: News | None = None) -> tuple[News, ...]:
-        """What goes along to a member, of others: `first`, then what was passed on least, in `room` bytes."""
-        chosen: list[News] = []
+        A queued update of the recipient itself is left out.
+        """
+        chosen: list[MembershipUpdate] = []
         if first is not None:
             chosen.append(first)
-            room -= size(first)
-        for piece in sorted(self._pieces.values(), key=lambda each: -each.left):
-            if piece.size > room or piece.news.name == to:
+            budget_bytes -= encoded_size(first)
+        for queued in sorted(self._queued.values(), key=lambda queued: -queued.remaining_transmits):
+            if queued.size_bytes > budget_bytes or queued.update.name == recipient:
                 continue
-            room -= piece.size
-            chosen.append(piece.news)
-            piece.left -= 1
-            if not piece.left:
-                del self._pieces[piece.news.name]
+            budget_bytes -= queued.size_bytes
+            chosen.append(queued.update)
+            queued.remaining_transmits -= 1
+            if not queued.remaining_transmits:
+                del self._queued[queued.update.name]
         return tuple(chosen)
--- a/ringledge/decide/membership/member_table.py
+++ b/ringledge/decide/membership/member_table.py
@@ -1,8 +1,8 @@
-"""What one member believes of the others, and how news changes it.
+"""The member table: the state of each other member as this one knows it, and how updates change it.
 
-A newer start of a name takes the place of an older one at once, and an older one never comes back. Within a
-start the higher incarnation counts, then the graver status. What one's own ears heard lately weighs more than
-a death told by others: that makes a suspect, which has its time to refute.
+A higher start number of a name supersedes a lower one at once, and a lower one never comes back. Within a
+start the higher incarnation overrides, then the higher status. Recent direct contact outweighs a death
+reported by another member: the peer becomes a suspect and has the suspicion timeout to refute it.
 """
 
 from __future__ import annotations
@@ -12,210 +12,210 @@
 from dataclasses import dataclass
 
 from ringledge.decide.interface import Member
-from ringledge.decide.membership.messages import News, Status
+from ringledge.decide.membership.changes import (
+    FailureReason,
+    MemberFailed,
+    MemberJoined,
+    MemberLeft,
+    MembershipChange,
+    MemberSuspected,
+)
+from ringledge.decide.membership.messages import MembershipUpdate, MemberStatus
 from ringledge.decide.membership.settings import ProbeConfig
-from ringledge.decide.paging import BUCKETS, bucket
+from ringledge.decide.paging import BUCKET_COUNT, bucket_of
 
-GONE_MOST = 1024  # names of dead and departed members that are remembered, so that none is revived
-
-
-@dataclass(frozen=True, slots=True)
-class Joined:
-    """A member is there, for the first time or again."""
-
-    member: Member
-
-
-@dataclass(frozen=True, slots=True)
-class Left:
-    """A member said that it goes."""
-
-    member: Member
-
-
-@dataclass(frozen=True, slots=True)
-class Died:
-    """A member is taken for dead."""
-
-    member: Member
-    why: str  # "silent", "superseded"
-
-
-@dataclass(frozen=True, slots=True)
-class Suspected:
-    """A member did not answer and has some time to refute it; it still counts as there."""
-
-    member: Member
-
-
-@dataclass(frozen=True, slots=True)
-class Restarted:
-    """The member itself goes on under a higher start, since a predecessor of its name had a higher one."""
-
-    member: Member
-
-
-@dataclass(frozen=True, slots=True)
-class Superseded:
-    """A successor has begun under this member's name; this one says nothing more."""
-
-    start: int
-
-
-Change = Joined | Left | Died | Suspected | Restarted | Superseded
+MAX_TOMBSTONES = 1024  # dead and departed members that are remembered, so that no late update revives them
 
 
 @dataclass(slots=True)
-class Peer:
-    """One other member."""
+class PeerState:
+    """The state of one other member."""
 
     member: Member
     incarnation: int
-    status: Status
-    until_s: float = math.inf  # when a suspect is dead
-    heard_s: float = -math.inf  # when it was heard by this member's own ears
+    status: MemberStatus
+    suspicion_deadline_s: float = math.inf  # when a suspect is declared dead
+    last_contact_s: float = -math.inf  # when this member last received a message from it
 
-    def there(self) -> bool:
-        """Whether it counts as there."""
-        return self.status <= Status.SUSPECT
+    def is_active(self) -> bool:
+        """Whether it belongs to the group."""
+        return self.status.is_active
 
-    def news(self) -> News:
-        """What is told of it; who is gone needs no address."""
+    def update(self) -> MembershipUpdate:
+        """The update that disseminates this state; one of an inactive member carries no address."""
         member = self.member
-        if self.there():
-            return News(member.name, member.start, self.incarnation, self.status, member.address, member.site)
-        return News(member.name, member.start, self.incarnation, self.status)
+        if self.is_active():
+            return MembershipUpdate(
+                member.name, member.start, self.incarnation, self.status, member.address, member.site
+            )
+        return MembershipUpdate(member.name, member.start, self.incarnation, self.status)
 
 
-def mark(member: Member) -> int:
-    """A member's part in the sum over who is there, 32 bits."""
+def member_digest(member: Member) -> int:
+    """A member's share in the digest of the active members, 32 bits."""
     return zlib.crc32(f"{member.name}/{member.start}".encode())
 
 
-class Table:
-    """All others by name, who is there, and what changed."""
+class MemberTable:
+    """All other members by name, the digests of the active ones, and the changes not yet taken.
+
+    Invariants: `active_count` and `bucket_digests` cover exactly the active peers; `peers` is in the order in
+    which their starts were first seen.
+    """
 
     def __init__(self, settings: ProbeConfig) -> None:
-        self.peers: dict[str, Peer] = {}
-        self.changes: list[Change] = []
-        self.sums = [0] * BUCKETS  # over the others who are there
-        self.there = 0  # how many they are
+        self.peers: dict[str, PeerState] = {}
+        self.bucket_digests = [0] * BUCKET_COUNT
+        self.active_count = 0
         self._settings = settings
+        self._changes: list[MembershipChange] = []
         self._suspects: set[str] = set()
 
-    def merge(self, now_s: float, news: News, listed: bool) -> bool:
-        """Take one piece of news of another member; whether it was new.
+    def merge(self, now_s: float, update: MembershipUpdate, from_list: bool) -> bool:
+        """Apply an update of another member; whether it changed anything.
 
-        `listed`: it is from a list of all that somebody knows; a death in it may be old and makes a suspect.
+        `from_list`: it is part of a member list; a death in a list may be old, so it only raises a suspicion.
         """
-        peer = self.peers.get(news.name)
-        if peer is None or news.start > peer.member.start:
-            return self._first(now_s, peer, news)
-        if news.start < peer.member.start:
+        peer = self.peers.get(update.name)
+        if peer is None or update.start > peer.member.start:
+            return self._add_start(now_s, peer, update)
+        if update.start < peer.member.start:
+            return False
+        status = self._credible_status(now_s, peer, update, from_list)
+        if (update.incarnation, status) <= (peer.incarnation, peer.status):
             return False
-        status = news.status
-        if status is Status.DEAD and peer.there() and (listed or self._heard_lately(now_s, peer)):
-            status = Status.SUSPECT
-        if (news.incarnation, status) <= (peer.incarnation, peer.status) or peer.status is Status.LEFT:
+        if peer.status is MemberStatus.LEFT:
             return False
-        if status <= Status.SUSPECT and news.address:  # a list may have told of its death alone
-            peer.member = Member(news.name, news.start, news.address, news.site)
-        if status <= Status.SUSPECT and not peer.member.address:
+        if status.is_active and update.address:  # a member first known by its death has no address yet
+            peer.member = _member_of(update)
+        if status.is_active and not peer.member.address:
             return False
-        peer.incarnation = news.incarnation
-        self._turn(now_s, peer, status)
+        peer.incarnation = update.incarnation
+        self._set_status(now_s, peer, status)
         return True
 
     def suspect(self, now_s: float, name: str) -> bool:
-        """Its answer is missing; whether it is a suspect by that."""
+        """Suspect a member that did not acknowledge a probe; False where it was not alive before."""
         peer = self.peers.get(name)
-        if peer is None or peer.status is not Status.ALIVE:
+        if peer is None or peer.status is not MemberStatus.ALIVE:
             return False
-        self._turn(now_s, peer, Status.SUSPECT)
+        self._set_status(now_s, peer, MemberStatus.SUSPECT)
         return True
 
-    def expire(self, now_s: float) -> list[Peer]:
-        """Suspects whose time is up are dead from now on."""
-        dead = [each for each in self.suspects() if each.until_s <= now_s]
+    def expire_suspects(self, now_s: float) -> list[PeerState]:
+        """Declare the suspects dead whose suspicion has timed out; those peers."""
+        dead = [peer for peer in self.suspects() if peer.suspicion_deadline_s <= now_s]
         for peer in dead:
-            self._turn(now_s, peer, Status.DEAD)
+            self._set_status(now_s, peer, MemberStatus.DEAD)
         return dead
 
-    def next_s(self) -> float:
-        """When the next suspect's time is up."""
-        return min((each.until_s for each in self.suspects()), default=math.inf)
+    def next_deadline_s(self) -> float:
+        """When the next suspicion times out; infinite without suspects."""
+        return min((peer.suspicion_deadline_s for peer in self.suspects()), default=math.inf)
 
-    def doubts(self) -> bool:
-        """Whether there is any suspect."""
+    def has_suspects(self) -> bool:
+        """Whether any member is suspected."""
         return bool(self._suspects)
 
-    def suspects(self) -> list[Peer]:
-        """Those whose answer is missing, by name."""
+    def suspects(self) -> list[PeerState]:
+        """The suspected members, by name."""
         return [self.peers[name] for name in sorted(self._suspects)]
 
-    def put_off(self, by_s: float) -> None:
-        """Give suspects more time: this member stood still and could not hear them."""
+    def extend_suspicions(self, by_s: float) -> None:
+        """Give the suspects more time: this process was stalled and could not receive their refutations."""
         for peer in self.suspects():
-            peer.until_s += by_s
+            peer.suspicion_deadline_s += by_s
 
-    def heard(self, now_s: float, name: str, start: int) -> None:
-        """It was heard by this member's own ears."""
+    def record_contact(self, now_s: float, name: str, start: int) -> None:
+        """Note that a message came from this start of a member directly."""
         peer = self.peers.get(name)
         if peer is not None and peer.member.start == start:
-            peer.heard_s = now_s
-
-    def _heard_lately(self, now_s: float, peer: Peer) -> bool:
-        return now_s - peer.heard_s < self._settings.suspicion_s(self.there + 1)
-
-    def _first(self, now_s: float, older: Peer | None, news: News) -> bool:
-        """News of a start that was not known."""
-        if news.status <= Status.SUSPECT and not news.address:
+            peer.last_contact_s = now_s
+
+    def record_change(self, change: MembershipChange) -> None:
+        """Add a change to those that `take_changes` returns next."""
+        self._changes.append(change)
+
+    def take_changes(self) -> list[MembershipChange]:
+        """The changes since the last call, in their order."""
+        changes, self._changes = self._changes, []
+        return changes
+
+    def _credible_status(
+        self, now_s: float, peer: PeerState, update: MembershipUpdate, from_list: bool
+    ) -> MemberStatus:
+        """The status that an update justifies: a doubtful death is a suspicion only."""
+        if update.status is not MemberStatus.DEAD or not peer.is_active():
+            return update.status
+        if from_list or self._contacted_recently(now_s, peer):
+            return MemberStatus.SUSPECT
+        return update.status
+
+    def _contacted_recently(self, now_s: float, peer: PeerState) -> bool:
+        return now_s - peer.last_contact_s < self._suspicion_timeout_s()
+
+    def _suspicion_timeout_s(self) -> float:
+        return self._settings.suspicion_timeout_s(self.active_count + 1)
+
+    def _add_start(self, now_s: float, previous: PeerState | None, update: MembershipUpdate) -> bool:
+        """Add a start that was not known; it supersedes the previous one of its name."""
+        if update.status.is_active and not update.address:
             return False
-        if older is not None and older.there():
-            self._away(older)
-            self.changes.append(Died(older.member, "superseded"))
-        member = Member(news.name, news.start, news.address, news.site)
-        self.peers.pop(news.name, None)  # so that the order is by age
-        self._suspects.discard(news.name)
-        peer = self.peers[news.name] = Peer(member, news.incarnation, news.status)
-        if peer.there():
-            self._come(peer)
-            if peer.status is Status.SUSPECT:
-                self._doubt(now_s, peer)
+        if previous is not None and previous.is_active():
+            self._deactivate(previous)
+            self.record_change(MemberFailed(previous.member, FailureReason.SUPERSEDED))
+        self.peers.pop(update.name, None)  # the new start goes to the end of the order
+        self._suspects.discard(update.name)
+        peer = PeerState(_member_of(update), update.incarnation, update.status)
+        self.peers[update.name] = peer
+        if peer.is_active():
+            self._activate(peer)
         else:
-            self._forget()
+            self._evict_tombstones()
+        if peer.status is MemberStatus.SUSPECT:
+            self._start_suspicion(now_s, peer)
         return True
 
-    def _turn(self, now_s: float, peer: Peer, status: Status) -> None:
-        """Change what is believed of a peer of the same start."""
-        was_there, peer.status = peer.there(), status
+    def _set_status(self, now_s: float, peer: PeerState, status: MemberStatus) -> None:
+        """Change the status of a peer within its start, and record the change."""
+        was_active = peer.is_active()
+        peer.status = status
         self._suspects.discard(peer.member.name)
-        if not was_there and peer.there():
-            self._come(peer)
-        if status is Status.SUSPECT:
-            self._doubt(now_s, peer)
-        if was_there and not peer.there():
-            self._away(peer)
-            gone = Left(peer.member) if status is Status.LEFT else Died(peer.member, "silent")
-            self.changes.append(gone)
-            self._forget()
-
-    def _doubt(self, now_s: float, peer: Peer) -> None:
-        peer.until_s = now_s + self._settings.suspicion_s(self.there + 1)
+        if not was_active and peer.is_active():
+            self._activate(peer)
+        if status is MemberStatus.SUSPECT:
+            self._start_suspicion(now_s, peer)
+        if was_active and not peer.is_active():
+            self._deactivate(peer)
+            self.record_change(_departure(peer))
+            self._evict_tombstones()
+
+    def _start_suspicion(self, now_s: float, peer: PeerState) -> None:
+        peer.suspicion_deadline_s = now_s + self._suspicion_timeout_s()
         self._suspects.add(peer.member.name)
-        self.changes.append(Suspected(peer.member))
+        self.record_change(MemberSuspected(peer.member))
 
-    def _come(self, peer: Peer) -> None:
-        self.sums[bucket(peer.member.name)] ^= mark(peer.member)
-        self.there += 1
-        self.changes.append(Joined(peer.member))
+    def _activate(self, peer: PeerState) -> None:
+        self.bucket_digests[bucket_of(peer.member.name)] ^= member_digest(peer.member)
+        self.active_count += 1
+        self.record_change(MemberJoined(peer.member))
 
-    def _away(self, peer: Peer) -> None:
-        self.sums[bucket(peer.member.name)] ^= mark(peer.member)
-        self.there -= 1
+    def _deactivate(self, peer: PeerState) -> None:
+        self.bucket_digests[bucket_of(peer.member.name)] ^= member_digest(peer.member)
+        self.active_count -= 1
 
-    def _forget(self) -> None:
-        """Let go of the names that have been known longest among too many that are gone."""
-        gone = [name for name, peer in self.peers.items() if not peer.there()]
-        for name in gone[: max(0, len(gone) - GONE_MOST)]:
+    def _evict_tombstones(self) -> None:
+        """Forget the oldest of the inactive members beyond MAX_TOMBSTONES."""
+        inactive = [name for name, peer in self.peers.items() if not peer.is_active()]
+        for name in inactive[: max(0, len(inactive) - MAX_TOMBSTONES)]:
             del self.peers[name]
+
+
+def _member_of(update: MembershipUpdate) -> Member:
+    return Member(update.name, update.start, update.address, update.site)
+
+
+def _departure(peer: PeerState) -> MemberLeft | MemberFailed:
+    if peer.status is MemberStatus.LEFT:
+        return MemberLeft(peer.member)
+    return MemberFailed(peer.member, FailureReason.SILENT)
--- a/ringledge/decide/membership/messages.py
+++ b/ringledge/decide/membership/messages.py
@@ -1,7 +1,8 @@
-"""What members say to one another about who is there.
+"""The messages of the membership protocol, as SWIM has them, with those that join members and compare views.
 
-Each message names the sender's start and the receiver's as the sender knows it (0: not known), so that one
-which is addressed as its predecessor can say who it is now.
+Each message carries the sender's start number and the recipient's as the sender knows it (0: unknown), so
+that a member addressed under its predecessor's start number can introduce itself. Messages are encoded
+as arrays: the order of the fields, and of the types in `MESSAGES`, is the wire format.
 """
 
 from __future__ import annotations
@@ -12,56 +13,63 @@
 import msgspec
 from msgspec import Meta
 
-from ringledge.decide.datagram import BODY_MOST, NAME_MOST, Count, Name, Start, Word
-from ringledge.decide.paging import BUCKETS
+from ringledge.decide.datagram import MAX_BODY_BYTES, MAX_NAME_BYTES, Count, Name, Start, Word
+from ringledge.decide.paging import BUCKET_COUNT
 
-FRAME_BYTES = 32  # of a Ping without its news: array heads, two starts, a nonce and a view at their longest
-ADDRESS_MOST = 64  # bytes of host:port; an IPv6 address with its port takes 47
-NEWS_BYTES = BODY_MOST - FRAME_BYTES  # what is left for piggy-backed news
+PING_OVERHEAD_BYTES = (
+    32  # a Ping without updates: array heads, two starts, a nonce and a digest at their longest
+)
+MAX_ADDRESS_BYTES = 64  # of host:port; an IPv6 address with its port takes 47
+UPDATES_BYTES = MAX_BODY_BYTES - PING_OVERHEAD_BYTES  # available for updates in one message
 
 
-class Status(enum.IntEnum):
-    """What is said of a member; with the same incarnation the higher one counts."""
+class MemberStatus(enum.IntEnum):
+    """The state of a member; with equal incarnations the higher value overrides the lower one."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # said by itself, the last word of this start
+    LEFT = 3  # announced by the member itself; final for this start
 
+    @property
+    def is_active(self) -> bool:
+        """Whether the member belongs to the group: a suspect does until its suspicion times out."""
+        return self <= MemberStatus.SUSPECT
 
-class News(msgspec.Struct, array_like=True, frozen=True):
-    """One member as the sender knows it. Address and site are given where it is alive."""
+
+class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """One member as the sender knows it. Address and site are set for active members only."""
 
     name: Name
     start: Start
-    incarnation: Count  # raised by the member itself alone, to refute what is said of it
-    status: Status
-    address: Annotated[str, Meta(max_length=ADDRESS_MOST)] = ""
-    site: Annotated[str, Meta(max_length=NAME_MOST)] = ""
+    incarnation: Count  # raised by the member itself alone, to refute a suspicion
+    status: MemberStatus
+    address: Annotated[str, Meta(max_length=MAX_ADDRESS_BYTES)] = ""
+    site: Annotated[str, Meta(max_length=MAX_NAME_BYTES)] = ""
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True):
-    """Are you there? Answered by an Ack with the same nonce."""
+    """A probe of the recipient. Answered by an Ack with the same nonce."""
 
     start: Start
     to_start: Start
     nonce: Word
-    view: Word  # 32-bit sum over who is there, to see whether two members agree
-    news: tuple[News, ...] = ()
+    view_digest: Word  # 32-bit digest of the active members, to detect that two members' views differ
+    updates: tuple[MembershipUpdate, ...] = ()
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True):
-    """Yes; or, from one that was asked by Ask, the other one is."""
+    """The answer to a Ping, or to an IndirectPingRequest whose target has answered."""
 
     start: Start
     to_start: Start
     nonce: Word
-    view: Word
-    news: tuple[News, ...] = ()
+    view_digest: Word
+    updates: tuple[MembershipUpdate, ...] = ()
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True):
-    """Ping another member for me, for I hear nothing of it."""
+class IndirectPingRequest(msgspec.Struct, array_like=True, frozen=True):
+    """SWIM's ping-req: the recipient shall ping the target and forward its acknowledgement."""
 
     start: Start
     to_start: Start
@@ -70,42 +78,56 @@
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True):
-    """Here I am. Answered by Rosters."""
+    """The sender introduces itself. Answered by MemberLists."""
 
     to_start: Start
-    me: News
+    sender: MembershipUpdate
 
 
-class Roster(msgspec.Struct, array_like=True, frozen=True):
-    """Part of what the sender knows of all."""
+class MemberList(msgspec.Struct, array_like=True, frozen=True):
+    """A part of the sender's member table."""
 
     start: Start
     to_start: Start
-    news: tuple[News, ...]
+    updates: tuple[MembershipUpdate, ...]
 
 
-class Look(msgspec.Struct, array_like=True, frozen=True):
-    """Who is there? From one who is no member; answered by Rosters."""
+class MemberListQuery(msgspec.Struct, array_like=True, frozen=True):
+    """A request for the member table, from a process that is no member. Answered by MemberLists."""
 
 
-class Views(msgspec.Struct, array_like=True, frozen=True):
-    """Sums over who is there, by bucket of names. Answered by Rosters of those that differ."""
+class ViewDigests(msgspec.Struct, array_like=True, frozen=True):
+    """Digests of the active members by bucket of names. Answered by MemberLists of differing buckets."""
 
     start: Start
     to_start: Start
-    sums: Annotated[tuple[Word, ...], Meta(min_length=BUCKETS, max_length=BUCKETS)]
+    digests: Annotated[tuple[Word, ...], Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
+
+
+MESSAGES: tuple[type[msgspec.Struct], ...] = (
+    Ping,
+    Ack,
+    IndirectPingRequest,
+    Join,
+    MemberList,
+    MemberListQuery,
+    ViewDigests,
+)
+MemberMessage = Ping | Ack | IndirectPingRequest | Join | MemberList | ViewDigests  # from members
+Message = MemberMessage | MemberListQuery
 
 
-MESSAGES: tuple[type[msgspec.Struct], ...] = (Ping, Ack, Ask, Join, Roster, Look, Views)
-Message = Ping | Ack | Ask | Join | Roster | Look | Views
+def sender_start(message: MemberMessage) -> int:
+    """The start number of the message's sender."""
+    return message.sender.start if isinstance(message, Join) else message.start
 
 
-def news_of(message: Ping | Ack | Ask | Join | Roster | Views) -> tuple[News, ...]:
-    """The news that rides on a message."""
+def updates_of(message: MemberMessage) -> tuple[MembershipUpdate, ...]:
+    """The membership updates that a message carries."""
     match message:
         case Join():
-            return (message.me,)
-        case Ask() | Views():
+            return (message.sender,)
+        case IndirectPingRequest() | ViewDigests():
             return ()
         case _:
-            return message.news
+            return message.updates
--- a/ringledge/decide/membership/settings.py
+++ b/ringledge/decide/membership/settings.py
@@ -1,4 +1,4 @@
-"""How members look for one another (the table `probe` of deploy/members.toml)."""
+"""Settings of the failure detector and of dissemination (the table `probe` of deploy/members.toml)."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 
 
 class ProbeConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Times and counts of SWIM."""
+    """Times and counts of SWIM; suspicion and transmissions grow as the logarithm of the group's size."""
 
     interval_s: Seconds = 0.5  # between two probes by one member
-    answer_s: Seconds = 0.15  # without an answer for so long others are asked; a datagram takes 27 ms at most
-    indirect: Few = 3  # others that are asked
-    suspicion: Annotated[float, Meta(ge=1, le=100)] = (
-        4.0  # intervals until a suspect is dead, up to 10 members
-    )
-    repeats: Few = 4  # times that a member passes a piece of news on, up to 10 members
+    # An Ack that takes longer makes the member request indirect probes; a datagram takes 27 ms at most.
+    ack_timeout_s: Seconds = msgspec.field(name="answer_s", default=0.15)
+    indirect_probes: Few = msgspec.field(name="indirect", default=3)  # helpers for one indirect probe
+    # Intervals until a suspect is declared dead, with up to 10 members.
+    suspicion_intervals: Annotated[float, Meta(ge=1, le=100)] = msgspec.field(name="suspicion", default=4.0)
+    # Times that a member transmits an update, with up to 10 members.
+    retransmit_multiplier: Few = msgspec.field(name="repeats", default=4)
 
     def __post_init__(self) -> None:
-        if self.answer_s > self.interval_s / 2:
+        if self.ack_timeout_s > self.interval_s / 2:
             raise ValueError("answer_s: half of interval_s at most, or nobody has time to be asked")
 
-    def suspicion_s(self, members: int) -> float:
-        """How long a suspect has to refute, s: news takes a time that grows as the logarithm."""
-        return self.suspicion * max(1.0, math.log10(max(1, members))) * self.interval_s
+    def suspicion_timeout_s(self, members: int) -> float:
+        """How long a suspect has to refute, in s, in a group of so many members."""
+        return self.suspicion_intervals * max(1.0, math.log10(max(1, members))) * self.interval_s
 
-    def times(self, members: int) -> int:
-        """How often each member passes a piece of news on."""
-        return self.repeats * max(1, math.ceil(math.log10(members + 1)))
+    def transmit_limit(self, members: int) -> int:
+        """How often each member transmits an update, in a group of so many members."""
+        return self.retransmit_multiplier * max(1, math.ceil(math.log10(members + 1)))
--- a/ringledge/decide/records/messages.py
+++ b/ringledge/decide/records/messages.py
@@ -7,11 +7,11 @@
 import msgspec
 from msgspec import Meta
 
-from ringledge.decide.datagram import BODY_MOST, Count, Name, Start, Word
-from ringledge.decide.paging import BUCKETS
+from ringledge.decide.datagram import MAX_BODY_BYTES, Count, Name, Start, Word
+from ringledge.decide.paging import BUCKET_COUNT
 
 KEY_MOST, VALUE_MOST = 48, 120  # bytes
-ROOM_BYTES = BODY_MOST - 10  # for the rows or records of one message, without the heads of its arrays
+ROOM_BYTES = MAX_BODY_BYTES - 10  # for the rows or records of one message, without the heads of its arrays
 
 Key = Annotated[str, Meta(min_length=1, max_length=KEY_MOST)]
 Value = Annotated[bytes, Meta(max_length=VALUE_MOST)]
@@ -43,7 +43,7 @@
 class Sums(msgspec.Struct, array_like=True, frozen=True):
     """A sum over the rows of each bucket. Answered by the rows of those that differ."""
 
-    sums: Annotated[tuple[Word, ...], Meta(min_length=BUCKETS, max_length=BUCKETS)]
+    sums: Annotated[tuple[Word, ...], Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
 
 
 class Rows(msgspec.Struct, array_like=True, frozen=True):
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -12,9 +12,9 @@
 import random
 from collections.abc import Iterable
 
-from ringledge.decide.datagram import checked_name
+from ringledge.decide.datagram import validated_name
 from ringledge.decide.interface import Action, Member, SendMessage
-from ringledge.decide.paging import BUCKETS, bucket, pages, size
+from ringledge.decide.paging import BUCKET_COUNT, bucket_of, encoded_size, paginate
 from ringledge.decide.records.messages import (
     KEY_MOST,
     MESSAGES,
@@ -45,11 +45,11 @@
     """One member's side of the facts; implements Facts and Decider. Told by `members` of who is there."""
 
     def __init__(self, me: Member, settings: RecordsConfig, rng: random.Random) -> None:
-        checked_name(me.name)
+        validated_name(me.name)
         self.me, self._settings, self._rng = me, settings, rng
         self._own = Book(me.name, me.start)
         self._books = {me.name: self._own}
-        self._sums = [0] * BUCKETS
+        self._sums = [0] * BUCKET_COUNT
         self._there: dict[str, int] = {me.name: me.start}
         self._gone: dict[str, float] = {}  # writers who aren't there: when what they said is forgotten
         self._pushes: dict[tuple[str, str], Record] = {}
@@ -63,7 +63,7 @@
         """Say something under a key of our own; ValueError: it is too long, or there are too many keys."""
         if not 0 < len(key.encode()) <= KEY_MOST or len(value) > VALUE_MOST:
             raise ValueError(f"a fact has a key of 1 to {KEY_MOST} bytes and a value of {VALUE_MOST} at most")
-        if size(Record(self.me.name, self.me.start, LARGEST, LARGEST, key, value)) > ROOM_BYTES:
+        if encoded_size(Record(self.me.name, self.me.start, LARGEST, LARGEST, key, value)) > ROOM_BYTES:
             raise ValueError(f"fact {key!r}: longer than a datagram with its writer's name")
         if self._own.value(key) is None and self._own.keys() >= KEYS_MOST and not self._own.used(key):
             raise ValueError(f"fact {key!r}: more than {KEYS_MOST} keys of one writer")
@@ -114,7 +114,7 @@
             self._push_s = math.inf
             changed, self._pushes = list(self._pushes.values()), {}
             told = self._others(self._settings.fan_out)
-            for page in pages(changed, ROOM_BYTES):
+            for page in paginate(changed, ROOM_BYTES):
                 actions += [SendMessage(name, Records(page, pushed=True)) for name in told]
         if now_s >= self._compare_s:
             self._compare_s = now_s + self._settings.interval_s * self._rng.uniform(
@@ -162,7 +162,7 @@
     def _count(self, book: Book) -> None:
         """Take a book into the sum of its bucket, or out of it again."""
         if book.version:
-            self._sums[bucket(book.writer)] ^= book.mark()
+            self._sums[bucket_of(book.writer)] ^= book.mark()
 
     def _others(self, most: int) -> list[str]:
         others = [name for name in self._there if name != self.me.name]
@@ -177,7 +177,7 @@
         return [SendMessage(sender, each) for each in rows_pages(groups, ROOM_BYTES)[:ROWS_PAGES]]
 
     def _bucket(self, at: int) -> list[Row]:
-        return [each.row() for each in self._books.values() if each.version and bucket(each.writer) == at]
+        return [each.row() for each in self._books.values() if each.version and bucket_of(each.writer) == at]
 
     def _compare(self, now_s: float, sender: str, rows: tuple[Row, ...], whole: int) -> list[Action]:
         """Send what the other lacks, and ask for what it has more."""
@@ -186,7 +186,7 @@
         behind = [
             Row(each.writer, each.start, 0)
             for each in self._books.values()
-            if each.version and whole >> bucket(each.writer) & 1 and each.writer not in told
+            if each.version and whole >> bucket_of(each.writer) & 1 and each.writer not in told
         ]
         for row in rows:
             book = self._books.get(row.writer)
@@ -198,7 +198,7 @@
                 wants.append(Row(row.writer, row.start, version if row.start == start else 0))
         if wants:  # there may be more, here or elsewhere
             self._compare_s = min(self._compare_s, now_s + self._settings.interval_s / HURRY)
-        asked: list[Action] = [SendMessage(sender, Wants(page)) for page in pages(wants, ROOM_BYTES)]
+        asked: list[Action] = [SendMessage(sender, Wants(page)) for page in paginate(wants, ROOM_BYTES)]
         return self._answer(sender, tuple(behind)) + asked
 
     def _answer(self, sender: str, rows: tuple[Row, ...]) -> list[Action]:
@@ -207,10 +207,12 @@
         for row in rows:
             if (book := self._books.get(row.writer)) is not None and book.start >= row.start:
                 lacking += book.after(row.version if book.start == row.start else 0)
-        groups = pages(lacking, ROOM_BYTES)[: self._settings.answer]
+        groups = paginate(lacking, ROOM_BYTES)[: self._settings.answer]
         if not groups:
             return []
-        told = pages([self._books[row.writer].row() for row in rows if row.writer in self._books], ROOM_BYTES)
+        told = paginate(
+            [self._books[row.writer].row() for row in rows if row.writer in self._books], ROOM_BYTES
+        )
         return [SendMessage(sender, each) for each in (*map(Records, groups), *map(Rows, told[:1]))]
 
     def _may_ask(self, now_s: float, sender: str, row: Row) -> bool:
--- a/ringledge/decide/records/writer_log.py
+++ b/ringledge/decide/records/writer_log.py
@@ -5,7 +5,7 @@
 import zlib
 from collections.abc import Iterable, Iterator
 
-from ringledge.decide.paging import pages, size
+from ringledge.decide.paging import encoded_size, paginate
 from ringledge.decide.records.messages import Record, Row, Rows
 
 
@@ -15,12 +15,12 @@
     rows: list[Row] = []
     whole = used = 0
     for at, group in groups:
-        needed = sum(map(size, group))
+        needed = sum(map(encoded_size, group))
         if used + needed > room and whole:
             messages.append(Rows(tuple(rows), whole))
             rows, whole, used = [], 0, 0
         if needed > room:
-            messages += [Rows(page) for page in pages(group, room)]
+            messages += [Rows(page) for page in paginate(group, room)]
         else:
             rows, whole, used = rows + group, whole | 1 << at, used + needed
     return [*messages, Rows(tuple(rows), whole)] if whole else messages
--- a/ringledge/lifecycle/components/duties.py
+++ b/ringledge/lifecycle/components/duties.py
@@ -9,7 +9,7 @@
 
 from ringledge.decide.leases.manager import MESSAGES, Leases
 from ringledge.decide.leases.recovery import Learning
-from ringledge.decide.membership.swim import Change, Restarted
+from ringledge.decide.membership.changes import LocalStartRaised, MembershipChange
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.shared import Part, Shared
 from ringledge.members.clock_adapter import ClockAdapter, now_s
@@ -34,9 +34,9 @@
         if members.service is not None:
             members.service.act(leases.give_up(now_s(), duty))
 
-    def changed(change: Change) -> None:
-        leases.alive(each.name for each in members.membership.alive())
-        if isinstance(change, Restarted) and members.service is not None:
+    def changed(change: MembershipChange) -> None:
+        leases.alive(each.name for each in members.membership.active_members())
+        if isinstance(change, LocalStartRaised) and members.service is not None:
             # Our wall clock had stepped back: under so low a start no vote may be given and no duty held.
             members.service.act(leases.stop(now_s()))
 
--- a/ringledge/members/codec.py
+++ b/ringledge/members/codec.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ringledge.decide.datagram import FIXED_BYTES, NAME_MOST, START_MOST, TAG_BYTES, checked_name
+from ringledge.decide.datagram import FIXED_HEADER_BYTES, MAX_NAME_BYTES, MAX_START, TAG_BYTES, validated_name
 from ringledge.decide.interface import MAX_DATAGRAM_BYTES
 
 VERSION = 1
@@ -26,7 +26,7 @@
 SPAN = 16
 FIRST_KIND = {"membership": 0, "facts": 16, "leases": 32, "duties": 48, "replay": 64, "ratio": 80}
 NUMBER_MOST = (1 << 40) - 1
-HEAD = FIXED_BYTES - TAG_BYTES  # up to the name
+HEAD = FIXED_HEADER_BYTES - TAG_BYTES  # up to the name
 
 
 class Drop(enum.Enum):
@@ -78,7 +78,7 @@
     ) -> None:
         if not 16 <= len(key) <= 64:
             raise ValueError("key: 16 to 64 bytes")
-        self._key, self._name = key, checked_name(name).encode()
+        self._key, self._name = key, validated_name(name).encode()
         self._cluster = hashlib.blake2b(cluster.encode(), digest_size=4).digest()
         self._kinds: dict[type, int] = {}
         self._readers: dict[int, msgspec.msgpack.Decoder[Any]] = {}
@@ -97,7 +97,7 @@
         if kind is None:
             raise MalformedError(Drop.KIND)
         body = self._encoder.encode(message)
-        if FIXED_BYTES + len(self._name) + len(body) > MAX_DATAGRAM_BYTES:
+        if FIXED_HEADER_BYTES + len(self._name) + len(body) > MAX_DATAGRAM_BYTES:
             raise MalformedError(Drop.TOO_LONG)
         self._number = self._number + 1 & NUMBER_MOST
         head = b"".join(
@@ -105,8 +105,8 @@
                 bytes((VERSION, kind)),
                 self._cluster,
                 self._number.to_bytes(5, "big"),
-                min(start, START_MOST).to_bytes(6, "big"),
-                min(to_start, START_MOST).to_bytes(6, "big"),
+                min(start, MAX_START).to_bytes(6, "big"),
+                min(to_start, MAX_START).to_bytes(6, "big"),
                 bytes((len(self._name),)),
                 self._name,
             )
@@ -117,7 +117,7 @@
         """What a datagram says; MalformedError with the reason where it says nothing for us."""
         if len(datagram) > MAX_DATAGRAM_BYTES:
             raise MalformedError(Drop.TOO_LONG)
-        if len(datagram) < FIXED_BYTES + 2:  # a name and a body have a byte at least
+        if len(datagram) < FIXED_HEADER_BYTES + 2:  # a name and a body have a byte at least
             raise MalformedError(Drop.TOO_SHORT)
         if datagram[0] != VERSION:
             raise MalformedError(Drop.VERSION)
@@ -134,7 +134,7 @@
             raise MalformedError(Drop.KIND)
         try:
             message = reader.decode(body)
-            sender = checked_name(datagram[HEAD:named].decode())
+            sender = validated_name(datagram[HEAD:named].decode())
         except (msgspec.MsgspecError, ValueError) as error:
             raise MalformedError(Drop.BODY) from error
         number = int.from_bytes(datagram[6:11], "big")
@@ -145,4 +145,4 @@
         return hashlib.blake2b(head + body, key=self._key, digest_size=TAG_BYTES).digest()
 
 
-__all__ = ["FIRST_KIND", "NAME_MOST", "SPAN", "VERSION", "Codec", "Drop", "Heard", "MalformedError"]
+__all__ = ["FIRST_KIND", "MAX_NAME_BYTES", "SPAN", "VERSION", "Codec", "Drop", "Heard", "MalformedError"]
--- a/ringledge/members/component.py
+++ b/ringledge/members/component.py
@@ -14,16 +14,15 @@
 from prometheus_client import CollectorRegistry
 
 from ringledge.decide.interface import Decider, Member
-from ringledge.decide.membership.swim import (
-    EVERYONE,
-    Change,
-    Died,
-    Joined,
-    Left,
-    Membership,
-    Restarted,
-    Superseded,
+from ringledge.decide.membership.changes import (
+    LocalMemberSuperseded,
+    LocalStartRaised,
+    MemberFailed,
+    MemberJoined,
+    MemberLeft,
+    MembershipChange,
 )
+from ringledge.decide.membership.swim import BROADCAST, Membership
 from ringledge.decide.records.replicated_records import ReplicatedRecords
 from ringledge.members.codec import Codec
 from ringledge.members.datagrams import Datagrams
@@ -58,7 +57,7 @@
         # hears of its predecessor and goes on above it.
         start = time.time_ns() // 1_000_000
         address = self._settings.advertise or self._settings.listen
-        seeds = [*self._settings.peers, *([EVERYONE] if self._settings.everyone else [])]
+        seeds = [*self._settings.peers, *([BROADCAST] if self._settings.everyone else [])]
         me = Member(name, start, address, self._settings.site)
         self.membership = Membership(me, seeds, self._settings.probe, rng)
         self._table = ReplicatedRecords(me, self._settings.facts, rng)
@@ -87,7 +86,7 @@
         """Whether it knows who is there: somebody was heard, or nobody for so long that it is the first."""
         if not self._bound.is_set():
             return False
-        return len(self.membership.alive()) > 1 or time.monotonic() - self._began_s >= ALONE_S
+        return len(self.membership.active_members()) > 1 or time.monotonic() - self._began_s >= ALONE_S
 
     def stop(self) -> None:
         """Say goodbye, and let the address go."""
@@ -106,9 +105,9 @@
                 hook()
             try:
                 settings = self._settings
-                peers = settings.peers | ({EVERYONE: settings.everyone} if settings.everyone else {})
+                peers = settings.peers | ({BROADCAST: settings.everyone} if settings.everyone else {})
                 if settings.listen.endswith(":0") and not settings.advertise:  # a port that the system chose
-                    self.membership.moved(datagrams.address)
+                    self.membership.set_address(datagrams.address)
                 self.service = Service(
                     self.membership,
                     self._table,
@@ -141,16 +140,16 @@
                 await anyio.sleep(BIND_AGAIN_S)
 
 
-def _tell(change: Change) -> None:
+def _tell(change: MembershipChange) -> None:
     """One line for each change that on-call staff may ask about."""
     match change:
-        case Joined(member):
+        case MemberJoined(member):
             log.info("member_joined", member=member.name, start=member.start, address=member.address)
-        case Left(member):
+        case MemberLeft(member):
             log.info("member_left", member=member.name, start=member.start)
-        case Died(member, why):
-            log.warning("member_died", member=member.name, start=member.start, why=why)
-        case Restarted(member):
+        case MemberFailed(member, reason):
+            log.warning("member_died", member=member.name, start=member.start, why=reason.value)
+        case LocalStartRaised(member):
             log.warning("member_start_raised", start=member.start)
-        case Superseded(start):
+        case LocalMemberSuperseded(start):
             log.error("member_superseded", by_start=start)
--- a/ringledge/members/role_keeper.py
+++ b/ringledge/members/role_keeper.py
@@ -86,7 +86,7 @@
 
     def members(self) -> Mapping[str, str]:
         """The site of each member that is there."""
-        return {each.name: each.site for each in self._membership.alive()}
+        return {each.name: each.site for each in self._membership.active_members()}
 
     # Looking.
 
--- a/ringledge/members/service.py
+++ b/ringledge/members/service.py
@@ -12,8 +12,9 @@
 
 from ringledge.decide.interface import Action, Decider, LeaseAcquired, LeaseEnded, SendMessage
 from ringledge.decide.membership import swim as membership_decider
-from ringledge.decide.membership.messages import Look
-from ringledge.decide.membership.swim import Change, Died, Membership
+from ringledge.decide.membership.changes import MemberFailed, MembershipChange
+from ringledge.decide.membership.messages import MemberListQuery
+from ringledge.decide.membership.swim import Membership
 from ringledge.decide.records import replicated_records as facts_decider
 from ringledge.decide.records.replicated_records import ReplicatedRecords
 from ringledge.members.codec import Codec, Drop, MalformedError
@@ -47,7 +48,7 @@
     """Who is told of what the deciders give."""
 
     duties: list[Callable[[LeaseAcquired | LeaseEnded], None]] = field(default_factory=list)
-    changes: list[Callable[[Change], None]] = field(default_factory=list)
+    changes: list[Callable[[MembershipChange], None]] = field(default_factory=list)
     bound: list[Callable[[], None]] = field(default_factory=list)  # the address is ours from now on
 
 
@@ -149,21 +150,21 @@
 
     def _take(self, datagram: bytes, source: Endpoint) -> None:
         """Hand a datagram to its decider; MalformedError with the reason where it is for none."""
-        if self.membership.silent:
+        if self.membership.stopped:
             raise MalformedError(Drop.SILENT)
         heard = self._codec.read(datagram)
         if not self._guard.fresh(heard.sender, heard.start, heard.number):
             raise MalformedError(Drop.REPLAYED)
         decider, sender = self._by_kind[type(heard.message)], heard.sender
-        member = self.membership.last(sender)
+        member = self.membership.latest_member(sender)
         if decider is self.membership:
             known = self._strangers or member is not None or sender in self._peers
-            if not known and not isinstance(heard.message, Look):
+            if not known and not isinstance(heard.message, MemberListQuery):
                 raise MalformedError(Drop.SENDER_UNKNOWN)
         else:
             if heard.to_start != self.membership.me.start:
                 raise MalformedError(Drop.OTHER_START)
-            if member is None or member.start != heard.start or not self.membership.there(sender):
+            if member is None or member.start != heard.start or not self.membership.is_active(sender):
                 raise MalformedError(Drop.SENDER_UNKNOWN)
         self._sources.pop(sender, None)
         self._sources[sender] = source
@@ -183,25 +184,25 @@
 
     def _muted(self, actions: list[Action]) -> list[Action]:
         """Without what they tell others, where the name is a successor's by now; duties end all the same."""
-        if not self.membership.silent:
+        if not self.membership.stopped:
             return actions
         return [action for action in actions if not isinstance(action, SendMessage)]
 
     def _tell_changes(self) -> None:
-        changes = self.membership.changes()
+        changes = self.membership.take_changes()
         if not changes:
             return
-        there = self.membership.alive()
+        there = self.membership.active_members()
         self._figures.there.set(len(there))
         self.facts.members(self._clock(), self.membership.me, there)
         for change in changes:
-            if isinstance(change, Died):
-                self._figures.died(change.why)
+            if isinstance(change, MemberFailed):
+                self._figures.died(change.reason.value)
             for hook in self._hooks.changes:
                 hook(change)
 
     def _send(self, action: SendMessage) -> None:
-        member = self.membership.last(action.recipient)
+        member = self.membership.latest_member(action.recipient)
         to_start = 0 if member is None else member.start
         try:
             datagram = self._codec.pack(action.message, self.membership.me.start, to_start)
@@ -217,7 +218,7 @@
 
     def _address(self, name: str) -> Endpoint:
         """Where a member is reached: as the settings say, as it says itself, or where it last spoke from."""
-        member = self.membership.last(name)
+        member = self.membership.latest_member(name)
         address = self._peers.get(name) or ("" if member is None else member.address)
         if address:
             try:
--- a/ringledge/members/settings.py
+++ b/ringledge/members/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from ringledge.decide.datagram import NAME_MOST, checked_name
+from ringledge.decide.datagram import MAX_NAME_BYTES, validated_name
 from ringledge.decide.membership.settings import ProbeConfig
 from ringledge.decide.records.settings import RecordsConfig
 from ringledge.members.datagrams import endpoint
@@ -26,7 +26,7 @@
     listen: str = ""  # IP:PORT of the datagrams; empty: peer_listen of RELAY_CONFIG
     advertise: str = ""  # where others reach this member, if not at listen
     everyone: str = ""  # one address that reaches all; peers_all of RELAY_CONFIG counts before it
-    site: Annotated[str, Meta(max_length=NAME_MOST)] = ""
+    site: Annotated[str, Meta(max_length=MAX_NAME_BYTES)] = ""
     peers: dict[str, str] = {}  # name to IP:PORT; RELAY_CONFIG's count before these
     strangers: bool = False  # whether members that `peers` doesn't name may join, if they have the key
     buffer_kb: Annotated[int, Meta(ge=16, le=4096)] = 256  # of datagrams that wait to be read
@@ -38,7 +38,7 @@
             if told := getattr(self, key):
                 _checked(key, told)
         for name, address in self.peers.items():
-            checked_name(name)
+            validated_name(name)
             _checked(f"peers.{name}", address)
 
     def key(self) -> bytes:
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -7,7 +7,7 @@
 from ringledge.decide.interface import ClassDemand, QueueBacklog, RoleAssignment, ServerObservation
 from ringledge.decide.leases import messages as leases
 from ringledge.decide.membership import messages as membership
-from ringledge.decide.paging import BUCKETS
+from ringledge.decide.paging import BUCKET_COUNT
 from ringledge.decide.ratio import role_records as role_rows
 from ringledge.decide.records import messages as records
 from ringledge.decide.replay.capacity_loans import Lend, Lending, Want
@@ -15,19 +15,19 @@
 
 KEY = bytes(range(32))
 TABLES = {"membership": membership.MESSAGES, "facts": records.MESSAGES, "leases": leases.MESSAGES}
-NEWS = membership.News("n1", 77, 3, membership.Status.SUSPECT, "10.0.0.1:9000", "north")
-SUMS = tuple(range(BUCKETS))
+NEWS = membership.MembershipUpdate("n1", 77, 3, membership.MemberStatus.SUSPECT, "10.0.0.1:9000", "north")
+SUMS = tuple(range(BUCKET_COUNT))
 RECORD = records.Record("n1", 77, 4, 5, "server/s1", b"\x01\x02")
 ROW = records.Row("n1", 77, 5)
 
 MESSAGES: tuple[msgspec.Struct, ...] = (
     membership.Ping(77, 78, 9, 1234, (NEWS,)),
     membership.Ack(78, 77, 9, 4321, ()),
-    membership.Ask(77, 78, 9, "n3"),
+    membership.IndirectPingRequest(77, 78, 9, "n3"),
     membership.Join(0, NEWS),
-    membership.Roster(77, 78, (NEWS,)),
-    membership.Look(),
-    membership.Views(77, 78, SUMS),
+    membership.MemberList(77, 78, (NEWS,)),
+    membership.MemberListQuery(),
+    membership.ViewDigests(77, 78, SUMS),
     records.Sums(SUMS),
     records.Rows((ROW,), 6),
     records.Wants((ROW,)),
--- a/tests/compatibility/membership_trace.py
+++ b/tests/compatibility/membership_trace.py
@@ -1,4 +1,4 @@
-"""Records all that membership and its facts say in a fleet with losses, cuts and restarts."""
+"""Records all messages of membership and records in a group with losses, partitions and restarts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _RecordedWorld(World):
-    """Members in virtual time whose datagrams are written down."""
+    """Members in virtual time whose datagrams are recorded."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -27,7 +27,7 @@
 
 
 def _disturb(world: _RecordedWorld, rng: Random, names: list[str]) -> None:
-    """One change of the world between two parts of the day."""
+    """One fault or repair between two phases."""
     name = rng.choice(names)
     match rng.randrange(8):
         case 0 if len(world.nodes) > 2 and name in world.nodes:
@@ -37,17 +37,17 @@
         case 2:
             world.start(name, names[:3])
         case 3:
-            world.loss, world.doubles = rng.choice([0.0, 0.2]), rng.choice([0.0, 0.1])
+            world.loss, world.duplication = rng.choice([0.0, 0.2]), rng.choice([0.0, 0.1])
         case 4:
             some = set(rng.sample(names, len(names) // 2))
-            world.cut = lambda a, b: (a in some) != (b in some)
+            world.is_partitioned = lambda a, b: (a in some) != (b in some)
         case 5:
-            world.cut = lambda a, b: False
-        case 6 if name in world.nodes and not world.nodes[name].stopped:
-            world.stop(name)
+            world.is_partitioned = lambda a, b: False
+        case 6 if name in world.nodes and not world.nodes[name].paused:
+            world.pause(name)
             world.run(rng.uniform(0.2, 3.0))
             if name in world.nodes:
-                world.go_on(name)
+                world.resume(name)
     for each in sorted(world.nodes):
         facts = world.nodes[each].facts
         for _ in range(rng.randrange(4)):
@@ -56,7 +56,7 @@
                 facts.delete(world.now_s, key)
             else:
                 facts.write(world.now_s, key, rng.randbytes(rng.randrange(1, 60)))
-        world.poke(each)
+        world.notify_written(each)
 
 
 def membership_steps() -> Iterator[str]:
@@ -71,5 +71,5 @@
             _disturb(world, rng, names)
         yield from world.steps
         for name, node in sorted(world.nodes.items()):
-            yield f"{name}: {render(node.changes)} {render(node.membership.alive())}"
+            yield f"{name}: {render(node.changes)} {render(node.membership.active_members())}"
             yield f"{name}: {render(sorted(node.facts.values(world.now_s, '').items()))}"
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -12,6 +12,17 @@
 # Types that have been renamed since the golden files were written: name now, name then.
 RENAMED_TYPES = {
     "SendMessage": "Tell",
+    "MembershipUpdate": "News",
+    "MemberList": "Roster",
+    "IndirectPingRequest": "Ask",
+    "ViewDigests": "Views",
+    "MemberListQuery": "Look",
+    "MemberJoined": "Joined",
+    "MemberLeft": "Left",
+    "MemberFailed": "Died",
+    "MemberSuspected": "Suspected",
+    "LocalStartRaised": "Restarted",
+    "LocalMemberSuperseded": "Superseded",
     "LeaseAcquired": "Begin",
     "LeaseEnded": "End",
     "ServerObservation": "ServerSeen",
--- a/tests/compatibility/test_traces.py
+++ b/tests/compatibility/test_traces.py
@@ -23,7 +23,7 @@
     "overload": ("ringledge.decide.overload.admission", "REJECTING_WEIGHT", 0.41),
     "gate": ("ringledge.core.gate", "GIVE_UP_PART", 0.11),
     "leases": ("ringledge.decide.leases.proposer", "EXTEND", 0.26),
-    "membership": ("ringledge.decide.membership.swim", "AGAIN", 4),
+    "membership": ("ringledge.decide.membership.periodic", "REJOIN_INTERVALS", 4),
     "ratio": ("ringledge.decide.ratio.demand_estimate", "BEYOND", 1.2),
     "replay": ("ringledge.decide.replay.rate_control", "FALL", 0.51),
 }
--- a/tests/decide/membership/test_mutants.py
+++ b/tests/decide/membership/test_mutants.py
@@ -1,71 +1,77 @@
-"""Each rule of membership bites: without it a world of the tests comes out otherwise."""
+"""Mutation tests: without each rule of the membership protocol a scenario fails that passes with it."""
 
 import pytest
 
 from benchmarks.members_world import World
-from ringledge.decide.membership import swim as membership
-from ringledge.decide.membership.member_table import Table
-from ringledge.decide.membership.messages import News, Status
+from ringledge.decide.membership import periodic
+from ringledge.decide.membership.member_table import MemberTable
+from ringledge.decide.membership.messages import MembershipUpdate, MemberStatus
 from ringledge.decide.membership.settings import ProbeConfig
-from tests.decide.membership.test_swim import SOON_S, deaths, fleet
+from ringledge.decide.membership.swim import Membership
+from tests.decide.membership.test_swim import CONVERGENCE_LIMIT_S, failures, started_group
 
 
-def test_without_refutation_loss_kills(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership.Membership, "_said", lambda self, now_s, news: [])
-    world = fleet(7, seed=3, loss=0.2)
+def test_without_refutation_loss_causes_failures(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Membership, "_merge_own", lambda self, now_s, update: [])
+    world = started_group(7, seed=3, loss=0.2)
     world.run(120.0)
-    assert deaths(world)
+    assert failures(world)
 
 
-def test_without_the_tries_a_cut_fleet_stays_in_two(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership, "AGAIN", 1e9)
-    world = fleet(8)
-    left = {"n0", "n3", "n4", "n5"}
-    world.cut = lambda a, b: (a in left) != (b in left)
+def test_without_rejoin_attempts_a_partitioned_group_stays_partitioned(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(periodic, "REJOIN_INTERVALS", 1e9)
+    world = started_group(8)
+    minority_side = {"n0", "n3", "n4", "n5"}
+    world.is_partitioned = lambda a, b: (a in minority_side) != (b in minority_side)
     world.run(20.0)
-    world.cut = lambda a, b: False
-    assert world.run(SOON_S, world.agreed) == SOON_S
+    world.is_partitioned = lambda a, b: False
+    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) == CONVERGENCE_LIMIT_S
 
 
-def test_without_the_look_at_its_own_lateness_one_that_stood_still_blames_others(
+def test_without_stall_detection_a_stalled_member_suspects_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(membership, "STALL", 1e9)
-    blamed = 0
+    monkeypatch.setattr(periodic, "MAX_TICK_DELAY_INTERVALS", 1e9)
+    runs_with_failures = 0
     for seed in range(8):
-        world: World = fleet(4, seed)
+        world: World = started_group(4, seed)
         world.run(0.2 + seed / 10)
-        world.cut = lambda a, b: b == "n2"
-        world.run(1.0)  # it has begun to suspect
-        world.stop("n2")
-        world.cut = lambda a, b: False
+        world.is_partitioned = lambda a, b: b == "n2"
+        world.run(1.0)  # long enough to suspect others
+        world.pause("n2")
+        world.is_partitioned = lambda a, b: False
         world.run(10.0)
-        world.nodes["n2"].inbox.clear()  # a full socket lost what came
-        world.go_on("n2")
+        world.nodes["n2"].inbox.clear()  # an overflowed socket buffer lost them
+        world.resume("n2")
         world.run(5.0)
-        blamed += any(who == "n2" for who, _, _ in deaths(world))
-    assert blamed
+        runs_with_failures += any(observer == "n2" for observer, _, _ in failures(world))
+    assert runs_with_failures
 
 
-def test_without_starts_in_order_the_dead_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    first, older = News("a", 9, 0, Status.DEAD), News("a", 8, 5, Status.ALIVE, "a:1")
+def test_without_ordered_starts_an_older_start_revives_a_dead_member(monkeypatch: pytest.MonkeyPatch) -> None:
+    dead = MembershipUpdate("a", 9, 0, MemberStatus.DEAD)
+    older_start = MembershipUpdate("a", 8, 5, MemberStatus.ALIVE, "a:1")
     for mutated in (False, True):
         if mutated:
             monkeypatch.setattr(
-                Table, "merge", lambda self, now_s, news, listed: self._first(now_s, None, news)
+                MemberTable,
+                "merge",
+                lambda self, now_s, update, from_list: self._add_start(now_s, None, update),
             )
-        table = Table(ProbeConfig())
-        table.merge(0.0, first, listed=False)
-        table.merge(1.0, older, listed=False)
-        assert table.peers["a"].there() is mutated
+        table = MemberTable(ProbeConfig())
+        table.merge(0.0, dead, from_list=False)
+        table.merge(1.0, older_start, from_list=False)
+        assert table.peers["a"].is_active() is mutated
 
 
-def test_without_ones_own_ears_a_lie_kills(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_recent_contact_a_false_report_causes_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     for mutated in (False, True):
         if mutated:
-            monkeypatch.setattr(Table, "_heard_lately", lambda self, now_s, peer: False)
-        table = Table(ProbeConfig())
-        table.merge(0.0, News("a", 9, 0, Status.ALIVE, "a:1"), listed=False)
-        table.heard(1.0, "a", 9)
-        table.merge(1.5, News("a", 9, 0, Status.DEAD), listed=False)
-        assert table.peers["a"].there() is not mutated
+            monkeypatch.setattr(MemberTable, "_contacted_recently", lambda self, now_s, peer: False)
+        table = MemberTable(ProbeConfig())
+        table.merge(0.0, MembershipUpdate("a", 9, 0, MemberStatus.ALIVE, "a:1"), from_list=False)
+        table.record_contact(1.0, "a", 9)
+        table.merge(1.5, MembershipUpdate("a", 9, 0, MemberStatus.DEAD), from_list=False)
+        assert table.peers["a"].is_active() is not mutated
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -1,208 +1,229 @@
-"""Who is there, in virtual time: deaths, refutations, restarts, cuts."""
+"""Membership in virtual time: failures, refutations, restarts, partitions."""
 
 import pytest
 
 from benchmarks.members_world import World
-from ringledge.decide.membership.messages import Ack, News, Roster
-from ringledge.decide.membership.swim import EVERYONE, Died, Joined, Left, Restarted, Status, Superseded
+from ringledge.decide.membership.changes import (
+    FailureReason,
+    LocalMemberSuperseded,
+    LocalStartRaised,
+    MemberFailed,
+    MemberJoined,
+    MemberLeft,
+)
+from ringledge.decide.membership.messages import Ack, MemberList, MembershipUpdate, MemberStatus
+from ringledge.decide.membership.swim import BROADCAST, Membership
 
-SOON_S = 30.0  # in which anything here has to settle
+CONVERGENCE_LIMIT_S = 30.0  # within which every group here has to converge
 
 
-def fleet(count: int, seed: int = 1, loss: float = 0.0) -> World:
+def started_group(count: int, seed: int = 1, loss: float = 0.0) -> World:
     world = World(seed)
-    names = [f"n{at}" for at in range(count)]
+    names = [f"n{number}" for number in range(count)]
     for name in names:
         world.start(name, names[:3])
     world.loss = loss
-    assert world.run(SOON_S, world.agreed) < SOON_S
+    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < CONVERGENCE_LIMIT_S
     return world
 
 
-def deaths(world: World) -> list[tuple[str, str, str]]:
-    """Who took whom for dead, and why."""
+def failures(world: World) -> list[tuple[str, str, FailureReason]]:
+    """Who declared whom failed, and the reason."""
     return [
-        (name, change.member.name, change.why)
+        (name, change.member.name, change.reason)
         for name, node in world.nodes.items()
         for _, change in node.changes
-        if isinstance(change, Died)
+        if isinstance(change, MemberFailed)
     ]
 
 
+def latest_start(membership: Membership, name: str) -> int:
+    member = membership.latest_member(name)
+    assert member is not None
+    return member.start
+
+
 @pytest.mark.parametrize("count", [2, 3, 12])
-def test_a_death_is_heard_of_by_all_and_by_nobody_of_anyone_else(count: int) -> None:
-    world = fleet(count)
+def test_killed_member_is_declared_failed_by_every_other_member(count: int) -> None:
+    world = started_group(count)
     world.kill("n1")
-    took_s = world.run(SOON_S, world.agreed)
-    assert world.probe.suspicion_s(count) <= took_s < 10.0
-    assert {(name, "n1", "silent") for name in world.nodes} == set(deaths(world))
+    elapsed_s = world.run(CONVERGENCE_LIMIT_S, world.has_converged)
+    assert world.probe.suspicion_timeout_s(count) <= elapsed_s < 10.0
+    assert {(name, "n1", FailureReason.SILENT) for name in world.nodes} == set(failures(world))
 
 
-def test_nobody_is_taken_for_dead_where_each_fifth_datagram_is_lost() -> None:
-    world = fleet(7, seed=3, loss=0.2)
-    world.doubles = 0.1
+def test_no_member_is_declared_failed_at_twenty_percent_loss() -> None:
+    world = started_group(7, seed=3, loss=0.2)
+    world.duplication = 0.1
     world.run(120.0)
-    assert world.lost > 500 and deaths(world) == [] and world.agreed()
+    assert world.lost_datagrams > 500 and failures(world) == [] and world.has_converged()
 
 
-def test_one_who_loses_every_second_datagram_comes_back_whenever_it_was_given_up() -> None:
-    world = fleet(5)
-    world.cut = lambda a, b: "n1" in (a, b) and world.rng.random() < 0.5
+def test_member_with_half_of_its_datagrams_lost_rejoins_after_each_failure() -> None:
+    world = started_group(5)
+    world.is_partitioned = lambda a, b: "n1" in (a, b) and world.rng.random() < 0.5
     world.run(120.0)
-    world.cut = lambda a, b: False
-    assert world.run(SOON_S, world.agreed) < SOON_S
+    world.is_partitioned = lambda a, b: False
+    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < CONVERGENCE_LIMIT_S
 
 
-def test_a_fleet_cut_in_two_grows_together_again_without_a_death_inside_a_part() -> None:
-    world = fleet(8)
-    left = {"n0", "n3", "n4", "n5"}  # n1 and n2, the other seeds, on the other side
-    world.cut = lambda a, b: (a in left) != (b in left)
+def test_partitioned_group_merges_without_failures_inside_a_partition() -> None:
+    world = started_group(8)
+    minority_side = {"n0", "n3", "n4", "n5"}  # n1 and n2, the other seeds, on the other side
+    world.is_partitioned = lambda a, b: (a in minority_side) != (b in minority_side)
     world.run(20.0)
-    assert {each.name for each in world.nodes["n3"].membership.alive()} == left and world.lost > 50
-    world.cut = lambda a, b: False
-    assert world.run(SOON_S, world.agreed) < SOON_S
-    assert all((who in left) != (whom in left) for who, whom, _ in deaths(world))
-
-
-def test_one_heard_by_some_and_not_by_others_stays() -> None:
-    world = fleet(5)
-    world.cut = lambda a, b: {a, b} == {"n1", "n4"}
+    assert {
+        each.name for each in world.nodes["n3"].membership.active_members()
+    } == minority_side and world.lost_datagrams > 50
+    world.is_partitioned = lambda a, b: False
+    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < CONVERGENCE_LIMIT_S
+    assert all(
+        (observer in minority_side) != (failed in minority_side) for observer, failed, _ in failures(world)
+    )
+
+
+def test_member_that_only_indirect_probes_reach_stays_alive() -> None:
+    world = started_group(5)
+    world.is_partitioned = lambda a, b: {a, b} == {"n1", "n4"}
     world.run(60.0)
-    assert world.lost > 20 and deaths(world) == []  # the others are asked to ask
+    assert world.lost_datagrams > 20 and failures(world) == []  # helpers probe it indirectly
 
 
-def test_members_that_know_no_name_find_each_other_where_all_are_heard_at_once() -> None:
+def test_members_without_seed_names_discover_each_other_by_broadcast() -> None:
     world = World(1)
     for name in ("n0", "n1", "n2"):
-        world.start(name, [EVERYONE])
-    assert world.run(SOON_S, world.agreed) < 2.0
+        world.start(name, [BROADCAST])
+    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < 2.0
     before = [node.datagrams for node in world.nodes.values()]
-    world.run(20.0)  # and nobody goes on calling all of them
+    world.run(20.0)  # and no member keeps broadcasting
     assert all(now.datagrams - then < 20 * 6 for now, then in zip(world.nodes.values(), before, strict=True))
 
 
-def test_a_restart_supersedes_at_once_and_is_another_member() -> None:
-    world = fleet(5)
+def test_restarted_member_supersedes_its_previous_start_at_once() -> None:
+    world = started_group(5)
     old = world.nodes["n4"].membership.me
     world.run(1.0)
     world.kill("n4")
     new = world.start("n4", ["n0"]).membership.me
-    assert world.run(SOON_S, world.agreed) < 2.0 and new.start > old.start
+    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < 2.0 and new.start > old.start
     changes = [change for _, change in world.nodes["n0"].changes]
-    at = changes.index(Died(old, "superseded"))
-    assert Joined(new) in changes[at:]
+    superseded_index = changes.index(MemberFailed(old, FailureReason.SUPERSEDED))
+    assert MemberJoined(new) in changes[superseded_index:]
 
 
-def test_gossip_does_not_revive_an_older_start_nor_one_that_left() -> None:
-    world = fleet(3)
+def test_gossip_revives_neither_an_older_start_nor_a_departed_member() -> None:
+    world = started_group(3)
     world.leave("n2")
     world.run(5.0)
-    here = world.nodes["n0"].membership
-    assert here.members()["n2"] is Status.LEFT
-    assert any(isinstance(change, Left) for _, change in world.nodes["n1"].changes)
-    start = here.last("n2").start  # type: ignore[union-attr]
-    for told in (start, start - 1):
+    observer = world.nodes["n0"].membership
+    assert observer.statuses()["n2"] is MemberStatus.LEFT
+    assert any(isinstance(change, MemberLeft) for _, change in world.nodes["n1"].changes)
+    departed_start, sender_start = latest_start(observer, "n2"), latest_start(observer, "n1")
+    for start in (departed_start, departed_start - 1):
         for incarnation in (0, 7):
-            news = News("n2", told, incarnation, Status.ALIVE, "n2:1", "s")
-            here.receive(world.now_s, "n1", Roster(here.last("n1").start, here.me.start, (news,)))  # type: ignore[union-attr]
-    assert here.members()["n2"] is Status.LEFT and len(here.alive()) == 2
+            stale = MembershipUpdate("n2", start, incarnation, MemberStatus.ALIVE, "n2:1", "s")
+            observer.receive(world.now_s, "n1", MemberList(sender_start, observer.me.start, (stale,)))
+    assert observer.statuses()["n2"] is MemberStatus.LEFT and len(observer.active_members()) == 2
 
 
-def test_one_that_hears_itself_called_dead_refutes_it() -> None:
-    world = fleet(4)
-    said = world.nodes["n2"].membership.me
-    news = News("n2", said.start, 0, Status.DEAD)
+def test_member_reported_dead_refutes_it() -> None:
+    world = started_group(4)
+    accused = world.nodes["n2"].membership.me
+    false_death = MembershipUpdate("n2", accused.start, 0, MemberStatus.DEAD)
     for name in ("n0", "n1", "n3"):
-        member = world.nodes[name].membership
-        lie = Roster(0, member.me.start, (news,))
-        member.receive(world.now_s, "n9", lie)
-    assert world.run(SOON_S, lambda: not world.nodes["n0"].membership.members()["n2"]) < 5.0
+        receiver = world.nodes[name].membership
+        receiver.receive(world.now_s, "n9", MemberList(0, receiver.me.start, (false_death,)))
+    assert world.run(CONVERGENCE_LIMIT_S, lambda: not world.nodes["n0"].membership.statuses()["n2"]) < 5.0
     world.run(10.0)
-    assert world.agreed() and deaths(world) == []  # who is told so by a list suspects first
+    assert world.has_converged() and failures(world) == []  # a death in a list raises a suspicion first
 
 
-def test_a_death_told_by_another_does_not_outweigh_ones_own_ears() -> None:
-    world = fleet(3)
+def test_reported_death_of_a_recently_contacted_member_raises_a_suspicion_only() -> None:
+    world = started_group(3)
     world.run(5.0)
-    said, here = world.nodes["n2"].membership.me, world.nodes["n0"].membership
-    lie = Ack(here.last("n1").start, here.me.start, 0, 0, (News("n2", said.start, 5, Status.DEAD),))  # type: ignore[union-attr]
-    here.receive(world.now_s, "n1", lie)
-    assert here.members()["n2"] is Status.SUSPECT
+    accused = world.nodes["n2"].membership.me
+    observer = world.nodes["n0"].membership
+    false_death = MembershipUpdate("n2", accused.start, 5, MemberStatus.DEAD)
+    ack = Ack(latest_start(observer, "n1"), observer.me.start, 0, 0, (false_death,))
+    observer.receive(world.now_s, "n1", ack)
+    assert observer.statuses()["n2"] is MemberStatus.SUSPECT
     world.run(10.0)
-    assert world.agreed() and deaths(world) == []
+    assert world.has_converged() and failures(world) == []
 
 
-def test_five_cut_two_two_one_are_one_again() -> None:
-    world = fleet(5)
-    parts = {"n0": 0, "n1": 0, "n2": 1, "n3": 1, "n4": 2}
-    world.cut = lambda a, b: parts[a] != parts[b]
+def test_three_way_partition_merges_once_healed() -> None:
+    world = started_group(5)
+    partition_of = {"n0": 0, "n1": 0, "n2": 1, "n3": 1, "n4": 2}
+    world.is_partitioned = lambda a, b: partition_of[a] != partition_of[b]
     world.run(20.0)
-    assert [len(node.membership.alive()) for node in world.nodes.values()] == [2, 2, 2, 2, 1]
-    world.cut = lambda a, b: False
-    assert world.run(SOON_S, world.agreed) < SOON_S
-    assert all(parts[who] != parts[whom] for who, whom, _ in deaths(world))
+    assert [len(node.membership.active_members()) for node in world.nodes.values()] == [2, 2, 2, 2, 1]
+    world.is_partitioned = lambda a, b: False
+    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < CONVERGENCE_LIMIT_S
+    assert all(partition_of[observer] != partition_of[failed] for observer, failed, _ in failures(world))
 
 
-def test_one_that_stood_still_blames_nobody_and_is_back() -> None:
-    world = fleet(4)
-    world.stop("n2")
+def test_stalled_member_suspects_nobody_and_rejoins() -> None:
+    world = started_group(4)
+    world.pause("n2")
     world.run(10.0)
-    assert world.nodes["n0"].membership.members()["n2"] is Status.DEAD
-    world.go_on("n2")
-    assert world.run(SOON_S, world.agreed) < 5.0
-    assert not [each for each in deaths(world) if each[0] == "n2"]
+    assert world.nodes["n0"].membership.statuses()["n2"] is MemberStatus.DEAD
+    world.resume("n2")
+    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < 5.0
+    assert not [each for each in failures(world) if each[0] == "n2"]
 
 
-def test_a_clock_that_stepped_back_costs_no_place() -> None:
-    world = fleet(4)
+def test_member_restarted_with_an_earlier_clock_rejoins_under_a_higher_start() -> None:
+    world = started_group(4)
     world.run(20.0)
     old = world.nodes["n1"].membership.me
     world.kill("n1")
     node = world.start("n1", ["n0"], start=0)
-    assert world.run(SOON_S, world.agreed) < 10.0
+    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < 10.0
     assert node.membership.me.start == old.start + 1
-    assert any(isinstance(change, Restarted) for _, change in node.changes)
+    assert any(isinstance(change, LocalStartRaised) for _, change in node.changes)
 
 
-def test_a_predecessor_falls_silent_when_it_hears_of_its_successor() -> None:
-    world = fleet(3)
+def test_predecessor_stops_once_it_learns_of_its_successor() -> None:
+    world = started_group(3)
     world.run(30.0)
-    old = world.nodes["n1"]
-    world.start("n1", ["n0"])  # the predecessor goes on, and hears of it
-    old.membership.receive(world.now_s, "n0", Roster(0, world.nodes["n1"].membership.me.start, ()))
-    assert old.membership.silent and not old.membership.tick(world.now_s)
-    assert any(isinstance(change, Superseded) for change in old.membership.changes())
+    predecessor = world.nodes["n1"]
+    world.start("n1", ["n0"])  # the predecessor keeps running, and learns of it
+    predecessor.membership.receive(
+        world.now_s, "n0", MemberList(0, world.nodes["n1"].membership.me.start, ())
+    )
+    assert predecessor.membership.stopped and not predecessor.membership.tick(world.now_s)
+    assert any(isinstance(change, LocalMemberSuperseded) for change in predecessor.membership.take_changes())
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_any_mix_of_faults_settles(seed: int) -> None:
-    """Loss, doubles, restarts, cuts, stalls as drawn: all agree at last, and no start is ever taken back."""
-    world = fleet(6, seed)
-    seen: dict[tuple[str, str], int] = {}
+def test_group_converges_after_random_faults(seed: int) -> None:
+    """Random loss, duplication, restarts, partitions and stalls: all converge, no start decreases."""
+    world = started_group(6, seed)
+    latest_seen: dict[tuple[str, str], int] = {}
 
-    def starts_only_grow(world: World) -> None:
+    def assert_starts_never_decrease(world: World) -> None:
         for name, node in world.nodes.items():
-            for member in node.membership.alive():
+            for member in node.membership.active_members():
                 key = (f"{name}/{node.membership.me.start}", member.name)
-                assert seen.get(key, 0) <= member.start
-                seen[key] = member.start
+                assert latest_seen.get(key, 0) <= member.start
+                latest_seen[key] = member.start
 
-    world.checks.append(starts_only_grow)
-    world.loss, world.doubles = world.rng.uniform(0, 0.3), 0.1
+    world.checks.append(assert_starts_never_decrease)
+    world.loss, world.duplication = world.rng.uniform(0, 0.3), 0.1
     for _ in range(6):
         name = world.rng.choice(sorted(world.nodes))
-        what = world.rng.choice(["restart", "cut", "stop"])
-        if what == "restart":
+        fault = world.rng.choice(["restart", "partition", "pause"])
+        if fault == "restart":
             world.kill(name)
             world.run(world.rng.uniform(0, 4))
             world.start(name, ["n0", "n1", "n2"])
-        elif what == "cut":
-            world.cut = lambda a, b, name=name: a == name  # type: ignore[misc]
+        elif fault == "partition":
+            world.is_partitioned = lambda a, b, name=name: a == name  # type: ignore[misc]
             world.run(world.rng.uniform(0, 8))
-            world.cut = lambda a, b: False
+            world.is_partitioned = lambda a, b: False
         else:
-            world.stop(name)
+            world.pause(name)
             world.run(world.rng.uniform(0, 8))
-            world.go_on(name)
+            world.resume(name)
     world.loss = 0.0
-    assert world.run(60.0, world.agreed) < 60.0
+    assert world.run(60.0, world.has_converged) < 60.0
--- a/tests/decide/records/test_replicated_records.py
+++ b/tests/decide/records/test_replicated_records.py
@@ -12,12 +12,12 @@
 from ringledge.decide.records.replicated_records import ReplicatedRecords
 from ringledge.decide.records.settings import RecordsConfig
 from ringledge.decide.records.writer_log import Book
-from tests.decide.membership.test_swim import SOON_S, fleet
+from tests.decide.membership.test_swim import CONVERGENCE_LIMIT_S, started_group
 
 
 def put(world: World, name: str, key: str, value: bytes) -> None:
     world.nodes[name].facts.write(world.now_s, key, value)
-    world.poke(name)
+    world.notify_written(name)
 
 
 def known(world: World, prefix: str = "") -> list[dict[tuple[str, str], bytes]]:
@@ -25,24 +25,24 @@
 
 
 def test_a_change_is_heard_by_all_and_the_last_one_stays() -> None:
-    world = fleet(6)
+    world = started_group(6)
     protocol: RecordStore = world.nodes["n0"].facts
     for at in range(5):
         protocol.write(world.now_s, "plan/a", b"%d" % at)
         put(world, "n1", "plan/a", b"other")
         world.run(0.01)
     wanted = {("n0", "plan/a"): b"4", ("n1", "plan/a"): b"other"}
-    assert world.run(SOON_S, lambda: all(each == wanted for each in known(world, "plan/"))) < 3.0
+    assert world.run(CONVERGENCE_LIMIT_S, lambda: all(each == wanted for each in known(world, "plan/"))) < 3.0
     protocol.delete(world.now_s, "plan/a")
-    world.poke("n0")
+    world.notify_written("n0")
     del wanted["n0", "plan/a"]
-    assert world.run(SOON_S, lambda: all(each == wanted for each in known(world))) < 3.0
+    assert world.run(CONVERGENCE_LIMIT_S, lambda: all(each == wanted for each in known(world))) < 3.0
     assert known(world, "plan/b") == [{}] * 6
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_a_hundred_keys_of_each_reach_a_newcomer(loss: float) -> None:
-    world = fleet(4)
+    world = started_group(4)
     for name in list(world.nodes):
         for at in range(100):
             put(world, name, f"server/{at}", bytes(60))
@@ -53,11 +53,11 @@
 
 
 def test_what_was_said_outlasts_its_writer_for_the_stated_time_and_no_longer() -> None:
-    world = fleet(4)
+    world = started_group(4)
     put(world, "n3", "backlog/a", b"9")
     world.run(5.0)
     world.kill("n3")
-    world.run(SOON_S, world.agreed)
+    world.run(CONVERGENCE_LIMIT_S, world.has_converged)
     agreed_s = world.now_s
     lifetime_s = world.facts.lifetime_s
     world.run(lifetime_s - 10.0)
@@ -69,36 +69,47 @@
 
 
 def test_a_restarted_writer_has_said_nothing_yet() -> None:
-    world = fleet(4)
+    world = started_group(4)
     for at in range(9):
         put(world, "n3", f"demand/{at}", b"old")
     world.run(5.0)
     world.kill("n3")
     world.start("n3", ["n0"])
     put(world, "n3", "demand/0", b"new")
-    assert world.run(SOON_S, lambda: all(each == {("n3", "demand/0"): b"new"} for each in known(world))) < 5.0
+    assert (
+        world.run(
+            CONVERGENCE_LIMIT_S, lambda: all(each == {("n3", "demand/0"): b"new"} for each in known(world))
+        )
+        < 5.0
+    )
 
 
 def test_a_writer_that_takes_a_higher_start_says_all_again() -> None:
-    world = fleet(4)
+    world = started_group(4)
     world.run(20.0)
     world.kill("n1")
     world.start("n1", ["n0"], start=0)
     put(world, "n1", "plan/a", b"x")
-    assert world.run(SOON_S, lambda: all(each == {("n1", "plan/a"): b"x"} for each in known(world))) < 10.0
+    assert (
+        world.run(CONVERGENCE_LIMIT_S, lambda: all(each == {("n1", "plan/a"): b"x"} for each in known(world)))
+        < 10.0
+    )
 
 
 def test_parts_of_a_cut_fleet_tell_each_other_what_they_missed() -> None:
-    world = fleet(6)
-    left = {"n0", "n3", "n4"}
-    world.cut = lambda a, b: (a in left) != (b in left)
+    world = started_group(6)
+    minority_side = {"n0", "n3", "n4"}
+    world.is_partitioned = lambda a, b: (a in minority_side) != (b in minority_side)
     world.run(15.0)
     put(world, "n3", "plan/a", b"left")
     put(world, "n5", "plan/a", b"right")
     world.run(10.0)
     assert all(len(each) == 1 for each in known(world))
-    world.cut = lambda a, b: False
-    assert world.run(SOON_S, lambda: all(len(each) == 2 for each in known(world))) < SOON_S
+    world.is_partitioned = lambda a, b: False
+    assert (
+        world.run(CONVERGENCE_LIMIT_S, lambda: all(len(each) == 2 for each in known(world)))
+        < CONVERGENCE_LIMIT_S
+    )
 
 
 def test_nobody_else_speaks_for_a_writer_and_an_older_start_is_not_believed() -> None:
--- a/tests/members/test_codec.py
+++ b/tests/members/test_codec.py
@@ -7,11 +7,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.decide.datagram import BODY_MOST, FIXED_BYTES, NAME_MOST, START_MOST
+from ringledge.decide.datagram import FIXED_HEADER_BYTES, MAX_BODY_BYTES, MAX_NAME_BYTES, MAX_START
 from ringledge.decide.interface import MAX_DATAGRAM_BYTES
 from ringledge.decide.membership import messages as membership_messages
-from ringledge.decide.membership.messages import Ack, Ask, Join, Look, News, Ping, Roster, Status, Views
-from ringledge.decide.paging import BUCKETS
+from ringledge.decide.membership.messages import (
+    Ack,
+    IndirectPingRequest,
+    Join,
+    MemberList,
+    MemberListQuery,
+    MembershipUpdate,
+    MemberStatus,
+    Ping,
+    ViewDigests,
+)
+from ringledge.decide.paging import BUCKET_COUNT
 from ringledge.decide.records import messages as facts_messages
 from ringledge.decide.records.messages import Record, Records, Row, Rows, Sums, Wants
 from ringledge.members.codec import FIRST_KIND, SPAN, Codec, Drop, MalformedError
@@ -20,21 +30,21 @@
 KEY = bytes(range(32))
 TABLES = {"membership": membership_messages.MESSAGES, "facts": facts_messages.MESSAGES}
 
-names = st.text(st.characters(codec="ascii", categories=["L", "N"]), min_size=1, max_size=NAME_MOST)
-starts = st.integers(0, START_MOST)
+names = st.text(st.characters(codec="ascii", categories=["L", "N"]), min_size=1, max_size=MAX_NAME_BYTES)
+starts = st.integers(0, MAX_START)
 words = st.integers(0, (1 << 32) - 1)
-news = st.builds(News, names, starts, words, st.sampled_from(Status), names, names)
+news = st.builds(MembershipUpdate, names, starts, words, st.sampled_from(MemberStatus), names, names)
 few = st.lists(news, max_size=1).map(tuple)
-sums = st.lists(words, min_size=BUCKETS, max_size=BUCKETS).map(tuple)
+sums = st.lists(words, min_size=BUCKET_COUNT, max_size=BUCKET_COUNT).map(tuple)
 rows = st.lists(st.builds(Row, names, starts, words), max_size=3).map(tuple)
 messages = st.one_of(
     st.builds(Ping, starts, starts, words, words, few),
     st.builds(Ack, starts, starts, words, words, few),
-    st.builds(Ask, starts, starts, words, names),
+    st.builds(IndirectPingRequest, starts, starts, words, names),
     st.builds(Join, starts, news),
-    st.builds(Roster, starts, starts, few),
-    st.just(Look()),
-    st.builds(Views, starts, starts, sums),
+    st.builds(MemberList, starts, starts, few),
+    st.just(MemberListQuery()),
+    st.builds(ViewDigests, starts, starts, sums),
     st.builds(Sums, sums),
     st.builds(Rows, rows, words),
     st.builds(Wants, rows),
@@ -85,11 +95,11 @@
 
 
 @settings(max_examples=500, deadline=None)
-@given(st.integers(0, 255), st.binary(min_size=1, max_size=BODY_MOST))
+@given(st.integers(0, 255), st.binary(min_size=1, max_size=MAX_BODY_BYTES))
 def test_a_body_of_one_who_has_the_key_is_checked_too(kind: int, body: bytes) -> None:
     sender = codec()
-    packed = sender.pack(Ask(1, 1, 1, "x"), 1, 1)
-    head = packed[:1] + bytes((kind,)) + packed[2 : FIXED_BYTES - 12 + 1]
+    packed = sender.pack(IndirectPingRequest(1, 1, 1, "x"), 1, 1)
+    head = packed[:1] + bytes((kind,)) + packed[2 : FIXED_HEADER_BYTES - 12 + 1]
     reason = why(head + sender._tag(head, body) + body)
     if kind not in sender._readers:
         assert reason is Drop.KIND
@@ -99,17 +109,24 @@
 
 def test_each_reason() -> None:
     sender = codec()
-    packed = sender.pack(Ask(1, 1, 1, "x"), 1, 1)
+    packed = sender.pack(IndirectPingRequest(1, 1, 1, "x"), 1, 1)
     assert why(packed) is None
     assert why(packed + bytes(MAX_DATAGRAM_BYTES)) is Drop.TOO_LONG
     assert why(packed[:30]) is Drop.TOO_SHORT
     assert why(b"\x09" + packed[1:]) is Drop.VERSION
     assert why(packed, codec("b", cluster="other")) is Drop.CLUSTER
     assert why(packed, codec("b", key=bytes(32))) is Drop.TAG
-    assert why(Codec("yards", KEY, "a", {"leases": (Ask,)}).pack(Ask(1, 1, 1, "x"), 1, 1)) is Drop.KIND
+    assert (
+        why(
+            Codec("yards", KEY, "a", {"leases": (IndirectPingRequest,)}).pack(
+                IndirectPingRequest(1, 1, 1, "x"), 1, 1
+            )
+        )
+        is Drop.KIND
+    )
     long_name = "é" * 30  # a name that no member has: its writer keeps other rules
     sender._name = long_name.encode()
-    assert why(sender.pack(Ask(1, 1, 1, "x"), 1, 1)) is Drop.BODY
+    assert why(sender.pack(IndirectPingRequest(1, 1, 1, "x"), 1, 1)) is Drop.BODY
 
 
 def test_what_is_too_long_is_never_packed() -> None:
--- a/tests/members/test_component.py
+++ b/tests/members/test_component.py
@@ -19,7 +19,7 @@
 from ringledge.members.component import MembersPart
 from ringledge.members.settings import MembersConfig
 
-QUICK = ProbeConfig(interval_s=0.1, answer_s=0.04)
+QUICK = ProbeConfig(interval_s=0.1, ack_timeout_s=0.04)
 LONG_S = 30.0  # a busy machine's bound; nothing here waits for it to pass
 
 
@@ -53,7 +53,7 @@
     parts = [first, part(folder, "n1", {"n0": address}), part(folder, "n2", {"n0": address})]
     for each in parts[1:]:
         each.start(tasks)
-    await until(lambda: all(len(each.membership.alive()) == 3 for each in parts))
+    await until(lambda: all(len(each.membership.active_members()) == 3 for each in parts))
     return parts, address
 
 
@@ -71,8 +71,8 @@
             await until(lambda: dropped(parts[0], "tag") > 0)
             intruder.stop()
             parts[2].stop()
-            await until(lambda: len(parts[0].membership.alive()) == 2)
-            assert not dropped(parts[0], "body") and len(intruder.membership.alive()) == 1
+            await until(lambda: len(parts[0].membership.active_members()) == 2)
+            assert not dropped(parts[0], "body") and len(intruder.membership.active_members()) == 1
             for each in parts[:2]:
                 each.stop()
 
@@ -90,7 +90,7 @@
             await anyio.lowlevel.checkpoint()
             parts[0].stop()
             await heir.bound()
-            await until(lambda: heir.membership.me in parts[2].membership.alive())
+            await until(lambda: heir.membership.me in parts[2].membership.active_members())
             for each in (*parts[1:], heir):
                 each.stop()
 
@@ -138,12 +138,12 @@
             # n0 does not know n1 when the first comes; once it does, the next is taken.
             await until(lambda: dropped(one, "sender_unknown") + dropped(one, "other_start") > 0)
             assert not listener.heard
-            await until(lambda: len(one.membership.alive()) == 2)
+            await until(lambda: len(one.membership.active_members()) == 2)
             assert two.service is not None
             two.service.act(talker.tick(0.0))
             await until(lambda: listener.heard == [("n1", "hello")])
             assert isinstance(begun[0], LeaseAcquired)
-            one.membership.silent = True  # as with a successor: no decider of it hears or says any more
+            one.membership.stopped = True  # as with a successor: no decider of it hears or says any more
             two.service.act(talker.tick(0.0))
             await until(lambda: dropped(one, "silent") > 0)
             assert len(listener.heard) == 1
@@ -171,7 +171,7 @@
             assert [line.split()[:2] for line in told.output.splitlines()] == [
                 [f"n{at}", "alive"] for at in range(3)
             ]
-            assert len(parts[0].membership.members()) == 3  # who looks is no member
+            assert len(parts[0].membership.statuses()) == 3  # who looks is no member
             for each in parts:
                 each.stop()
             await until(lambda: not tasks_running(parts))
