--- a/tests/compatibility/handover_peer.py
+++ b/tests/compatibility/handover_peer.py
@@ -5,6 +5,7 @@
 import json
 import os
 import socket
+import time
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
@@ -14,6 +15,7 @@
 
 MESSAGE_BYTES = 64 * 1024
 LISTENERS = 8
+POLL_S = 0.005  # between two looks for the socket
 SOCKET = "ringledge-n1.sock"  # where the processes of the conductor n1 meet
 
 
@@ -58,7 +60,11 @@
 
 
 def connect(folder: Path) -> Peer:
-    """Come as a successor to the process that serves."""
+    """Come as a successor to the process that serves; it opens its socket a moment after it is ready."""
+    give_up_s = time.monotonic() + WAIT_S
+    while not (folder / SOCKET).exists():
+        assert time.monotonic() < give_up_s, f"no {SOCKET} in {folder}"
+        time.sleep(POLL_S)
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     with _short(folder) as path:
         sock.connect(path)
