--- a/ringledge/cli/serve.py
+++ b/ringledge/cli/serve.py
@@ -30,7 +30,7 @@
 @click.option("--log-level", type=click.Choice(LEVELS), default="info", envvar="RINGLEDGE_LOG_LEVEL")
 def serve(log_level: str = "info") -> None:
     """Serve (the default), by RELAY_CONFIG and the files under deploy/."""
-    signals.hold_hangup()  # until the program listens for it
+    signals.block_reload_signals()  # until the program handles them
     config = _load()
     log.configure(log_level, config.name)
     anyio.run(serving.serve, config, backend_options={"loop_factory": _make_loop})
--- a/ringledge/core/registry.py
+++ b/ringledge/core/registry.py
@@ -10,10 +10,10 @@
 class Peer(Protocol):
     """Another process of this conductor, while the two overlap."""
 
-    ids: set[str]  # requests that it has open
+    open_request_ids: set[str]  # requests that it has open
 
-    def note(self, request: str, opened: bool) -> None:
-        """Have it told that a request was opened here, or has ended."""
+    def on_request_change(self, request_id: str, is_open: bool) -> None:
+        """A request was opened here, or has ended: notify the other process."""
 
 
 class RequestRegistry:
@@ -25,7 +25,7 @@
 
     def is_open(self, name: str) -> bool:
         """Whether a request with that id is open, here or in another process."""
-        return name in self.records or any(name in peer.ids for peer in self.peers)
+        return name in self.records or any(name in peer.open_request_ids for peer in self.peers)
 
     def unanswered(self) -> int:
         """How many requests are still owed their answer's end."""
@@ -35,10 +35,10 @@
         """Register a request."""
         self.records[record.name] = record
         for peer in self.peers:
-            peer.note(record.name, True)
+            peer.on_request_change(record.name, True)
 
     def remove(self, record: Record) -> None:
         """A request is done."""
         del self.records[record.name]
         for peer in self.peers:
-            peer.note(record.name, False)
+            peer.on_request_change(record.name, False)
--- a/ringledge/lifecycle/components/chat.py
+++ b/ringledge/lifecycle/components/chat.py
@@ -2,28 +2,37 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
+from ringledge.lifecycle.component import Component
+from ringledge.lifecycle.context import ProgramContext
 from ringledge.lifecycle.fronts import Service
-from ringledge.lifecycle.shared import Part, Shared
 from ringledge.wire.clients.chat import Chat, error_body
 from ringledge.wire.clients.chat_settings import ChatConfig
 
-ANSWERS_PART = 8  # of the memory, for answers that are kept
+if TYPE_CHECKING:
+    from ringledge.lifecycle.components.overload import OverloadControl
+    from ringledge.wire.clients.chat.queued import QueuedChat
+
+RETAINED_RESPONSES_DIVISOR = 8  # of the memory, for responses that are retained
 
 
-def part(shared: Shared) -> Part:
-    """Open it."""
-    config = shared.config
-    told = config.extra(ChatConfig)
-    most_bytes = config.memory / ANSWERS_PART
-    chats = Chat(
-        told,
+def create(
+    context: ProgramContext, overload: OverloadControl | None, queued_chat: QueuedChat | None
+) -> Component:
+    """Open the front; expired chats are deleted from the start on."""
+    config = context.config
+    settings = config.extra(ChatConfig)
+    max_retained_bytes = config.memory / RETAINED_RESPONSES_DIVISOR
+    chat = Chat(
+        settings,
         config.settings,
         config.names,
-        shared.conductor,
-        most_bytes,
-        shared.gate,
-        shared.held,
-        shared.queued,
+        context.conductor,
+        max_retained_bytes,
+        None if overload is None else overload.gate,
+        None if overload is None else overload.buffered_bytes,
+        queued_chat,
     )
-    shared.fronts.open(Service("chat", told.listen, chats.handle, error_body))
-    return Part(start=lambda: shared.tasks.start_soon(chats.reap))
+    context.fronts.open(Service("chat", settings.listen, chat.handle, error_body))
+    return Component(start=lambda: context.tasks.start_soon(chat.reap))
--- /dev/null
+++ b/ringledge/lifecycle/components/lease_holder_duties.py
@@ -0,0 +1,92 @@
+"""Duties that one member of the cluster performs at a time: the holder of the duty's lease."""
+
+from __future__ import annotations
+
+import random
+import time
+
+import anyio
+import anyio.abc
+
+from ringledge.decide.leases.manager import MESSAGES, Leases
+from ringledge.decide.leases.recovery import Learning
+from ringledge.decide.membership.swim import Change, Restarted
+from ringledge.lifecycle.component import Component
+from ringledge.lifecycle.context import ProgramContext
+from ringledge.members.clock_adapter import ClockAdapter, now_s
+from ringledge.members.cluster import Fleet
+from ringledge.members.duties import Duties
+from ringledge.members.duty_settings import DutiesConfig
+from ringledge.observe.logging import log
+
+ACCEPTOR_POLL_INTERVAL_S = 0.05  # how often it is checked whether a restarted acceptor votes again
+
+
+def create(context: ProgramContext, fleet: Fleet) -> Component:
+    """Vote on leases, and acquire those of all duties that are registered when the program is ready."""
+    duties = LeaseHolderDuties(fleet, context.config.extra(DutiesConfig), context.tasks)
+    return Component(start=duties.start, on_ready=duties.acquire_all, stop=duties.stop)
+
+
+class LeaseHolderDuties:
+    """Connects the leases to the cluster's membership and to the duties that the lease holder performs."""
+
+    def __init__(self, fleet: Fleet, settings: DutiesConfig, tasks: anyio.abc.TaskGroup) -> None:
+        self._fleet, self._members, self._tasks = fleet, fleet.members, tasks
+        me = fleet.members.membership.me
+        self._leases = Leases(
+            now_s(), me.name, me.start, settings.terms(), random.Random(), settings.spread()
+        )
+        self._duties = Duties(fleet.duties, self._leases, tasks, self._give_up, now_s)
+        fleet.give_up = self._give_up
+        members = fleet.members
+        members.add("leases", ClockAdapter(self._leases, now_s, time.monotonic), MESSAGES)
+        members.hooks.duties.append(self._duties.apply)
+        members.hooks.changes.append(self._on_membership_change)
+        members.hooks.bound.append(self._on_address_bound)
+
+    def start(self) -> None:
+        """Log when this member's acceptor votes."""
+        if self._leases.voter is not None:
+            self._tasks.start_soon(_log_acceptor_active, self._leases.voter.learning)
+
+    def acquire_all(self) -> None:
+        """Begin to acquire the lease of each registered duty."""
+        for duty in self._fleet.duties:
+            self._leases.want(now_s(), duty)
+        if self._members.service is not None:
+            self._members.service.wake()
+
+    async def stop(self) -> None:
+        """Release the leases, and return once the duties have stopped."""
+        self._stop_leases()
+        await self._duties.stopped()
+
+    def _stop_leases(self) -> None:
+        if self._members.service is not None:
+            self._members.service.act(self._leases.stop(now_s()))
+
+    def _give_up(self, duty: str) -> None:
+        """Release the lease of a duty that this member cannot perform."""
+        if self._members.service is not None:
+            self._members.service.act(self._leases.give_up(now_s(), duty))
+
+    def _on_membership_change(self, change: Change) -> None:
+        self._leases.alive(each.name for each in self._members.membership.alive())
+        if isinstance(change, Restarted):
+            # The wall clock had stepped back: with so low a start time no vote may be given, no lease held.
+            self._stop_leases()
+
+    def _on_address_bound(self) -> None:
+        # A predecessor hands over its votes until it releases the address; the leases that it voted for
+        # have to expire first.
+        if self._leases.voter is not None:
+            self._leases.voter.learning.silent(now_s())
+
+
+async def _log_acceptor_active(learning: Learning) -> None:
+    """Log once that this acceptor votes: until then no other one should be restarted."""
+    started_s = time.monotonic()
+    while not learning.active:
+        await anyio.sleep(ACCEPTOR_POLL_INTERVAL_S)
+    log.info("voting", after_s=round(time.monotonic() - started_s, 2))
--- a/ringledge/lifecycle/components/members.py
+++ b/ringledge/lifecycle/components/members.py
@@ -1,27 +1,37 @@
-"""Members: this process among the conductors that know of one another."""
+"""Membership: this process as one member of the cluster of conductors."""
 
 from __future__ import annotations
 
 import random
 
+from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.config import ConfigError
-from ringledge.lifecycle.shared import Part, Shared
+from ringledge.lifecycle.context import ProgramContext
 from ringledge.members.cluster import Fleet
 from ringledge.members.component import MembersPart
 from ringledge.members.settings import MembersConfig
 
 
-def part(shared: Shared) -> Part:
-    """Make it; parts behind it add deciders and duties. It says goodbye when all of them have stopped."""
-    config, rng = shared.config, random.Random()  # unlike its peers' and its predecessor's: no seed is shared
+def create_fleet(context: ProgramContext) -> Fleet:
+    """Create this member, to which later components add protocols and duties.
+
+    ConfigError where the settings are unusable.
+    """
+    config = context.config
+    rng = random.Random()  # unlike those of its peers and its predecessor: no seed is shared
     try:
-        told = config.extra(MembersConfig)
-        members = MembersPart(told, config.name, config.peers, shared.metrics.registry, rng)
+        settings = config.extra(MembersConfig)
+        members = MembersPart(settings, config.name, config.peers, context.metrics.registry, rng)
     except ValueError as error:
         raise ConfigError(f"members.toml: {error}") from error
-    shared.fleet = Fleet(members)
+    return Fleet(members)
+
+
+def create(context: ProgramContext, fleet: Fleet) -> Component:
+    """A component that leaves the cluster after all components behind it have stopped."""
+    members = fleet.members
 
     async def stop() -> None:
         members.stop()
 
-    return Part(start=lambda: members.start(shared.tasks), stop=stop)
+    return Component(start=lambda: members.start(context.tasks), stop=stop)
--- a/ringledge/lifecycle/components/platform.py
+++ b/ringledge/lifecycle/components/platform.py
@@ -2,34 +2,45 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from ringledge.decide.overload.settings import OverloadConfig
+from ringledge.lifecycle.component import Component
+from ringledge.lifecycle.context import ProgramContext
 from ringledge.lifecycle.fronts import Service
-from ringledge.lifecycle.shared import Part, Shared
 from ringledge.wire.clients.platform import Platform, error_body
 
+if TYPE_CHECKING:
+    from ringledge.lifecycle.components.overload import OverloadControl
+
+
+def create_platform(context: ProgramContext, overload: OverloadControl | None) -> Platform:
+    """The handler of the platform's requests, with overload control where that is enabled."""
+    config, conductor = context.config, context.conductor
+    if overload is None:
+        return Platform(config.names, conductor)
+    from ringledge.wire.clients.loop_budget import Turns
+
+    turns = Turns(config.extra(OverloadConfig).turn_ms / 1000)
+    return Platform(config.names, conductor, overload.gate, turns, overload.buffered_bytes)
 
-def part(shared: Shared) -> Part:
-    """Open it, behind the gate where there is one."""
-    config, gate, turns = shared.config, shared.gate, None
-    if gate is not None:
-        from ringledge.wire.clients.loop_budget import Turns
 
-        turns = Turns(config.extra(OverloadConfig).turn_ms / 1000)
-    platform = Platform(config.names, shared.conductor, gate, turns, shared.held)
-    shared.platform = platform
-    shared.fronts.open(
+def create(context: ProgramContext, platform: Platform) -> Component:
+    """Open the front; `/ready` reports ready from `on_ready` on, unless a shutdown was requested before."""
+    is_gated = "overload" in context.config.extras
+    context.fronts.open(
         Service(
             "platform",
-            config.listen,
+            context.config.listen,
             platform.handle,
             error_body,
-            refused=platform.refused,
-            keeps=None if gate is None else platform.keeps,
-            quick=None if gate is None else platform.turn_away,
+            on_rejected=platform.refused,
+            is_served_past_limit=platform.keeps if is_gated else None,
+            reject_unparsed=platform.turn_away if is_gated else None,
         )
     )
 
-    def ready() -> None:
-        platform.ready = not shared.stopping.is_set()
+    def on_ready() -> None:
+        platform.ready = not context.shutdown.is_requested()
 
-    return Part(ready=ready)
+    return Component(on_ready=on_ready)
--- a/ringledge/lifecycle/components/prometheus.py
+++ b/ringledge/lifecycle/components/prometheus.py
@@ -1,29 +1,32 @@
-"""Figures for Prometheus: scraped, written to a receiver, or both."""
+"""Metrics for Prometheus: scraped, sent by remote write, or both."""
 
 from __future__ import annotations
 
 import random
 
-from ringledge.lifecycle.fronts import SMALL, Service
-from ringledge.lifecycle.shared import Part, Shared
+from ringledge.lifecycle.component import Component
+from ringledge.lifecycle.context import ProgramContext
+from ringledge.lifecycle.fronts import PROGRAM_FRONT_MAX_CONNECTIONS, Service
 from ringledge.wire.clients.platform import error_body
 from ringledge.wire.exporters.prometheus_settings import PrometheusConfig
 from ringledge.wire.exporters.remote_write import RemoteWrite, Scrape
 
 
-def part(shared: Shared) -> Part:
-    """Open what the settings ask for."""
-    config = shared.config
-    told = config.extra(PrometheusConfig)
-    if told.listen:
-        scrape = Scrape(shared.metrics)
-        shared.fronts.open(Service("prometheus", told.listen, scrape.handle, error_body, SMALL))
-    if not told.remote_write:
-        return Part()
-    writer = RemoteWrite(told, config.name, shared.metrics, random.Random(config.seed))
+def create(context: ProgramContext) -> Component:
+    """Open the front to scrape, and start remote write, each where its address is configured."""
+    config = context.config
+    settings = config.extra(PrometheusConfig)
+    if settings.listen:
+        scrape = Scrape(context.metrics)
+        context.fronts.open(
+            Service("prometheus", settings.listen, scrape.handle, error_body, PROGRAM_FRONT_MAX_CONNECTIONS)
+        )
+    if not settings.remote_write:
+        return Component()
+    remote_write = RemoteWrite(settings, config.name, context.metrics, random.Random(config.seed))
 
     def start() -> None:
-        shared.tasks.start_soon(writer.collect)
-        shared.tasks.start_soon(writer.send)
+        context.tasks.start_soon(remote_write.collect)
+        context.tasks.start_soon(remote_write.send)
 
-    return Part(start=start)
+    return Component(start=start)
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -1,11 +1,14 @@
-"""The queue of a cut-off site: made before the chat front, which asks it; replayed by the conductor."""
+"""The queue of a site that is cut off: chat requests are stored, and replayed through the conductor."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from random import Random
+from typing import TYPE_CHECKING
 
+from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.config import ConfigError
-from ringledge.lifecycle.shared import Part, Shared
+from ringledge.lifecycle.context import ProgramContext
 from ringledge.store.component import QueuePart
 from ringledge.store.settings import QueueConfig
 from ringledge.wire.clients.chat.queued import QueuedChat
@@ -13,22 +16,44 @@
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.servers.observation import Sight
 
+if TYPE_CHECKING:
+    from ringledge.members.cluster import Fleet
 
-def part(shared: Shared) -> Part:
-    """Open the file at the start, look at the site and replay once the list is known."""
-    config = shared.config
-    told = config.extra(QueueConfig)
+
+@dataclass(frozen=True, slots=True, eq=False)
+class QueuedRequests:
+    """The queue's component, and the chat requests' way into the queue."""
+
+    component: Component
+    chat: QueuedChat
+
+
+def create(context: ProgramContext, fleet: Fleet | None) -> QueuedRequests:
+    """Create the queue; its file is opened at the start, and the replay begins when the program is ready.
+
+    Where duties are enabled, only the holder of the replay's lease replays.
+    ConfigError without the chat front.
+    """
+    config = context.config
+    queue_settings = config.extra(QueueConfig)
     if "chat" not in config.extras:
         raise ConfigError("queue.toml: chat.toml has to be enabled, too; its clients are queued")
-    chat, settings, names = config.extra(ChatConfig), config.settings, config.names
-    sight = Sight(shared.conductor, shared.upstream.reach, shared.metrics)
-    fleet, leased = shared.fleet, "duties" in config.extras
-    facts = None if fleet is None else fleet.members.facts
-    queue = QueuePart(told, sight, shared.metrics.registry, Random(), facts, leased)
-    if fleet is not None and leased:
+    chat_settings, settings, names = config.extra(ChatConfig), config.settings, config.names
+    observation = Sight(context.conductor, context.upstream.reach, context.metrics)
+    is_leased = "duties" in config.extras
+    records = None if fleet is None else fleet.members.facts
+    queue = QueuePart(queue_settings, observation, context.metrics.registry, Random(), records, is_leased)
+    if fleet is not None and is_leased:
         fleet.duties[queue.duty] = queue.replayer
-    queue.sender = ReplaySender(chat, settings, names, shared.conductor)
-    shared.queued = QueuedChat(
-        queue.queue, queue.state, names.classes, settings, chat.tenant, told.expire_s, queue.figures
+    queue.sender = ReplaySender(chat_settings, settings, names, context.conductor)
+    chat = QueuedChat(
+        queue.queue,
+        queue.state,
+        names.classes,
+        settings,
+        chat_settings.tenant,
+        queue_settings.expire_s,
+        queue.figures,
     )
-    return Part(start=lambda: queue.start(shared.tasks), ready=queue.ready, stop=queue.stop)
+    component = Component(start=lambda: queue.start(context.tasks), on_ready=queue.ready, stop=queue.stop)
+    return QueuedRequests(component, chat)
--- /dev/null
+++ b/ringledge/lifecycle/components/role_planning.py
@@ -0,0 +1,32 @@
+"""Roles of mixed servers: which prefill and which decode, by a plan that one conductor makes for all."""
+
+from __future__ import annotations
+
+import time
+
+from ringledge.decide.ratio.role_registry import RoleBook
+from ringledge.decide.ratio.settings import RatioConfig
+from ringledge.lifecycle.component import Component
+from ringledge.lifecycle.config import ConfigError
+from ringledge.lifecycle.context import ProgramContext
+from ringledge.members.cluster import Fleet
+from ringledge.members.planner import NAME, Planner
+from ringledge.members.role_keeper import RoleKeeper
+
+
+def create(context: ProgramContext, fleet: Fleet) -> Component:
+    """Register the planner's duty, and follow the plan of the member that holds its lease.
+
+    ConfigError where this member's site is none of the zones.
+    """
+    config, members = context.config, fleet.members
+    settings, zones = config.extra(RatioConfig), config.names.zones
+    if members.membership.me.site not in zones:
+        raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
+    role_registry = RoleBook(settings)
+    role_keeper = RoleKeeper(
+        settings, members.facts, members.membership, context.conductor, config.names, role_registry
+    )
+    fleet.duties[NAME] = Planner(settings, members.facts, role_keeper, role_registry, time.monotonic)
+    context.conductor.context.observer = role_keeper
+    return Component(on_ready=lambda: context.tasks.start_soon(role_keeper.run))
--- a/ringledge/lifecycle/components/servers.py
+++ b/ringledge/lifecycle/components/servers.py
@@ -1,23 +1,24 @@
-"""What is always at work towards servers: timers, the list, connections kept, instances out by hand."""
+"""Tasks towards the servers: timers, the endpoint list, pooled connections and operator overrides."""
 
 from __future__ import annotations
 
-from ringledge.lifecycle.shared import Part, Shared
+from ringledge.lifecycle.component import Component
+from ringledge.lifecycle.context import ProgramContext
 
 
-def part(shared: Shared) -> Part:
-    """The conductor's own tasks, which last to the end."""
-    tasks, upstream, discovery = shared.tasks, shared.upstream, shared.discovery
+def create(context: ProgramContext) -> Component:
+    """The conductor's own tasks, which run until the program ends."""
+    tasks, upstream, discovery = context.tasks, context.upstream, context.discovery
 
     def start() -> None:
-        tasks.start_soon(shared.conductor.run_timers)
+        tasks.start_soon(context.conductor.run_timers)
         tasks.start_soon(discovery.watch)
         tasks.start_soon(discovery.fetch_when_asked, upstream)
         tasks.start_soon(upstream.retire_idle)
         tasks.start_soon(upstream.watch_silence)
-        tasks.start_soon(shared.by_hand.follow)
+        tasks.start_soon(context.operator_overrides.follow)
 
-    def share(processes: int) -> None:
-        upstream.pool.shrink(shared.fronts.sockets // processes)
+    def on_process_count(processes: int) -> None:
+        upstream.pool.shrink(context.fronts.max_upstream_sockets // processes)
 
-    return Part(start=start, share=share)
+    return Component(start=start, on_process_count=on_process_count)
--- a/ringledge/lifecycle/components/xds.py
+++ b/ringledge/lifecycle/components/xds.py
@@ -1,16 +1,19 @@
-"""The front that other proxies poll."""
+"""The xDS front, which other proxies poll."""
 
 from __future__ import annotations
 
-from ringledge.lifecycle.fronts import SMALL, Service
-from ringledge.lifecycle.shared import Part, Shared
+from ringledge.lifecycle.component import Component
+from ringledge.lifecycle.context import ProgramContext
+from ringledge.lifecycle.fronts import PROGRAM_FRONT_MAX_CONNECTIONS, Service
 from ringledge.wire.exporters.xds import Xds, error_body
 from ringledge.wire.exporters.xds_settings import XdsConfig
 
 
-def part(shared: Shared) -> Part:
-    """Open it."""
-    told = shared.config.extra(XdsConfig)
-    polls = Xds(told, shared.config.names, shared.conductor, shared.metrics)
-    shared.fronts.open(Service("xds", told.listen, polls.handle, error_body, SMALL))
-    return Part()
+def create(context: ProgramContext) -> Component:
+    """Open the front."""
+    settings = context.config.extra(XdsConfig)
+    xds = Xds(settings, context.config.names, context.conductor, context.metrics)
+    context.fronts.open(
+        Service("xds", settings.listen, xds.handle, error_body, PROGRAM_FRONT_MAX_CONNECTIONS)
+    )
+    return Component()
--- /dev/null
+++ b/ringledge/lifecycle/composition.py
@@ -0,0 +1,175 @@
+"""The composition root: which components the configuration enables, and what each one is given.
+
+A new subsystem adds a function that creates its component, an entry to `COMPONENTS`, and its settings file
+to `lifecycle.config.SETTINGS_FILES`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from ringledge.lifecycle.component import Component
+from ringledge.lifecycle.config import Config, ConfigError
+from ringledge.lifecycle.context import ProgramContext
+
+if TYPE_CHECKING:
+    from ringledge.lifecycle.components.overload import OverloadControl
+    from ringledge.members.cluster import Fleet
+    from ringledge.wire.clients.chat.queued import QueuedChat
+    from ringledge.wire.clients.platform import Platform
+
+
+@dataclass(slots=True, eq=False)
+class Composition:
+    """The components created so far, and what later ones need of them; None where that is not enabled.
+
+    Only the functions in `COMPONENTS` write it; a component's factory gets what it needs as arguments.
+    """
+
+    context: ProgramContext
+    can_serve: Callable[[], bool]
+    components: list[Component] = field(default_factory=list)  # in the order in which they are started
+    overload: OverloadControl | None = None
+    platform: Platform | None = None
+    fleet: Fleet | None = None
+    queued_chat: QueuedChat | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class ComponentSpec:
+    """One entry of the table of components."""
+
+    name: str  # of the settings file that enables it, where there is one
+    is_enabled: Callable[[Config], bool]
+    create: Callable[[Composition], Component]  # imports the component's module: memory is scarce
+
+
+def compose(context: ProgramContext, can_serve: Callable[[], bool]) -> Composition:
+    """Create the components that the configuration enables; ConfigError where they don't fit together.
+
+    `can_serve`: whether the program is ready, as the operators' front reports it.
+    """
+    composition = Composition(context, can_serve)
+    for spec in COMPONENTS:
+        if spec.is_enabled(context.config):
+            composition.components.append(spec.create(composition))
+    return composition
+
+
+def _create_servers(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import servers
+
+    return servers.create(composition.context)
+
+
+def _create_overload(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import overload
+
+    control = overload.create(composition.context)
+    composition.overload = control
+    composition.context.fronts.on_unread_time = control.statistics.waited
+    return control.component
+
+
+def _create_connection_admission(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import connection_admission
+
+    context = composition.context
+    admission = connection_admission.create_admission(context.config)
+    context.fronts.connection_admission = admission
+    return connection_admission.create(context, admission)
+
+
+def _create_platform(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import platform
+
+    context = composition.context
+    composition.platform = platform.create_platform(context, composition.overload)
+    return platform.create(context, composition.platform)
+
+
+def _create_operator(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import operator
+
+    return operator.create(composition.context, composition.can_serve)
+
+
+def _create_members(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import members
+
+    composition.fleet = members.create_fleet(composition.context)
+    return members.create(composition.context, composition.fleet)
+
+
+def _create_queue(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import queue
+
+    queued_requests = queue.create(composition.context, composition.fleet)
+    composition.queued_chat = queued_requests.chat
+    return queued_requests.component
+
+
+def _create_chat(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import chat
+
+    return chat.create(composition.context, composition.overload, composition.queued_chat)
+
+
+def _create_xds(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import xds
+
+    return xds.create(composition.context)
+
+
+def _create_prometheus(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import prometheus
+
+    return prometheus.create(composition.context)
+
+
+def _create_role_planning(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import role_planning
+
+    if composition.fleet is None or "duties" not in composition.context.config.extras:
+        raise ConfigError("ratio.toml: members.toml and duties.toml have to be enabled, too")
+    return role_planning.create(composition.context, composition.fleet)
+
+
+def _create_lease_holder_duties(composition: Composition) -> Component:
+    from ringledge.lifecycle.components import lease_holder_duties
+
+    if composition.fleet is None:
+        raise ConfigError("duties.toml: members.toml has to be enabled, too")
+    return lease_holder_duties.create(composition.context, composition.fleet)
+
+
+def _is_always_enabled(config: Config) -> bool:
+    return True
+
+
+def _has_operator_address(config: Config) -> bool:
+    return bool(config.operator)
+
+
+def _optional(name: str, create: Callable[[Composition], Component]) -> ComponentSpec:
+    """A component that is enabled by the settings file of its name."""
+    return ComponentSpec(name, lambda config: name in config.extras, create)
+
+
+# Created and started in this order: a component stands behind those whose results it is given.
+COMPONENTS: tuple[ComponentSpec, ...] = (
+    ComponentSpec("servers", _is_always_enabled, _create_servers),
+    _optional("overload", _create_overload),
+    _optional("doors", _create_connection_admission),
+    ComponentSpec("platform", _is_always_enabled, _create_platform),
+    ComponentSpec("operators", _has_operator_address, _create_operator),
+    _optional("members", _create_members),
+    _optional("queue", _create_queue),
+    _optional("chat", _create_chat),
+    _optional("xds", _create_xds),
+    _optional("prometheus", _create_prometheus),
+    _optional("ratio", _create_role_planning),
+    _optional("duties", _create_lease_holder_duties),  # after all components that register duties
+)
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -52,8 +52,8 @@
 
 
 # Our own files under deploy/, each off unless it says `enabled = true`, with the module and the name of what
-# it may say: a subsystem adds its line here, and its part's in lifecycle/parts. What is off is not imported.
-FILES = {
+# it may say: a subsystem adds its line here and to lifecycle/composition.py. What is off is not imported.
+SETTINGS_FILES = {
     "chat": "ringledge.wire.clients.chat_settings:ChatConfig",
     "xds": "ringledge.wire.exporters.xds_settings:XdsConfig",
     "prometheus": "ringledge.wire.exporters.prometheus_settings:PrometheusConfig",
@@ -126,7 +126,7 @@
     """Our own files that are enabled; `check_all`: those that are off are checked, too."""
     folder, found = Path(environ.get("RINGLEDGE_DEPLOY", DEPLOY)), dict[str, msgspec.Struct]()
     try:
-        for name, place in FILES.items():
+        for name, place in SETTINGS_FILES.items():
             path = folder / f"{name}.toml"
             if check_all or strict.enabled(path):
                 told = strict.read(_kind(place), path)
--- /dev/null
+++ b/ringledge/lifecycle/context.py
@@ -0,0 +1,71 @@
+"""What every component of the program may use; complete before the first component is created."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+
+import anyio.abc
+
+from ringledge.core.clock import Clock
+from ringledge.core.conductor import Conductor
+from ringledge.lifecycle.config import Config
+from ringledge.lifecycle.fronts import Fronts
+from ringledge.lifecycle.handover_channel import Predecessor
+from ringledge.lifecycle.shutdown import Shutdown
+from ringledge.memory.operator_overrides import OperatorOverrides
+from ringledge.memory.server_list import ServerList
+from ringledge.observe.metrics import Metrics
+from ringledge.routing.interface import EndpointUpdateKind
+from ringledge.wire.discovery.watcher import Discovery
+from ringledge.wire.servers.upstream import Upstream
+
+
+@dataclass(frozen=True, slots=True, eq=False)
+class ProgramContext:
+    """The conductor with its servers, fronts, metrics and configuration."""
+
+    config: Config
+    tasks: anyio.abc.TaskGroup  # runs until the program ends
+    metrics: Metrics
+    servers: ServerList
+    upstream: Upstream
+    conductor: Conductor
+    operator_overrides: OperatorOverrides
+    discovery: Discovery
+    fronts: Fronts
+    shutdown: Shutdown
+
+
+def create_context(config: Config, tasks: anyio.abc.TaskGroup, predecessor: Predecessor) -> ProgramContext:
+    """Create the conductor and what it works with; nothing is started yet.
+
+    Listening sockets and the clock's offset are inherited from the predecessor, where there is one.
+    """
+    settings, names = config.settings, config.names
+    metrics = Metrics()
+    servers = ServerList(settings.kinds)
+    clock = Clock(predecessor.clock_offset_ms)
+    fronts = Fronts(config, metrics, predecessor.listeners)
+    release_timeout_ms, zone = settings.release_within_ms, settings.zone
+    upstream = Upstream(
+        tasks, servers, names, fronts.max_upstream_sockets, release_timeout_ms, zone, clock, metrics
+    )
+    conductor = Conductor(settings, config.seed, clock, servers, metrics, upstream)
+    upstream.conductor = conductor
+    overrides = OperatorOverrides(config.folder, config.name, config.fingerprint, conductor.override_server)
+    overrides.look_at_start()  # before the first request is forwarded
+    discovery = Discovery(config.discovery, names, conductor, random.Random(config.seed))
+    discovery.apply(config.known, EndpointUpdateKind.PERSISTED)
+    return ProgramContext(
+        config=config,
+        tasks=tasks,
+        metrics=metrics,
+        servers=servers,
+        upstream=upstream,
+        conductor=conductor,
+        operator_overrides=overrides,
+        discovery=discovery,
+        fronts=fronts,
+        shutdown=Shutdown(),
+    )
--- a/ringledge/lifecycle/descriptors.py
+++ b/ringledge/lifecycle/descriptors.py
@@ -1,4 +1,4 @@
-"""How many descriptors the program may have in all, whoever set the tighter limit."""
+"""How many file descriptors the process may open: the lower of the configured and the system's limit."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from ringledge.observe.logging import log
 
 
-def allowed(sockets: int) -> int:
-    """`sockets` of the settings, or what the system allows this process where that is less.
+def max_descriptors(configured: int) -> int:
+    """The configured limit, or the system's limit of this process where that is lower.
 
-    What is kept for discovery and servers is kept by counting, so the count has to begin with the true limit:
-    past the system's own one, a connection to discovery would fail for idle clients that hold all there is.
+    Descriptors for discovery and servers are reserved by counting, so the count has to begin with the limit
+    that holds: past the system's own one a connection to discovery would fail while idle clients hold all.
     """
-    of_system, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if of_system == resource.RLIM_INFINITY or of_system >= sockets:
-        return sockets
-    log.warning("descriptors_limited", settings=sockets, system=of_system)
-    return of_system
+    system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if system_limit == resource.RLIM_INFINITY or system_limit >= configured:
+        return configured
+    log.warning("descriptors_limited", settings=configured, system=system_limit)
+    return system_limit
--- a/ringledge/lifecycle/drain.py
+++ b/ringledge/lifecycle/drain.py
@@ -1,33 +1,44 @@
-"""The end of a conductor's service: all that was taken is answered before the process goes."""
+"""Graceful shutdown: every request that was accepted is answered before the process ends."""
 
 from __future__ import annotations
 
 import anyio
 
-from ringledge.lifecycle.shared import Shared
+from ringledge.lifecycle.context import ProgramContext
 
-KEEP_TAKING_S = 0.6  # after SIGTERM new connections go on arriving so long, and on kept ones too
-END_S, LONGEST_S = 0.7, 3.0  # SIGKILL comes after the longest deadline (at most so long) and END_S
-LAST_CALL_S = 0.5  # before it, what has not begun is given up: its client is told, and its state let go
-LOOK_S = 0.02  # how often it is looked whether all is done
+# After SIGTERM clients may still open connections, and send on open ones, for so long.
+ACCEPT_AFTER_SHUTDOWN_S = 0.6
+# SIGKILL comes after the longest deadline, MAX_DEADLINE_S at most, and this grace period.
+KILL_GRACE_S = 0.7
+MAX_DEADLINE_S = 3.0
+# So long before SIGKILL what has not begun is abandoned: its client is answered, and its state released.
+ABANDON_BEFORE_KILL_S = 0.5
+POLL_INTERVAL_S = 0.02  # how often it is checked whether everything is answered
 
 
-async def drain(shared: Shared, takes: bool) -> None:
-    """Return once all that was taken is answered; `takes`: what still comes at first is served.
+async def drain(context: ProgramContext, accepts_new: bool) -> None:
+    """Return once everything that was accepted is answered.
 
-    Times run from the signal: a start that still waited for the list may have passed some of it.
+    `accepts_new`: what still arrives right after the request for shutdown is served, too.
+    Times run from that request: a start that was still waiting for the endpoint list may have used up some.
     """
-    classes = shared.config.settings.classes
-    longest_s = max((each.deadline_ms / 1000 for each in classes), default=LONGEST_S)
-    asked_s = shared.stop_asked_s
-    last_call = asked_s + min(LONGEST_S, longest_s) + END_S - LAST_CALL_S
-    if takes:
-        await anyio.sleep_until(asked_s + KEEP_TAKING_S)
+    fronts, conductor = context.fronts, context.conductor
+    requested_s = context.shutdown.requested_s
+    abandon_at_s = requested_s + _max_deadline_s(context) + KILL_GRACE_S - ABANDON_BEFORE_KILL_S
+    if accepts_new:
+        await anyio.sleep_until(requested_s + ACCEPT_AFTER_SHUTDOWN_S)
     else:
-        shared.fronts.drain()
-        await anyio.sleep(LOOK_S)  # the fronts take who waits in the backlog
-    while shared.fronts.open_count() or shared.conductor.registry.records or shared.upstream.releases:
-        shared.fronts.drain()
-        if anyio.current_time() >= last_call:
-            shared.conductor.shut_down()
-        await anyio.sleep(LOOK_S)
+        fronts.drain()
+        await anyio.sleep(POLL_INTERVAL_S)  # the fronts accept what waits in the backlog
+    while fronts.open_connection_count() or conductor.registry.records or context.upstream.releases:
+        fronts.drain()
+        if anyio.current_time() >= abandon_at_s:
+            conductor.shut_down()
+        await anyio.sleep(POLL_INTERVAL_S)
+
+
+def _max_deadline_s(context: ProgramContext) -> float:
+    """The longest deadline of any class that delays SIGKILL."""
+    classes = context.config.settings.classes
+    longest_s = max((each.deadline_ms / 1000 for each in classes), default=MAX_DEADLINE_S)
+    return min(MAX_DEADLINE_S, longest_s)
--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -1,4 +1,4 @@
-"""The fronts of the program with their listening sockets, and what of sockets and memory they may have."""
+"""The program's fronts with their listening sockets, and their limits of sockets and memory."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import h11
 
 from ringledge.lifecycle.config import Config
-from ringledge.lifecycle.descriptors import allowed
+from ringledge.lifecycle.descriptors import max_descriptors
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.clients import operator
 from ringledge.wire.clients.front import Front
@@ -23,132 +23,152 @@
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import Doors
 
-BODIES_PART = 5  # of the memory: a body is held about twice, the rest is the program's
-SPARE_SOCKETS = 64  # for discovery, listeners, logs and the interpreter
-SMALL = SPARE_SOCKETS // 4  # connections of a front that programs call, few and known
+BODY_MEMORY_DIVISOR = 5  # of the memory: a body is held about twice, the rest is the program's
+RESERVED_SOCKETS = 64  # for discovery, listeners, logs and the interpreter
+PROGRAM_FRONT_MAX_CONNECTIONS = RESERVED_SOCKETS // 4  # of a front that a few known programs call
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Service:
-    """What a front serves to clients, and where."""
+    """What a front serves to clients, and at which address."""
 
     name: str
     address: str
     handler: Handler
-    errors: ErrorBody
-    limit: int | None = None  # connections; None: its part of what there is for clients
-    refused: Refused | None = None
-    keeps: Callable[[h11.Request], bool] | None = None
-    quick: Callable[[Connection], int | None] | None = None
+    error_body: ErrorBody
+    max_connections: int | None = None  # None: an equal share of the sockets for clients
+    on_rejected: Refused | None = None  # called for each request that the front itself rejects
+    # Whether a request is served although its connection is past the limit.
+    is_served_past_limit: Callable[[h11.Request], bool] | None = None
+    # Rejects a request before it is parsed, if it has to; the bytes of its body that are still to come.
+    reject_unparsed: Callable[[Connection], int | None] | None = None
+
+
+@dataclass(frozen=True, slots=True, eq=False)
+class ListeningFront:
+    """A front with the listening socket that it accepts from."""
+
+    front: Front
+    listener: socket.socket
 
 
 class Fronts:
-    """The fronts that clients are served at and the operators' own."""
+    """The fronts that serve clients, and the operators' own."""
 
     def __init__(self, config: Config, metrics: Metrics, inherited: dict[str, socket.socket]) -> None:
+        """`inherited`: a predecessor's listening sockets by address; those that are used are removed."""
         self._metrics, self._inherited = metrics, inherited
-        # Half for servers, half for clients; each front lets an eighth more in, only to be refused.
-        spare = SPARE_SOCKETS + (operator.CONNECTIONS if config.operator else 0)
-        self.sockets = max(8, (allowed(config.sockets) - spare) // 2)
-        self._bodies = config.memory / BODIES_PART
-        self._budget = Budget(self._bodies)
-        self._crowded = 1 + ("chat" in config.extras)  # fronts that any client may call
+        # Half for servers, half for clients; each front accepts an eighth more, only to reject them.
+        reserved = RESERVED_SOCKETS + (operator.CONNECTIONS if config.operator else 0)
+        self.max_upstream_sockets = max(8, (max_descriptors(config.sockets) - reserved) // 2)
+        self._body_memory = config.memory / BODY_MEMORY_DIVISOR
+        self._budget = Budget(self._body_memory)
+        self._public_front_count = 1 + ("chat" in config.extras)  # fronts that any client may call
         self.listeners: dict[str, socket.socket] = {}  # by address, as it is configured
-        self.clients: list[tuple[Front, socket.socket]] = []  # fronts that have to be through at the end
-        self.operators: list[tuple[Front, socket.socket]] = []  # what they meet lasts to the end
-        self._crowds: list[Front] = []
-        self.doors: Doors | None = None  # asked about each new client, where they are on
-        self.aged: Callable[[float], None] | None = None  # told how long each request lay unread
+        self.clients: list[ListeningFront] = []  # drained at a shutdown
+        self.operators: list[ListeningFront] = []  # serve until the program ends
+        self._public_fronts: list[Front] = []
+        self.connection_admission: Doors | None = (
+            None  # applied to each new connection of fronts opened later
+        )
+        self.on_unread_time: Callable[[float], None] | None = None  # gets how long each request lay unread
 
     def open(self, service: Service) -> None:
-        """Have a front for clients, which accepts from `serve` on."""
+        """Open a front for clients, which accepts from `serve` on."""
+        max_connections = service.max_connections
+        is_public = max_connections is None
         front = Front(
             service.name,
-            self._for_clients(1) if service.limit is None else service.limit,
+            self._max_public_connections(1) if max_connections is None else max_connections,
             self._budget,
             service.handler,
-            service.errors,
+            service.error_body,
             self._metrics,
-            refused=service.refused,
-            aged=self.aged,
-            keeps=service.keeps,
-            doors=self.doors,
-            quick=service.quick,
+            refused=service.on_rejected,
+            aged=self.on_unread_time,
+            keeps=service.is_served_past_limit,
+            doors=self.connection_admission,
+            quick=service.reject_unparsed,
         )
-        if service.limit is None:
-            self._crowds.append(front)
-        self.clients.append((front, self._listen(service.address)))
+        if is_public:
+            self._public_fronts.append(front)
+        self.clients.append(ListeningFront(front, self._listen(service.address)))
 
-    def open_operator(self, address: str, handler: Handler, errors: ErrorBody) -> None:
-        """Have the operators' front, which no client can fill."""
+    def open_operator(self, address: str, handler: Handler, error_body: ErrorBody) -> None:
+        """Open the operators' front, whose limits no client can use up."""
         front = Front(
             "operator",
             operator.CONNECTIONS,
             Budget(operator.MEMORY),
             handler,
-            errors,
+            error_body,
             self._metrics,
             request_s=operator.CALL_S,
-            at_once=1,  # each is read before the next comes: half calls are known and make room
+            at_once=1,  # each is read before the next comes: incomplete calls are known and can be evicted
         )
         front.connections.end_with_answers(True)  # one call to a connection
-        self.operators.append((front, self._listen(address)))
+        self.operators.append(ListeningFront(front, self._listen(address)))
 
     def _listen(self, address: str) -> socket.socket:
-        """A predecessor's listening socket, or else one of our own."""
+        """A predecessor's listening socket, or else a new one."""
         inherited = self._inherited
         listener = inherited.pop(address) if address in inherited else listen(address)
         self.listeners[address] = listener
         return listener
 
-    def _for_clients(self, processes: int) -> int:
-        return self.sockets * 8 // 9 // self._crowded // processes
+    def _max_public_connections(self, processes: int) -> int:
+        """The limit of each public front, while so many processes share the sockets."""
+        return self.max_upstream_sockets * 8 // 9 // self._public_front_count // processes
 
     @staticmethod
-    def serve(fronts: list[tuple[Front, socket.socket]], tasks: anyio.abc.TaskGroup) -> None:
-        """Have these accept from now on."""
-        for front, listener in fronts:
-            tasks.start_soon(front.serve, listener, tasks)
+    def serve(fronts: list[ListeningFront], tasks: anyio.abc.TaskGroup) -> None:
+        """Have these fronts accept from now on."""
+        for each in fronts:
+            tasks.start_soon(each.front.serve, each.listener, tasks)
 
-    def accepting(self) -> bool:
-        """Whether clients can come at each front."""
-        return all(front.serving for front, _ in self.clients)
+    def is_accepting(self) -> bool:
+        """Whether each front for clients accepts connections."""
+        return all(each.front.serving for each in self.clients)
 
-    def open_count(self) -> int:
-        """How many clients' connections there are."""
-        return sum(front.open for front, _ in self.clients)
+    def open_connection_count(self) -> int:
+        """How many connections of clients are open."""
+        return sum(each.front.open for each in self.clients)
 
     def drain(self) -> None:
-        """Accept no more, close what rests, and read no further request behind an answer."""
-        for front, listener in self.clients:
-            front.drain()
-            for address in [name for name, each in self.listeners.items() if each is listener]:
+        """Accept no more, close idle connections, and read no further request after a response."""
+        for each in self.clients:
+            each.front.drain()
+            for address in self._addresses_of(each.listener):
                 del self.listeners[address]  # a successor that asks from here on binds its own
 
+    def _addresses_of(self, listener: socket.socket) -> list[str]:
+        return [address for address, each in self.listeners.items() if each is listener]
+
     def listening(self) -> dict[str, str]:
-        """The address of each front by its name."""
-        fronts = self.clients + self.operators
-        return {front.name: "%s:%d" % listener.getsockname() for front, listener in fronts}
-
-    def share(self, processes: int) -> None:
-        """Divide the limits among the processes that there are of this conductor."""
-        self._budget.limit = self._bodies / processes
-        for front in self._crowds:
-            front.connections.shrink(self._for_clients(processes))
-
-    def leave(self, addresses: set[str]) -> None:
-        """A successor serves at those."""
-        theirs = [listener for address, listener in self.listeners.items() if address in addresses]
-        for front, listener in self.clients:
-            if listener in theirs:
-                front.leave()
+        """The address that each front listens at, by the front's name."""
+        return {
+            each.front.name: "%s:%d" % each.listener.getsockname() for each in self.clients + self.operators
+        }
+
+    def set_process_count(self, processes: int) -> None:
+        """Divide the limits among so many processes of this conductor."""
+        self._budget.limit = self._body_memory / processes
+        for front in self._public_fronts:
+            front.connections.shrink(self._max_public_connections(processes))
+
+    def yield_to_successor(self, addresses: set[str]) -> None:
+        """Stop accepting at these addresses: a successor serves there."""
+        yielded = [listener for address, listener in self.listeners.items() if address in addresses]
+        for each in self.clients:
+            if each.listener in yielded:
+                each.front.leave()
 
     def reopen(self) -> None:
-        """The successor is gone: accept again."""
-        for front, _ in self.clients:
-            front.reopen()
+        """Accept again: the successor has ended."""
+        for each in self.clients:
+            each.front.reopen()
 
     def close(self) -> None:
-        """Listen no more."""
+        """Close the listening sockets."""
         for listener in self.listeners.values():
             listener.close()
--- a/ringledge/lifecycle/handover.py
+++ b/ringledge/lifecycle/handover.py
@@ -1,189 +1,156 @@
-"""Between two processes of one conductor: the old one hands its listening sockets to its successor.
+"""Handover between two processes of one conductor: the old one passes its listening sockets to its successor.
 
-While they overlap, each tells the other over the channel between them which requests it has open.
+While they overlap, each notifies the other over their channel which requests it has open.
 """
 
 from __future__ import annotations
 
 import socket
-from collections.abc import Callable
-from contextlib import suppress
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Protocol
 
 import anyio
 
 from ringledge.core.conductor import Conductor
-from ringledge.core.registry import RequestRegistry
 from ringledge.lifecycle import handover_channel as channel
 from ringledge.lifecycle.fronts import Fronts
+from ringledge.lifecycle.handover_messages import (
+    ListenersResponse,
+    PeerMessage,
+    encode_serving,
+    encode_snapshot_part,
+    settings_fingerprint,
+)
+from ringledge.lifecycle.peer_process import PeerProcess
 from ringledge.observe.logging import log
 
-OPEN_AGAIN_S = 2.0  # between two tries to be there for successors
-AT_ONCE = 500  # ids a message: each is 64 characters at most
+RETRY_INTERVAL_S = 2.0  # between two attempts to listen for successors
 
 
-class Peer:
-    """The other process: what it has open, and what it is yet to be told of ours."""
+class HandoverObserver(Protocol):
+    """What is notified of the conductor's other processes."""
 
-    def __init__(self, sock: socket.socket, registry: RequestRegistry) -> None:
-        self.ids: set[str] = set()
-        self._sock, self._registry = sock, registry
-        self._untold = dict.fromkeys(registry.records, True)
-        self._news = anyio.Event()
-        self._sending = anyio.Lock()  # two tasks may not wait for the same socket
-        registry.peers.append(self)
+    def on_process_count(self, processes: int) -> None:
+        """So many processes of this conductor share its limits now."""
 
-    def note(self, request: str, opened: bool) -> None:
-        """Have it told that a request was opened, or has ended."""
-        self._untold[request] = opened
-        self._news.set()
-
-    async def send(self, **told: Any) -> None:
-        """Tell it something; where the channel has ended, `follow` finds that."""
-        with suppress(*channel.BROKEN):
-            async with self._sending:
-                await channel.send(self._sock, told)
-
-    async def follow(self, heard: Callable[[dict[str, Any]], None]) -> None:
-        """Hand on what it says until it is gone."""
-        try:
-            async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._tell)
-                with suppress(*channel.BROKEN):  # an end without a word is an end
-                    while (message := await channel.receive(self._sock)) is not None:
-                        self.ids |= set(message[0].get("open", ()))
-                        self.ids -= set(message[0].get("ended", ()))
-                        heard(message[0])
-                tasks.cancel_scope.cancel()
-        finally:
-            self._registry.peers.remove(self)
-            channel.close(self._sock)
-
-    async def _tell(self) -> None:
-        while True:
-            while self._untold:
-                some = list(self._untold.items())[:AT_ONCE]
-                for name, _ in some:
-                    del self._untold[name]
-                opened = [name for name, opened in some if opened]
-                await self.send(open=opened, ended=[name for name, opened in some if not opened])
-            self._news = anyio.Event()
-            await self._news.wait()
-
-
-class Told(NamedTuple):
-    """Who is told of what the other process does."""
-
-    share: Callable[[int], None]  # among how many processes the limits are divided
-    left: Callable[[], None]  # a successor serves
+    def on_successor_serving(self) -> None:
+        """A successor serves in place of this process."""
 
 
 class Handover:
-    """Where this process stands among those of its conductor: who came before, who comes after."""
+    """Takes over from the predecessor, and hands over to successors."""
 
     def __init__(
-        self,
-        path: Path,
-        settings: str,
-        fronts: Fronts,
-        conductor: Conductor,
-        told: Told,
+        self, path: Path, fingerprint: str, fronts: Fronts, conductor: Conductor, observer: HandoverObserver
     ) -> None:
-        """`settings`: the fingerprint of ours; nothing is handed to a process under others."""
-        self.left = False  # a successor serves
-        self._settings = settings
-        self._path, self._fronts, self._conductor, self._told = path, fronts, conductor, told
+        """`fingerprint`: of our settings; nothing is handed to a process under others."""
+        self.successor_serves = False
+        self._path = path
+        self._fingerprint = fingerprint
+        self._fronts = fronts
+        self._conductor = conductor
+        self._observer = observer
         self._listeners = fronts.listeners
         self._processes = 1
 
-    def _count(self, change: int) -> None:
+    @contextmanager
+    def _sharing_limits(self) -> Iterator[None]:
+        """One process more shares the limits meanwhile."""
+        self._add_processes(1)
+        try:
+            yield
+        finally:
+            self._add_processes(-1)
+
+    def _add_processes(self, change: int) -> None:
         self._processes += change
-        self._told.share(self._processes)
+        self._observer.on_process_count(self._processes)
 
-    async def follow(self, sock: socket.socket, serving: anyio.Event) -> None:
-        """Keep in touch with the predecessor, and tell it once this process serves."""
-        peer = Peer(sock, self._conductor.registry)
-        self._count(1)
+    async def follow_predecessor(self, sock: socket.socket, is_serving: anyio.Event) -> None:
+        """Load the predecessor's snapshot, notify it once this process serves; return when it has ended."""
+        peer = PeerProcess(sock, self._conductor.registry)
 
-        async def tell() -> None:
-            await serving.wait()
-            await peer.send(serving=sorted(self._listeners))
+        async def notify_serving() -> None:
+            await is_serving.wait()
+            addresses = sorted(self._listeners)
+            await peer.send(encode_serving(addresses))
             log.info("taken_over", listeners=sorted(self._listeners))
 
-        try:
+        with self._sharing_limits():
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(tell)
-                await peer.follow(lambda told: self._conductor.load_snapshot(told.get("learned", {})))
+                tasks.start_soon(notify_serving)
+                await peer.run(lambda message: self._conductor.load_snapshot(message.snapshot_part))
                 tasks.cancel_scope.cancel()
-        finally:
-            self._count(-1)
         log.info("predecessor_gone")
 
-    async def offer(self) -> None:
-        """Wait for successors, one at a time."""
+    async def serve_successors(self) -> None:
+        """Wait for successors, and hand over to one at a time."""
         while True:
             try:
-                door = channel.open_door(self._path)
-            except OSError as error:  # serving goes on; a start meanwhile has to bind anew
-                log.error("handover_closed", error=str(error), again_s=OPEN_AGAIN_S)
-                await anyio.sleep(OPEN_AGAIN_S)
+                listener = channel.listen(self._path)
+            except OSError as error:  # this process goes on; one that starts meanwhile has to bind anew
+                await self._wait_to_retry(error)
                 continue
             try:
-                while not await self._serve(await channel.accept(door)):
-                    pass
+                has_served = False
+                while not has_served:  # a successor that serves has replaced the path
+                    has_served = await self._serve_successor(await channel.accept(listener))
             except OSError as error:
-                log.error("handover_closed", error=str(error), again_s=OPEN_AGAIN_S)
-                await anyio.sleep(OPEN_AGAIN_S)
+                await self._wait_to_retry(error)
             finally:
-                channel.close(door)
+                channel.close(listener)
 
-    async def _serve(self, sock: socket.socket) -> bool:
-        """One successor, from its question to its end; whether it served, and so has taken the path."""
+    @staticmethod
+    async def _wait_to_retry(error: OSError) -> None:
+        log.error("handover_closed", error=str(error), again_s=RETRY_INTERVAL_S)
+        await anyio.sleep(RETRY_INTERVAL_S)
+
+    async def _serve_successor(self, sock: socket.socket) -> bool:
+        """Hand over to one successor, and return when it has ended; whether it served."""
         try:
-            with anyio.fail_after(channel.ANSWER_S):
-                message = await channel.receive(sock)
-                if message is None:
-                    raise OSError("it ended the channel")
-                if message[0].get("settings") != self._settings:
-                    raise OSError("it serves under other settings")
-                fds = [each.fileno() for each in self._listeners.values()]
-                told = {
-                    "listeners": list(self._listeners),
-                    "settings": self._settings,
-                    "clock_offset_ms": self._conductor.clock.offset_ms,
-                }
-                await channel.send(sock, told, fds)
-                for part in list(
-                    self._conductor.dump_snapshot()
-                ):  # all at once: it goes on learning meanwhile
-                    await channel.send(sock, {"learned": part})
-        except channel.BROKEN as error:
+            with anyio.fail_after(channel.RESPONSE_TIMEOUT_S):
+                await self._hand_over(sock)
+        except channel.CHANNEL_ERRORS as error:
             log.warning("successor_lost", error=repr(error))
             channel.close(sock)
             return False
         log.info("handed_over", listeners=sorted(self._listeners))
-
-        def heard(message: dict[str, Any]) -> None:
-            if message.get("serving") and not self.left:
-                self.left = True
-                self._fronts.leave(set(message["serving"]))
-                self._told.left()
-                log.info("successor_serves")
-
-        peer = Peer(sock, self._conductor.registry)
-        self._count(1)
-        try:
-            await peer.follow(heard)
-        finally:
-            self._count(-1)
-        served, self.left = self.left, False
-        log.info("successor_gone", served=served)
-        if served:
+        peer = PeerProcess(sock, self._conductor.registry)
+        with self._sharing_limits():
+            await peer.run(self._on_successor_message)
+        has_served = self.successor_serves
+        self.successor_serves = False
+        log.info("successor_gone", served=has_served)
+        if has_served:
             self._fronts.reopen()
-        return served
+        return has_served
+
+    async def _hand_over(self, sock: socket.socket) -> None:
+        """Answer a successor's request; OSError where it serves under other settings or has ended."""
+        received = await channel.receive(sock)
+        if received is None:
+            raise OSError("it ended the channel")
+        if settings_fingerprint(received.message) != self._fingerprint:
+            raise OSError("it serves under other settings")
+        response = ListenersResponse(
+            list(self._listeners), self._fingerprint, self._conductor.clock.offset_ms
+        )
+        descriptors = [listener.fileno() for listener in self._listeners.values()]
+        await channel.send(sock, response.encode(), descriptors)
+        parts = list(self._conductor.dump_snapshot())  # at one moment: the policy goes on learning
+        for part in parts:
+            await channel.send(sock, encode_snapshot_part(part))
+
+    def _on_successor_message(self, message: PeerMessage) -> None:
+        if message.serving and not self.successor_serves:
+            self.successor_serves = True
+            self._fronts.yield_to_successor(set(message.serving))
+            self._observer.on_successor_serving()
+            log.info("successor_serves")
 
     def close(self) -> None:
-        """Leave no socket file behind that nobody listens at; a successor's own may be there already."""
+        """Delete the socket's path that no process listens at now; a successor's own may be there already."""
         if self._processes == 1:
             self._path.unlink(missing_ok=True)
--- a/ringledge/lifecycle/handover_channel.py
+++ b/ringledge/lifecycle/handover_channel.py
@@ -1,7 +1,7 @@
-"""The channel between two processes of one conductor: messages in JSON over a Unix socket, with descriptors.
+"""The channel between two processes of one conductor: JSON messages over a Unix socket, with descriptors.
 
-Both share $TMPDIR, where each listens in turn at a path of its own. The channel's end tells that the other
-process is gone.
+Both processes share $TMPDIR, where the one that serves listens at a path. The end of the channel means that
+the other process has ended.
 """
 
 from __future__ import annotations
@@ -19,44 +19,58 @@
 import anyio
 import orjson
 
+from ringledge.lifecycle.handover_messages import (
+    ListenersResponse,
+    encode_listeners_request,
+    settings_fingerprint,
+)
 from ringledge.observe.logging import log
 from ringledge.structures.transient_errors import AGAIN_S, at_start, is_transient
 
-ANSWER_S = 1.0  # a predecessor that says nothing for so long hangs: its addresses are bound anew
-MESSAGE = 64 * 1024  # bytes of a message at most
-MOST_LISTENERS = 8
-WAITING = 4  # successors that may wait at the door
-BROKEN = (OSError, ValueError, anyio.ClosedResourceError)  # what a channel's end looks like
+RESPONSE_TIMEOUT_S = 1.0  # a predecessor silent for so long hangs: its addresses are bound anew
+MAX_MESSAGE_BYTES = 64 * 1024
+MAX_LISTENERS = 8
+BACKLOG = 4  # successors that may wait to be accepted
+CHANNEL_ERRORS = (OSError, ValueError, anyio.ClosedResourceError)  # how the end of a channel may show
 
 
-async def receive(sock: socket.socket) -> tuple[dict[str, Any], list[int]] | None:
-    """The next message and the descriptors that came with it; None at the channel's end."""
+@dataclass(frozen=True, slots=True)
+class Received:
+    """A message, and the descriptors that came with it."""
+
+    message: dict[str, Any]
+    descriptors: list[int]
+
+
+async def receive(sock: socket.socket) -> Received | None:
+    """The next message; None at the channel's end."""
     while True:
         try:
-            data, descriptors, _, _ = socket.recv_fds(sock, MESSAGE, MOST_LISTENERS)
+            data, descriptors, _, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, MAX_LISTENERS)
         except (BlockingIOError, InterruptedError):
             await anyio.wait_readable(sock)
             continue
-        return (orjson.loads(data), descriptors) if data else None
+        return Received(orjson.loads(data), descriptors) if data else None
 
 
-async def send(sock: socket.socket, told: dict[str, Any], descriptors: Iterable[int] = ()) -> None:
-    """Send one message; OSError where the other side is gone."""
+async def send(sock: socket.socket, message: dict[str, Any], descriptors: Iterable[int] = ()) -> None:
+    """Send one message; OSError where the other process has ended."""
     while True:
         try:
-            socket.send_fds(sock, [orjson.dumps(told)], list(descriptors))
-            return
+            socket.send_fds(sock, [orjson.dumps(message)], list(descriptors))
         except (BlockingIOError, InterruptedError):
             await anyio.wait_writable(sock)
+        else:
+            return
 
 
-async def accept(door: socket.socket) -> socket.socket:
-    """The next channel of a process that comes to the door."""
+async def accept(listener: socket.socket) -> socket.socket:
+    """The channel to the next process that connects."""
     while True:
         try:
-            channel, _ = door.accept()
+            channel, _ = listener.accept()
         except (BlockingIOError, InterruptedError):
-            await anyio.wait_readable(door)
+            await anyio.wait_readable(listener)
             continue
         except OSError as error:
             if not is_transient(error):
@@ -69,14 +83,14 @@
 
 
 def close(sock: socket.socket) -> None:
-    """Close it; whoever waits for it is woken."""
+    """Close the socket, and wake the tasks that wait for it."""
     anyio.notify_closing(sock)
     sock.close()
 
 
 @contextmanager
-def _short(path: Path) -> Iterator[str]:
-    """The path by its folder's descriptor: a Unix socket's own may have 107 bytes only."""
+def _short_path(path: Path) -> Iterator[str]:
+    """The path by its folder's descriptor: the address of a Unix socket has 107 bytes at most."""
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -85,69 +99,69 @@
 
 
 def path_for(folder: Path, name: str) -> Path:
-    """Where a conductor's processes meet."""
+    """Where the processes of the conductor of that name meet."""
     return folder / f"ringledge-{quote(name, safe='')}.sock"
 
 
 @dataclass(frozen=True, slots=True)
 class Predecessor:
-    """What a process finds of the one before it; nothing where none answers."""
+    """What a process inherits from the one that served before; empty where there is none."""
 
     channel: socket.socket | None = None
     listeners: dict[str, socket.socket] = field(default_factory=dict)  # by address
-    clock_offset_ms: float | None = None  # what its clock is off the monotonic one
+    clock_offset_ms: float | None = None  # Unix time less the monotonic clock, as the predecessor has it
 
 
-async def ask(path: Path, settings: str) -> Predecessor:
-    """The predecessor that listens at a path.
+async def request_listeners(path: Path, fingerprint: str) -> Predecessor:
+    """Connect to the predecessor that listens at the path, and receive its listening sockets.
 
-    `settings`: our fingerprint; a process under other settings is no predecessor.
+    `fingerprint`: of our settings; a process under other settings does not count as a predecessor.
     """
     if not path.exists():
         return Predecessor()
     channel = at_start(partial(socket.socket, socket.AF_UNIX, socket.SOCK_SEQPACKET))
     channel.setblocking(False)
     try:
-        with anyio.fail_after(ANSWER_S), _short(path) as short:
-            channel.connect(short)
-            await send(channel, {"want": "listeners", "settings": settings})
-            message = await receive(channel)
-        if message is None:
+        with anyio.fail_after(RESPONSE_TIMEOUT_S), _short_path(path) as address:
+            channel.connect(address)
+            await send(channel, encode_listeners_request(fingerprint))
+            received = await receive(channel)
+        if received is None:
             raise OSError("it ended the channel")
-        told, descriptors = message
-        listeners = [socket.socket(fileno=each) for each in descriptors]
-        if told.get("settings") != settings:
-            for listener in listeners:
-                listener.close()
-            raise OSError("it serves under other settings")
-        for listener in listeners:
-            listener.setblocking(False)
-        by_address = dict(zip(told["listeners"], listeners, strict=True))
-        return Predecessor(channel, by_address, _number(told.get("clock_offset_ms")))
-    except (*BROKEN, KeyError, TypeError) as error:  # a stale file, or a process that hangs or is another's
+        return _inherit(channel, received, fingerprint)
+    except (*CHANNEL_ERRORS, KeyError, TypeError) as error:  # a stale file, or a process that hangs
         log.warning("no_predecessor", error=repr(error))
         close(channel)
         return Predecessor()
 
 
-def _number(told: Any) -> float | None:
-    """A number, or None where an older process tells none."""
-    return float(told) if isinstance(told, int | float) else None
-
-
-def open_door(path: Path) -> socket.socket:
-    """Listen at the path, in the place of whoever did before; OSError where that can't be."""
-    door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+def _inherit(channel: socket.socket, received: Received, fingerprint: str) -> Predecessor:
+    """Take over the sockets of a response; OSError where the predecessor serves under other settings."""
+    listeners = [socket.socket(fileno=each) for each in received.descriptors]
+    if settings_fingerprint(received.message) != fingerprint:
+        for listener in listeners:
+            listener.close()
+        raise OSError("it serves under other settings")
+    for listener in listeners:
+        listener.setblocking(False)
+    response = ListenersResponse.decode(received.message)
+    by_address = dict(zip(response.addresses, listeners, strict=True))
+    return Predecessor(channel, by_address, response.clock_offset_ms)
+
+
+def listen(path: Path) -> socket.socket:
+    """Listen at the path in place of the process that did before; OSError where that is not possible."""
+    listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
-        door.setblocking(False)
-        new = path.with_suffix(f".{os.getpid()}")
-        new.unlink(missing_ok=True)
-        with _short(new) as short:
-            door.bind(short)
-        new.chmod(0o600)
-        door.listen(WAITING)
-        new.replace(path)
+        listener.setblocking(False)
+        temporary = path.with_suffix(f".{os.getpid()}")
+        temporary.unlink(missing_ok=True)
+        with _short_path(temporary) as address:
+            listener.bind(address)
+        temporary.chmod(0o600)
+        listener.listen(BACKLOG)
+        temporary.replace(path)
     except BaseException:
-        door.close()
+        listener.close()
         raise
-    return door
+    return listener
--- /dev/null
+++ b/ringledge/lifecycle/peer_process.py
@@ -0,0 +1,69 @@
+"""The other process of this conductor while the two overlap: each knows which requests the other has open."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from contextlib import suppress
+from typing import Any
+
+import anyio
+
+from ringledge.core.registry import RequestRegistry
+from ringledge.lifecycle import handover_channel as channel
+from ringledge.lifecycle.handover_messages import PeerMessage, encode_request_changes
+
+MAX_IDS_PER_MESSAGE = 500  # each is 64 characters at most
+
+
+class PeerProcess:
+    """Exchanges the ids of open requests with the other process over a channel, from its creation on."""
+
+    def __init__(self, sock: socket.socket, registry: RequestRegistry) -> None:
+        self.open_request_ids: set[str] = set()  # in the other process
+        self._sock = sock
+        self._registry = registry
+        # Whether each request is open, in the order of the changes that are still to be sent.
+        self._unsent_changes = dict.fromkeys(registry.records, True)
+        self._has_changes = anyio.Event()
+        self._send_lock = anyio.Lock()  # two tasks may not wait for the same socket
+        registry.peers.append(self)
+
+    def on_request_change(self, request_id: str, is_open: bool) -> None:
+        """A request was opened here, or has ended: the other process will be notified."""
+        self._unsent_changes[request_id] = is_open
+        self._has_changes.set()
+
+    async def send(self, message: dict[str, Any]) -> None:
+        """Send a message; where the channel has ended, `run` detects it."""
+        with suppress(*channel.CHANNEL_ERRORS):
+            async with self._send_lock:
+                await channel.send(self._sock, message)
+
+    async def run(self, on_message: Callable[[PeerMessage], None]) -> None:
+        """Send changes and hand on received messages until the channel ends; then it is closed."""
+        try:
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(self._send_changes)
+                with suppress(*channel.CHANNEL_ERRORS):
+                    while (received := await channel.receive(self._sock)) is not None:
+                        message = PeerMessage.decode(received.message)
+                        self.open_request_ids |= message.opened
+                        self.open_request_ids -= message.ended
+                        on_message(message)
+                tasks.cancel_scope.cancel()
+        finally:
+            self._registry.peers.remove(self)
+            channel.close(self._sock)
+
+    async def _send_changes(self) -> None:
+        while True:
+            while self._unsent_changes:
+                batch = list(self._unsent_changes.items())[:MAX_IDS_PER_MESSAGE]
+                for request_id, _ in batch:
+                    del self._unsent_changes[request_id]
+                opened = [request_id for request_id, is_open in batch if is_open]
+                ended = [request_id for request_id, is_open in batch if not is_open]
+                await self.send(encode_request_changes(opened, ended))
+            self._has_changes = anyio.Event()
+            await self._has_changes.wait()
--- /dev/null
+++ b/ringledge/lifecycle/reload.py
@@ -0,0 +1,71 @@
+"""Reload of the configuration: discovery's address changes in the running program, all else at a restart."""
+
+from __future__ import annotations
+
+from dataclasses import fields
+
+import anyio
+import anyio.abc
+
+from ringledge.lifecycle import config as configuration
+from ringledge.lifecycle.config import Config, ConfigError
+from ringledge.observe.logging import log
+from ringledge.wire.discovery.watcher import Discovery
+
+RETRY_INTERVAL_S = 0.05  # between two reads of a file that could not be used
+RETRY_TIMEOUT_S = 3.0  # of all retries: discovery's list counts as received 4 s after SIGHUP
+# Fields that need no restart: discovery's address is used at once, seed and known list matter at a start.
+RELOADABLE_FIELDS = ("discovery", "discovery_in_file", "seed", "known")
+
+
+class ConfigReloader:
+    """Reads the configuration anew, and applies what may change in the running program."""
+
+    def __init__(self, config: Config, discovery: Discovery, tasks: anyio.abc.TaskGroup) -> None:
+        self._running_config = config
+        self._latest_config = config
+        self._discovery = discovery
+        self._tasks = tasks
+        self._retrying = anyio.CancelScope()
+
+    def reload(self) -> None:
+        """Reload once; where the file can't be used, it is logged and read again for RETRY_TIMEOUT_S."""
+        self._retrying.cancel()
+        try:
+            config = configuration.load()
+        except ConfigError as error:  # a missing or incomplete file is no reason to stop serving
+            log.error("reload_failed", error=str(error))
+            self._tasks.start_soon(self._retry)
+        else:
+            self._apply(config)
+
+    async def _retry(self) -> None:
+        """The file may be in the middle of a write, or there may be no descriptor for a moment."""
+        with anyio.move_on_after(RETRY_TIMEOUT_S) as self._retrying:
+            while True:
+                await anyio.sleep(RETRY_INTERVAL_S)
+                try:
+                    config = configuration.load()
+                except ConfigError:
+                    continue
+                self._apply(config)
+                return
+
+    def _apply(self, config: Config) -> None:
+        """Use the new address of discovery, and log the names of what is used after a restart only."""
+        restart_required = fields_requiring_restart(self._running_config, config)
+        # A changed address in the file is newer than that of RELAY_DISCOVERY.
+        if config.discovery_in_file != self._latest_config.discovery_in_file:
+            self._discovery.move(config.discovery_in_file)
+        self._latest_config = config
+        log.info("reloaded", discovery=self._discovery.address, waits_for_restart=restart_required)
+
+
+def fields_requiring_restart(old: Config, new: Config) -> list[str]:
+    """Names of the changed fields, and of the changed files under deploy/, that are used after a restart."""
+    names = [each.name for each in fields(Config) if each.name not in (*RELOADABLE_FIELDS, "extras")]
+    changed_fields = [name for name in names if getattr(new, name) != getattr(old, name)]
+    changed_files = [
+        name for name in configuration.SETTINGS_FILES if new.extras.get(name) != old.extras.get(name)
+    ]
+    return changed_fields + changed_files
--- a/ringledge/lifecycle/signals.py
+++ b/ringledge/lifecycle/signals.py
@@ -1,38 +1,48 @@
-"""SIGTERM and SIGINT ask for a stop in good order, SIGHUP for a new look at the configuration."""
+"""SIGTERM and SIGINT request a graceful shutdown, SIGHUP a reload of the configuration."""
 
 from __future__ import annotations
 
 import signal
-from collections.abc import Callable
+from typing import Protocol
 
 import anyio
 
 from ringledge.observe.logging import log
 
-HANGUP = frozenset({signal.SIGHUP})
-STOPS = frozenset({signal.SIGTERM, signal.SIGINT})
+RELOAD_SIGNALS = frozenset({signal.SIGHUP})
+SHUTDOWN_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT})
 
 
-def hold_hangup() -> None:
-    """Let SIGHUP wait: its default action would end the process while nobody listens for it."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HANGUP)
+class SignalHandler(Protocol):
+    """What signals are dispatched to."""
 
+    def request_shutdown(self) -> None:
+        """SIGTERM or SIGINT was received."""
 
-def hold_stops() -> None:
-    """Let a stop wait until the program listens for it: from here on clients may have come."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, STOPS)
+    def reload(self) -> None:
+        """SIGHUP was received."""
 
 
-async def on_signals(stop: Callable[[], None], reload: Callable[[], None]) -> None:
-    """Call what a signal asks for; after a stop, too, for the process ends only when all is answered."""
+def block_reload_signals() -> None:
+    """Leave SIGHUP pending: its default action would end the process while no handler is installed."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, RELOAD_SIGNALS)
+
+
+def block_shutdown_signals() -> None:
+    """Leave SIGTERM and SIGINT pending until a handler is installed: clients may already be connected."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, SHUTDOWN_SIGNALS)
+
+
+async def dispatch_signals(handler: SignalHandler) -> None:
+    """Call the handler for each signal, also during a shutdown: the process ends when all is answered."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANGUP | STOPS)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, RELOAD_SIGNALS | SHUTDOWN_SIGNALS)
         try:
             async for number in signals:
                 if number == signal.SIGHUP:
-                    reload()
+                    handler.reload()
                 else:
                     log.info("stopping", signal=signal.Signals(number).name)
-                    stop()
+                    handler.request_shutdown()
         finally:
-            hold_hangup()  # before the handler goes: the process still has to end in good order
+            block_reload_signals()  # before the receiver closes: the shutdown still has to be completed
--- a/tests/decide/discovery/test_watch_timeout.py
+++ b/tests/decide/discovery/test_watch_timeout.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ringledge.decide.discovery.watch_timeout import MOST_DOUBLED, WatchClock
-from ringledge.lifecycle.serve import LIST_S
+from ringledge.lifecycle.serve import ENDPOINT_LIST_TIMEOUT_S
 from ringledge.wire.discovery import watcher as discovery
 
 SILENCE_S = 3.0
@@ -150,7 +150,7 @@
     clock, at_s = pushed(discovery.START_TOLD_S - discovery.PUSHED_TOLD_S), 0.0
     for _ in range(2):
         at_s = asked(silent, clock, at_s)
-    assert at_s + 0.2 < LIST_S
+    assert at_s + 0.2 < ENDPOINT_LIST_TIMEOUT_S
 
 
 def test_behind_a_new_configuration_two_watches_may_fail() -> None:
--- a/tests/fleet/child.py
+++ b/tests/fleet/child.py
@@ -9,17 +9,16 @@
 import os
 import signal
 import socket
-import sys
 import time
 from collections.abc import Callable
 from pathlib import Path
-from types import ModuleType
 from typing import Any
 
 from ringledge.cli import main
 from ringledge.decide.leases.proposer import LeaseProposer, Phase
-from ringledge.lifecycle import components as parts
-from ringledge.lifecycle.shared import Part, Shared
+from ringledge.lifecycle import composition
+from ringledge.lifecycle.component import Component
+from ringledge.lifecycle.composition import ComponentSpec, Composition
 
 EACH_S = 0.03  # between effects
 FOLDER = Path(os.environ.get("RINGLEDGE_DEPLOY", "."))
@@ -59,23 +58,22 @@
         self._write("ended", time.monotonic())
 
 
-def part(shared: Shared) -> Part:
+def create(made: Composition) -> Component:
     told = json.loads((FOLDER / "rig.json").read_text())
-    assert shared.fleet is not None
+    assert made.fleet is not None
     for name in told["duties"]:
-        shared.fleet.duties[name] = Effects(name, told, shared.config.name)
+        made.fleet.duties[name] = Effects(name, told, made.context.config.name)
     mutant = told.get("mutant")
     if mutant == "never_expires":  # a holder goes on by what it knew, whatever its clock says
         seeker: Any = LeaseProposer
         seeker.token_at = lambda self, now_s: self.token if self.phase is Phase.HOLD else None
         seeker._expire = lambda self, now_s: []
-    return Part()
+    return Component()
 
 
 if __name__ == "__main__":
-    rig: Any = ModuleType(f"{parts.__name__}.rig")
-    rig.part = part
-    sys.modules[rig.__name__] = rig
-    place = [name for name, _ in parts.TABLE].index("duties")
-    parts.TABLE = (*parts.TABLE[:place], ("rig", lambda config: True), *parts.TABLE[place:])
+    specs = composition.COMPONENTS
+    index = [spec.name for spec in specs].index("duties")
+    rig = ComponentSpec("rig", lambda config: True, create)
+    composition.COMPONENTS = (*specs[:index], rig, *specs[index:])
     main()
--- a/tests/lifecycle/test_components.py
+++ b/tests/lifecycle/test_components.py
@@ -1,4 +1,4 @@
-"""The table of parts: what its file doesn't enable is neither imported nor started."""
+"""The composition: a component that its file doesn't enable is neither imported nor started."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 import pytest
 
-from ringledge.lifecycle import components as parts
 from ringledge.lifecycle import config as configuration
-from ringledge.lifecycle.serve import waiting
+from ringledge.lifecycle.composition import COMPONENTS
+from ringledge.lifecycle.reload import fields_requiring_restart
 from tests.loopback import SETTINGS, Node
 
 LISTEN = 'listen = "127.0.0.1:0"\n'
@@ -30,8 +30,8 @@
 }
 
 
-def imported(folder: Path, files: dict[str, str]) -> set[str]:
-    """What a process has imported when it is ready."""
+def imported_modules(folder: Path, files: dict[str, str]) -> set[str]:
+    """The modules that a process has imported when it is ready."""
     files = {name: text.replace("{folder}", str(folder)) for name, text in files.items()}
     files["members.key"] = "5c" * 16
     with Node(folder, files=files, flags=("-X", "importtime")) as node:
@@ -39,9 +39,9 @@
     return {text.rsplit("|", 1)[1].strip() for text in texts if "|" in text}
 
 
-def test_what_is_off_is_not_imported(tmp_path: Path) -> None:
+def test_disabled_components_are_not_imported_modules(tmp_path: Path) -> None:
     files = {f"{name}.toml": "enabled = false\n" + text for name, (text, _) in FILES.items()}
-    found = imported(tmp_path, files)
+    found = imported_modules(tmp_path, files)
     assert "ringledge.wire.clients.platform" in found and "psutil" not in found
     for name, (_, module) in FILES.items():
         assert module not in found, name
@@ -50,14 +50,14 @@
     }
 
 
-def test_what_is_on_is_imported(tmp_path: Path) -> None:
+def test_enabled_components_are_imported_modules(tmp_path: Path) -> None:
     files = {f"{name}.toml": "enabled = true\n" + text for name, (text, _) in FILES.items()}
-    found = imported(tmp_path, files)
+    found = imported_modules(tmp_path, files)
     assert {module for _, module in FILES.values()} <= found
 
 
-def test_each_file_has_its_part_and_its_case_here() -> None:
-    assert configuration.FILES.keys() == FILES.keys() <= {name for name, _ in parts.TABLE}
+def test_each_settings_file_has_a_component_and_a_case_here() -> None:
+    assert configuration.SETTINGS_FILES.keys() == FILES.keys() <= {spec.name for spec in COMPONENTS}
 
 
 @pytest.fixture
@@ -70,7 +70,7 @@
     )
 
 
-def test_what_waits_for_a_restart_is_named_by_its_file(config: configuration.Config) -> None:
-    assert waiting(config, config) == []
-    assert waiting(config, replace(config, extras={}, cores=2.0)) == ["cores", "xds"]
-    assert waiting(config, replace(config, discovery="127.0.0.1:2")) == []
+def test_changed_settings_that_require_a_restart_are_named(config: configuration.Config) -> None:
+    assert fields_requiring_restart(config, config) == []
+    assert fields_requiring_restart(config, replace(config, extras={}, cores=2.0)) == ["cores", "xds"]
+    assert fields_requiring_restart(config, replace(config, discovery="127.0.0.1:2")) == []
--- a/tests/lifecycle/test_failing_calls.py
+++ b/tests/lifecycle/test_failing_calls.py
@@ -47,7 +47,7 @@
     """It is a task of the main group: an error that it raises ends the process."""
 
     async def run() -> None:
-        door = channel.open_door(tmp_path / "door.sock")
+        door = channel.listen(tmp_path / "door.sock")
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as caller:
             caller.connect(str(tmp_path / "door.sock"))
             monkeypatch.setattr(socket.socket, "accept", failing_once(socket.socket.accept, number))
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -101,7 +101,7 @@
 def test_the_files_that_are_shipped_can_be_used_and_are_off() -> None:
     shipped = ROOT / "deploy"
     assert configuration.extras({"RINGLEDGE_DEPLOY": str(shipped)}, check_all=True) == {}
-    assert all((shipped / f"{name}.toml").exists() for name in configuration.FILES)
+    assert all((shipped / f"{name}.toml").exists() for name in configuration.SETTINGS_FILES)
 
 
 def test_a_log_that_nobody_reads_holds_nothing_up(tmp_path: Path) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -150,7 +150,7 @@
 
 
 def test_an_ended_watch_of_the_old_list_does_not_delay_the_successor(node: Node) -> None:
-    """It accepts once the list is heard, or after LIST_S of silence; until then the old one does."""
+    """It accepts once the list is received or timed out; until then the old one does."""
     begun = time.monotonic()
     new = node.successor()
     assert new.figures()["relay.cluster_size"] == "2|g" and time.monotonic() - begun < WAIT_S
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ringledge.lifecycle.serve import LIST_S
+from ringledge.lifecycle.serve import ENDPOINT_LIST_TIMEOUT_S
 from tests.loopback import WAIT_S, Call, Node, Process, StandIn
 from tests.standins import play
 from tests.test_client_pace import request
@@ -99,7 +99,7 @@
     watch.chunk(first_word(node, how)[30:])
     assert all_by_the_others(node, clients)
     assert "list_late" not in restart.wait_ready()
-    assert restart.took_s < LIST_S + BUSY_S
+    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
 
 
 def test_clients_that_come_while_the_first_call_is_answered_in_vain_go_by_the_second(node: Node) -> None:
@@ -110,14 +110,14 @@
     discovery.next().begin().chunk(first_word(node, "leaving"))
     assert all_by_the_others(node, clients)
     assert "list_late" not in restart.wait_ready()
-    assert restart.took_s < LIST_S + BUSY_S
+    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
 
 
 def test_beside_a_silent_discovery_it_is_ready_in_time_and_obeys_the_first_word(node: Node) -> None:
     discovery = StandIn()
     restart = Restart(node, discovery)
     assert "list_late" in restart.wait_ready()
-    assert LIST_S < restart.took_s < LIST_S + BUSY_S
+    assert ENDPOINT_LIST_TIMEOUT_S < restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
     while not discovery.calls.empty():  # several were asked in vain by then
         call = discovery.next()
     assert call.closed()
--- a/tests/test_platform_stop.py
+++ b/tests/test_platform_stop.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ringledge.lifecycle.drain import END_S, LONGEST_S
+from ringledge.lifecycle.drain import KILL_GRACE_S, MAX_DEADLINE_S
 from tests.loopback import WAIT_S, Call, Node, StandIn, event, take
 from tests.standins import play
 from tests.test_client_pace import request
@@ -65,7 +65,7 @@
         node.process.send_signal(signal.SIGTERM)
         began = time.monotonic()
         assert node.process.wait(WAIT_S) == 0
-        assert time.monotonic() - began < LONGEST_S + END_S + BUSY_S
+        assert time.monotonic() - began < MAX_DEADLINE_S + KILL_GRACE_S + BUSY_S
         for asker in askers:
             asker.thread.join(WAIT_S)
         runs = Counter(call.id for server in node.writer for call in server.seen if call.method == "POST")
