--- a/ringledge/cli/members.py
+++ b/ringledge/cli/members.py
@@ -17,21 +17,21 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a member.")
 def members(address: str, wait_s: float, as_json: bool) -> None:
     """Ask a running member, with the cluster's key, who is there. Exits 1 without an answer."""
-    from ringledge.lifecycle import settings_files as strict
+    from ringledge.lifecycle import settings_files
     from ringledge.lifecycle.config import DEPLOY
     from ringledge.members.settings import MembersConfig, with_told
     from ringledge.members.snapshot_query import look
 
     try:
         path = Path(os.environ.get("RINGLEDGE_DEPLOY", DEPLOY)) / "members.toml"
-        settings = strict.read(MembersConfig, path)
+        settings = settings_files.read_settings(MembersConfig, path)
         if settings is None:
             raise ValueError(f"{path}: absent or not enabled")
         if not address:
             told = os.environ.get("RELAY_CONFIG")
             address = with_told(settings, orjson.loads(Path(told).read_bytes()) if told else {}).listen
         rows = look(settings.cluster, settings.key(), address, wait_s)
-    except (OSError, ValueError, strict.SettingsError) as error:
+    except (OSError, ValueError, settings_files.SettingsError) as error:
         click.echo(f"members: {error}", err=True)
         sys.exit(2)
     if not rows:
--- a/ringledge/cli/queue.py
+++ b/ringledge/cli/queue.py
@@ -29,14 +29,14 @@
     """The file, as it is: nothing is made or brought up to date."""
     import sqlite3
 
-    from ringledge.lifecycle import settings_files as strict
+    from ringledge.lifecycle import settings_files
     from ringledge.store.settings import QueueConfig
 
     if path is None:
         file = Path(os.environ.get("RINGLEDGE_DEPLOY", "deploy")) / "queue.toml"
         try:
-            config = strict.read(QueueConfig, file)
-        except strict.SettingsError as error:
+            config = settings_files.read_settings(QueueConfig, file)
+        except settings_files.SettingsError as error:
             raise click.ClickException(str(error)) from error
         if config is None:
             raise click.ClickException(f"{file} is absent or not enabled; --path names a file")
--- a/ringledge/cli/serve.py
+++ b/ringledge/cli/serve.py
@@ -41,14 +41,14 @@
     """Read the configuration, say what it holds, and exit."""
     config = _load()
     try:
-        configuration.extras(check_all=True)
+        configuration.load_deploy_settings(check_disabled=True)
     except configuration.ConfigError as error:
         _unusable(error)
-    known = len(config.known.endpoints)
+    known = len(config.known_endpoints.endpoints)
     click.echo(f"{config.name}: listens at {config.listen}, discovery at {config.discovery}")
     click.echo(f"operators call at {config.operator or 'no address'}")
     click.echo(f"classes {', '.join(config.names.classes)}; {known} servers known")
-    click.echo(f"beside it: {', '.join(config.extras) or 'nothing'}")
+    click.echo(f"beside it: {', '.join(config.deploy_settings) or 'nothing'}")
 
 
 @main.command()
--- a/ringledge/lifecycle/components/chat.py
+++ b/ringledge/lifecycle/components/chat.py
@@ -22,8 +22,8 @@
 ) -> Component:
     """Open the front; expired chats are deleted from the start on."""
     config = context.config
-    settings = config.extra(ChatConfig)
-    max_retained_bytes = config.memory / RETAINED_RESPONSES_DIVISOR
+    settings = config.settings_of(ChatConfig)
+    max_retained_bytes = config.memory_bytes / RETAINED_RESPONSES_DIVISOR
     chat = Chat(
         settings,
         config.settings,
--- a/ringledge/lifecycle/components/connection_admission.py
+++ b/ringledge/lifecycle/components/connection_admission.py
@@ -19,7 +19,7 @@
 
 def create_admission(config: Config) -> Doors:
     """The policy that the fronts apply to each new connection."""
-    return Doors(config.extra(DoorsConfig), random.Random(config.seed))
+    return Doors(config.settings_of(DoorsConfig), random.Random(config.seed))
 
 
 def create(context: ProgramContext, admission: Doors) -> Component:
--- a/ringledge/lifecycle/components/lease_holder_duties.py
+++ b/ringledge/lifecycle/components/lease_holder_duties.py
@@ -24,7 +24,7 @@
 
 def create(context: ProgramContext, fleet: Fleet) -> Component:
     """Vote on leases, and acquire those of all duties that are registered when the program is ready."""
-    duties = LeaseHolderDuties(fleet, context.config.extra(DutiesConfig), context.tasks)
+    duties = LeaseHolderDuties(fleet, context.config.settings_of(DutiesConfig), context.tasks)
     return Component(start=duties.start, on_ready=duties.acquire_all, stop=duties.stop)
 
 
--- a/ringledge/lifecycle/components/members.py
+++ b/ringledge/lifecycle/components/members.py
@@ -20,7 +20,7 @@
     config = context.config
     rng = random.Random()  # unlike those of its peers and its predecessor: no seed is shared
     try:
-        settings = config.extra(MembersConfig)
+        settings = config.settings_of(MembersConfig)
         members = MembersPart(settings, config.name, config.peers, context.metrics.registry, rng)
     except ValueError as error:
         raise ConfigError(f"members.toml: {error}") from error
--- a/ringledge/lifecycle/components/overload.py
+++ b/ringledge/lifecycle/components/overload.py
@@ -25,11 +25,11 @@
 def create(context: ProgramContext) -> OverloadControl:
     """Create the gate; it sheds nothing before the program is ready."""
     config, conductor = context.config, context.conductor
-    caps = Caps(config.cores, config.memory, config.sockets)
+    caps = Caps(config.cores, config.memory_bytes, config.sockets)
     statistics = ProcessStatistics(context.metrics, conductor.timer_lag_ms)
     buffered_bytes = BufferedBytes()
     gate = Gate(
-        config.extra(OverloadConfig),
+        config.settings_of(OverloadConfig),
         caps,
         config.settings,
         config.names.classes,
--- a/ringledge/lifecycle/components/platform.py
+++ b/ringledge/lifecycle/components/platform.py
@@ -21,13 +21,13 @@
         return Platform(config.names, conductor)
     from ringledge.wire.clients.loop_budget import Turns
 
-    turns = Turns(config.extra(OverloadConfig).turn_ms / 1000)
+    turns = Turns(config.settings_of(OverloadConfig).turn_ms / 1000)
     return Platform(config.names, conductor, overload.gate, turns, overload.buffered_bytes)
 
 
 def create(context: ProgramContext, platform: Platform) -> Component:
     """Open the front; `/ready` reports ready from `on_ready` on, unless a shutdown was requested before."""
-    is_gated = "overload" in context.config.extras
+    is_gated = "overload" in context.config.deploy_settings
     context.fronts.open(
         Service(
             "platform",
--- a/ringledge/lifecycle/components/prometheus.py
+++ b/ringledge/lifecycle/components/prometheus.py
@@ -15,7 +15,7 @@
 def create(context: ProgramContext) -> Component:
     """Open the front to scrape, and start remote write, each where its address is configured."""
     config = context.config
-    settings = config.extra(PrometheusConfig)
+    settings = config.settings_of(PrometheusConfig)
     if settings.listen:
         scrape = Scrape(context.metrics)
         context.fronts.open(
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -35,12 +35,12 @@
     ConfigError without the chat front.
     """
     config = context.config
-    queue_settings = config.extra(QueueConfig)
-    if "chat" not in config.extras:
+    queue_settings = config.settings_of(QueueConfig)
+    if "chat" not in config.deploy_settings:
         raise ConfigError("queue.toml: chat.toml has to be enabled, too; its clients are queued")
-    chat_settings, settings, names = config.extra(ChatConfig), config.settings, config.names
+    chat_settings, settings, names = config.settings_of(ChatConfig), config.settings, config.names
     observation = Sight(context.conductor, context.upstream.reach, context.metrics)
-    is_leased = "duties" in config.extras
+    is_leased = "duties" in config.deploy_settings
     records = None if fleet is None else fleet.members.facts
     queue = QueuePart(queue_settings, observation, context.metrics.registry, Random(), records, is_leased)
     if fleet is not None and is_leased:
--- a/ringledge/lifecycle/components/role_planning.py
+++ b/ringledge/lifecycle/components/role_planning.py
@@ -20,7 +20,7 @@
     ConfigError where this member's site is none of the zones.
     """
     config, members = context.config, fleet.members
-    settings, zones = config.extra(RatioConfig), config.names.zones
+    settings, zones = config.settings_of(RatioConfig), config.names.zones
     if members.membership.me.site not in zones:
         raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
     role_registry = RoleBook(settings)
--- a/ringledge/lifecycle/components/xds.py
+++ b/ringledge/lifecycle/components/xds.py
@@ -11,7 +11,7 @@
 
 def create(context: ProgramContext) -> Component:
     """Open the front."""
-    settings = context.config.extra(XdsConfig)
+    settings = context.config.settings_of(XdsConfig)
     xds = Xds(settings, context.config.names, context.conductor, context.metrics)
     context.fronts.open(
         Service("xds", settings.listen, xds.handle, error_body, PROGRAM_FRONT_MAX_CONNECTIONS)
--- a/ringledge/lifecycle/composition.py
+++ b/ringledge/lifecycle/composition.py
@@ -132,7 +132,7 @@
 def _create_role_planning(composition: Composition) -> Component:
     from ringledge.lifecycle.components import role_planning
 
-    if composition.fleet is None or "duties" not in composition.context.config.extras:
+    if composition.fleet is None or "duties" not in composition.context.config.deploy_settings:
         raise ConfigError("ratio.toml: members.toml and duties.toml have to be enabled, too")
     return role_planning.create(composition.context, composition.fleet)
 
@@ -155,7 +155,7 @@
 
 def _optional(name: str, create: Callable[[Composition], Component]) -> ComponentSpec:
     """A component that is enabled by the settings file of its name."""
-    return ComponentSpec(name, lambda config: name in config.extras, create)
+    return ComponentSpec(name, lambda config: name in config.deploy_settings, create)
 
 
 # Created and started in this order: a component stands behind those whose results it is given.
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""What a conductor is told at its start: RELAY_CONFIG, the RELAY_* variables, and files under deploy/."""
+"""The configuration of a conductor: RELAY_CONFIG, the RELAY_* variables, and the files under deploy/."""
 
 from __future__ import annotations
 
@@ -8,181 +8,223 @@
 from dataclasses import dataclass
 from importlib import import_module
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import Any, TypedDict, TypeVar
 
 import msgspec
 import orjson
 
-from ringledge.lifecycle import settings_files as strict
+from ringledge.lifecycle import settings_files
 from ringledge.lifecycle.fingerprint import fingerprint
 from ringledge.memory.endpoint_list import ListError, Listing, convert
 from ringledge.memory.names import Names as Names
-from ringledge.routing import simulator_adapter as wirehost
+from ringledge.routing import simulator_adapter
 from ringledge.routing.interface import (
     RouterSettings,
 )
-from ringledge.wire.clients.chat_settings import ChatConfig as ChatConfig
 
-DEPLOY = "deploy"  # the folder of our own files; RINGLEDGE_DEPLOY names another
+DEPLOY = "deploy"  # the folder of the settings files; RINGLEDGE_DEPLOY names another
+MAX_PORT = 65535
+
+S = TypeVar("S", bound=msgspec.Struct)
 
 
 class ConfigError(Exception):
     """The configuration can't be used; the message says why."""
 
 
-def flatten(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the paths of the simulator's wire, so that the adapter's reader serves for both."""
-    if isinstance(value, dict):
-        for key, each in value.items():
-            yield from flatten(each, f"{path}.{key}" if path else key)
-    elif isinstance(value, list) and any(isinstance(each, dict) for each in value):
-        yield f"{path}.count", str(len(value))
-        for index, each in enumerate(value):
-            yield from flatten(each, f"{path}.{index}")
-    elif isinstance(value, list):
-        yield path, ",".join(map(_plain, value))
-    elif value is not None:
-        yield path, _plain(value)
+@dataclass(frozen=True, slots=True)
+class SettingsFile:
+    """Where the type of a settings file's contents is defined; it is imported when the file is read."""
 
+    module: str
+    type_name: str
 
-def _plain(value: Any) -> str:
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    return str(value).replace(" ", "_").replace(",", "_")
+    def import_type(self) -> type[msgspec.Struct]:
+        """The type of the file's contents."""
+        settings_type: type[msgspec.Struct] = getattr(import_module(self.module), self.type_name)
+        return settings_type
 
 
-# Our own files under deploy/, each off unless it says `enabled = true`, with the module and the name of what
-# it may say: a subsystem adds its line here and to lifecycle/composition.py. What is off is not imported.
+# The files under deploy/ by name without `.toml`, each disabled unless it says `enabled = true`. What is
+# disabled is not imported. A new subsystem adds its line here and its component to lifecycle/composition.py.
 SETTINGS_FILES = {
-    "chat": "ringledge.wire.clients.chat_settings:ChatConfig",
-    "xds": "ringledge.wire.exporters.xds_settings:XdsConfig",
-    "prometheus": "ringledge.wire.exporters.prometheus_settings:PrometheusConfig",
-    "overload": "ringledge.decide.overload.settings:OverloadConfig",
-    "doors": "ringledge.decide.connections.settings:DoorsConfig",
-    "members": "ringledge.members.settings:MembersConfig",
-    "duties": "ringledge.members.duty_settings:DutiesConfig",
-    "ratio": "ringledge.decide.ratio.settings:RatioConfig",
-    "queue": "ringledge.store.settings:QueueConfig",
+    "chat": SettingsFile("ringledge.wire.clients.chat_settings", "ChatConfig"),
+    "xds": SettingsFile("ringledge.wire.exporters.xds_settings", "XdsConfig"),
+    "prometheus": SettingsFile("ringledge.wire.exporters.prometheus_settings", "PrometheusConfig"),
+    "overload": SettingsFile("ringledge.decide.overload.settings", "OverloadConfig"),
+    "doors": SettingsFile("ringledge.decide.connections.settings", "DoorsConfig"),
+    "members": SettingsFile("ringledge.members.settings", "MembersConfig"),
+    "duties": SettingsFile("ringledge.members.duty_settings", "DutiesConfig"),
+    "ratio": SettingsFile("ringledge.decide.ratio.settings", "RatioConfig"),
+    "queue": SettingsFile("ringledge.store.settings", "QueueConfig"),
 }
-PEERS = ("peer_listen", "peers", "peers_all")  # what RELAY_CONFIG tells of other conductors
 
-S = TypeVar("S", bound=msgspec.Struct)
+
+class PeerSettings(TypedDict, total=False):
+    """The keys of RELAY_CONFIG about other conductors, as read; `members.settings` checks their values."""
+
+    peer_listen: object
+    peers: object
+    peers_all: object
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """Everything a conductor is told."""
+    """The configuration of a conductor.
+
+    A reload logs changed fields by name, in this order: a new name is one that operators see.
+    """
 
     name: str
     listen: str
     operator: str  # the operators' address; empty: none
     discovery: str
-    discovery_in_file: str  # what the file itself says, whatever RELAY_DISCOVERY overrides
+    configured_discovery: str  # the file's own address, which RELAY_DISCOVERY may override
     seed: int
     sockets: int
     memory_mb: float
     cores: float
-    folder: Path  # $TMPDIR, which a conductor that takes over finds as it was left
-    known: Listing  # the list as it was last known
+    folder: Path  # $TMPDIR: a successor on this machine finds what its predecessor left there
+    known_endpoints: Listing  # the endpoint list as it was last known
     settings: RouterSettings
     names: Names
-    extras: dict[str, msgspec.Struct]  # by file, without its ending: what is enabled
-    peers: dict[str, Any]  # of other conductors, as PEERS names it
+    deploy_settings: dict[str, msgspec.Struct]  # of the enabled files, by name without `.toml`
+    peers: PeerSettings
 
     @property
     def fingerprint(self) -> str:
-        """Whose settings these are, for what is handed over and kept."""
+        """Identifies the settings, for what is handed over or stored."""
         return fingerprint(self.settings, self.names)
 
     @property
-    def memory(self) -> float:
-        """Bytes that the process may use."""
+    def memory_bytes(self) -> float:
+        """Memory that the process may use."""
         return self.memory_mb * 1024 * 1024
 
-    def extra(self, kind: type[S]) -> S:
-        """The settings of a file that is enabled; LookupError where it is not."""
-        for each in self.extras.values():
-            if isinstance(each, kind):
-                return each
-        raise LookupError(kind.__name__)
+    def settings_of(self, settings_type: type[S]) -> S:
+        """The settings of an enabled file by their type; LookupError where it is disabled."""
+        for settings in self.deploy_settings.values():
+            if isinstance(settings, settings_type):
+                return settings
+        raise LookupError(settings_type.__name__)
 
 
-def _address(text: str) -> str:
-    """A host and port; ValueError where it is none, for it would only fail when it is used."""
-    host, colon, port = text.rpartition(":")
-    if not (host and colon and port.isascii() and port.isdecimal() and int(port) < 65536):
-        raise ValueError(f"no address: {text!r}")
-    return text
+def load(environ: Mapping[str, str] = os.environ) -> Config:
+    """Read the configuration; ConfigError names the file and what is wrong."""
+    path = environ.get("RELAY_CONFIG")
+    if not path:
+        raise ConfigError("RELAY_CONFIG names no file")
+    try:
+        return _read_config(orjson.loads(Path(path).read_bytes()), environ)
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from error
+    except KeyError as error:
+        raise ConfigError(f"{path}: missing or unknown {error}") from error
+    except (ValueError, TypeError, AttributeError, ArithmeticError, RecursionError) as error:
+        raise ConfigError(f"{path}: {error}") from error
 
 
-def _known(told: Any) -> Listing:
+def _read_config(document: Any, environ: Mapping[str, str]) -> Config:
+    """Convert the contents of RELAY_CONFIG; KeyError, ValueError and others where they are invalid."""
+    flat_settings = dict(flatten_settings(document["settings"]))
+    names = _read_names(document["settings"])
+    operator = environ.get("RELAY_OPERATOR") or document.get("operator")
+    return Config(
+        name=environ.get("RELAY_NAME") or document["name"],
+        listen=_checked_address(environ.get("RELAY_LISTEN") or document["listen"]),
+        operator=_checked_address(operator) if operator else "",
+        discovery=_checked_address(environ.get("RELAY_DISCOVERY") or document["discovery"]),
+        configured_discovery=_checked_address(document["discovery"]),
+        seed=int(str(document.get("seed", "0")), 16),
+        sockets=int(document.get("limits", {}).get("sockets", 1024)),
+        memory_mb=float(document.get("limits", {}).get("memory_mb", 192)),
+        cores=float(document.get("limits", {}).get("cores", 1.0)),
+        folder=Path(environ.get("TMPDIR") or tempfile.gettempdir()),
+        known_endpoints=_read_known_endpoints(document),
+        settings=simulator_adapter.settings(flat_settings),
+        names=names,
+        deploy_settings=load_deploy_settings(environ),
+        peers=_read_peers(document),
+    )
+
+
+def _read_names(settings: dict[str, Any]) -> Names:
+    caps = settings.get("caps", {})
+    return Names(
+        zones=tuple(settings.get("azs", ())),
+        kinds=tuple(settings.get("shapes", ())),
+        classes=tuple(each["name"] for each in settings.get("classes", ())),
+        tenants=tuple(each["name"] for each in settings.get("tenants", ())),
+        keepalive_s=float(caps.get("keepalive_ms", 30_000)) / 1000,
+        connect_timeout_s=float(caps.get("connect_timeout_ms", 250)) / 1000,
+        max_retry_after_ms=float(caps.get("max_retry_after_ms", 0)),
+    )
+
+
+def _read_known_endpoints(document: dict[str, Any]) -> Listing:
+    known = document.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
     try:
-        return convert(told)
+        return convert(known)
     except ListError as error:
         raise ValueError(f"known: {error}") from error
 
 
-def extras(environ: Mapping[str, str] = os.environ, check_all: bool = False) -> dict[str, msgspec.Struct]:
-    """Our own files that are enabled; `check_all`: those that are off are checked, too."""
-    folder, found = Path(environ.get("RINGLEDGE_DEPLOY", DEPLOY)), dict[str, msgspec.Struct]()
+def _read_peers(document: dict[str, Any]) -> PeerSettings:
+    peers: PeerSettings = {}
+    if "peer_listen" in document:
+        peers["peer_listen"] = document["peer_listen"]
+    if "peers" in document:
+        peers["peers"] = document["peers"]
+    if "peers_all" in document:
+        peers["peers_all"] = document["peers_all"]
+    return peers
+
+
+def _checked_address(text: str) -> str:
+    """The address if it is a host and port; ValueError otherwise, rather than a failure when it is used."""
+    host, colon, port = text.rpartition(":")
+    if not (host and colon and port.isascii() and port.isdecimal() and int(port) <= MAX_PORT):
+        raise ValueError(f"no address: {text!r}")
+    return text
+
+
+def load_deploy_settings(
+    environ: Mapping[str, str] = os.environ, check_disabled: bool = False
+) -> dict[str, msgspec.Struct]:
+    """The settings of the enabled files under deploy/, by file name; ConfigError where one is wrong.
+
+    `check_disabled`: files that are disabled are checked, too.
+    """
+    folder = Path(environ.get("RINGLEDGE_DEPLOY", DEPLOY))
+    settings_by_name: dict[str, msgspec.Struct] = {}
     try:
-        for name, place in SETTINGS_FILES.items():
+        for name, file in SETTINGS_FILES.items():
             path = folder / f"{name}.toml"
-            if check_all or strict.enabled(path):
-                told = strict.read(_kind(place), path)
-                if told is not None:
-                    found[name] = told
-    except strict.SettingsError as error:
+            if check_disabled or settings_files.is_enabled(path):
+                settings = settings_files.read_settings(file.import_type(), path)
+                if settings is not None:
+                    settings_by_name[name] = settings
+    except settings_files.SettingsError as error:
         raise ConfigError(str(error)) from error
-    return found
+    return settings_by_name
 
 
-def _kind(place: str) -> type[msgspec.Struct]:
-    module, _, name = place.partition(":")
-    kind: type[msgspec.Struct] = getattr(import_module(module), name)
-    return kind
+def flatten_settings(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
+    """Nested JSON as the paths of the simulator's format, which `simulator_adapter` reads."""
+    if isinstance(value, dict):
+        for key, each in value.items():
+            yield from flatten_settings(each, f"{path}.{key}" if path else key)
+    elif isinstance(value, list) and any(isinstance(each, dict) for each in value):
+        yield f"{path}.count", str(len(value))
+        for index, each in enumerate(value):
+            yield from flatten_settings(each, f"{path}.{index}")
+    elif isinstance(value, list):
+        yield path, ",".join(map(_format_scalar, value))
+    elif value is not None:
+        yield path, _format_scalar(value)
 
 
-def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration."""
-    path = environ.get("RELAY_CONFIG")
-    if not path:
-        raise ConfigError("RELAY_CONFIG names no file")
-    try:
-        told = orjson.loads(Path(path).read_bytes())
-        fields = dict(flatten(told["settings"]))
-        listed = told["settings"]
-        caps = listed.get("caps", {})
-        names = Names(
-            tuple(listed.get("azs", ())),
-            tuple(listed.get("shapes", ())),
-            tuple(each["name"] for each in listed.get("classes", ())),
-            tuple(each["name"] for each in listed.get("tenants", ())),
-            float(caps.get("keepalive_ms", 30_000)) / 1000,
-            float(caps.get("connect_timeout_ms", 250)) / 1000,
-            float(caps.get("max_retry_after_ms", 0)),
-        )
-        operator = environ.get("RELAY_OPERATOR") or told.get("operator")
-        return Config(
-            environ.get("RELAY_NAME") or told["name"],
-            _address(environ.get("RELAY_LISTEN") or told["listen"]),
-            _address(operator) if operator else "",
-            _address(environ.get("RELAY_DISCOVERY") or told["discovery"]),
-            _address(told["discovery"]),
-            int(str(told.get("seed", "0")), 16),
-            int(told.get("limits", {}).get("sockets", 1024)),
-            float(told.get("limits", {}).get("memory_mb", 192)),
-            float(told.get("limits", {}).get("cores", 1.0)),
-            Path(environ.get("TMPDIR") or tempfile.gettempdir()),
-            _known(told.get("known") or {"index": 0, "snapshot": True, "endpoints": []}),
-            wirehost.settings(fields),
-            names,
-            extras(environ),
-            {key: told[key] for key in PEERS if key in told},
-        )
-    except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from error
-    except KeyError as error:
-        raise ConfigError(f"{path}: missing or unknown {error}") from error
-    except (ValueError, TypeError, AttributeError, ArithmeticError, RecursionError) as error:
-        raise ConfigError(f"{path}: {error}") from error
+def _format_scalar(value: Any) -> str:
+    if isinstance(value, bool):
+        return "true" if value else "false"
+    return str(value).replace(" ", "_").replace(",", "_")
--- a/ringledge/lifecycle/context.py
+++ b/ringledge/lifecycle/context.py
@@ -56,7 +56,7 @@
     overrides = OperatorOverrides(config.folder, config.name, config.fingerprint, conductor.override_server)
     overrides.look_at_start()  # before the first request is forwarded
     discovery = Discovery(config.discovery, names, conductor, random.Random(config.seed))
-    discovery.apply(config.known, EndpointUpdateKind.PERSISTED)
+    discovery.apply(config.known_endpoints, EndpointUpdateKind.PERSISTED)
     return ProgramContext(
         config=config,
         tasks=tasks,
--- a/ringledge/lifecycle/fingerprint.py
+++ b/ringledge/lifecycle/fingerprint.py
@@ -1,7 +1,7 @@
-"""Whose settings something was learned or written under: a digest of their schema and names.
+"""A fingerprint of settings: a digest of the lists whose indices and names are handed over and stored.
 
-What the processes of a conductor hand over or keep is told in indices of the settings' lists, and in servers'
-names. Under other lists the same index is another class or tenant.
+The processes of a conductor hand over and store indices of the settings' lists and names of servers. With
+other lists the same index is another class or tenant, so a process only uses what has its own fingerprint.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
     RouterSettings,
 )
 
-SCHEMA = 1  # of what is handed over and kept; it grows whenever that means something else
-BYTES = 8
+SCHEMA = 1  # version of what is handed over and stored; to be increased when its meaning changes
+DIGEST_BYTES = 8
 
 
 def fingerprint(settings: RouterSettings, names: Names) -> str:
     """The digest in hex digits; equal for equal names of zones, kinds, classes and tenants in equal order."""
     roles = [kind.role.value for kind in settings.kinds]
-    effects = [each.idempotency.value for each in settings.classes]
-    told = [SCHEMA, names.zones, names.kinds, roles, names.classes, effects, names.tenants]
-    return blake2b(orjson.dumps(told), digest_size=BYTES).hexdigest()
+    idempotency = [each.idempotency.value for each in settings.classes]
+    fields = [SCHEMA, names.zones, names.kinds, roles, names.classes, idempotency, names.tenants]
+    return blake2b(orjson.dumps(fields), digest_size=DIGEST_BYTES).hexdigest()
--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -61,9 +61,9 @@
         # Half for servers, half for clients; each front accepts an eighth more, only to reject them.
         reserved = RESERVED_SOCKETS + (operator.CONNECTIONS if config.operator else 0)
         self.max_upstream_sockets = max(8, (max_descriptors(config.sockets) - reserved) // 2)
-        self._body_memory = config.memory / BODY_MEMORY_DIVISOR
+        self._body_memory = config.memory_bytes / BODY_MEMORY_DIVISOR
         self._budget = Budget(self._body_memory)
-        self._public_front_count = 1 + ("chat" in config.extras)  # fronts that any client may call
+        self._public_front_count = 1 + ("chat" in config.deploy_settings)  # fronts that any client may call
         self.listeners: dict[str, socket.socket] = {}  # by address, as it is configured
         self.clients: list[ListeningFront] = []  # drained at a shutdown
         self.operators: list[ListeningFront] = []  # serve until the program ends
--- a/ringledge/lifecycle/reload.py
+++ b/ringledge/lifecycle/reload.py
@@ -15,7 +15,7 @@
 RETRY_INTERVAL_S = 0.05  # between two reads of a file that could not be used
 RETRY_TIMEOUT_S = 3.0  # of all retries: discovery's list counts as received 4 s after SIGHUP
 # Fields that need no restart: discovery's address is used at once, seed and known list matter at a start.
-RELOADABLE_FIELDS = ("discovery", "discovery_in_file", "seed", "known")
+RELOADABLE_FIELDS = ("discovery", "configured_discovery", "seed", "known_endpoints")
 
 
 class ConfigReloader:
@@ -55,17 +55,19 @@
         """Use the new address of discovery, and log the names of what is used after a restart only."""
         restart_required = fields_requiring_restart(self._running_config, config)
         # A changed address in the file is newer than that of RELAY_DISCOVERY.
-        if config.discovery_in_file != self._latest_config.discovery_in_file:
-            self._discovery.move(config.discovery_in_file)
+        if config.configured_discovery != self._latest_config.configured_discovery:
+            self._discovery.move(config.configured_discovery)
         self._latest_config = config
         log.info("reloaded", discovery=self._discovery.address, waits_for_restart=restart_required)
 
 
 def fields_requiring_restart(old: Config, new: Config) -> list[str]:
     """Names of the changed fields, and of the changed files under deploy/, that are used after a restart."""
-    names = [each.name for each in fields(Config) if each.name not in (*RELOADABLE_FIELDS, "extras")]
+    names = [each.name for each in fields(Config) if each.name not in (*RELOADABLE_FIELDS, "deploy_settings")]
     changed_fields = [name for name in names if getattr(new, name) != getattr(old, name)]
     changed_files = [
-        name for name in configuration.SETTINGS_FILES if new.extras.get(name) != old.extras.get(name)
+        name
+        for name in configuration.SETTINGS_FILES
+        if new.deploy_settings.get(name) != old.deploy_settings.get(name)
     ]
     return changed_fields + changed_files
--- a/ringledge/lifecycle/settings_files.py
+++ b/ringledge/lifecycle/settings_files.py
@@ -1,4 +1,4 @@
-"""Files under deploy/, read strictly: what is wrong is told with the file, the key and what is allowed."""
+"""Settings files under deploy/, read strictly: an error names the file, the key and what is allowed."""
 
 from __future__ import annotations
 
@@ -16,44 +16,48 @@
     """A file can't be used; the message says why in one line."""
 
 
-def read(kind: type[S], path: Path) -> S | None:
-    """The settings that the file holds; None where it is absent or not enabled. Both kinds are checked."""
-    told = _told(path)
-    if told is None:
+def read_settings(settings_type: type[S], path: Path) -> S | None:
+    """The settings of an enabled file; None where it is absent or disabled.
+
+    SettingsError where the file is wrong, whether it is enabled or disabled.
+    """
+    table = _read_table(path)
+    if table is None:
         return None
-    enabled = told.pop("enabled", False)
+    is_file_enabled = table.pop("enabled", False)
     try:
-        settings = msgspec.convert(told, kind)
+        settings = msgspec.convert(table, settings_type)
     except msgspec.ValidationError as error:
-        raise SettingsError(f"{path}: {_plain(kind, str(error))}") from error
-    return settings if enabled else None
+        raise SettingsError(f"{path}: {_explain(settings_type, str(error))}") from error
+    return settings if is_file_enabled else None
 
 
-def enabled(path: Path) -> bool:
-    """Whether the file is there and turns its subsystem on; what else it says is not looked at."""
-    told = _told(path)
-    return told is not None and told.get("enabled", False)
+def is_enabled(path: Path) -> bool:
+    """Whether the file exists and enables its subsystem; its other keys are not checked."""
+    table = _read_table(path)
+    return table is not None and table.get("enabled", False)
 
 
-def _told(path: Path) -> dict[str, Any] | None:
-    """What the file says; None where there is none."""
+def _read_table(path: Path) -> dict[str, Any] | None:
+    """The file's keys and values; None where there is no file."""
     if not path.exists():
         return None
     try:
-        told = tomllib.loads(path.read_text())
+        table = tomllib.loads(path.read_text())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
-    if not isinstance(told.get("enabled", False), bool):
+    if not isinstance(table.get("enabled", False), bool):
         raise SettingsError(f"{path}: enabled: true or false is allowed")
-    return told
+    return table
 
 
-def _plain(kind: type[Any], text: str) -> str:
-    """Turn msgspec's words round: the key first, then what is allowed."""
-    if unknown := re.match(r"Object contains unknown field `(.*?)`", text):
-        allowed = ", ".join(("enabled", *(each.encode_name for each in msgspec.structs.fields(kind))))
+def _explain(settings_type: type[Any], error: str) -> str:
+    """Reorder msgspec's message: the key first, then what is allowed."""
+    if unknown := re.match(r"Object contains unknown field `(.*?)`", error):
+        keys = (each.encode_name for each in msgspec.structs.fields(settings_type))
+        allowed = ", ".join(("enabled", *keys))
         return f"{unknown[1]}: no such key; allowed are {allowed}"
-    if missing := re.match(r"Object missing required field `(.*?)`", text):
+    if missing := re.match(r"Object missing required field `(.*?)`", error):
         return f"{missing[1]}: it has to be given"
-    said, _, place = text.partition(" - at `$.")
-    return f"{place.rstrip('`')}: {said}" if place else said
+    problem, _, place = error.partition(" - at `$.")
+    return f"{place.rstrip('`')}: {problem}" if place else problem
--- a/tests/compatibility/settings_files.py
+++ b/tests/compatibility/settings_files.py
@@ -249,13 +249,22 @@
     read = load(folder, {})
     overridden = load(folder, OVERRIDES)
     texts = {
-        f"settings-{name}.json": msgspec.json.format(msgspec.json.encode(read.extras[name])).decode() + "\n"
+        f"settings-{name}.json": msgspec.json.format(msgspec.json.encode(read.deploy_settings[name])).decode()
+        + "\n"
         for name in FILES
     }
-    told = [read.settings, read.names, read.known, read.name, read.listen, read.operator, read.discovery]
+    told = [
+        read.settings,
+        read.names,
+        read.known_endpoints,
+        read.name,
+        read.listen,
+        read.operator,
+        read.discovery,
+    ]
     told += [read.seed, read.sockets, read.memory_mb, read.cores, str(read.folder), read.peers]
     told += [overridden.name, overridden.listen, overridden.operator, overridden.discovery]
-    told += [overridden.discovery_in_file]
+    told += [overridden.configured_discovery]
     texts["settings-platform.txt"] = "\n".join(map(render, told)) + "\n"
     texts["fingerprint.txt"] = fingerprint(read.settings, read.names) + "\n"
     return texts
--- a/tests/decide/ratio/test_simulation.py
+++ b/tests/decide/ratio/test_simulation.py
@@ -18,7 +18,7 @@
 from ringledge.decide.ratio.role_registry import RoleBook
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.decide.ratio.target import Box
-from ringledge.lifecycle.settings_files import SettingsError, read
+from ringledge.lifecycle.settings_files import SettingsError, read_settings
 from ringledge.members.planner import Planner
 from ringledge.observe.logging import log
 
@@ -228,12 +228,12 @@
     path = tmp_path / "ratio.toml"
     path.write_text(text)
     with pytest.raises(SettingsError, match=re.escape(said)):
-        read(RatioConfig, path)
+        read_settings(RatioConfig, path)
 
 
 def test_the_file_in_deploy_says_what_the_settings_are_by_themselves(tmp_path: Path) -> None:
     told = Path("deploy/ratio.toml")
-    assert read(RatioConfig, told) is None
+    assert read_settings(RatioConfig, told) is None
     path = tmp_path / "ratio.toml"
     path.write_text(told.read_text().replace("enabled = false", "enabled = true"))
-    assert read(RatioConfig, path) == RatioConfig()
+    assert read_settings(RatioConfig, path) == RatioConfig()
--- a/tests/lifecycle/test_components.py
+++ b/tests/lifecycle/test_components.py
@@ -72,5 +72,8 @@
 
 def test_changed_settings_that_require_a_restart_are_named(config: configuration.Config) -> None:
     assert fields_requiring_restart(config, config) == []
-    assert fields_requiring_restart(config, replace(config, extras={}, cores=2.0)) == ["cores", "xds"]
+    assert fields_requiring_restart(config, replace(config, deploy_settings={}, cores=2.0)) == [
+        "cores",
+        "xds",
+    ]
     assert fields_requiring_restart(config, replace(config, discovery="127.0.0.1:2")) == []
--- a/tests/members/test_duty_settings.py
+++ b/tests/members/test_duty_settings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ringledge.lifecycle import settings_files as strict
+from ringledge.lifecycle import settings_files
 from ringledge.members.duty_settings import DutiesConfig
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "duties.toml"
@@ -15,11 +15,11 @@
 def _read(tmp_path: Path, text: str) -> DutiesConfig | None:
     path = tmp_path / "duties.toml"
     path.write_text(text)
-    return strict.read(DutiesConfig, path)
+    return settings_files.read_settings(DutiesConfig, path)
 
 
 def test_the_file_that_is_shipped_is_right_and_off(tmp_path: Path) -> None:
-    assert strict.read(DutiesConfig, SHIPPED) is None
+    assert settings_files.read_settings(DutiesConfig, SHIPPED) is None
     told = _read(tmp_path, SHIPPED.read_text().replace("enabled = false", "enabled = true"))
     assert told is not None
     assert told.terms().silence_s == pytest.approx(3.3)
@@ -41,5 +41,5 @@
     ],
 )
 def test_what_is_wrong_is_told_by_its_key(tmp_path: Path, text: str, key: str) -> None:
-    with pytest.raises(strict.SettingsError, match=key):
+    with pytest.raises(settings_files.SettingsError, match=key):
         _read(tmp_path, "enabled = true\n" + text)
--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from ringledge.lifecycle import settings_files as strict
+from ringledge.lifecycle import settings_files
 from ringledge.members.settings import MembersConfig, with_told
 
 GOOD = 'enabled = true\ncluster = "yards"\nkey_file = "members.key"\nlisten = "127.0.0.1:0"\n'
@@ -17,14 +17,14 @@
 def read(folder: Path, text: str) -> MembersConfig:
     path = folder / "members.toml"
     path.write_text(text)
-    settings = strict.read(MembersConfig, path)
+    settings = settings_files.read_settings(MembersConfig, path)
     assert settings is not None
     return settings
 
 
 def test_the_file_of_the_repository_is_off_and_right() -> None:
     path = Path(__file__).parents[2] / "deploy" / "members.toml"
-    assert strict.read(MembersConfig, path) is None
+    assert settings_files.read_settings(MembersConfig, path) is None
     plain = MembersConfig("ringledge", "members.key")
     enabled = path.read_text().replace("enabled = false", "enabled = true")
     assert read_text(enabled) == plain  # what it says is what holds without it
@@ -60,7 +60,7 @@
     ],
 )
 def test_what_is_wrong_is_named(tmp_path: Path, extra: str, names: str) -> None:
-    with pytest.raises(strict.SettingsError, match=names):
+    with pytest.raises(settings_files.SettingsError, match=names):
         read(tmp_path, GOOD + extra)
 
 
--- a/tests/store/test_component.py
+++ b/tests/store/test_component.py
@@ -16,7 +16,7 @@
 from ringledge.decide.interface import QueueBacklog
 from ringledge.decide.replay.partition_detection import Reached, Seen, State
 from ringledge.decide.replay.scheduler import Verdict
-from ringledge.lifecycle import settings_files as strict
+from ringledge.lifecycle import settings_files
 from ringledge.members.replay_sender import Result, Sending
 from ringledge.store.component import QueuePart
 from ringledge.store.entry import Asked, End, Entry
@@ -144,10 +144,10 @@
 
 def test_the_file_that_is_shipped_can_be_used_and_is_off(tmp_path: Path) -> None:
     shipped = ROOT / "deploy/queue.toml"
-    assert strict.read(QueueConfig, shipped) is None
+    assert settings_files.read_settings(QueueConfig, shipped) is None
     on = tmp_path / "queue.toml"
     on.write_text(shipped.read_text().replace("enabled = false", "enabled = true"))
-    assert strict.read(QueueConfig, on) == QueueConfig(path="/var/lib/ringledge/queue.db")
+    assert settings_files.read_settings(QueueConfig, on) == QueueConfig(path="/var/lib/ringledge/queue.db")
     on.write_text('enabled = true\npath = "q"\nsite = "a"\n[sites]\nb = 1.0\n')
-    with pytest.raises(strict.SettingsError, match="sites"):
-        strict.read(QueueConfig, on)
+    with pytest.raises(settings_files.SettingsError, match="sites"):
+        settings_files.read_settings(QueueConfig, on)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The sub-commands, and plain words for a configuration that can't be used."""
+"""The sub-commands, and error messages for a configuration that can't be used."""
 
 import contextlib
 import http.client
@@ -31,7 +31,7 @@
     assert run("version").stdout == f"ringledge {__version__}\n"
 
 
-def test_check_config_says_what_it_holds(tmp_path: Path) -> None:
+def test_check_config_prints_the_configuration(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     told = run("check-config", config=path, RELAY_NAME="n7", RELAY_OPERATOR="127.0.0.1:9100")
@@ -54,7 +54,7 @@
     ],
 )
 @pytest.mark.parametrize("command", ["serve", "check-config"])
-def test_a_bad_configuration_is_told_in_one_line(
+def test_an_invalid_configuration_is_reported_in_one_line(
     tmp_path: Path, command: str, text: str, reason: str
 ) -> None:
     path = tmp_path / "config.json"
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("text", ["enabled = true\nlisten = ", "enabled = true\nport = 1\n"])
-def test_a_bad_deploy_file_is_told_in_one_line(tmp_path: Path, text: str) -> None:
+def test_an_invalid_settings_file_is_reported_in_one_line(tmp_path: Path, text: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     (tmp_path / "chat.toml").write_text(text)
@@ -87,7 +87,7 @@
         ("prometheus.toml", "[labels]\nsite = 3", ("labels", "Expected `str`")),
     ],
 )
-def test_a_deploy_file_is_checked_strictly_also_while_it_is_off(
+def test_a_disabled_settings_file_is_checked_strictly(
     tmp_path: Path, file: str, text: str, words: tuple[str, ...]
 ) -> None:
     path = tmp_path / "config.json"
@@ -98,13 +98,13 @@
     assert all(word in told.stderr for word in (file, *words)), told.stderr
 
 
-def test_the_files_that_are_shipped_can_be_used_and_are_off() -> None:
+def test_the_shipped_settings_files_are_valid_and_disabled() -> None:
     shipped = ROOT / "deploy"
-    assert configuration.extras({"RINGLEDGE_DEPLOY": str(shipped)}, check_all=True) == {}
+    assert configuration.load_deploy_settings({"RINGLEDGE_DEPLOY": str(shipped)}, check_disabled=True) == {}
     assert all((shipped / f"{name}.toml").exists() for name in configuration.SETTINGS_FILES)
 
 
-def test_a_log_that_nobody_reads_holds_nothing_up(tmp_path: Path) -> None:
+def test_requests_are_answered_while_nobody_reads_the_log(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     environ = os.environ | {"RELAY_CONFIG": str(path), "TMPDIR": str(tmp_path)}
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ringledge.core.clock import Clock
-from ringledge.lifecycle.config import flatten
+from ringledge.lifecycle.config import flatten_settings
 from ringledge.memory.connection_pool import Pool
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.http.receive_buffer import Buffer
@@ -26,16 +26,16 @@
         assert len(buffer) == len(whole) and buffer.take() == whole and len(buffer) == 0
 
 
-def test_settings_are_flattened_to_the_wires_paths() -> None:
+def test_settings_are_flattened_to_paths() -> None:
     classes = [{"name": "x y"}, {"name": "z"}]
     told = {"a": {"b": True, "c": [1, 2]}, "classes": classes, "none": None, "empty": []}
-    assert dict(flatten(told)) == {
+    assert dict(flatten_settings(told)) == {
         "a.b": "true", "a.c": "1,2", "classes.count": "2", "classes.0.name": "x_y", "classes.1.name": "z",
         "empty": "",
     }  # fmt: skip
 
 
-def test_the_clock_is_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_is_unix_time_and_monotonic(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     first = clock.now_ms()
     assert first > 1_600_000_000_000
