--- a/ringledge/cli/serve.py
+++ b/ringledge/cli/serve.py
@@ -30,7 +30,7 @@
 @click.option("--log-level", type=click.Choice(LEVELS), default="info", envvar="RINGLEDGE_LOG_LEVEL")
 def serve(log_level: str = "info") -> None:
     """Serve (the default), by RELAY_CONFIG and the files under deploy/."""
-    signals.hold_hangup()  # until the program listens for it
+    signals.block_reload_signals()  # until the program handles them
     config = _load()
     log.configure(log_level, config.name)
     anyio.run(serving.serve, config, backend_options={"loop_factory": _make_loop})
@@ -41,14 +41,14 @@
     """Read the configuration, say what it holds, and exit."""
     config = _load()
     try:
-        configuration.extras(check_all=True)
+        configuration.load_deploy_settings(check_disabled=True)
     except configuration.ConfigError as error:
         _unusable(error)
-    known = len(config.known.endpoints)
+    known = len(config.known_endpoints.endpoints)
     click.echo(f"{config.name}: listens at {config.listen}, discovery at {config.discovery}")
     click.echo(f"operators call at {config.operator or 'no address'}")
     click.echo(f"classes {', '.join(config.names.classes)}; {known} servers known")
-    click.echo(f"beside it: {', '.join(config.extras) or 'nothing'}")
+    click.echo(f"beside it: {', '.join(config.deploy_settings) or 'nothing'}")
 
 
 @main.command()
--- a/tests/decide/ratio/test_simulation.py
+++ b/tests/decide/ratio/test_simulation.py
@@ -18,7 +18,7 @@
 from ringledge.decide.ratio.role_registry import RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.decide.ratio.target import ServerState
-from ringledge.lifecycle.settings_files import SettingsError, read
+from ringledge.lifecycle.settings_files import SettingsError, read_settings
 from ringledge.members.planner import Planner
 from ringledge.observe.logging import log
 
@@ -230,12 +230,12 @@
     path = tmp_path / "ratio.toml"
     path.write_text(text)
     with pytest.raises(SettingsError, match=re.escape(message)):
-        read(RatioConfig, path)
+        read_settings(RatioConfig, path)
 
 
 def test_deployed_file_equals_default_settings(tmp_path: Path) -> None:
     deployed = Path("deploy/ratio.toml")
-    assert read(RatioConfig, deployed) is None
+    assert read_settings(RatioConfig, deployed) is None
     path = tmp_path / "ratio.toml"
     path.write_text(deployed.read_text().replace("enabled = false", "enabled = true"))
-    assert read(RatioConfig, path) == RatioConfig()
+    assert read_settings(RatioConfig, path) == RatioConfig()
