--- a/ringledge/decide/backoff.py
+++ b/ringledge/decide/backoff.py
@@ -24,6 +24,6 @@
         self._bound_s = min(self._most_s, 2 * self._bound_s)
         return wait_s
 
-    def succeeded(self) -> None:
+    def reset(self) -> None:
         """The call went through: the next failure is a first one again."""
         self._bound_s = self._first_s
--- a/ringledge/decide/connections/eviction.py
+++ b/ringledge/decide/connections/eviction.py
@@ -7,15 +7,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Guest:
+class EvictionCandidate:
     """One connection at the door."""
 
-    since: float  # seconds on any one clock: since when it has been as it is now
-    asked: bool  # it has brought a request before
-    half: bool  # it has begun a request and not ended it
+    state_since_s: float  # seconds on any one clock: since when it has been as it is now
+    had_request: bool  # it has brought a request before
+    request_incomplete: bool  # it has begun a request and not ended it
 
 
-def gives_way(guests: Sequence[Guest]) -> int | None:
+def select_victim(guests: Sequence[EvictionCandidate]) -> int | None:
     """The place of the guest that gives way among those that are owed no answer; None where there is none.
 
     Those that never asked go first: a flood costs a descriptor each and brings nothing. Half a request comes
@@ -23,7 +23,7 @@
     Among equals the longest as it is now goes.
     """
     order = [
-        (1 if guest.half else 2 if guest.asked else 0, guest.since, place)
+        (1 if guest.request_incomplete else 2 if guest.had_request else 0, guest.state_since_s, place)
         for place, guest in enumerate(guests)
     ]
     return min(order)[2] if order else None
--- a/ringledge/decide/connections/settings.py
+++ b/ringledge/decide/connections/settings.py
@@ -1,4 +1,4 @@
-"""What deploy/doors.toml may say."""
+"""Settings of deploy/doors.toml: admission and idle timeouts of client connections."""
 
 from __future__ import annotations
 
@@ -8,33 +8,45 @@
 import msgspec
 from msgspec import Meta
 
-Seconds = Annotated[float, Meta(ge=1, le=86_400)]
+IdleTimeoutSeconds = Annotated[float, Meta(ge=1, le=86_400)]
 
 
-class DoorRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What holds for clients of some networks; the longest prefix that fits a client counts."""
+class AdmissionRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Limits for the clients of some networks; the rule with the longest matching prefix applies.
+
+    The keys in the file are the names given to `msgspec.field`.
+    """
 
     networks: Annotated[list[str], Meta(min_length=1)]
     name: str = ""
     deny: bool = False
-    most: Annotated[int, Meta(ge=1)] | None = None  # connections from all of them together
-    most_each: Annotated[int, Meta(ge=1)] | None = None  # from one address
-    per_s: Annotated[float, Meta(gt=0)] | None = None  # new ones a second, together
-    keep_alive_s: Seconds | None = None
+    # Open connections from all addresses of the networks together, and from one address.
+    max_connections: Annotated[int, Meta(ge=1)] | None = msgspec.field(name="most", default=None)
+    max_connections_per_address: Annotated[int, Meta(ge=1)] | None = msgspec.field(
+        name="most_each", default=None
+    )
+    # New connections per second from all addresses together.
+    max_rate_per_s: Annotated[float, Meta(gt=0)] | None = msgspec.field(name="per_s", default=None)
+    idle_timeout_s: IdleTimeoutSeconds | None = msgspec.field(name="keep_alive_s", default=None)
 
     def __post_init__(self) -> None:
-        for each in self.networks:
+        for network in self.networks:
             try:
-                ipaddress.ip_network(each)
+                ipaddress.ip_network(network)
             except ValueError as error:
                 raise ValueError(f"networks: {error}") from error
 
 
-class DoorsConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How long connections may rest, and who may open how many."""
+class AdmissionSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """How long client connections may be idle, and who may open how many."""
 
-    keep_alive_s: Seconds = 75.0
-    jitter: Annotated[float, Meta(ge=0, le=0.5)] = 0.1  # of it by which it is shortened at random
-    advertise: bool = True  # in a header Keep-Alive
-    networks_watched: Annotated[int, Meta(ge=16, le=65_536)] = 512  # whose silent connections are counted
-    rules: list[DoorRule] = []
+    idle_timeout_s: IdleTimeoutSeconds = msgspec.field(name="keep_alive_s", default=75.0)
+    # Fraction of the timeout by which it is shortened at random.
+    idle_timeout_jitter: Annotated[float, Meta(ge=0, le=0.5)] = msgspec.field(name="jitter", default=0.1)
+    # Whether the timeout is sent in a Keep-Alive header.
+    advertise_keep_alive: bool = msgspec.field(name="advertise", default=True)
+    # Networks whose connections without a request are counted.
+    max_networks_counted: Annotated[int, Meta(ge=16, le=65_536)] = msgspec.field(
+        name="networks_watched", default=512
+    )
+    rules: list[AdmissionRule] = []
--- a/ringledge/decide/discovery/start_times.py
+++ b/ringledge/decide/discovery/start_times.py
@@ -11,18 +11,24 @@
 
 from collections.abc import Mapping
 
-MOST_GONE = 1_000  # servers that are remembered though they are listed no more: some 200 bytes each
-LATE_MS = 5_000.0  # that discovery may tell of a start late, beyond the time since the list was known whole
+MAX_UNLISTED_SERVERS = (
+    1_000  # servers that are remembered though they are listed no more: some 200 bytes each
+)
+MAX_NOTICE_DELAY_MS = (
+    5_000.0  # that discovery may tell of a start late, beyond the time since the list was known whole
+)
 
 
-class ServerStarts:
+class StartTimes:
     """Starts as discovery tells them, in order, and on our clock."""
 
     def __init__(self) -> None:
         self._behind_ms = 0.0  # by which our clock is behind discovery's, at least
         self._known: dict[str, tuple[float, float]] = {}  # by server: its start as told, and on our clock
 
-    def told(self, now_ms: float, since_ms: Mapping[str, float], known_ms: float | None) -> dict[str, float]:
+    def update(
+        self, now_ms: float, since_ms: Mapping[str, float], known_ms: float | None
+    ) -> dict[str, float]:
         """Starts on our clock in ms, 0 where it was long ago, of servers whose starts are told now.
 
         `known_ms`: when the list was known whole before; None for the first list.
@@ -30,9 +36,9 @@
         self._behind_ms = max(self._behind_ms, max(since_ms.values(), default=0.0) - now_ms)
         return {server: self._start(server, at_ms, now_ms, known_ms) for server, at_ms in since_ms.items()}
 
-    def keep(self, servers: Mapping[str, object]) -> None:
+    def retain(self, servers: Mapping[str, object]) -> None:
         """Drop what is known of all others, once there are many: one that is cut off may return as it was."""
-        if len(self._known) > MOST_GONE + len(servers):
+        if len(self._known) > MAX_UNLISTED_SERVERS + len(servers):
             self._known = {server: start for server, start in self._known.items() if server in servers}
 
     def _start(self, server: str, since_ms: float, now_ms: float, known_ms: float | None) -> float:
@@ -42,7 +48,7 @@
         if told_ms == since_ms:
             return here_ms
         here_ms = since_ms - self._behind_ms
-        if known_ms is not None and here_ms < known_ms - LATE_MS:
+        if known_ms is not None and here_ms < known_ms - MAX_NOTICE_DELAY_MS:
             here_ms = now_ms  # so old it would have been told before: the clocks differ
         self._known[server] = (since_ms, here_ms)
         return here_ms
--- a/ringledge/decide/discovery/watch_timeout.py
+++ b/ringledge/decide/discovery/watch_timeout.py
@@ -16,13 +16,15 @@
 
 from math import inf
 
-EQUAL_TRIES = 2  # watches in a row that get no more time for a line that has begun than for silence
-MOST_DOUBLED = 32  # of the first allowance
-SHARE_LEFT = 0.5  # of the time that is left until a change counts as told, for each further watch
-LEAST_S = 0.3  # that any watch gets: a busy process may take that long to read what is there
+BASE_ALLOWANCE_WATCHES = (
+    2  # watches in a row that get no more time for a line that has begun than for silence
+)
+MAX_ALLOWANCE_FACTOR = 32  # of the first allowance
+REMAINING_FRACTION = 0.5  # of the time that is left until a change counts as told, for each further watch
+MIN_FIRST_LINE_S = 0.3  # that any watch gets: a busy process may take that long to read what is there
 
 
-class WatchClock:
+class WatchTimeout:
     """The deadline of what is waited for on a watch; times in s."""
 
     def __init__(self, silence_s: float, told_s: float = inf, known_s: float = 0.0) -> None:
@@ -40,33 +42,33 @@
     @property
     def allowance_s(self) -> float:
         """How long a line may take to come, from the last whole one."""
-        doubled: int = 2 ** max(0, self._slow_lines - EQUAL_TRIES + 1)
-        return self._silence_s * min(MOST_DOUBLED, doubled)
+        doubled: int = 2 ** max(0, self._slow_lines - BASE_ALLOWANCE_WATCHES + 1)
+        return self._silence_s * min(MAX_ALLOWANCE_FACTOR, doubled)
 
     @property
     def deadline_s(self) -> float:
         """When the watch counts as silent unless something comes before."""
         silent_s = self._byte_s if self._line_begun else self._line_s
         deadline_s = min(silent_s + self._silence_s, self._line_s + self.allowance_s)
-        return min(deadline_s, self.first_line_s) if self._owes_all else deadline_s
+        return min(deadline_s, self.first_line_deadline_s) if self._owes_all else deadline_s
 
     @property
-    def first_line_s(self) -> float:
+    def first_line_deadline_s(self) -> float:
         """By when a watch that was just asked for has to have told what it owes, its connection included."""
         left_s = self._known_s + self._told_s - self._asked_s
-        return self._asked_s + max(LEAST_S, SHARE_LEFT * left_s) if left_s > 0 else inf
+        return self._asked_s + max(MIN_FIRST_LINE_S, REMAINING_FRACTION * left_s) if left_s > 0 else inf
 
-    def ask(self, now_s: float) -> None:
+    def watch_requested(self, now_s: float) -> None:
         """A watch is asked for."""
         self._asked_s = now_s
-        self.begin(now_s)
+        self.watch_started(now_s)
 
-    def begin(self, now_s: float) -> None:
+    def watch_started(self, now_s: float) -> None:
         """A watch has been answered; nothing of its first line has come."""
         self._began_s = self._line_s = self._byte_s = now_s
         self._line_begun, self._owes_all = False, True
 
-    def piece(self, now_s: float, told: bool, whole: bool, line_begun: bool) -> None:
+    def data_received(self, now_s: float, told: bool, whole: bool, line_begun: bool) -> None:
         """A piece has come.
 
         `told`: it ended an object of the list; `whole`: it ended such an object or an empty line;
@@ -81,13 +83,13 @@
         if whole and not self._owes_all:
             self._known_s = now_s
 
-    def expired(self, now_s: float) -> bool:
+    def watch_timed_out(self, now_s: float) -> bool:
         """The watch is given up at its deadline; whether under a line that still came in pieces."""
         slow = self._line_begun and now_s - self._byte_s < self._silence_s
         if slow:
             self._slow_lines += 1
         return slow
 
-    def moved(self, known_s: float = 0.0) -> None:
+    def address_changed(self, known_s: float = 0.0) -> None:
         """Discovery is elsewhere: what was slow there says nothing of it. `known_s`: as at the start."""
         self._slow_lines, self._known_s = 0, known_s
--- a/ringledge/decide/servers/__init__.py
+++ b/ringledge/decide/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Reachability of servers, releases, health checks and connection timeouts."""
+"""Decisions about servers: reachability, cache releases, health checks and connection timeouts."""
--- a/ringledge/decide/servers/delivery.py
+++ b/ringledge/decide/servers/delivery.py
@@ -1,45 +1,63 @@
-"""Whether what was written to a kept connection has arrived; free of I/O and clocks.
+"""Whether a request written to a reused connection has been delivered; free of I/O and clocks.
 
-A machine that is cut off says nothing: what is written to a connection from before simply stays
-unanswered, like a request that waits in a queue. A new connection tells the two apart, for it comes up
-within milliseconds or never. So a server that owes an answer for a while, and was not heard since by any
-other call, is tried.
+A machine behind a network partition sends nothing: a request written to an established connection simply
+stays unanswered, just as one that waits in the server's queue. A new connection tells the two apart, because
+it is established within milliseconds or never. So a server that has owed an answer for a while, and wasn't
+reached by any other call since, is checked by opening a connection to it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 from math import inf
 
 from ringledge.decide.servers.reachability import Reachability
 
-CHECK_MS = 250.0  # without a word: longer than most reads take, and half of what a state may be held
-AGAIN_MS = 1_500.0  # after a check: what waits still is in a queue, and a connection costs the server work
+CHECK_AFTER_MS = 250.0  # without contact: longer than most prefills, and half of the hold limit of an entry
+# After a check that succeeded: the request waits in the server's queue, and connections cost the server work.
+RECHECK_INTERVAL_MS = 1_500.0
 
 
-class Arrivals:
-    """Whom to check, and what a check that failed tells; at most one check is out to a server."""
+@dataclass(slots=True, frozen=True)
+class UnansweredRequest:
+    """A request that a server has not answered yet."""
 
-    def __init__(self, reach: Reachability) -> None:
-        self._reach = reach
-        self._checked: dict[str, float] = {}  # when the last check came up; inf while one is out
+    server: str
+    written_ms: float  # when its last byte was written
 
-    def due(self, now_ms: float, waiting: Iterable[tuple[str, float]]) -> list[str]:
-        """Servers to check: of those that owe answers to what was written to kept connections, and when."""
+
+class DeliveryChecks:
+    """Which servers to check, and which requests a failed check shows to be lost.
+
+    Invariant: at most one check is in progress for a server.
+    """
+
+    def __init__(self, reachability: Reachability) -> None:
+        self._reachability = reachability
+        self._checked_ms: dict[
+            str, float
+        ] = {}  # end of the last check by server; inf while one is in progress
+
+    def take_due_servers(self, now_ms: float, unanswered: Iterable[UnansweredRequest]) -> list[str]:
+        """The servers to check now, given all unanswered requests; a check counts as started."""
         due = list[str]()
-        for server, written_ms in waiting:
-            last_ms = max(written_ms, self._reach.heard_ms(server))
-            if now_ms - last_ms < CHECK_MS or now_ms - self._checked.get(server, -inf) < AGAIN_MS:
+        for request in unanswered:
+            last_ms = max(request.written_ms, self._reachability.last_contact_ms(request.server))
+            checked_ms = self._checked_ms.get(request.server, -inf)
+            if now_ms - last_ms < CHECK_AFTER_MS or now_ms - checked_ms < RECHECK_INTERVAL_MS:
                 continue
-            self._checked[server] = inf
-            due.append(server)
+            self._checked_ms[request.server] = inf
+            due.append(request.server)
         return due
 
-    def checked(self, now_ms: float, server: str) -> None:
-        """The check is over, however it went."""
-        self._checked = {name: at_ms for name, at_ms in self._checked.items() if now_ms - at_ms < AGAIN_MS}
-        self._checked[server] = now_ms
+    def check_finished(self, now_ms: float, server: str) -> None:
+        """A check has ended, whatever its result."""
+        self._checked_ms = {
+            name: at_ms for name, at_ms in self._checked_ms.items() if now_ms - at_ms < RECHECK_INTERVAL_MS
+        }
+        self._checked_ms[server] = now_ms
 
-    def lost(self, server: str, written_ms: float) -> bool:
-        """Whether what was written then is given up, behind a check that failed."""
-        return self._reach.heard_ms(server) <= written_ms
+    def is_lost(self, server: str, written_ms: float) -> bool:
+        """Whether a failed check shows a request to be lost: its server wasn't reached since the write."""
+        return self._reachability.last_contact_ms(server) <= written_ms
--- a/ringledge/decide/servers/reachability.py
+++ b/ringledge/decide/servers/reachability.py
@@ -1,7 +1,8 @@
-"""Which servers can be reached now, by what all calls to them have met; free of I/O and clocks.
+"""Which servers can be reached now, by the results of all calls to them; free of I/O and clocks.
 
-Each conductor of a large fleet hears little of any one server, so what is met counts for its place too: while
-connections to several servers of a zone never come up and none of that zone answers, the zone is cut off.
+Each router process of a large fleet has few calls to any one server, so each result also counts for the
+server's zone: while connections to several servers of a zone time out and none of that zone answers, the zone
+counts as partitioned. All times are in ms of the caller's clock; -inf stands for never.
 """
 
 from __future__ import annotations
@@ -10,142 +11,168 @@
 from dataclasses import dataclass, field
 from math import inf
 
-EXPIRY_MS = 3_000.0  # a failure older than this says nothing: links come back within seconds
-REFUSED_MS = 1_000.0  # for how long one refusal counts, doubled with each: a process starts within seconds
-MAX_REFUSED_MS = 30_000.0  # what that grows to: who is gone for good refuses until the list says so
-CACHE_MS = 20.0  # a silence that has faded may count so much longer: looking costs a walk over all servers
-MIN_SILENT = 2  # servers of a zone that must be silent for it to count as cut off: one may be down itself
+FAILURE_TTL_MS = 3_000.0  # an older time-out says nothing: links come back within seconds
+INITIAL_REFUSAL_TTL_MS = 1_000.0  # how long one refusal counts, doubled with each: processes start in seconds
+MAX_REFUSAL_TTL_MS = 30_000.0  # a server that is down for good refuses until the endpoint list removes it
+MAX_REFUSAL_DOUBLINGS = 8
+CACHE_TTL_MS = 20.0  # an expired failure may count so much longer: a new result walks over all servers
+MIN_TIMED_OUT_SERVERS = 2  # for a zone to count as partitioned: a single one may be down itself
 
 
 @dataclass(slots=True)
 class ServerHistory:
-    """What was met last at one server; times in ms of the caller's clock, -inf for never."""
+    """The last results of calls to one server."""
 
     zone: int = -1
-    heard_ms: float = -inf  # its process answered, or its machine took a connection
-    answered_ms: float = -inf  # its process answered
-    silent_ms: float = -inf  # a connection never came up, or a call got no answer
-    refused_ms: float = -inf  # its machine is there, but no process listens
-    refusals: int = 0  # in a row
-
-    def unreachable(self, now_ms: float) -> bool:
-        """Whether a connection there is likely to fail, by what was met at the server itself."""
-        silent = self.silent_ms > self.heard_ms and now_ms - self.silent_ms < EXPIRY_MS
-        refused_ms = min(MAX_REFUSED_MS, REFUSED_MS * 2 ** min(self.refusals - 1, 8))
-        return silent or (self.refused_ms > self.heard_ms and now_ms - self.refused_ms < refused_ms)
+    last_contact_ms: float = -inf  # its process answered, or its machine accepted a connection
+    last_answer_ms: float = -inf  # its process answered
+    last_timeout_ms: float = -inf  # a connection wasn't established, or a call wasn't answered in time
+    last_refusal_ms: float = -inf  # its machine is reachable, but no process listens
+    consecutive_refusals: int = 0
+
+    def is_unreachable(self, now_ms: float) -> bool:
+        """Whether a connection is likely to fail, by the results of this server alone."""
+        timed_out = (
+            self.last_timeout_ms > self.last_contact_ms and now_ms - self.last_timeout_ms < FAILURE_TTL_MS
+        )
+        doublings = min(self.consecutive_refusals - 1, MAX_REFUSAL_DOUBLINGS)
+        refusal_ttl_ms = min(MAX_REFUSAL_TTL_MS, INITIAL_REFUSAL_TTL_MS * 2**doublings)
+        return timed_out or (
+            self.last_refusal_ms > self.last_contact_ms and now_ms - self.last_refusal_ms < refusal_ttl_ms
+        )
 
 
 @dataclass(slots=True)
 class ZoneHistory:
-    """What was met last in one zone."""
+    """The last results of calls to the servers of one zone."""
 
-    heard_ms: float = -inf
-    silent: dict[str, float] = field(default_factory=dict)  # servers that were silent since, and when
+    last_contact_ms: float = -inf
+    timeouts_ms: dict[str, float] = field(default_factory=dict)  # last time-out by server, until a contact
 
 
 class Reachability:
-    """Keeps what was met at each server, by its name in the list."""
+    """The results of calls by server, under the server's name in the endpoint list.
+
+    Results of servers that aren't listed are ignored.
+    """
 
-    def __init__(self, zone: int = -1) -> None:
-        """`zone`: our own, which no cut between zones keeps from us."""
-        self._own = zone
+    def __init__(self, own_zone: int = -1) -> None:
+        """`own_zone`: the zone of this process, which no partition between zones separates from it."""
+        self._own_zone = own_zone
         self._histories: dict[str, ServerHistory] = {}
-        self.changed_ms = -inf  # when a silence began or ended
-        self._told_ms, self._told = -inf, frozenset[str]()
         self._zones: dict[int, ZoneHistory] = {}
+        self._changed_ms = -inf  # when a server last became unreachable, or reachable again
+        self._cached_at_ms = -inf
+        self._cached_unreachable = frozenset[str]()
 
-    def listed(self, servers: Iterable[tuple[str, int]]) -> None:
-        """Take the list over: each server with its zone; what is known of others is dropped."""
-        old, self._histories = self._histories, {}
+    def update_servers(self, servers: Iterable[tuple[str, int]]) -> None:
+        """Take a new endpoint list: each server with its zone. Results of all other servers are dropped."""
+        old_histories, self._histories = self._histories, {}
         for server, zone in servers:
-            history = self._histories[server] = old.get(server, ServerHistory())
+            history = self._histories[server] = old_histories.get(server, ServerHistory())
             history.zone = zone
-        for told in self._zones.values():
-            silent = told.silent.items()
-            told.silent = {server: at_ms for server, at_ms in silent if server in self._histories}
-
-    def heard(self, server: str, now_ms: float) -> None:
-        """The server has answered something."""
-        self.connected(server, now_ms)
+        for zone_history in self._zones.values():
+            zone_history.timeouts_ms = {
+                server: at_ms
+                for server, at_ms in zone_history.timeouts_ms.items()
+                if server in self._histories
+            }
+
+    def record_answer(self, server: str, now_ms: float) -> None:
+        """The server's process has answered a call."""
+        self.record_connection(server, now_ms)
         if (history := self._histories.get(server)) is not None:
-            history.answered_ms = now_ms
+            history.last_answer_ms = now_ms
 
-    def connected(self, server: str, now_ms: float) -> None:
-        """A connection came up: the server's machine is there, though its process may hang."""
+    def record_connection(self, server: str, now_ms: float) -> None:
+        """A connection was established: the server's machine is reachable, though its process may hang."""
         if (history := self._histories.get(server)) is not None:
-            if max(history.silent_ms, history.refused_ms) > history.heard_ms:
-                self.changed_ms = now_ms
-            history.heard_ms, history.refusals = now_ms, 0
-            zone = self._zone(history)
-            zone.heard_ms = now_ms
-            zone.silent.pop(server, None)
-
-    def silent(self, server: str, now_ms: float) -> None:
-        """A connection never came up, or a small call was not answered in time."""
+            if max(history.last_timeout_ms, history.last_refusal_ms) > history.last_contact_ms:
+                self._changed_ms = now_ms
+            history.last_contact_ms = now_ms
+            history.consecutive_refusals = 0
+            zone_history = self._zone_history(history)
+            zone_history.last_contact_ms = now_ms
+            zone_history.timeouts_ms.pop(server, None)
+
+    def record_timeout(self, server: str, now_ms: float) -> None:
+        """A connection wasn't established, or a small call wasn't answered in time."""
         if (history := self._histories.get(server)) is not None:
-            history.silent_ms = self.changed_ms = now_ms
-            self._zone(history).silent[server] = now_ms
+            self._changed_ms = now_ms
+            history.last_timeout_ms = now_ms
+            self._zone_history(history).timeouts_ms[server] = now_ms
 
-    def refused(self, server: str, now_ms: float) -> None:
-        """No process listens there: that tells of the server alone."""
+    def record_refusal(self, server: str, now_ms: float) -> None:
+        """No process listens there, which says nothing about the zone."""
         if (history := self._histories.get(server)) is not None:
-            history.refused_ms = self.changed_ms = now_ms
-            history.refusals += 1
+            self._changed_ms = now_ms
+            history.last_refusal_ms = now_ms
+            history.consecutive_refusals += 1
 
-    def heard_ms(self, server: str) -> float:
-        """When the server answered last."""
+    def last_contact_ms(self, server: str) -> float:
+        """When the server last answered or accepted a connection."""
         history = self._histories.get(server)
-        return -inf if history is None else history.heard_ms
+        return -inf if history is None else history.last_contact_ms
 
-    def answered_ms(self, server: str) -> float:
-        """When the server's process answered last."""
+    def last_answer_ms(self, server: str) -> float:
+        """When the server's process last answered."""
         history = self._histories.get(server)
-        return -inf if history is None else history.answered_ms
+        return -inf if history is None else history.last_answer_ms
 
-    def surest(self, servers: Iterable[str]) -> str | None:
-        """The server that answered last; where none ever has, one of our own zone."""
-        known = [(self._histories[server], server) for server in servers if server in self._histories]
-        best = max(known, key=lambda each: (each[0].heard_ms, each[0].zone == self._own), default=None)
-        return None if best is None else best[1]
+    def most_recently_reached(self, servers: Iterable[str]) -> str | None:
+        """The listed server with the latest contact; among equals, e.g. without any, one of the own zone."""
+        listed = [server for server in servers if server in self._histories]
+        return max(listed, key=self._contact_rank) if listed else None
 
-    def doubtful(self, server: str, now_ms: float) -> bool:
-        """Whether a call there would likely get no answer: by its own history, or its zone is cut off."""
+    def is_suspect(self, server: str, now_ms: float) -> bool:
+        """Whether a call would likely fail, by the results of the server itself or of its zone."""
         history = self._histories.get(server)
         if history is None:
             return True
-        return history.unreachable(now_ms) or self.cut_off(history.zone, now_ms)
+        return history.is_unreachable(now_ms) or self.is_zone_partitioned(history.zone, now_ms)
 
-    def silences(self, now_ms: float) -> frozenset[str]:
-        """All servers that connections don't reach: those tried in vain lately, and whose zone is cut off.
+    def unreachable_servers(self, now_ms: float) -> frozenset[str]:
+        """All servers to which connections are likely to fail, by their own results or those of their zone.
 
-        One that refuses is left alone ever longer: the list that should say that it is gone may not come.
+        A server that refuses connections is avoided for ever longer times: the endpoint list that should
+        remove it may be out of date. The result is cached for `CACHE_TTL_MS` unless a new result changes it.
         """
-        if self.changed_ms <= self._told_ms and now_ms - self._told_ms < CACHE_MS:
-            return self._told
-        self._told_ms, self._told = now_ms, self._silences(now_ms)
-        return self._told
+        if self._changed_ms > self._cached_at_ms or now_ms - self._cached_at_ms >= CACHE_TTL_MS:
+            self._cached_at_ms = now_ms
+            self._cached_unreachable = self._find_unreachable(now_ms)
+        return self._cached_unreachable
+
+    def is_zone_partitioned(self, zone: int, now_ms: float) -> bool:
+        """Whether several servers of the zone timed out recently, and none was reached since."""
+        zone_history = self._zones.get(zone)
+        if zone_history is None:
+            return False
+        since_ms = max(now_ms - FAILURE_TTL_MS, zone_history.last_contact_ms)
+        timed_out = sum(at_ms > since_ms for at_ms in zone_history.timeouts_ms.values())
+        return timed_out >= MIN_TIMED_OUT_SERVERS
 
-    def _silences(self, now_ms: float) -> frozenset[str]:
-        if now_ms - self.changed_ms > MAX_REFUSED_MS:  # nothing is remembered for so long: no walk
+    def _find_unreachable(self, now_ms: float) -> frozenset[str]:
+        if now_ms - self._changed_ms > MAX_REFUSAL_TTL_MS:  # every failure has expired
             return frozenset()
-        for told in self._zones.values():
-            told.silent = {s: at_ms for s, at_ms in told.silent.items() if now_ms - at_ms < EXPIRY_MS}
-        cut = {zone for zone in self._zones if self.cut_off(zone, now_ms)}
+        for zone_history in self._zones.values():
+            zone_history.timeouts_ms = {
+                server: at_ms
+                for server, at_ms in zone_history.timeouts_ms.items()
+                if now_ms - at_ms < FAILURE_TTL_MS
+            }
+        partitioned = {zone for zone in self._zones if self.is_zone_partitioned(zone, now_ms)}
         return frozenset(
             server
             for server, history in self._histories.items()
-            if history.zone in cut or history.unreachable(now_ms)
+            if history.zone in partitioned or history.is_unreachable(now_ms)
         )
 
-    def cut_off(self, zone: int, now_ms: float) -> bool:
-        """Whether several servers of the zone were silent lately, and none of the zone was heard since."""
-        told = self._zones.get(zone)
-        if told is None:
-            return False
-        since_ms = max(now_ms - EXPIRY_MS, told.heard_ms)
-        return sum(at_ms > since_ms for at_ms in told.silent.values()) >= MIN_SILENT
+    def _contact_rank(self, server: str) -> tuple[float, bool]:
+        history = self._histories[server]
+        return history.last_contact_ms, history.zone == self._own_zone
 
-    def _zone(self, history: ServerHistory) -> ZoneHistory:
-        if (zone := self._zones.get(history.zone)) is None:
-            zone = self._zones[history.zone] = ZoneHistory()
-        return zone
+    def _zone_history(self, history: ServerHistory) -> ZoneHistory:
+        """The history of a server's zone, created with its first result."""
+        if (zone_history := self._zones.get(history.zone)) is None:
+            zone_history = self._zones[history.zone] = ZoneHistory()
+        return zone_history
--- a/ringledge/decide/servers/releases.py
+++ b/ringledge/decide/servers/releases.py
@@ -1,216 +1,228 @@
-"""Where and when what servers hold for an ended request is let go; free of I/O and clocks.
+"""When and at which server the KV cache entries of a finished request are released; free of I/O and clocks.
 
-The protocol lets any server that runs be told: all that is held for the request anywhere is let go, also the
-state of a read that is still under way. So a release is asked for only once no attempt will follow: at the
-holder where it can be heard, and elsewhere at once where it can't. What a read leaves that ended unseen at a
-server cut off may come to be after that; such a release is said again until its holder is heard.
+The protocol lets any running server take a release call: it then releases all that is reserved for the
+request anywhere, also the result of a prefill that is still running. So a release starts only once no further
+attempt will follow. It is sent to a holder of the entry if one can be reached, otherwise to another server
+at once. A prefill that was abandoned at an unreachable server may finish after that and reserve an entry
+again; such a release is repeated until its holder answers.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
 from heapq import heappop, heappush
 from itertools import count
 from math import inf
 
 from ringledge.decide.servers.reachability import Reachability
+from ringledge.decide.servers.release_state import (
+    ActiveRelease,
+    ReleaseCall,
+    ReleaseOutcome,
+    ReleaseResult,
+)
 
-HEDGE = 0.2  # of the time left after which another is asked too: five fit, and more as it runs out
-LEAST_MS = 30.0  # between two asked: some ways there and back, and a handshake
-AGAIN_MS = 350.0  # between two rounds while the holder isn't heard: what it leaves may stay 500 ms
-WATCH_MS = 8_000.0  # as long as that is done: links that were cut for longer have not been seen
-FOR_MS = 20_000.0  # while nobody hears it: by then the server has let go by itself, or is gone
+# Fraction of the remaining time after which a hedged call goes to another server: five calls fit into the
+# time, and more as it runs out.
+HEDGE_FRACTION = 0.2
+MIN_CALL_INTERVAL_MS = 30.0  # between two calls of a release: a few round trips and a handshake
+RETRY_INTERVAL_MS = 350.0  # between two rounds while the holder doesn't answer: an entry may stay 500 ms
+RETRY_WINDOW_MS = 8_000.0  # for how long rounds are repeated: no longer network partitions have been observed
+GIVE_UP_MS = 20_000.0  # without any answer: by then the server has released by itself, or is down
 
 
-@dataclass(slots=True, frozen=True)
-class Ask:
-    """Tell a server to let go of all that is held for a request."""
+class ReleaseScheduler:
+    """All releases of one router process.
 
-    request: str
-    server: str
-
-
-@dataclass(slots=True, frozen=True)
-class Ended:
-    """How a release ended: done (heard), gone (no server is listed) or lost (nobody heard it)."""
-
-    request: str
-    how: str
-    asked: int  # servers asked until it was heard
-    took_ms: float  # until it was heard first; until it was given up where it never was
-    where: str  # the server that heard it
-    holder: bool  # that server was a holder
-
-
-@dataclass(slots=True)
-class Release:
-    """One request's release under way."""
-
-    request: str
-    holders: tuple[str, ...]
-    unseen: frozenset[str]  # holders at which a read may have ended unseen
-    since_ms: float
-    until_ms: float  # by when it should be heard
-    next_ms: float = 0.0  # when the next server is asked
-    tried: set[str] = field(default_factory=set)  # in this round
-    asked: int = 0
-    told: Ended | None = None  # how it was heard first
-
-
-class Releases:
-    """All releases of one conductor; at most one call is out to a server, so they share a connection."""
+    Invariant: at most one call is in flight to a server, so that releases share one connection to it.
+    """
 
     def __init__(
-        self, let_go_ms: float, reach: Reachability, servers: Callable[[], Mapping[str, bool]]
+        self, hold_limit_ms: float, reachability: Reachability, servers: Callable[[], Mapping[str, bool]]
     ) -> None:
-        """`let_go_ms`: how long a state may be held; `servers`: all listed; may they be asked?."""
-        self._let_go_ms, self._reach, self._servers = let_go_ms, reach, servers
-        self._open: dict[str, Release] = {}
-        self._due: list[tuple[float, int, Release]] = []  # a heap; one whose time was changed is skipped
-        self._numbers = count()
-        self._busy = Counter[str]()  # calls out, by server
-        self._calls = Counter[str]()  # and by request
-        self._ended: list[Ended] = []
+        """`hold_limit_ms`: how long a cache entry may be held after its request's last attempt.
+
+        `servers`: returns all listed servers, and for each whether it may be called for other holders.
+        """
+        self._hold_limit_ms = hold_limit_ms
+        self._reachability = reachability
+        self._servers = servers
+        self._active: dict[str, ActiveRelease] = {}
+        self._queue: list[tuple[float, int, ActiveRelease]] = []  # a heap; rescheduled items are skipped
+        self._sequence = count()
+        self._calls_by_server = Counter[str]()  # in flight
+        self._calls_by_request = Counter[str]()  # in flight
+        self._results: list[ReleaseResult] = []
 
     def __len__(self) -> int:
-        """How many are under way."""
-        return len(self._open)
+        """How many releases are in progress."""
+        return len(self._active)
 
-    def unheard(self) -> int:
-        """How many no server has heard yet: an end of the process would leave a state pinned."""
-        return sum(release.told is None for release in self._open.values())
+    def unanswered_releases(self) -> int:
+        """How many no server has answered yet; their entries would stay reserved if the process ended."""
+        return sum(release.result is None for release in self._active.values())
 
     def add(
         self,
         now_ms: float,
         request: str,
-        known: set[str],
-        unseen: Mapping[str, float],
-        begun: bool = False,
+        holders: set[str],
+        abandoned: Mapping[str, float],
+        stream_began: bool = False,
     ) -> None:
-        """No attempt of the request is out any more.
+        """Start a release: no attempt of the request is in flight any more.
 
-        `known` hold its state for certain; at the `unseen` a read was given up at the time told. If an answer
-        has `begun` all was let go with it, save at servers that have said nothing since.
+        `holders`: servers that certainly hold an entry. `abandoned`: servers where a prefill was abandoned,
+        and when. `stream_began`: a decode server began to stream, which has released everything except at
+        those `abandoned` servers that have not answered since; without such servers nothing is started.
         """
-        holders = (*sorted(known), *sorted(unseen.keys() - known))
-        silent = {server for server, at_ms in unseen.items() if self._reach.answered_ms(server) <= at_ms}
-        if begun and not silent:
+        all_holders = (*sorted(holders), *sorted(abandoned.keys() - holders))
+        unconfirmed = {
+            server
+            for server, abandoned_ms in abandoned.items()
+            if self._reachability.last_answer_ms(server) <= abandoned_ms
+        }
+        if stream_began and not unconfirmed:
             return
-        until_ms = now_ms + self._let_go_ms
-        release = Release(request, holders, frozenset(silent), now_ms, until_ms)
-        self._open[request] = release
-        self._plan(release, now_ms)
-
-    def answered(self, now_ms: float, ask: Ask) -> None:
-        """A server has heard the release."""
-        self._back(ask)
-        release = self._open.get(ask.request)
+        deadline_ms = now_ms + self._hold_limit_ms
+        release = ActiveRelease(request, all_holders, frozenset(unconfirmed), now_ms, deadline_ms)
+        self._active[request] = release
+        self._schedule(release, now_ms)
+
+    def call_answered(self, now_ms: float, call: ReleaseCall) -> None:
+        """A server has answered a call."""
+        self._call_ended(call)
+        release = self._active.get(call.request)
         if release is None:
             return
-        if release.told is None:
-            took_ms, holder = now_ms - release.since_ms, ask.server in release.holders
-            release.told = Ended(ask.request, "done", release.asked, took_ms, ask.server, holder)
-        release.tried.clear()
-        if not self._settle(now_ms, release):
-            release.until_ms = now_ms + AGAIN_MS + self._let_go_ms
-            self._plan(release, now_ms + AGAIN_MS)
-
-    def unanswered(self, now_ms: float, ask: Ask) -> None:
-        """A server could not be told, or has not answered: the next one is asked at once."""
-        self._back(ask)
-        release = self._open.get(ask.request)
-        if release is not None and release.told is None:
-            self._plan(release, now_ms)
-
-    def quiet(self, request: str) -> bool:
-        """Whether nothing more of a release is under way: no call of it can reach a server any more."""
-        return request not in self._open and not self._calls[request]
-
-    def step(self, now_ms: float) -> list[Ask]:
-        """Whom to ask now; those that have waited longest come first."""
-        asks = []
-        while self.wake_ms() <= now_ms:
-            _, _, release = heappop(self._due)
-            if self._settle(now_ms, release):
-                continue
-            server = self._where(now_ms, release)
-            if server is None:  # in this round those that are free have been asked
-                release.tried.clear()
-                self._plan(release, now_ms + LEAST_MS)
+        if release.result is None:
+            release.result = ReleaseResult(
+                call.request,
+                ReleaseOutcome.DONE,
+                release.calls,
+                now_ms - release.started_ms,
+                call.server,
+                call.server in release.holders,
+            )
+        release.called.clear()
+        if not self._finish_if_settled(now_ms, release):
+            release.deadline_ms = now_ms + RETRY_INTERVAL_MS + self._hold_limit_ms
+            self._schedule(release, now_ms + RETRY_INTERVAL_MS)
+
+    def call_failed(self, now_ms: float, call: ReleaseCall) -> None:
+        """A call could not be sent or was not answered in time: the next server is called at once."""
+        self._call_ended(call)
+        release = self._active.get(call.request)
+        if release is not None and release.result is None:
+            self._schedule(release, now_ms)
+
+    def is_finished(self, request: str) -> bool:
+        """Whether the request has no active release and no call in flight that could still reach a server."""
+        return request not in self._active and not self._calls_by_request[request]
+
+    def take_due_calls(self, now_ms: float) -> list[ReleaseCall]:
+        """The calls to send now; releases that have waited longest come first."""
+        calls = []
+        while self.next_wake_ms() <= now_ms:
+            _, _, release = heappop(self._queue)
+            if self._finish_if_settled(now_ms, release):
                 continue
-            release.asked += 1
-            release.tried.add(server)
-            self._busy[server] += 1
-            self._calls[release.request] += 1
-            self._plan(release, now_ms + max(LEAST_MS, HEDGE * (release.until_ms - now_ms)))
-            asks.append(Ask(release.request, server))
-        return asks
-
-    def wake_ms(self) -> float:
-        """When to step next, unless a call ends before; inf where that is sure to."""
-        while self._due and not self._stands(*self._due[0]):
-            heappop(self._due)
+            server = self._select_server(now_ms, release)
+            if server is None:  # all servers without a call in flight were called in this round
+                release.called.clear()
+                self._schedule(release, now_ms + MIN_CALL_INTERVAL_MS)
+            else:
+                calls.append(self._start_call(now_ms, release, server))
+        return calls
+
+    def next_wake_ms(self) -> float:
+        """When to call `take_due_calls` next, unless a call ends before; inf if one certainly will."""
+        while self._queue and not self._is_current(*self._queue[0]):
+            heappop(self._queue)
         listed = self._servers()
-        if not self._due or (listed and self._busy.keys() >= listed.keys()):
-            return inf  # all are busy: each call ends in time
-        return self._due[0][0]
-
-    def ended(self) -> list[Ended]:
-        """Those that ended since this was asked last."""
-        ended, self._ended = self._ended, []
-        return ended
-
-    def _plan(self, release: Release, at_ms: float) -> None:
-        release.next_ms = at_ms
-        heappush(self._due, (at_ms, next(self._numbers), release))
-
-    def _stands(self, at_ms: float, _: int, release: Release) -> bool:
-        return release.next_ms == at_ms and self._open.get(release.request) is release
-
-    def _back(self, ask: Ask) -> None:
-        for calls, name in ((self._busy, ask.server), (self._calls, ask.request)):
-            calls[name] -= 1
-            if not calls[name]:
-                del calls[name]
-
-    def _settle(self, now_ms: float, release: Release) -> bool:
-        """End a release where nothing is left to be done for it."""
-        listed = self._servers()
-        told = release.told
-        if told is not None:
-            if self._unheard(release, listed) and now_ms - release.since_ms < WATCH_MS:
-                return False
-        elif not listed:
-            told = Ended(release.request, "gone", release.asked, now_ms - release.since_ms, "", False)
-        elif now_ms - release.since_ms >= FOR_MS:
-            told = Ended(release.request, "lost", release.asked, now_ms - release.since_ms, "", False)
-        else:
+        all_busy = bool(listed) and self._calls_by_server.keys() >= listed.keys()
+        if not self._queue or all_busy:  # each call in flight ends within its timeout
+            return inf
+        return self._queue[0][0]
+
+    def take_results(self) -> list[ReleaseResult]:
+        """The releases that finished since the last call of this method."""
+        results, self._results = self._results, []
+        return results
+
+    def _start_call(self, now_ms: float, release: ActiveRelease, server: str) -> ReleaseCall:
+        release.calls += 1
+        release.called.add(server)
+        self._calls_by_server[server] += 1
+        self._calls_by_request[release.request] += 1
+        hedge_ms = HEDGE_FRACTION * (release.deadline_ms - now_ms)
+        self._schedule(release, now_ms + max(MIN_CALL_INTERVAL_MS, hedge_ms))
+        return ReleaseCall(release.request, server)
+
+    def _schedule(self, release: ActiveRelease, at_ms: float) -> None:
+        release.next_call_ms = at_ms
+        heappush(self._queue, (at_ms, next(self._sequence), release))
+
+    def _is_current(self, at_ms: float, _: int, release: ActiveRelease) -> bool:
+        """Whether an item of the queue belongs to an active release that wasn't rescheduled."""
+        return release.next_call_ms == at_ms and self._active.get(release.request) is release
+
+    def _call_ended(self, call: ReleaseCall) -> None:
+        _decrement(self._calls_by_server, call.server)
+        _decrement(self._calls_by_request, call.request)
+
+    def _finish_if_settled(self, now_ms: float, release: ActiveRelease) -> bool:
+        """Finish a release that needs no further call; returns whether it did."""
+        result = self._final_result(now_ms, release)
+        if result is None:
             return False
-        self._ended.append(told)
-        del self._open[release.request]
+        self._results.append(result)
+        del self._active[release.request]
         return True
 
-    def _unheard(self, release: Release, listed: Mapping[str, bool]) -> list[str]:
-        """Holders at which a read may have ended unseen, and that have said nothing since."""
-        answered_ms = self._reach.answered_ms
+    def _final_result(self, now_ms: float, release: ActiveRelease) -> ReleaseResult | None:
+        """The result of a release that needs no further call, or None."""
+        listed = self._servers()
+        elapsed_ms = now_ms - release.started_ms
+        if release.result is not None:
+            repeats = self._unanswered_holders(release, listed) and elapsed_ms < RETRY_WINDOW_MS
+            return None if repeats else release.result
+        if not listed:
+            return ReleaseResult(release.request, ReleaseOutcome.NO_SERVER, release.calls, elapsed_ms)
+        if elapsed_ms >= GIVE_UP_MS:
+            return ReleaseResult(release.request, ReleaseOutcome.GAVE_UP, release.calls, elapsed_ms)
+        return None
+
+    def _unanswered_holders(self, release: ActiveRelease, listed: Mapping[str, bool]) -> list[str]:
+        """Listed holders with an abandoned prefill that have answered nothing since the release started."""
         return [
-            s
-            for s in release.holders
-            if s in release.unseen and s in listed and answered_ms(s) <= release.since_ms
+            server
+            for server in release.holders
+            if server in release.unconfirmed
+            and server in listed
+            and self._reachability.last_answer_ms(server) <= release.started_ms
         ]
 
-    def _where(self, now_ms: float, release: Release) -> str | None:
-        """The holder if it can be heard, else who answered last; a server that may be silent comes last."""
+    def _select_server(self, now_ms: float, release: ActiveRelease) -> str | None:
+        """A holder that can be reached, else the server reached last; suspect servers come last."""
         listed = self._servers()
-        free = [s for s in listed if s not in release.tried and not self._busy[s]]
-        wanted = release.holders if release.told is None else self._unheard(release, listed)
-        holders = [s for s in wanted if s in free]
-        sure = next((s for s in holders if not self._reach.doubtful(s, now_ms)), None)
-        if sure is not None:
-            return sure
-        others = [s for s in free if listed[s] and s not in release.holders]
-        reachable = [s for s in others if not self._reach.doubtful(s, now_ms)]
-        return self._reach.surest(reachable) or self._reach.surest(holders or others)
+        free = [
+            server for server in listed if server not in release.called and not self._calls_by_server[server]
+        ]
+        wanted = release.holders if release.result is None else self._unanswered_holders(release, listed)
+        holders = [server for server in wanted if server in free]
+        for server in holders:
+            if not self._reachability.is_suspect(server, now_ms):
+                return server
+        others = [server for server in free if listed[server] and server not in release.holders]
+        reachable = [server for server in others if not self._reachability.is_suspect(server, now_ms)]
+        most_recently_reached = self._reachability.most_recently_reached
+        return most_recently_reached(reachable) or most_recently_reached(holders or others)
+
+
+def _decrement(counter: Counter[str], key: str) -> None:
+    """Count one less, without leaving zeros behind."""
+    counter[key] -= 1
+    if not counter[key]:
+        del counter[key]
--- a/ringledge/lifecycle/components/doors.py
+++ b/ringledge/lifecycle/components/doors.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from ringledge.decide.connections.admission import Doors
-from ringledge.decide.connections.settings import DoorsConfig
+from ringledge.decide.connections.admission import ConnectionAdmission
+from ringledge.decide.connections.settings import AdmissionSettings
 from ringledge.lifecycle.shared import Part, Shared
 from ringledge.observe.logging import log
 
@@ -17,13 +17,15 @@
 def part(shared: Shared) -> Part:
     """Make them, for the fronts to ask."""
     config = shared.config
-    shared.fronts.doors = doors = Doors(config.extra(DoorsConfig), random.Random(config.seed))
+    shared.fronts.doors = doors = ConnectionAdmission(
+        config.extra(AdmissionSettings), random.Random(config.seed)
+    )
     return Part(start=lambda: shared.tasks.start_soon(_tell_silent, doors))
 
 
-async def _tell_silent(doors: Doors) -> None:
+async def _tell_silent(doors: ConnectionAdmission) -> None:
     """Name the client networks that open connections and ask for nothing."""
     while True:
         await anyio.sleep(SILENT_S)
-        if networks := doors.silent(SILENT_MOST):
-            log.info("networks_silent", networks=networks, open=doors.open())
+        if networks := doors.top_networks_without_request(SILENT_MOST):
+            log.info("networks_silent", networks=networks, open=doors.open_by_rule())
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -58,7 +58,7 @@
     "xds": "ringledge.wire.exporters.xds_settings:XdsConfig",
     "prometheus": "ringledge.wire.exporters.prometheus_settings:PrometheusConfig",
     "overload": "ringledge.decide.overload.settings:OverloadConfig",
-    "doors": "ringledge.decide.connections.settings:DoorsConfig",
+    "doors": "ringledge.decide.connections.settings:AdmissionSettings",
     "members": "ringledge.members.settings:MembersConfig",
     "duties": "ringledge.members.duty_settings:DutiesConfig",
     "ratio": "ringledge.decide.ratio.settings:RatioConfig",
--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -21,7 +21,7 @@
 from ringledge.wire.http.sockets import listen
 
 if TYPE_CHECKING:
-    from ringledge.decide.connections.admission import Doors
+    from ringledge.decide.connections.admission import ConnectionAdmission
 
 BODIES_PART = 5  # of the memory: a body is held about twice, the rest is the program's
 SPARE_SOCKETS = 64  # for discovery, listeners, logs and the interpreter
@@ -57,7 +57,7 @@
         self.clients: list[tuple[Front, socket.socket]] = []  # fronts that have to be through at the end
         self.operators: list[tuple[Front, socket.socket]] = []  # what they meet lasts to the end
         self._crowds: list[Front] = []
-        self.doors: Doors | None = None  # asked about each new client, where they are on
+        self.doors: ConnectionAdmission | None = None  # asked about each new client, where they are on
         self.aged: Callable[[float], None] | None = None  # told how long each request lay unread
 
     def open(self, service: Service) -> None:
--- a/ringledge/wire/clients/front.py
+++ b/ringledge/wire/clients/front.py
@@ -27,7 +27,7 @@
 from ringledge.wire.http.sockets import find_half_open
 
 if TYPE_CHECKING:
-    from ringledge.decide.connections.admission import Doors, Entry
+    from ringledge.decide.connections.admission import AdmittedConnection, ConnectionAdmission
 
 GIVE_WAY = 16  # connections at rest that are closed when descriptors run out
 SEND_BYTES = 64 * 1024  # of an answer that the kernel may hold, where memory is watched
@@ -54,7 +54,7 @@
         refused: Refused | None = None,
         aged: Callable[[float], None] | None = None,
         keeps: Callable[[h11.Request], bool] | None = None,
-        doors: Doors | None = None,
+        doors: ConnectionAdmission | None = None,
         quick: Callable[[Connection], int | None] | None = None,
     ) -> None:
         """`aged` is told how long each request lay unread; for the rest see `Answering`."""
@@ -126,9 +126,9 @@
 
     def _admit(self, sock: socket.socket, address: tuple[str, int] | str) -> None:
         """Let a new connection in; past the limit a few more, only to be told so."""
-        entry: Entry | None = None
+        entry: AdmittedConnection | None = None
         if self._doors is not None and not isinstance(address, str):
-            told = self._doors.come(time.monotonic() * 1000, address[0])
+            told = self._doors.admit(time.monotonic() * 1000, address[0])
             if isinstance(told, Enum):
                 self._doors_metric.labels(self.name, told.value).inc()
                 log.often("connection_not_let_in", front=self.name, address=address[0], why=told.value)
@@ -146,7 +146,7 @@
         if self._aged is not None:  # what the kernel holds for a client that reads nothing counts, too
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BYTES)
         if entry is not None:
-            find_half_open(sock, entry.keep_s)
+            find_half_open(sock, entry.idle_timeout_s)
         new = Parked(sock, anyio.current_time(), False, connections.open >= connections.limit, entry)
         if speaks(sock):
             new.since -= min(unread_ms(sock) / 1000, max(0.0, self._request_s - LEAST_READ_S))
@@ -167,8 +167,8 @@
         conn = Connection(sock, h11.SERVER)
         conn.budget, conn.last, conn.aged = self._budget, self.connections.closing, self._aged
         conn.asked, conn.entry, conn.marks = parked.asked, parked.entry, ArrivalMarks()
-        if parked.entry is not None and self._doors is not None and self._doors.advertises:
-            conn.keep_alive = b"timeout=%d" % parked.entry.keep_s
+        if parked.entry is not None and self._doors is not None and self._doors.advertise_keep_alive:
+            conn.keep_alive = b"timeout=%d" % parked.entry.idle_timeout_s
         self.connections.active.add(conn)
         self.connections.resting[conn] = anyio.current_time()
         read_by = math.inf if parked.asked else parked.since + self._request_s
--- a/ringledge/wire/clients/idle_connections.py
+++ b/ringledge/wire/clients/idle_connections.py
@@ -21,7 +21,7 @@
 from ringledge.structures.timer_wheel import Wheel
 
 if TYPE_CHECKING:
-    from ringledge.decide.connections.admission import Entry
+    from ringledge.decide.connections.admission import AdmittedConnection
 
 TICK_S = 0.05  # of the wheel: keep-alive times are seconds
 WATCHED = 128  # connections that the loop itself watches, woken without a detour; a turn bears as many
@@ -38,7 +38,7 @@
     since: float  # on the loop's clock: since when it rests, at first since it was opened
     asked: bool  # it has brought a request
     crowded: bool  # it was let in past the limit, only to be told so
-    entry: Entry | None = None  # what the doors said of it
+    entry: AdmittedConnection | None = None  # what the doors said of it
     timer: int = -1
     watched: bool = False  # by the loop itself
 
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -11,7 +11,7 @@
 import h11
 
 from ringledge.core.invariants import Invariant
-from ringledge.decide.connections.eviction import Guest, gives_way
+from ringledge.decide.connections.eviction import EvictionCandidate, select_victim
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.clients.closing import Lingering
@@ -19,7 +19,7 @@
 from ringledge.wire.http.connection import Connection
 
 if TYPE_CHECKING:
-    from ringledge.decide.connections.admission import Doors, Entry
+    from ringledge.decide.connections.admission import AdmittedConnection, ConnectionAdmission
 
 IDLE_S = 2.0  # a client's connection without an open request is closed then
 PARK_S = 0.5  # between requests until a connection is parked: a busy one keeps its task and parser
@@ -40,7 +40,9 @@
 class OpenConnections:
     """All connections of one front."""
 
-    def __init__(self, name: str, limit: int, wake: Wake, metrics: Metrics, doors: Doors | None) -> None:
+    def __init__(
+        self, name: str, limit: int, wake: Wake, metrics: Metrics, doors: ConnectionAdmission | None
+    ) -> None:
         """`wake`: called with each connection at rest on which something has come."""
         self.name, self.limit, self._doors = name, limit, doors
         self.parked: Parking = Parking(wake, self._rest_ended)
@@ -87,9 +89,11 @@
         half = (each for each in self.reading if each is not come and each.h11.their_state is not h11.DONE)
         live = [*islice(filter(quiet, self.resting), 1), *islice(filter(quiet, half), 1)]
         parked = self.parked.firsts()
-        guests = [Guest(each.since, each.asked, False) for each in parked]
-        guests += [Guest(self.resting.get(conn, 0.0), conn.asked, conn in self.reading) for conn in live]
-        place = gives_way(guests)
+        guests = [EvictionCandidate(each.since, each.asked, False) for each in parked]
+        guests += [
+            EvictionCandidate(self.resting.get(conn, 0.0), conn.asked, conn in self.reading) for conn in live
+        ]
+        place = select_victim(guests)
         if place is None:
             return False
         if place < len(parked):
@@ -102,7 +106,7 @@
         """Its task ends, its parser and buffer go; the socket stays."""
         conn.deafen()
         self._forget(conn)
-        keep_s = IDLE_S if conn.entry is None else conn.entry.keep_s
+        keep_s = IDLE_S if conn.entry is None else conn.entry.idle_timeout_s
         parked = Parked(conn.sock, anyio.current_time(), conn.asked, crowded, conn.entry)
         self.parked.park(parked, max(0.0, keep_s - PARK_S))
 
@@ -189,10 +193,10 @@
         self.left(parked.entry, parked.asked)
         self._closed[CloseReason.IDLE].inc()
 
-    def left(self, entry: Entry | None, asked: bool) -> None:
+    def left(self, entry: AdmittedConnection | None, asked: bool) -> None:
         """A client's connection is gone: the doors count it off."""
         if entry is not None and self._doors is not None:
-            self._doors.gone(entry, asked)
+            self._doors.disconnected(entry, asked)
 
 
 def owed(conn: Connection) -> bool:
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -11,8 +11,8 @@
 
 from ringledge.core.conductor import Conductor
 from ringledge.decide.backoff import Backoff
-from ringledge.decide.discovery.start_times import ServerStarts
-from ringledge.decide.discovery.watch_timeout import WatchClock
+from ringledge.decide.discovery.start_times import StartTimes
+from ringledge.decide.discovery.watch_timeout import WatchTimeout
 from ringledge.memory.endpoint_list import Endpoint, ListError, Listing, decode
 from ringledge.memory.names import Names
 from ringledge.observe.logging import log
@@ -67,13 +67,13 @@
             tier = max(1, settings.routers)
             first_s, most_s = min(FIRST_AT_MOST_S, FIRST_RETRY_S * tier), MOST_RETRY_S * tier
         self._backoff = Backoff(first_s, most_s, rng)
-        self._clock = WatchClock(SILENCE_S)
+        self._clock = WatchTimeout(SILENCE_S)
         if self._pushed:
-            self._clock = WatchClock(PUSHED_SILENCE_S, PUSHED_TOLD_S, known_ago(START_TOLD_S))
+            self._clock = WatchTimeout(PUSHED_SILENCE_S, PUSHED_TOLD_S, known_ago(START_TOLD_S))
         self.last_heard = time.monotonic()
         self.heard = anyio.Event()  # what it has to tell is known
         self._watching = anyio.CancelScope()
-        self._starts = ServerStarts()
+        self._starts = StartTimes()
         self._known_ms: float | None = None  # when the list was known whole last, on the decisions' clock
 
     def apply(self, told: Listing, form: EndpointUpdateKind | None = None) -> None:
@@ -81,7 +81,7 @@
         if form is None:
             form = EndpointUpdateKind.FULL if told.snapshot else EndpointUpdateKind.CHANGES
         now_ms = self._conductor.clock.now_ms()
-        starts = self._starts.told(
+        starts = self._starts.update(
             now_ms, {each.name: each.since_ms for each in told.endpoints}, self._known_ms
         )
         entries = [self._entry(each, starts[each.name]) for each in told.endpoints]
@@ -89,7 +89,7 @@
         if form is not EndpointUpdateKind.PERSISTED:
             self._known_ms = now_ms
         self._conductor.update_endpoints(EndpointUpdate(form, told.index, tuple(entries)), addresses)
-        self._starts.keep(self._conductor.context.servers.entries)
+        self._starts.retain(self._conductor.context.servers.entries)
         up = [each for each in entries if each.availability == Availability.UP]
         fresh = {each.server: each.started_ms for each in up if each.started_ms > 0}
         log.info("list", form=form.value, index=told.index, entries=len(entries), fresh=fresh)
@@ -111,8 +111,8 @@
     def move(self, address: str) -> None:
         """Discovery is at another address: the watch goes on there at once."""
         self.address = address
-        self._backoff.succeeded()
-        self._clock.moved(known_ago(MOVED_TOLD_S))
+        self._backoff.reset()
+        self._clock.address_changed(known_ago(MOVED_TOLD_S))
         self._watching.cancel()
 
     async def watch(self) -> None:
@@ -161,11 +161,11 @@
 
     async def _watch_once(self) -> None:
         version = self._conductor.context.servers.version
-        self._clock.ask(anyio.current_time())
-        conn, _ = await self._ask(f"/v1/endpoints?watch=1&after={version}", self._clock.first_line_s)
+        self._clock.watch_requested(anyio.current_time())
+        conn, _ = await self._ask(f"/v1/endpoints?watch=1&after={version}", self._clock.first_line_deadline_s)
         try:
             objects = Objects(MOST_LIST)
-            self._clock.begin(anyio.current_time())
+            self._clock.watch_started(anyio.current_time())
             while True:
                 event = await self._next_on_watch(conn)
                 self.last_heard = time.monotonic()
@@ -182,7 +182,7 @@
         with anyio.CancelScope(deadline=self._clock.deadline_s) as silent:
             return await conn.next_event()
         assert silent.cancelled_caught
-        slow = self._clock.expired(anyio.current_time())
+        slow = self._clock.watch_timed_out(anyio.current_time())
         raise TimeoutError("a line came too slowly" if slow else "no line came")
 
     def _take(self, objects: Objects, piece: bytes) -> None:
@@ -191,10 +191,10 @@
         for text in objects.feed(piece):
             self.apply(decode(text))
             told = True
-        self._clock.piece(anyio.current_time(), told, objects.line_ended, not objects.between)
+        self._clock.data_received(anyio.current_time(), told, objects.line_ended, not objects.between)
         if objects.line_ended:
             self._known_ms = self._conductor.clock.now_ms()
-            self._backoff.succeeded()
+            self._backoff.reset()
             self.heard.set()
 
     async def fetch_when_asked(self, upstream: Upstream) -> None:
--- a/ringledge/wire/http/connection.py
+++ b/ringledge/wire/http/connection.py
@@ -15,7 +15,7 @@
 from ringledge.wire.http.socket_reader import READ_AHEAD, SocketReader
 
 if TYPE_CHECKING:
-    from ringledge.decide.connections.admission import Entry
+    from ringledge.decide.connections.admission import AdmittedConnection
 
 MAX_HEAD = 32 * 1024  # bytes of a head that h11 may collect
 AHEAD_PART = 8  # of the memory for bodies that is free: what one peer may send ahead, at most
@@ -32,7 +32,7 @@
         self.idle_since = 0.0  # the pool's note
         self.kept = False  # the pool's: it has carried an exchange before
         self.streamed = False  # the pool's: its last answer was a stream
-        self.entry: Entry | None = None  # the front's: what the doors said of it
+        self.entry: AdmittedConnection | None = None  # the front's: what the doors said of it
         self.keep_alive = b""  # the front's: what answers tell of how long it may rest
         self.asked = False  # the front's: it has brought a request
         self.let_in = False  # the front's: the gate has let in the request that is read now
--- a/ringledge/wire/servers/connections.py
+++ b/ringledge/wire/servers/connections.py
@@ -60,14 +60,14 @@
         except BaseException as error:
             self.pool.unreserve()
             if isinstance(error, ConnectionRefusedError):
-                self.reach.refused(server, self._clock.now_ms())
+                self.reach.record_refusal(server, self._clock.now_ms())
             elif isinstance(error, TimeoutError) or (
                 isinstance(error, LocalError) and error.errno in NO_PATH
             ):  # no route to it for so long is as good as silence
-                self.reach.silent(server, self._clock.now_ms())
+                self.reach.record_timeout(server, self._clock.now_ms())
             raise
-        self._connect_timeout.connected(time.monotonic() - began)
-        self.reach.connected(server, self._clock.now_ms())
+        self._connect_timeout.record_connection(time.monotonic() - began)
+        self.reach.record_connection(server, self._clock.now_ms())
         return conn
 
     async def call(self, server: str, address: str, method: bytes, path: bytes) -> tuple[h11.Response, bytes]:
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -139,7 +139,7 @@
         try:
             head = await answer_head(conn)
             heard = attempt.delivered = True
-            self.reach.heard(attempt.server, self.clock.now_ms())
+            self.reach.record_answer(attempt.server, self.clock.now_ms())
             conn.streamed = head.status_code == 200
             if conn.streamed:
                 return await self._stream(attempt, live, conn, head)
--- a/ringledge/wire/servers/observation.py
+++ b/ringledge/wire/servers/observation.py
@@ -25,14 +25,14 @@
         """Every server of the list, with times on the clock that reads `now_s`."""
         now_ms = self._conductor.clock.now_ms()
         offset_s = now_s - now_ms / 1000
-        silent, up = self._reach.silences(now_ms), Availability.UP
+        silent, up = self._reach.unreachable_servers(now_ms), Availability.UP
         return [
             Seen(
                 each.role is not Role.DECODE,
                 each.role is not Role.PREFILL,
                 each.availability is up and each.server not in silent,
                 not each.avoided,
-                self._reach.heard_ms(each.server) / 1000 + offset_s,
+                self._reach.last_contact_ms(each.server) / 1000 + offset_s,
             )
             for each in server_views(self._conductor.policy, now_ms)
         ]
--- a/ringledge/wire/servers/releases.py
+++ b/ringledge/wire/servers/releases.py
@@ -9,7 +9,8 @@
 
 from ringledge.core.clock import Clock
 from ringledge.decide.servers.reachability import Reachability
-from ringledge.decide.servers.releases import Ask, Releases
+from ringledge.decide.servers.release_state import ReleaseCall, ReleaseOutcome
+from ringledge.decide.servers.releases import ReleaseScheduler
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
@@ -36,7 +37,7 @@
     ) -> None:
         self._tasks, self._servers, self._reach, self._metrics = tasks, servers, reach, metrics
         self._call, self._clock, self._asleep = call, clock, anyio.Event()
-        self.plan = Releases(let_go_ms, reach, servers.may_be_asked)
+        self.plan = ReleaseScheduler(let_go_ms, reach, servers.may_be_asked)
         self._running = False
         self._waits: dict[str, anyio.Event] = {}  # set once the release is done with
 
@@ -57,7 +58,7 @@
 
     async def settle(self, request: str) -> None:
         """Wait until no release of a request is under way, for a bounded time."""
-        if self.plan.quiet(request):
+        if self.plan.is_finished(request):
             return
         waits = self._waits[request] = anyio.Event()
         try:
@@ -70,31 +71,31 @@
         """Ask again when it is time, until none is left."""
         while len(self.plan):
             self._asleep = anyio.Event()
-            wait_s = (self.plan.wake_ms() - self._clock.now_ms()) / 1000
+            wait_s = (self.plan.next_wake_ms() - self._clock.now_ms()) / 1000
             with anyio.move_on_after(max(0.0, wait_s)):
                 await self._asleep.wait()
             self._step()
         self._running = False
 
     def _step(self) -> None:
-        for ask in self.plan.step(self._clock.now_ms()):
+        for ask in self.plan.take_due_calls(self._clock.now_ms()):
             self._metrics.releases.labels("asked").inc()
             self._tasks.start_soon(self._ask, ask)
-        for ended in self.plan.ended():
-            self._metrics.releases.labels(ended.how).inc()
-            self._metrics.release_ms.observe(ended.took_ms / 1000)
-            tell = log.info if ended.how != "lost" else log.warning
+        for ended in self.plan.take_results():
+            self._metrics.releases.labels(ended.outcome.value).inc()
+            self._metrics.release_ms.observe(ended.duration_ms / 1000)
+            tell = log.info if ended.outcome is not ReleaseOutcome.GAVE_UP else log.warning
             tell(
                 "release_ended",
                 request=ended.request,
-                how=ended.how,
-                asked=ended.asked,
-                ms=round(ended.took_ms, 1),
-                where=ended.where,
-                holder=ended.holder,
+                how=ended.outcome.value,
+                asked=ended.calls,
+                ms=round(ended.duration_ms, 1),
+                where=ended.server,
+                holder=ended.by_holder,
             )
 
-    async def _ask(self, ask: Ask) -> None:
+    async def _ask(self, ask: ReleaseCall) -> None:
         address, heard = self._servers.address(ask.server), False
         if address is not None:
             try:
@@ -103,16 +104,16 @@
                     await self._call(ask.server, address, b"DELETE", path)
                 heard = True
             except TimeoutError:
-                self._reach.silent(ask.server, self._clock.now_ms())
+                self._reach.record_timeout(ask.server, self._clock.now_ms())
             except PEER_ERRORS:
                 pass
         now_ms = self._clock.now_ms()
         if heard:
-            self._reach.heard(ask.server, now_ms)
-            self.plan.answered(now_ms, ask)
+            self._reach.record_answer(ask.server, now_ms)
+            self.plan.call_answered(now_ms, ask)
         else:
-            self.plan.unanswered(now_ms, ask)
+            self.plan.call_failed(now_ms, ask)
         self._step()
         self._asleep.set()
-        if ask.request in self._waits and self.plan.quiet(ask.request):
+        if ask.request in self._waits and self.plan.is_finished(ask.request):
             self._waits[ask.request].set()
--- a/ringledge/wire/servers/silence.py
+++ b/ringledge/wire/servers/silence.py
@@ -10,7 +10,7 @@
 
 from ringledge.core.clock import Clock
 from ringledge.core.records import Attempt, Record
-from ringledge.decide.servers.delivery import Arrivals
+from ringledge.decide.servers.delivery import DeliveryChecks, UnansweredRequest
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
 from ringledge.observe.stalls import BEAT_S, stalls
@@ -38,7 +38,7 @@
         """`let_go_ms`: how long a KV cache entry may be held while no attempt has arrived."""
         self._tasks, self._live, self._servers, self._lines = tasks, live, servers, lines
         self._releaser, self._let_go_ms, self._clock = releaser, let_go_ms, clock
-        self._arrivals = Arrivals(lines.reach)
+        self._arrivals = DeliveryChecks(lines.reach)
 
     async def watch(self) -> None:
         """End streams whose server says nothing more, and try servers that owe an answer."""
@@ -48,14 +48,14 @@
             stalls.beat()  # this loop runs as long as the process does: a second one would wake it twice
             if not self._live:
                 continue
-            now, waiting = time.monotonic(), list[tuple[str, float]]()
+            now, waiting = time.monotonic(), list[UnansweredRequest]()
             for attempt, live in list(self._live.items()):
                 if live.silent_at < now and not live.passing_on:
                     live.scope.cancel()
                 elif not attempt.streaming and attempt.in_flight and live.written_ms < math.inf:
-                    waiting.append((attempt.server, live.written_ms))
+                    waiting.append(UnansweredRequest(attempt.server, live.written_ms))
                     self._release_unheard(attempt)
-            for server in self._arrivals.due(self._clock.now_ms(), waiting):
+            for server in self._arrivals.take_due_servers(self._clock.now_ms(), waiting):
                 self._tasks.start_soon(self._check, server)
 
     async def _check(self, server: str) -> None:
@@ -70,13 +70,13 @@
         except OSError:  # no process listens, or no socket is left: what is out ends by itself
             pass
         finally:
-            self._arrivals.checked(self._clock.now_ms(), server)
+            self._arrivals.check_finished(self._clock.now_ms(), server)
 
     def _give_up(self, server: str) -> None:
         """Stop waiting for a server that is cut off, save where an attempt must not run twice."""
         for attempt, live in list(self._live.items()):
             lost = attempt.server == server and not attempt.streaming and live.written_ms < math.inf
-            if not lost or not self._arrivals.lost(server, live.written_ms):
+            if not lost or not self._arrivals.is_lost(server, live.written_ms):
                 continue
             record = attempt.record
             log.info("attempt_cut_off", server=server, request=record.name)
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -105,19 +105,19 @@
     @property
     def releases(self) -> int:
         """How many releases no server has heard yet."""
-        return self._releaser.plan.unheard()
+        return self._releaser.plan.unanswered_releases()
 
     def endpoints_changed(self) -> None:
         """The list has changed."""
-        self.reach.listed((name, entry.zone) for name, entry in self._servers.entries.items())
+        self.reach.update_servers((name, entry.zone) for name, entry in self._servers.entries.items())
 
     def answered_since(self, server: str, at_ms: float) -> bool:
         """Whether the server's process has answered anything since then."""
-        return self.reach.answered_ms(server) > at_ms
+        return self.reach.last_answer_ms(server) > at_ms
 
     def unreachable_servers(self) -> frozenset[str]:
         """The servers that no connection reaches just now."""
-        return self.reach.silences(self._clock.now_ms())
+        return self.reach.unreachable_servers(self._clock.now_ms())
 
     def probe(self, server: str) -> None:
         """Ask a server for its load."""
--- a/tests/core/test_hung_prefill.py
+++ b/tests/core/test_hung_prefill.py
@@ -17,7 +17,7 @@
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.stages.record_outcome import record_outcome
 from ringledge.decide.servers.reachability import Reachability
-from ringledge.decide.servers.releases import Releases
+from ringledge.decide.servers.releases import ReleaseScheduler
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
     AttemptStatus,
@@ -53,17 +53,17 @@
     unseen_ms: float, released: int
 ) -> None:
     reach = Reachability()
-    reach.listed([("p0", 0)])
-    reach.heard("p0", GOES_ON_MS)
-    releases = Releases(500.0, reach, lambda: {"p0": True})
-    releases.add(ENDED_MS, "a", set(), {"p0": unseen_ms}, begun=True)
-    assert [ask.server for ask in releases.step(ENDED_MS)] == ["p0"] * released
+    reach.update_servers([("p0", 0)])
+    reach.record_answer("p0", GOES_ON_MS)
+    releases = ReleaseScheduler(500.0, reach, lambda: {"p0": True})
+    releases.add(ENDED_MS, "a", set(), {"p0": unseen_ms}, stream_began=True)
+    assert [ask.server for ask in releases.take_due_calls(ENDED_MS)] == ["p0"] * released
 
 
 def test_a_connection_that_comes_up_is_no_answer() -> None:
     """The machine takes it, whether or not its process runs."""
     reach = Reachability()
-    reach.listed([("p0", 0)])
-    reach.heard("p0", 1.0)
-    reach.connected("p0", 2.0)
-    assert reach.answered_ms("p0") == 1.0 and reach.heard_ms("p0") == 2.0
+    reach.update_servers([("p0", 0)])
+    reach.record_answer("p0", 1.0)
+    reach.record_connection("p0", 2.0)
+    assert reach.last_answer_ms("p0") == 1.0 and reach.last_contact_ms("p0") == 2.0
--- a/tests/decide/test_backoff.py
+++ b/tests/decide/test_backoff.py
@@ -13,7 +13,7 @@
     for number, wait_s in enumerate(waits):
         assert 0 <= wait_s <= min(2.0, 0.05 * 2**number)
     assert max(waits) > 1.8 and min(waits[10:]) < 0.2  # drawn from the whole of it
-    backoff.succeeded()
+    backoff.reset()
     assert backoff.next_s() <= 0.05
 
 
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -24,8 +24,8 @@
     while not finals(world.last):
         if world.at[name] in gone:
             refused += 1
-            reach.refused(world.at[name], world.now_ms)
-            world.give(UnreachableServers(reach.silences(world.now_ms)))
+            reach.record_refusal(world.at[name], world.now_ms)
+            world.give(UnreachableServers(reach.unreachable_servers(world.now_ms)))
             world.outcome(name, AttemptStatus.CONNECT_FAILED, latency_ms=1)
         elif world.at[name][0] == "r":
             world.outcome(name, AttemptStatus.PREFILLED)
@@ -44,10 +44,10 @@
     for seed in range(ROUTERS):
         world = World(listed, seed=seed, routers=ROUTERS, router=seed, max_attempts=6)
         reach = Reachability()
-        reach.listed((each.server, each.zone) for each in listed)
+        reach.update_servers((each.server, each.zone) for each in listed)
         for number in range(40):
             world.wait(500)
-            world.give(UnreachableServers(reach.silences(world.now_ms)))
+            world.give(UnreachableServers(reach.unreachable_servers(world.now_ms)))
             world.request(f"a{number}", session=number)
             refused = refusals(world, reach, f"a{number}", names)
             later += refused * (number >= 20)
--- a/tests/wire/servers/test_silence.py
+++ b/tests/wire/servers/test_silence.py
@@ -10,7 +10,7 @@
 
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, Record
-from ringledge.decide.servers.delivery import CHECK_MS
+from ringledge.decide.servers.delivery import CHECK_AFTER_MS
 from ringledge.decide.servers.reachability import Reachability
 from ringledge.routing.interface import (
     Request,
@@ -36,7 +36,7 @@
         self.record.attempts.append(self.attempt)
         live = {self.attempt: Live(written_ms=written_ms)}
         reach = Reachability()
-        reach.listed([("w0", 0)])
+        reach.update_servers([("w0", 0)])
         lines: Any = SimpleNamespace(reach=reach, open=self.open, connect_s=lambda: 0.25, pool=self)
         servers: Any = SimpleNamespace(address=lambda _: "127.0.0.1:9")
         clock: Any = SimpleNamespace(now_ms=lambda: self.now_ms)
@@ -71,8 +71,8 @@
         (LET_GO_MS - 1, True, False, []),  # there is time left
         (LET_GO_MS, True, True, []),  # its connection was new: it likely waits in a queue
         (LET_GO_MS + 150, True, True, [{"r0"}]),  # or that fell silent, too, or is slow: nobody can tell
-        (CHECK_MS, False, True, [{"r0"}]),  # the same, but its server was cut off since
-        (CHECK_MS, False, False, [{"r0"}]),
+        (CHECK_AFTER_MS, False, True, [{"r0"}]),  # the same, but its server was cut off since
+        (CHECK_AFTER_MS, False, False, [{"r0"}]),
     ],
 )
 def test_what_is_held_is_released_unless_its_attempt_has_arrived(
