--- a/ringledge/decide/connections/__init__.py
+++ b/ringledge/decide/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Admission and eviction of client connections."""
+"""Decisions about client connections: admission, and eviction when the limit is reached."""
--- a/ringledge/decide/connections/eviction.py
+++ b/ringledge/decide/connections/eviction.py
@@ -1,29 +1,51 @@
-"""Who gives way at a full door: by what each connection cost and brought, not by its age alone."""
+"""Which client connection is closed when a front is at its limit: by cost and benefit, not by age alone."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from enum import IntEnum
+
+
+class EvictionClass(IntEnum):
+    """Order in which connections are evicted.
+
+    A connection without any request, as in a flood, costs a descriptor and brings nothing. An incomplete
+    request also holds a parser and a buffer, and may never be completed. An idle connection that has brought
+    a request before belongs to a client.
+    """
+
+    WITHOUT_REQUEST = 0
+    INCOMPLETE_REQUEST = 1
+    IDLE_CLIENT = 2
 
 
 @dataclass(slots=True, frozen=True)
 class EvictionCandidate:
-    """One connection at the door."""
+    """A connection that no response is owed to."""
+
+    state_since_s: float  # since when it has been in its present state, on any one clock
+    had_request: bool  # it has brought a complete request before
+    request_incomplete: bool  # part of a request has arrived
 
-    state_since_s: float  # seconds on any one clock: since when it has been as it is now
-    had_request: bool  # it has brought a request before
-    request_incomplete: bool  # it has begun a request and not ended it
+    @property
+    def eviction_class(self) -> EvictionClass:
+        """Its class in the order of eviction."""
+        if self.request_incomplete:
+            return EvictionClass.INCOMPLETE_REQUEST
+        if self.had_request:
+            return EvictionClass.IDLE_CLIENT
+        return EvictionClass.WITHOUT_REQUEST
 
 
-def select_victim(guests: Sequence[EvictionCandidate]) -> int | None:
-    """The place of the guest that gives way among those that are owed no answer; None where there is none.
+def select_victim(candidates: Sequence[EvictionCandidate]) -> int | None:
+    """The index of the connection to close, None if there are no candidates.
 
-    Those that never asked go first: a flood costs a descriptor each and brings nothing. Half a request comes
-    next, for it holds a parser and a buffer and may never end. A terminal that has asked and rests goes last.
-    Among equals the longest as it is now goes.
+    The lowest `EvictionClass` goes first, within it the longest in its state, then the first candidate.
     """
-    order = [
-        (1 if guest.request_incomplete else 2 if guest.had_request else 0, guest.state_since_s, place)
-        for place, guest in enumerate(guests)
-    ]
-    return min(order)[2] if order else None
+
+    def rank(index: int) -> tuple[EvictionClass, float]:
+        candidate = candidates[index]
+        return candidate.eviction_class, candidate.state_since_s
+
+    return min(range(len(candidates)), key=rank) if candidates else None
--- a/ringledge/decide/discovery/__init__.py
+++ b/ringledge/decide/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Start times of servers and the timeout of a watch of the endpoint list."""
+"""Decisions about the endpoint list: start times of servers and the timeout of a watch."""
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -191,7 +191,12 @@
         for text in objects.feed(piece):
             self.apply(decode(text))
             told = True
-        self._clock.data_received(anyio.current_time(), told, objects.line_ended, not objects.between)
+        self._clock.data_received(
+            anyio.current_time(),
+            has_update=told,
+            line_ended=objects.line_ended,
+            line_incomplete=not objects.between,
+        )
         if objects.line_ended:
             self._known_ms = self._conductor.clock.now_ms()
             self._backoff.reset()
--- a/ringledge/wire/exporters/remote_write.py
+++ b/ringledge/wire/exporters/remote_write.py
@@ -133,7 +133,7 @@
                 if status != 429 and status < 500:
                     log.error("remote_write_dropped", status=status)
                     return "dropped"
-                wait_s = backoff.next_s(least_s=told)
+                wait_s = backoff.next_s(min_s=told)
                 log.warning("remote_write_failed", status=status, again_s=round(wait_s, 3))
             await anyio.sleep(wait_s)
 
--- a/tests/decide/discovery/test_watch_timeout.py
+++ b/tests/decide/discovery/test_watch_timeout.py
@@ -1,4 +1,4 @@
-"""The clock of a watch: what counts as silence, and how long a slow line may take; in virtual time."""
+"""When a watch counts as unresponsive, and how long a slow line may take; in virtual time."""
 
 from collections.abc import Callable
 from itertools import product
@@ -10,167 +10,174 @@
 from ringledge.lifecycle.serve import LIST_S
 from ringledge.wire.discovery import watcher as discovery
 
-SILENCE_S = 3.0
-COUNTS_AS_TOLD_S = 6.0  # whatever became of the watches
+IDLE_TIMEOUT_S = 3.0
+STALENESS_LIMIT_S = 6.0  # after it a missed change counts as known
 
 
-def trickle(clock: WatchTimeout, begin_s: float, pause_s: float = 1.0) -> float:
-    """Bytes of one line without an end; when the watch is given up."""
-    clock.watch_started(begin_s)
-    at_s = begin_s + pause_s
-    while at_s < clock.deadline_s:
-        clock.data_received(at_s, told=False, whole=False, line_begun=True)
-        at_s += pause_s
-    given_up_s = clock.deadline_s
-    clock.watch_timed_out(given_up_s)
-    return given_up_s
+def trickle(timeout: WatchTimeout, start_s: float, interval_s: float = 1.0) -> float:
+    """Bytes of one line without an end; returns when the watch times out."""
+    timeout.watch_started(start_s)
+    at_s = start_s + interval_s
+    while at_s < timeout.deadline_s:
+        timeout.data_received(at_s, has_update=False, line_ended=False, line_incomplete=True)
+        at_s += interval_s
+    timed_out_s = timeout.deadline_s
+    timeout.watch_timed_out(timed_out_s)
+    return timed_out_s
 
 
-def silent(clock: WatchTimeout, begin_s: float) -> float:
-    clock.watch_started(begin_s)
-    given_up_s = clock.deadline_s
-    clock.watch_timed_out(given_up_s)
-    return given_up_s
+def no_data(timeout: WatchTimeout, start_s: float) -> float:
+    timeout.watch_started(start_s)
+    timed_out_s = timeout.deadline_s
+    timeout.watch_timed_out(timed_out_s)
+    return timed_out_s
 
 
-def test_a_watch_that_trickles_is_as_silent_as_one_that_says_nothing() -> None:
-    assert trickle(WatchTimeout(SILENCE_S), 10.0) == 13.0
-    clock = WatchTimeout(SILENCE_S)
-    clock.watch_started(0.0)
-    for tenth in range(1, 30):  # white space that ends no line
-        clock.data_received(tenth / 10, told=False, whole=False, line_begun=False)
-    assert clock.deadline_s == 3.0
+def test_watch_with_single_bytes_times_out_like_one_without_data() -> None:
+    assert trickle(WatchTimeout(IDLE_TIMEOUT_S), 10.0) == 13.0
+    timeout = WatchTimeout(IDLE_TIMEOUT_S)
+    timeout.watch_started(0.0)
+    for tenths in range(1, 30):  # white space that ends no line
+        timeout.data_received(tenths / 10, has_update=False, line_ended=False, line_incomplete=False)
+    assert timeout.deadline_s == 3.0
 
 
-def test_empty_lines_keep_a_watch() -> None:
-    clock = WatchTimeout(SILENCE_S)
-    clock.watch_started(0.0)
+def test_empty_lines_keep_a_watch_open() -> None:
+    timeout = WatchTimeout(IDLE_TIMEOUT_S)
+    timeout.watch_started(0.0)
     for at_s in range(2, 60, 2):
-        assert at_s < clock.deadline_s
-        clock.data_received(at_s, told=False, whole=True, line_begun=False)
+        assert at_s < timeout.deadline_s
+        timeout.data_received(at_s, has_update=False, line_ended=True, line_incomplete=False)
 
 
-def test_a_long_line_that_comes_slowly_is_had_in_the_end() -> None:
-    """Its allowance doubles with each watch from the third on, and is back at the first once it came."""
-    clock, lasted = WatchTimeout(SILENCE_S), list[float]()
+def test_slow_long_line_is_received_eventually() -> None:
+    """Its allowance doubles with each watch from the third on, and is reset once the line arrived."""
+    timeout, durations_s = WatchTimeout(IDLE_TIMEOUT_S), list[float]()
     for _ in range(9):
-        lasted.append(trickle(clock, 0.0))
-    doubled = [2**n for n in range(1, 6)]
-    assert lasted == [SILENCE_S * n for n in (1, 1, *doubled, MAX_ALLOWANCE_FACTOR, MAX_ALLOWANCE_FACTOR)]
-    clock.watch_started(0.0)
-    clock.data_received(20.0, told=True, whole=True, line_begun=False)
-    assert trickle(clock, 30.0) == 33.0
-
-
-def test_a_line_that_stops_coming_gets_no_allowance() -> None:
-    clock = WatchTimeout(SILENCE_S)
+        durations_s.append(trickle(timeout, 0.0))
+    factors = [2**n for n in range(1, 6)]
+    assert durations_s == [
+        IDLE_TIMEOUT_S * n for n in (1, 1, *factors, MAX_ALLOWANCE_FACTOR, MAX_ALLOWANCE_FACTOR)
+    ]
+    timeout.watch_started(0.0)
+    timeout.data_received(20.0, has_update=True, line_ended=True, line_incomplete=False)
+    assert trickle(timeout, 30.0) == 33.0
+
+
+def test_line_without_further_bytes_gets_no_allowance() -> None:
+    timeout = WatchTimeout(IDLE_TIMEOUT_S)
     for _ in range(4):
-        trickle(clock, 0.0)
-    clock.watch_started(0.0)
-    clock.data_received(1.0, told=False, whole=False, line_begun=True)
-    assert clock.deadline_s == 4.0 and not clock.watch_timed_out(4.0)
+        trickle(timeout, 0.0)
+    timeout.watch_started(0.0)
+    timeout.data_received(1.0, has_update=False, line_ended=False, line_incomplete=True)
+    assert timeout.deadline_s == 4.0 and not timeout.watch_timed_out(4.0)
 
 
-def test_an_empty_line_before_a_slow_one_takes_nothing_of_its_allowance() -> None:
-    clock = WatchTimeout(SILENCE_S)
+def test_empty_line_before_a_slow_one_does_not_reset_the_allowance() -> None:
+    timeout = WatchTimeout(IDLE_TIMEOUT_S)
     for _ in range(4):
-        trickle(clock, 0.0)
-    allowance_s = clock.allowance_s
-    clock.watch_started(0.0)
-    clock.data_received(0.0, told=False, whole=True, line_begun=False)
-    assert clock.allowance_s == allowance_s
-    clock.data_received(SILENCE_S + 0.1, told=False, whole=True, line_begun=False)
-    assert clock.allowance_s == SILENCE_S  # whatever is due comes first on a watch: nothing was
-
-
-@pytest.mark.parametrize("first", [silent, trickle])
-@pytest.mark.parametrize("second", [silent, trickle])
-def test_two_watches_in_a_row_are_over_before_what_they_missed_counts_as_told(
-    first: Callable[[WatchTimeout, float], float], second: Callable[[WatchTimeout, float], float]
+        trickle(timeout, 0.0)
+    allowance_s = timeout.allowance_s
+    timeout.watch_started(0.0)
+    timeout.data_received(0.0, has_update=False, line_ended=True, line_incomplete=False)
+    assert timeout.allowance_s == allowance_s
+    timeout.data_received(IDLE_TIMEOUT_S + 0.1, has_update=False, line_ended=True, line_incomplete=False)
+    assert timeout.allowance_s == IDLE_TIMEOUT_S  # an outstanding update would have come first
+
+
+@pytest.mark.parametrize("first_failure", [no_data, trickle])
+@pytest.mark.parametrize("second_failure", [no_data, trickle])
+def test_two_failed_watches_end_before_the_staleness_limit(
+    first_failure: Callable[[WatchTimeout, float], float],
+    second_failure: Callable[[WatchTimeout, float], float],
 ) -> None:
-    """The table of docs/design/recovery.md: the third watch is asked for in less than 6 s."""
-    clock = WatchTimeout(discovery.PUSHED_SILENCE_S)
-    at_s = first(clock, 0.0) + discovery.PUSHED_FIRST_S
-    at_s = second(clock, at_s) + 2 * discovery.PUSHED_FIRST_S
-    assert at_s < COUNTS_AS_TOLD_S
+    """The table of docs/design/recovery.md: the third watch is requested in less than 6 s."""
+    timeout = WatchTimeout(discovery.PUSHED_SILENCE_S)
+    at_s = first_failure(timeout, 0.0) + discovery.PUSHED_FIRST_S
+    at_s = second_failure(timeout, at_s) + 2 * discovery.PUSHED_FIRST_S
+    assert at_s < STALENESS_LIMIT_S
 
 
-def pushed(known_s: float = 0.0) -> WatchTimeout:
-    return WatchTimeout(discovery.PUSHED_SILENCE_S, discovery.PUSHED_TOLD_S, known_s)
+def make_push_timeout(complete_s: float = 0.0) -> WatchTimeout:
+    return WatchTimeout(discovery.PUSHED_SILENCE_S, discovery.PUSHED_TOLD_S, complete_s)
 
 
-def asked(how: Callable[[WatchTimeout, float], float], clock: WatchTimeout, at_s: float) -> float:
-    """A watch that was asked for and fails; when the next one is asked for at the latest."""
-    clock.watch_requested(at_s)
-    return how(clock, at_s) + discovery.PUSHED_MOST_S
+def next_request_s(
+    failure: Callable[[WatchTimeout, float], float], timeout: WatchTimeout, at_s: float
+) -> float:
+    """A watch is requested and fails; returns when the next one is requested at the latest."""
+    timeout.watch_requested(at_s)
+    return failure(timeout, at_s) + discovery.PUSHED_MOST_S
 
 
-def trickle_fast(clock: WatchTimeout, begin_s: float) -> float:
-    return trickle(clock, begin_s, 0.05)
+def trickle_every_50_ms(timeout: WatchTimeout, start_s: float) -> float:
+    return trickle(timeout, start_s, 0.05)
 
 
-def empty_lines(clock: WatchTimeout, begin_s: float) -> float:
-    """Nothing but empty lines, where the list is owed first of all."""
-    clock.watch_started(begin_s)
-    at_s = begin_s + 0.1
-    while at_s < clock.deadline_s:
-        clock.data_received(at_s, told=False, whole=True, line_begun=False)
+def empty_lines(timeout: WatchTimeout, start_s: float) -> float:
+    """Empty lines alone, while the update that comes first is outstanding."""
+    timeout.watch_started(start_s)
+    at_s = start_s + 0.1
+    while at_s < timeout.deadline_s:
+        timeout.data_received(at_s, has_update=False, line_ended=True, line_incomplete=False)
         at_s += 0.1
-    return clock.deadline_s
+    return timeout.deadline_s
 
 
-def in_vain(clock: WatchTimeout, at_s: float) -> float:
-    """Accepted, and never answered."""
-    return min(at_s + discovery.ANSWER_S, clock.first_line_deadline_s)
+def no_response(timeout: WatchTimeout, at_s: float) -> float:
+    """The connection is accepted, and the request never answered."""
+    return min(at_s + discovery.ANSWER_S, timeout.first_line_deadline_s)
 
 
-@pytest.mark.parametrize("hows", product([silent, trickle_fast, empty_lines, in_vain], repeat=3))
-def test_three_watches_in_a_row_are_over_in_time_too(
-    hows: tuple[Callable[[WatchTimeout, float], float], ...],
+@pytest.mark.parametrize(
+    "failures", product([no_data, trickle_every_50_ms, empty_lines, no_response], repeat=3)
+)
+def test_three_failed_push_watches_end_before_the_staleness_limit(
+    failures: tuple[Callable[[WatchTimeout, float], float], ...],
 ) -> None:
-    """The clock runs from the last time that the list was known whole, not from each watch."""
-    clock = pushed()
-    clock.watch_requested(0.0)
-    clock.watch_started(0.0)
-    clock.data_received(0.0, told=True, whole=True, line_begun=False)
-    at_s = clock.deadline_s + discovery.PUSHED_MOST_S
-    for how in hows:
-        at_s = asked(how, clock, at_s)
-    assert at_s < COUNTS_AS_TOLD_S
-
-
-def test_behind_that_time_a_watch_has_its_whole_time_again() -> None:
-    clock = pushed()
-    clock.watch_requested(discovery.PUSHED_TOLD_S)
-    assert clock.first_line_deadline_s == inf
-    assert silent(clock, discovery.PUSHED_TOLD_S) == discovery.PUSHED_TOLD_S + discovery.PUSHED_SILENCE_S
-
-
-def test_a_start_asks_three_times_before_it_serves_by_a_list_that_may_be_stale() -> None:
-    clock, at_s = pushed(discovery.START_TOLD_S - discovery.PUSHED_TOLD_S), 0.0
+    """The limit counts from the last time that the list was known line_ended, not from each watch."""
+    timeout = make_push_timeout()
+    timeout.watch_requested(0.0)
+    timeout.watch_started(0.0)
+    timeout.data_received(0.0, has_update=True, line_ended=True, line_incomplete=False)
+    at_s = timeout.deadline_s + discovery.PUSHED_MOST_S
+    for failure in failures:
+        at_s = next_request_s(failure, timeout, at_s)
+    assert at_s < STALENESS_LIMIT_S
+
+
+def test_watch_after_the_staleness_limit_has_its_whole_time() -> None:
+    timeout = make_push_timeout()
+    timeout.watch_requested(discovery.PUSHED_TOLD_S)
+    assert timeout.first_line_deadline_s == inf
+    assert no_data(timeout, discovery.PUSHED_TOLD_S) == discovery.PUSHED_TOLD_S + discovery.PUSHED_SILENCE_S
+
+
+def test_three_watches_are_requested_at_a_start_before_a_stale_list_is_used() -> None:
+    timeout, at_s = make_push_timeout(discovery.START_TOLD_S - discovery.PUSHED_TOLD_S), 0.0
     for _ in range(2):
-        at_s = asked(silent, clock, at_s)
+        at_s = next_request_s(no_data, timeout, at_s)
     assert at_s + 0.2 < LIST_S
 
 
-def test_behind_a_new_configuration_two_watches_may_fail() -> None:
-    clock = pushed()
-    clock.address_changed(10.0 + discovery.MOVED_TOLD_S - discovery.PUSHED_TOLD_S)
-    at_s = asked(silent, clock, 10.0)
-    assert asked(trickle_fast, clock, at_s) < 10.0 + 4.0
+def test_two_watches_may_fail_after_a_change_of_address() -> None:
+    timeout = make_push_timeout()
+    timeout.address_changed(10.0 + discovery.MOVED_TOLD_S - discovery.PUSHED_TOLD_S)
+    at_s = next_request_s(no_data, timeout, 10.0)
+    assert next_request_s(trickle_every_50_ms, timeout, at_s) < 10.0 + 4.0
 
 
-def test_what_a_watch_told_last_starts_the_clock_anew() -> None:
-    clock = pushed()
-    clock.watch_requested(0.0)
-    clock.watch_started(0.0)
-    clock.data_received(0.0, told=True, whole=True, line_begun=False)
-    clock.data_received(50.0, told=False, whole=True, line_begun=False)
-    clock.watch_requested(52.5)
-    assert clock.first_line_deadline_s < 50.0 + COUNTS_AS_TOLD_S
-    assert clock.first_line_deadline_s > 53.5
+def test_complete_line_restarts_the_staleness_limit() -> None:
+    timeout = make_push_timeout()
+    timeout.watch_requested(0.0)
+    timeout.watch_started(0.0)
+    timeout.data_received(0.0, has_update=True, line_ended=True, line_incomplete=False)
+    timeout.data_received(50.0, has_update=False, line_ended=True, line_incomplete=False)
+    timeout.watch_requested(52.5)
+    assert timeout.first_line_deadline_s < 50.0 + STALENESS_LIMIT_S
+    assert timeout.first_line_deadline_s > 53.5
 
 
-def test_three_that_are_accepted_in_vain_behind_a_silent_one_are_over_in_time_too() -> None:
+def test_three_unanswered_requests_after_an_idle_watch_end_before_the_staleness_limit() -> None:
     waits_s = sum(min(discovery.PUSHED_MOST_S, discovery.PUSHED_FIRST_S * 2**tries) for tries in range(4))
-    assert discovery.PUSHED_SILENCE_S + 3 * discovery.ANSWER_S + waits_s < COUNTS_AS_TOLD_S
+    assert discovery.PUSHED_SILENCE_S + 3 * discovery.ANSWER_S + waits_s < STALENESS_LIMIT_S
