--- a/ringledge/lifecycle/components/connection_admission.py
+++ b/ringledge/lifecycle/components/connection_admission.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from ringledge.decide.connections.admission import Doors
-from ringledge.decide.connections.settings import DoorsConfig
+from ringledge.decide.connections.admission import ConnectionAdmission
+from ringledge.decide.connections.settings import AdmissionSettings
 from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.config import Config
 from ringledge.lifecycle.context import ProgramContext
@@ -17,19 +17,19 @@
 MAX_SILENT_NETWORKS = 5  # that are logged at a time
 
 
-def create_admission(config: Config) -> Doors:
+def create_admission(config: Config) -> ConnectionAdmission:
     """The policy that the fronts apply to each new connection."""
-    return Doors(config.settings_of(DoorsConfig), random.Random(config.seed))
+    return ConnectionAdmission(config.settings_of(AdmissionSettings), random.Random(config.seed))
 
 
-def create(context: ProgramContext, admission: Doors) -> Component:
+def create(context: ProgramContext, admission: ConnectionAdmission) -> Component:
     """A component that logs what the policy has observed."""
     return Component(start=lambda: context.tasks.start_soon(_log_silent_networks, admission))
 
 
-async def _log_silent_networks(admission: Doors) -> None:
+async def _log_silent_networks(admission: ConnectionAdmission) -> None:
     """Log the client networks that open connections and send no request, at regular intervals."""
     while True:
         await anyio.sleep(SILENT_NETWORKS_INTERVAL_S)
-        if networks := admission.silent(MAX_SILENT_NETWORKS):
-            log.info("networks_silent", networks=networks, open=admission.open())
+        if networks := admission.top_networks_without_request(MAX_SILENT_NETWORKS):
+            log.info("networks_silent", networks=networks, open=admission.open_by_rule())
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -52,7 +52,7 @@
     "xds": SettingsFile("ringledge.wire.exporters.xds_settings", "XdsConfig"),
     "prometheus": SettingsFile("ringledge.wire.exporters.prometheus_settings", "PrometheusConfig"),
     "overload": SettingsFile("ringledge.decide.overload.settings", "OverloadConfig"),
-    "doors": SettingsFile("ringledge.decide.connections.settings", "DoorsConfig"),
+    "doors": SettingsFile("ringledge.decide.connections.settings", "AdmissionSettings"),
     "members": SettingsFile("ringledge.members.settings", "MembersConfig"),
     "duties": SettingsFile("ringledge.members.duty_settings", "DutiesConfig"),
     "ratio": SettingsFile("ringledge.decide.ratio.settings", "RatioConfig"),
--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -21,7 +21,7 @@
 from ringledge.wire.http.sockets import listen
 
 if TYPE_CHECKING:
-    from ringledge.decide.connections.admission import Doors
+    from ringledge.decide.connections.admission import ConnectionAdmission
 
 BODY_MEMORY_DIVISOR = 5  # of the memory: a body is held about twice, the rest is the program's
 RESERVED_SOCKETS = 64  # for discovery, listeners, logs and the interpreter
@@ -68,7 +68,7 @@
         self.clients: list[ListeningFront] = []  # drained at a shutdown
         self.operators: list[ListeningFront] = []  # serve until the program ends
         self._public_fronts: list[Front] = []
-        self.connection_admission: Doors | None = (
+        self.connection_admission: ConnectionAdmission | None = (
             None  # applied to each new connection of fronts opened later
         )
         self.on_unread_time: Callable[[float], None] | None = None  # gets how long each request lay unread
--- a/ringledge/wire/clients/front.py
+++ b/ringledge/wire/clients/front.py
@@ -28,7 +28,7 @@
 from ringledge.wire.http.sockets import find_half_open
 
 if TYPE_CHECKING:
-    from ringledge.decide.connections.admission import Doors, Entry
+    from ringledge.decide.connections.admission import AdmittedConnection, ConnectionAdmission
 
 EVICTED_AT_ONCE = 16  # connections at rest that are closed when descriptors run out
 SEND_BUFFER_BYTES = 64 * 1024  # of an answer that the kernel may hold, where memory is watched
@@ -65,7 +65,7 @@
         handling: RequestHandling,
         body_memory: BodyMemory,
         metrics: Metrics,
-        admission: Doors | None = None,
+        admission: ConnectionAdmission | None = None,
         on_queue_delay: Callable[[float], None] | None = None,
     ) -> None:
         """`on_queue_delay` is called with the ms that each request lay unread in its socket."""
@@ -146,9 +146,9 @@
 
     def _admit(self, sock: socket.socket, address: tuple[str, int] | str) -> None:
         """Admit a new connection; up to an eighth past the limit, only to be answered 503."""
-        entry: Entry | None = None
+        entry: AdmittedConnection | None = None
         if self._admission is not None and not isinstance(address, str):
-            decision = self._admission.come(time.monotonic() * 1000, address[0])
+            decision = self._admission.admit(time.monotonic() * 1000, address[0])
             if isinstance(decision, Enum):
                 self._deny(sock, address[0], decision)
                 return
@@ -177,14 +177,14 @@
         log.often("connection_not_let_in", front=self.name, address=address, why=reason.value)
         sock.close()
 
-    def _configure(self, sock: socket.socket, entry: Entry | None) -> None:
+    def _configure(self, sock: socket.socket, entry: AdmittedConnection | None) -> None:
         """Set the options of an accepted socket."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self._on_queue_delay is not None:  # what the kernel buffers for a slow client is memory, too
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         if entry is not None:
-            find_half_open(sock, entry.keep_s)
+            find_half_open(sock, entry.idle_timeout_s)
 
     def _on_readable(self, idle: IdleConnection) -> None:
         """Give an idle connection a parser, a buffer and a task, or close it where its peer has."""
@@ -213,8 +213,8 @@
         conn.had_request = idle.had_request
         conn.entry = idle.entry
         conn.marks = ArrivalMarks()
-        if idle.entry is not None and self._admission is not None and self._admission.advertises:
-            conn.keep_alive = b"timeout=%d" % idle.entry.keep_s
+        if idle.entry is not None and self._admission is not None and self._admission.advertise_keep_alive:
+            conn.keep_alive = b"timeout=%d" % idle.entry.idle_timeout_s
         return conn
 
     def drain(self) -> None:
--- a/ringledge/wire/clients/idle_connections.py
+++ b/ringledge/wire/clients/idle_connections.py
@@ -22,7 +22,7 @@
 from ringledge.structures.timer_wheel import Wheel
 
 if TYPE_CHECKING:
-    from ringledge.decide.connections.admission import Entry
+    from ringledge.decide.connections.admission import AdmittedConnection
 
 TICK_S = 0.05  # of the wheel: keep-alive times are seconds
 # Connections that the event loop itself watches; one iteration can activate as many.
@@ -40,7 +40,7 @@
     since_s: float  # on the loop's clock: when it became idle, at first when it was accepted
     had_request: bool  # a request was read on it before
     over_limit: bool  # accepted past the limit, only to be answered 503
-    entry: Entry | None = None  # by connection admission
+    entry: AdmittedConnection | None = None  # by connection admission
     timer: int = -1
     loop_watched: bool = False  # by the loop itself
 
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -11,7 +11,7 @@
 import h11
 
 from ringledge.core.invariants import Invariant
-from ringledge.decide.connections.eviction import Guest, gives_way
+from ringledge.decide.connections.eviction import EvictionCandidate, select_victim
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.clients.closing import LingeringCloses
@@ -19,7 +19,7 @@
 from ringledge.wire.http.connection import Connection
 
 if TYPE_CHECKING:
-    from ringledge.decide.connections.admission import Doors, Entry
+    from ringledge.decide.connections.admission import AdmittedConnection, ConnectionAdmission
 
 IDLE_TIMEOUT_S = 2.0  # a client's connection without an open request is closed then
 IDLE_AFTER_S = 0.5  # between requests until a connection gives up its task and parser: a busy one keeps them
@@ -41,7 +41,12 @@
     """All connections of one front."""
 
     def __init__(
-        self, name: str, limit: int, on_readable: OnReadable, metrics: Metrics, admission: Doors | None
+        self,
+        name: str,
+        limit: int,
+        on_readable: OnReadable,
+        metrics: Metrics,
+        admission: ConnectionAdmission | None,
     ) -> None:
         """`on_readable` is called with each idle connection on which bytes or the peer's end have arrived."""
         self.name = name
@@ -92,11 +97,11 @@
             return True
         idle = self.idle.oldest()
         active = self._oldest_active(newcomer)
-        candidates = [Guest(each.since_s, each.had_request, False) for each in idle]
+        candidates = [EvictionCandidate(each.since_s, each.had_request, False) for each in idle]
         for conn in active:
             since_s = self.between_requests.get(conn, 0.0)
-            candidates.append(Guest(since_s, conn.had_request, conn in self.reading))
-        index = gives_way(candidates)
+            candidates.append(EvictionCandidate(since_s, conn.had_request, conn in self.reading))
+        index = select_victim(candidates)
         if index is None:
             return False
         if index < len(idle):
@@ -117,7 +122,7 @@
         """Keep the socket alone; the connection's task ends, and its parser and buffer are freed."""
         conn.deafen()
         self._forget(conn)
-        keep_s = IDLE_TIMEOUT_S if conn.entry is None else conn.entry.keep_s
+        keep_s = IDLE_TIMEOUT_S if conn.entry is None else conn.entry.idle_timeout_s
         idle = IdleConnection(conn.sock, anyio.current_time(), conn.had_request, over_limit, conn.entry)
         self.idle.add(idle, max(0.0, keep_s - IDLE_AFTER_S))
 
@@ -212,10 +217,10 @@
         self.record_disconnect(idle.entry, idle.had_request)
         self._closed[CloseReason.IDLE].inc()
 
-    def record_disconnect(self, entry: Entry | None, had_request: bool) -> None:
+    def record_disconnect(self, entry: AdmittedConnection | None, had_request: bool) -> None:
         """Tell connection admission that a client's connection has ended."""
         if entry is not None and self._admission is not None:
-            self._admission.gone(entry, had_request)
+            self._admission.disconnected(entry, had_request)
 
 
 def owes_answer(conn: Connection) -> bool:
