--- a/benchmarks/overload_policies.py
+++ b/benchmarks/overload_policies.py
@@ -6,9 +6,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-from ringledge.decide.overload.admission import Overload
-from ringledge.decide.overload.messages import Limits, Sample
-from ringledge.decide.overload.tenant_quotas import TenantShare
+from ringledge.decide.overload.admission import OverloadController
+from ringledge.decide.overload.messages import OverloadLimits, ResourceSample
+from ringledge.decide.overload.tenant_quotas import TenantQuota
 from ringledge.lab.load_plan import Arrival
 
 WORTHS = (2.0, 6.0)  # of the classes
@@ -127,18 +127,18 @@
     """What this program does (`ringledge/decide/overload/admission.py`)."""
 
     def __init__(self) -> None:
-        shares = [TenantShare(1.0)]
-        self.overload = Overload(Limits(), WORTHS, shares, 1.0, 1000.0, random.Random(1))
+        shares = [TenantQuota(1.0)]
+        self.overload = OverloadController(OverloadLimits(), WORTHS, shares, 1.0, 1000.0, random.Random(1))
         self.at_ms = 0.0
         self.late_ms, self.busy = 0.0, 0.0
 
     def admits(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
         kb = arrival.size / 1024
-        return self.overload.decide(now_ms, arrival.class_index, 0, kb, self.late_ms, self.busy) is None
+        return self.overload.admit(now_ms, arrival.class_index, 0, kb, self.late_ms, self.busy) is None
 
     def sample(self, now_ms: float, delay_ms: float, busy: float) -> None:
         span_ms, self.at_ms = now_ms - self.at_ms, now_ms
-        self.overload.sample(Sample(now_ms, span_ms, busy * span_ms, delay_ms))
+        self.overload.on_sample(ResourceSample(now_ms, span_ms, busy * span_ms, delay_ms))
 
 
 ALTERNATIVES: dict[str, Callable[[], AdmitAll]] = {
--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -19,7 +19,7 @@
 from ringledge.core.server_port import ServerTransport
 from ringledge.core.stages import accept, admit, record_outcome, relay, send
 from ringledge.core.timer_queue import TimerQueue
-from ringledge.memory.server_list import ServerList, some_of
+from ringledge.memory.server_list import ServerList, summarize_changes
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
 from ringledge.observe.stalls import stalls
@@ -108,7 +108,7 @@
         """Apply an update of the server list before all queued events, so that no send overtakes a drain."""
         changed = self.context.servers.apply(update, addresses)
         if changed:
-            log.info("servers_changed", version=update.version, **some_of(changed))
+            log.info("servers_changed", version=update.version, **summarize_changes(changed))
         self.context.transport.endpoints_changed()
         self._events.appendleft(update)
         self._process_events()
--- a/ringledge/core/gate.py
+++ b/ringledge/core/gate.py
@@ -1,6 +1,7 @@
-"""The gate: asks the overload decisions about each request before its body is read, and feeds them.
+"""The admission gate: applies the overload decisions to each request before its body is read.
 
-Who is turned away here was never taken: neither the registry nor the policy hears of it.
+It also feeds the decisions with measurements of the process. A request rejected here was never accepted:
+neither the registry nor the policy knows of it.
 """
 
 from __future__ import annotations
@@ -11,22 +12,25 @@
 from functools import partial
 
 from ringledge.core.clock import Clock
-from ringledge.decide.overload.admission import Overload
-from ringledge.decide.overload.messages import Limits, Reason, Rejection, Sample
+from ringledge.decide.overload.admission import OverloadController
+from ringledge.decide.overload.messages import (
+    OverloadLimits,
+    Rejection,
+    RejectionReason,
+    ResourceSample,
+)
 from ringledge.decide.overload.settings import OverloadConfig
-from ringledge.decide.overload.tenant_quotas import TenantShare
+from ringledge.decide.overload.tenant_quotas import TenantQuota
 from ringledge.memory.buffered_bytes import BufferedBytes
 from ringledge.memory.process_statistics import ProcessReading, ProcessStatistics
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import BODY_KB, Metrics
-from ringledge.routing.interface import (
-    RouterSettings,
-)
+from ringledge.routing.interface import RouterSettings
 
-WAIT_MS = 1000.0  # that clients are told to wait, on average, where the deployment tells no longest wait
-GIVE_UP_AT = 0.9  # of the way from the first band's bound to the last one's: kept answers go from here on
-GIVE_UP_PART = 0.1  # of the memory that is asked for at a time
-TRIM_MS = 1000.0  # between two calls that have the allocator give memory back
+DEFAULT_RETRY_AFTER_MS = 1000.0  # on average, where the deployment sets no maximum
+EVICTION_THRESHOLD = 0.9  # position between the bounds of the lowest and the highest band
+EVICTION_FRACTION = 0.1  # of the memory that is to be freed at a time
+TRIM_INTERVAL_MS = 1000.0  # between two calls that have the allocator return memory to the system
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,151 +38,189 @@
     """What the platform allows the process."""
 
     cores: float
-    memory: float  # bytes
+    memory_bytes: float
     descriptors: int
 
 
+@dataclass(slots=True, frozen=True)
+class GateOptions:
+    """The settings of the admission gate."""
+
+    config: OverloadConfig
+    limits: ResourceLimits
+    settings: RouterSettings
+    class_names: tuple[str, ...]  # by class index
+    seed: int  # of the jitter of retry times
+
+
 class AdmissionGate:
-    """Lets requests in or turns them away."""
+    """Admits or rejects requests by the load of the process."""
 
     def __init__(
         self,
-        config: OverloadConfig,
-        caps: ResourceLimits,
-        settings: RouterSettings,
-        names: tuple[str, ...],
+        options: GateOptions,
         clock: Clock,
-        vitals: ProcessStatistics,
-        held: BufferedBytes,
+        process_statistics: ProcessStatistics,
+        buffered_bytes: BufferedBytes,
         metrics: Metrics,
-        seed: int,
     ) -> None:
-        self._config, self._caps, self._clock, self._names = config, caps, clock, names
-        self.process_statistics, self._buffered_bytes, self._metrics = vitals, held, metrics
-        limits = Limits(caps.cores, config.target, config.delay_ms, config.memory_from, config.memory_to)
-        self._overload = Overload(
-            limits,
-            [each.priority_weight for each in settings.classes],
-            [
-                TenantShare(each.fraction, _part(each.quota_per_s, settings.routers))
-                for each in settings.tenants
-            ],
-            settings.over_quota_weight,
-            settings.max_retry_after_ms or WAIT_MS,
-            random.Random(seed),
-        )
-        self._memory = caps.memory  # of it this process's part, while there are two
+        self._config = options.config
+        self._limits = options.limits
+        self._class_names = options.class_names
+        self._clock = clock
+        self._process_statistics = process_statistics
+        self._buffered_bytes = buffered_bytes
+        self._metrics = metrics
+        self._overload = _overload_controller(options)
+        self._memory_bytes = options.limits.memory_bytes  # this process's part of it, while there are two
         self._last_trim_ms = 0.0
-        worths = [each.priority_weight for each in settings.classes]
+        weights = [each.priority_weight for each in options.settings.classes]
         self._max_priority_names = {
-            name for name, worth in zip(names, worths, strict=True) if worth == max(worths)
+            name for name, weight in zip(options.class_names, weights, strict=True) if weight == max(weights)
         }
-        self._rejections = 0  # since the line that told of the last change
-        for index, name in enumerate(names):
-            for over, label in ((False, "within"), (True, "over")):
-                told = metrics.admitted.labels(name, label)
-                told.set_function(partial(self._admitted, index, over))
-        metrics.resident.set_function(lambda: vitals.rss)
-        metrics.held.set_function(lambda: held.bytes)
+        self._rejections = 0  # since the last log line of a change
+        self._export_metrics()
+
+    def _export_metrics(self) -> None:
+        for index, name in enumerate(self._class_names):
+            for over_quota, label in ((False, "within"), (True, "over")):
+                gauge = self._metrics.admitted.labels(name, label)
+                gauge.set_function(partial(self._admitted_fraction, index, over_quota))
+        self._metrics.resident.set_function(lambda: self._process_statistics.rss_bytes)
+        self._metrics.held.set_function(lambda: self._buffered_bytes.total_bytes)
 
     def start(self) -> None:
-        """Measure from now on."""
-        self.process_statistics.start(self.on_reading)
+        """Start measuring."""
+        self._process_statistics.start(self.on_reading)
 
     def set_process_count(self, processes: int) -> None:
-        """Divide the memory among the processes that there are of this conductor."""
-        self._memory = self._caps.memory / processes
-
-    def _admitted(self, class_index: int, over_share: bool) -> float:
-        return self._overload.admitted_share(self._clock.now_ms(), class_index, over_share)
-
-    def admit(self, class_index: int, tenant: int, size: int) -> Rejection | None:
-        """Decide on one request by its class, tenant and the bytes of its body; None lets it in."""
-        behind_ms = self.process_statistics.behind_ms()
-        busy = self.process_statistics.busy() if behind_ms else 0.0
-        now_ms, kb = self._clock.now_ms(), size / 1024
-        rejection = self._overload.decide(now_ms, class_index, tenant, kb, behind_ms, busy)
+        """Divide the memory among the processes of this conductor that run now."""
+        self._memory_bytes = self._limits.memory_bytes / processes
+
+    def _admitted_fraction(self, class_index: int, over_quota: bool) -> float:
+        return self._overload.admitted_fraction(self._clock.now_ms(), class_index, over_quota)
+
+    def admit(self, class_index: int, tenant: int, body_bytes: int) -> Rejection | None:
+        """Decide on one request by its class, its tenant and the size of its body; None admits it."""
+        loop_lag_ms = self._process_statistics.loop_lag_ms()
+        cpu_rate = self._process_statistics.cpu_rate() if loop_lag_ms else 0.0
+        now_ms = self._clock.now_ms()
+        rejection = self._overload.admit(
+            now_ms, class_index, tenant, body_bytes / 1024, loop_lag_ms, cpu_rate
+        )
         if rejection is not None:
             self._record_rejection(class_index, rejection.reason)
         return rejection
 
-    def has_max_priority(self, name: str) -> bool:
-        """Whether no other class is worth more than that one."""
-        return name in self._max_priority_names
+    def has_max_priority(self, class_name: str) -> bool:
+        """Whether no other class has a higher priority weight."""
+        return class_name in self._max_priority_names
 
     def may_reject(self) -> bool:
-        """Whether anybody may be turned away now."""
+        """Whether any request may be rejected now."""
         return self._overload.may_reject
 
-    def rejects_all(self) -> Reason | None:
-        """Why nobody at all is let in now, if so: asked where a request's class is not known yet."""
+    def rejects_all(self) -> RejectionReason | None:
+        """Why every request is rejected now, if so; for callers that don't know the request's class yet."""
         return self._overload.rejects_all(self._clock.now_ms())
 
-    def record_body_check(self, size: int, seconds: float) -> None:
-        """A body of so many bytes took so long to be checked."""
-        kb = BODY_KB[bisect_left(BODY_KB[:-1], size / 1024)]
+    def record_body_check(self, body_bytes: int, seconds: float) -> None:
+        """Record how long the validation of a body of that size took."""
+        kb = BODY_KB[bisect_left(BODY_KB[:-1], body_bytes / 1024)]
         self._metrics.body.labels(str(kb)).observe(seconds)
 
-    def reject(self, class_index: int, reason: Reason) -> Rejection:
-        """Reject a request of whose class nothing surer is known."""
+    def reject(self, class_index: int, reason: RejectionReason) -> Rejection:
+        """Reject a request whose class is no more than a guess."""
         self._record_rejection(class_index, reason)
         return Rejection(reason, False, self._overload.retry_after_ms())
 
-    def _record_rejection(self, class_index: int, reason: Reason) -> None:
-        """Count a rejection."""
+    def _record_rejection(self, class_index: int, reason: RejectionReason) -> None:
         self._rejections += 1
-        self._metrics.shed.labels(self._names[class_index], reason.value).inc()
-        log.often("request_shed", **{"class": self._names[class_index]}, reason=reason.value)
+        class_name = self._class_names[class_index]
+        self._metrics.shed.labels(class_name, reason.value).inc()
+        log.often("request_shed", **{"class": class_name}, reason=reason.value)
 
     def on_reading(self, reading: ProcessReading) -> None:
-        """Hand a reading on to the decisions, and act on what it says of memory."""
-        overload, caps = self._overload, self._caps
-        memory = reading.rss / self._memory
-        held = self._buffered_bytes.bytes / (self._config.held_part * self._memory)
-        before = overload.pressed
-        overload.sample(
-            Sample(
-                self._clock.now_ms(),
-                reading.span_ms,
-                reading.cpu_ms,
-                reading.loop_ms,
-                reading.unread_ms,
-                memory,
-                held,
-                reading.descriptors / (self._config.descriptors * caps.descriptors),
-            )
-        )
-        if overload.pressed != before:
+        """Feed a reading to the decisions, and free memory if it is short."""
+        overload = self._overload
+        sample = self._sample(reading)
+        was_under_pressure = overload.under_pressure
+        overload.on_sample(sample)
+        if overload.under_pressure != was_under_pressure:
             self._log_pressure_change(reading)
-        first, last = self._config.memory_from, self._config.memory_to
-        if max(memory, held) >= first:
-            self._free_memory(max(memory, held) >= first + GIVE_UP_AT * (last - first))
+        start = self._config.memory_shed_start
+        end = self._config.memory_shed_end
+        used = max(sample.memory_fraction, sample.buffered_fraction)
+        if used >= start:
+            if used >= start + EVICTION_THRESHOLD * (end - start):
+                self._evict_responses()
+            self._trim_memory()
+
+    def _sample(self, reading: ProcessReading) -> ResourceSample:
+        config = self._config
+        max_buffered_bytes = config.max_buffered_fraction * self._memory_bytes
+        max_descriptors = config.max_descriptor_fraction * self._limits.descriptors
+        return ResourceSample(
+            at_ms=self._clock.now_ms(),
+            span_ms=reading.span_ms,
+            cpu_ms=reading.cpu_ms,
+            loop_lag_ms=reading.loop_lag_ms,
+            queue_wait_ms=reading.queue_wait_ms,
+            memory_fraction=reading.rss_bytes / self._memory_bytes,
+            buffered_fraction=self._buffered_bytes.total_bytes / max_buffered_bytes,
+            descriptor_fraction=reading.descriptors / max_descriptors,
+        )
 
     def _log_pressure_change(self, reading: ProcessReading) -> None:
-        told = {
-            "pressed": self._overload.pressed,
-            "cpu": round(reading.cpu_ms / max(1.0, reading.span_ms), 2),
-            "loop_ms": round(reading.loop_ms, 1),
-            "unread_ms": round(reading.unread_ms, 1),
-            "request_ms": round(self._overload.costs.estimate_ms(0.0), 2),
-            "shed": self._rejections,
-        }
-        log.often("overload", **told)
+        log.often(
+            "overload",
+            pressed=self._overload.under_pressure,
+            cpu=round(reading.cpu_ms / max(1.0, reading.span_ms), 2),
+            loop_ms=round(reading.loop_lag_ms, 1),
+            unread_ms=round(reading.queue_wait_ms, 1),
+            request_ms=round(self._overload.cost_model.estimate_ms(0.0), 2),
+            shed=self._rejections,
+        )
         self._metrics.overload_changes.inc()
         self._rejections = 0
 
-    def _free_memory(self, give_up: bool) -> None:
-        """Near the limit kept answers are dropped, oldest first, and what is free goes back to the system."""
-        if give_up:
-            dropped = self._buffered_bytes.give_up(int(GIVE_UP_PART * self._memory))
-            if dropped:
-                log.often("answers_dropped", bytes=dropped)
+    def _evict_responses(self) -> None:
+        """Evict retained responses, oldest first."""
+        evicted = self._buffered_bytes.evict(int(EVICTION_FRACTION * self._memory_bytes))
+        if evicted:
+            log.often("answers_dropped", bytes=evicted)
+
+    def _trim_memory(self) -> None:
+        """Return free memory to the system, at most once an interval."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._last_trim_ms >= TRIM_MS:
+        if now_ms - self._last_trim_ms >= TRIM_INTERVAL_MS:
             self._last_trim_ms = now_ms
-            self.process_statistics.trim()
-
-
-def _part(quota_per_s: float | None, routers: int) -> float | None:
-    """What one of the conductors has of a tenant's quota."""
+            self._process_statistics.trim_memory()
+
+
+def _overload_controller(options: GateOptions) -> OverloadController:
+    config = options.config
+    settings = options.settings
+    limits = OverloadLimits(
+        cores=options.limits.cores,
+        cpu_target=config.cpu_target,
+        max_delay_ms=config.max_delay_ms,
+        memory_shed_start=config.memory_shed_start,
+        memory_shed_end=config.memory_shed_end,
+    )
+    return OverloadController(
+        limits=limits,
+        priority_weights=[each.priority_weight for each in settings.classes],
+        quotas=[
+            TenantQuota(tenant.fraction, _quota_per_router(tenant.quota_per_s, settings.routers))
+            for tenant in settings.tenants
+        ],
+        over_quota_weight=settings.over_quota_weight,
+        mean_retry_after_ms=settings.max_retry_after_ms or DEFAULT_RETRY_AFTER_MS,
+        rng=random.Random(options.seed),
+    )
+
+
+def _quota_per_router(quota_per_s: float | None, routers: int) -> float | None:
+    """One conductor's part of a tenant's quota."""
     return None if quota_per_s is None else quota_per_s / max(1, routers)
--- a/ringledge/decide/overload/pressure.py
+++ b/ringledge/decide/overload/pressure.py
@@ -4,62 +4,69 @@
 
 import math
 
-from ringledge.decide.overload.messages import Limits, Reason, Sample
+from ringledge.decide.overload.messages import OverloadLimits, RejectionReason, ResourceSample
 
-BUSY = 0.9  # of the CPU target: from here on the CPU presses
-IDLE = 0.6  # of the CPU target: under it nothing can be short of CPU
-CALM_MS = 1_000.0  # without a rejection and without pressure until every request is admitted again
-IDLE_MS = 500.0  # of an idle CPU after which the same holds, whatever was rejected: costs were guessed wrong
+HIGH_UTILIZATION = 0.9  # of the CPU target: from here on the CPU is short
+LOW_UTILIZATION = 0.6  # of the CPU target: below it nothing can be short of CPU
+QUIET_PERIOD_MS = 1_000.0  # without a rejection and without pressure until every request is admitted again
+IDLE_PERIOD_MS = 500.0  # of low utilization after which the same holds: the estimated costs were too high
 
 
 class PressureDetector:
     """Turns samples into a state, with hysteresis."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: OverloadLimits) -> None:
         self._limits = limits
-        self.pressed = False
-        self.changes = 0  # times that `pressed` has changed: at a load that hovers these stay few
-        self.calm = False  # the last sample ended a while without pressure
-        self.reason = Reason.CPU
-        self._late = False  # the last sample told of a delay
-        self._rejected_at_ms = self._hot_at_ms = self._busy_at_ms = -math.inf
+        self.under_pressure = False
+        self.transition_count = 0  # of `under_pressure`: few, also at a load that hovers at the limit
+        self.has_settled = False  # the last sample completed a quiet period
+        self.reason = RejectionReason.CPU
+        self._was_late = False  # the last sample reported a delay
+        self._rejected_at_ms = -math.inf
+        self._pressure_at_ms = -math.inf
+        self._busy_at_ms = -math.inf
 
-    def observe(self, sample: Sample, used: float) -> bool:
-        """Update the state by a sample and the share of the target CPU used; whether a delay presses."""
+    def on_sample(self, sample: ResourceSample, utilization: float) -> bool:
+        """Update the state by a sample and the CPU's use relative to its target; whether a delay counts."""
         now_ms = sample.at_ms
-        late = max(sample.loop_ms, sample.unread_ms) > self._limits.delay_ms
+        is_late = max(sample.loop_lag_ms, sample.queue_wait_ms) > self._limits.max_delay_ms
         # One late sample alone proves nothing: a process that was stopped is late, too, but used no CPU.
-        delayed = late and (self._late or used >= IDLE)
-        self._late = late
-        hot = used >= BUSY or delayed
-        if hot:
-            self._hot_at_ms = now_ms
-            self.reason = Reason.DELAY if delayed and used < BUSY else Reason.CPU
-        if used >= IDLE or hot:
+        is_delayed = is_late and (self._was_late or utilization >= LOW_UTILIZATION)
+        self._was_late = is_late
+        has_pressure = utilization >= HIGH_UTILIZATION or is_delayed
+        if has_pressure:
+            self._pressure_at_ms = now_ms
+            by_delay = is_delayed and utilization < HIGH_UTILIZATION
+            self.reason = RejectionReason.DELAY if by_delay else RejectionReason.CPU
+        if utilization >= LOW_UTILIZATION or has_pressure:
             self._busy_at_ms = now_ms
-        self.calm = False
-        if not self.pressed and hot:
-            self._set(True)
-        elif self.pressed:
-            quiet_ms = now_ms - max(self._rejected_at_ms, self._hot_at_ms)
-            self.calm = quiet_ms >= CALM_MS
-            if self.calm or now_ms - self._busy_at_ms >= IDLE_MS:
+        self._update_state(now_ms, has_pressure)
+        return is_delayed
+
+    def _update_state(self, now_ms: float, has_pressure: bool) -> None:
+        self.has_settled = False
+        if self.under_pressure:
+            quiet_ms = now_ms - max(self._rejected_at_ms, self._pressure_at_ms)
+            self.has_settled = quiet_ms >= QUIET_PERIOD_MS
+            if self.has_settled or now_ms - self._busy_at_ms >= IDLE_PERIOD_MS:
                 self._set(False)
-        return delayed
+        elif has_pressure:
+            self._set(True)
 
-    def observe_lag(self, now_ms: float, lag_ms: float, used: float) -> bool:
-        """See between two samples that the loop is late; whether that begins a time of pressure."""
-        if self.pressed or lag_ms <= self._limits.delay_ms or used < IDLE:
+    def on_loop_lag(self, now_ms: float, loop_lag_ms: float, utilization: float) -> bool:
+        """Update the state between two samples by the event loop's lag; whether pressure begins with it."""
+        if self.under_pressure or loop_lag_ms <= self._limits.max_delay_ms or utilization < LOW_UTILIZATION:
             return False
-        self.reason = Reason.DELAY
-        self._hot_at_ms = self._busy_at_ms = now_ms
+        self.reason = RejectionReason.DELAY
+        self._pressure_at_ms = now_ms
+        self._busy_at_ms = now_ms
         self._set(True)
         return True
 
-    def count_rejected(self, now_ms: float) -> None:
+    def record_rejection(self, now_ms: float) -> None:
         """A request was rejected for pressure."""
         self._rejected_at_ms = now_ms
 
-    def _set(self, pressed: bool) -> None:
-        self.pressed = pressed
-        self.changes += 1
+    def _set(self, under_pressure: bool) -> None:
+        self.under_pressure = under_pressure
+        self.transition_count += 1
--- a/ringledge/lifecycle/components/overload.py
+++ b/ringledge/lifecycle/components/overload.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ringledge.core.gate import AdmissionGate, ResourceLimits
+from ringledge.core.gate import AdmissionGate, GateOptions, ResourceLimits
 from ringledge.decide.overload.settings import OverloadConfig
 from ringledge.lifecycle.shared import Part, Shared
 from ringledge.memory.buffered_bytes import BufferedBytes
@@ -16,15 +16,11 @@
     vitals = ProcessStatistics(shared.metrics, conductor.take_max_timer_lag_ms)
     shared.held = BufferedBytes()
     shared.gate = gate = AdmissionGate(
-        config.extra(OverloadConfig),
-        caps,
-        config.settings,
-        config.names.classes,
+        GateOptions(config.extra(OverloadConfig), caps, config.settings, config.names.classes, config.seed),
         conductor.clock,
         vitals,
         shared.held,
         shared.metrics,
-        config.seed,
     )
-    shared.fronts.aged = vitals.waited
+    shared.fronts.aged = vitals.record_queue_wait
     return Part(ready=gate.start, share=gate.set_process_count)
--- a/ringledge/lifecycle/components/platform.py
+++ b/ringledge/lifecycle/components/platform.py
@@ -14,7 +14,7 @@
     if gate is not None:
         from ringledge.wire.clients.loop_budget import Turns
 
-        turns = Turns(config.extra(OverloadConfig).turn_ms / 1000)
+        turns = Turns(config.extra(OverloadConfig).max_turn_ms / 1000)
     platform = Platform(config.names, shared.conductor, gate, turns, shared.held)
     shared.platform = platform
     shared.fronts.open(
--- a/ringledge/lifecycle/components/servers.py
+++ b/ringledge/lifecycle/components/servers.py
@@ -15,9 +15,9 @@
         tasks.start_soon(discovery.fetch_when_asked, upstream)
         tasks.start_soon(upstream.retire_idle)
         tasks.start_soon(upstream.watch_silence)
-        tasks.start_soon(shared.by_hand.follow)
+        tasks.start_soon(shared.by_hand.watch)
 
     def share(processes: int) -> None:
-        upstream.pool.shrink(shared.fronts.sockets // processes)
+        upstream.pool.set_limit(shared.fronts.sockets // processes)
 
     return Part(start=start, share=share)
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -15,7 +15,7 @@
 
 from ringledge.lifecycle import settings_files as strict
 from ringledge.lifecycle.fingerprint import fingerprint
-from ringledge.memory.endpoint_list import ListError, Listing, convert
+from ringledge.memory.endpoint_list import EndpointListing, ListError, convert
 from ringledge.memory.names import Names as Names
 from ringledge.routing import simulator_adapter as wirehost
 from ringledge.routing.interface import (
@@ -83,7 +83,7 @@
     memory_mb: float
     cores: float
     folder: Path  # $TMPDIR, which a conductor that takes over finds as it was left
-    known: Listing  # the list as it was last known
+    known: EndpointListing  # the list as it was last known
     settings: RouterSettings
     names: Names
     extras: dict[str, msgspec.Struct]  # by file, without its ending: what is enabled
@@ -115,7 +115,7 @@
     return text
 
 
-def _known(told: Any) -> Listing:
+def _known(told: Any) -> EndpointListing:
     try:
         return convert(told)
     except ListError as error:
--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -72,7 +72,7 @@
         conductor = Conductor(settings, config.seed, clock, servers, metrics, upstream)
         upstream.conductor = conductor
         by_hand = OperatorOverrides(config.folder, config.name, config.fingerprint, conductor.override_server)
-        by_hand.look_at_start()  # before the first send
+        by_hand.load()  # before the first send
         discovery = Discovery(config.discovery, names, conductor, random.Random(config.seed))
         discovery.apply(config.known, EndpointUpdateKind.PERSISTED)
         return Shared(
--- a/ringledge/memory/buffered_bytes.py
+++ b/ringledge/memory/buffered_bytes.py
@@ -1,30 +1,40 @@
-"""Bytes that answers hold in memory: what slow clients have not taken, and what is kept for a return."""
+"""Bytes of responses that are buffered in memory: for slow clients, and retained for clients that return."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import Protocol
+
+
+class ResponseCache(Protocol):
+    """A store of retained responses that can be evicted."""
+
+    def size_bytes(self) -> int:
+        """How many bytes it retains."""
+
+    def evict(self, size_bytes: int) -> int:
+        """Evict responses, oldest first, until so many bytes are free; returns how many were freed."""
 
 
 class BufferedBytes:
-    """One count for all fronts; what can be given up is asked for when memory runs short."""
+    """One count for all listeners; what is retained can be evicted when memory runs short."""
 
     def __init__(self) -> None:
-        self.streams = 0  # bytes that wait for slow clients
-        self._kept: list[tuple[Callable[[], int], Callable[[int], int]]] = []
+        self.stream_bytes = 0  # waiting for slow clients
+        self._caches: list[ResponseCache] = []
 
-    def keeps(self, size: Callable[[], int], give_up: Callable[[int], int]) -> None:
-        """Add a store of answers: how many bytes it keeps, and how to have it drop so many, oldest first."""
-        self._kept.append((size, give_up))
+    def register(self, cache: ResponseCache) -> None:
+        """Add a store of responses to the count."""
+        self._caches.append(cache)
 
     @property
-    def bytes(self) -> int:
-        """All that is held."""
-        return self.streams + sum(size() for size, _ in self._kept)
-
-    def give_up(self, size: int) -> int:
-        """Drop kept answers until so many bytes are free; how many were."""
-        dropped = 0
-        for _, drop in self._kept:
-            if dropped < size:
-                dropped += drop(size - dropped)
-        return dropped
+    def total_bytes(self) -> int:
+        """All that is buffered."""
+        return self.stream_bytes + sum(cache.size_bytes() for cache in self._caches)
+
+    def evict(self, size_bytes: int) -> int:
+        """Evict retained responses until so many bytes are free; returns how many were freed."""
+        evicted = 0
+        for cache in self._caches:
+            if evicted < size_bytes:
+                evicted += cache.evict(size_bytes - evicted)
+        return evicted
--- a/ringledge/memory/connection_pool.py
+++ b/ringledge/memory/connection_pool.py
@@ -12,15 +12,15 @@
 # passed on to that one's client, or "prove" that what must not run twice never ran. Such answers come behind
 # streams, so a connection that carried one is used again only once it was idle for so long; what must not run
 # twice has no other connection either.
-SETTLED_S = 0.05
-DISTRUST_S = 30.0  # after a kept connection broke, new ones are opened for what must not run twice
+MIN_SAFE_IDLE_S = 0.05
+DISTRUST_PERIOD_S = 30.0  # after a kept connection broke, new ones are opened for what must not run twice
 
 
-class Pooled(Protocol):
+class PooledConnection(Protocol):
     """What the pool needs of a connection."""
 
     idle_since: float
-    kept: bool
+    reused: bool
     streamed: bool  # its last answer was a stream
 
     def readable(self) -> bool:
@@ -30,63 +30,63 @@
         """Close it now."""
 
 
-C = TypeVar("C", bound=Pooled)
+C = TypeVar("C", bound=PooledConnection)
 
 
-class Pool(Generic[C]):
+class ConnectionPool(Generic[C]):
     """Idle connections by address, youngest first; all open connections are counted against a limit."""
 
     def __init__(self, limit: int, max_idle_s: float, metrics: Metrics) -> None:
         self.limit, self.max_idle_s, self.metrics = limit, max_idle_s, metrics
-        self.open = 0
-        self.distrusted_until = 0.0  # servers break kept connections just now
+        self.open_count = 0
+        self.distrusted_until_s = 0.0  # servers break kept connections just now
         self._idle: defaultdict[str, list[C]] = defaultdict(list)
 
-    def take(self, address: str, once: bool = False) -> C | None:
+    def acquire(self, address: str, once: bool = False) -> C | None:
         """An idle connection that can still be trusted; what must not run twice asks for more trust."""
-        if once and time.monotonic() < self.distrusted_until:
+        if once and time.monotonic() < self.distrusted_until_s:
             return None
         idle, now_s = self._idle.get(address, []), time.monotonic()
         for place in reversed(range(len(idle))):
             conn = idle[place]
-            if (once or conn.streamed) and now_s - conn.idle_since < SETTLED_S:
+            if (once or conn.streamed) and now_s - conn.idle_since < MIN_SAFE_IDLE_S:
                 continue
             del idle[place]
             # One that the server may close under the request would end as a reset, which may have run.
             if now_s - conn.idle_since < self.max_idle_s and not conn.readable():
                 return conn
-            self.drop(conn)
+            self.discard(conn)
         return None
 
-    def put(self, address: str, conn: C) -> None:
+    def release(self, address: str, conn: C) -> None:
         """Keep a connection whose exchange is over."""
-        conn.idle_since, conn.kept = time.monotonic(), True
+        conn.idle_since, conn.reused = time.monotonic(), True
         self._idle[address].append(conn)
 
-    def shrink(self, limit: int) -> None:
+    def set_limit(self, limit: int) -> None:
         """Hold fewer connections; the oldest idle ones go."""
         self.limit = limit
-        self.retire(0.0, most=max(0, self.open - limit))
+        self.close_idle(0.0, most=max(0, self.open_count - limit))
 
     def reserve(self) -> bool:
         """Count a new connection, at the cost of the oldest idle one if need be; False past the limit."""
-        if self.open >= self.limit:
-            self.retire(0.0, most=1)
-        if self.open >= self.limit:
+        if self.open_count >= self.limit:
+            self.close_idle(0.0, most=1)
+        if self.open_count >= self.limit:
             return False
         self._count(1)
         return True
 
-    def unreserve(self) -> None:
+    def cancel_reservation(self) -> None:
         """Count a connection off that never came up."""
         self._count(-1)
 
-    def drop(self, conn: C) -> None:
+    def discard(self, conn: C) -> None:
         """Close a connection and count it off."""
         conn.close()
         self._count(-1)
 
-    def retire(self, idle_s: float | None = None, most: int | None = None) -> None:
+    def close_idle(self, idle_s: float | None = None, most: int | None = None) -> None:
         """Close those idle for too long, oldest first."""
         limit = self.max_idle_s if idle_s is None else idle_s
         old_first = sorted(
@@ -96,7 +96,7 @@
         for since, address, conn in old_first[:most]:
             if time.monotonic() - since >= limit:
                 self._idle[address].remove(conn)
-                self.drop(conn)
+                self.discard(conn)
         # Servers give way to others at new addresses all day long.
         for address in [address for address, idle in self._idle.items() if not idle]:
             del self._idle[address]
@@ -105,12 +105,12 @@
         """How many addresses it keeps track of."""
         return len(self._idle)
 
-    def broke(self, address: str) -> None:
+    def on_reused_broken(self, address: str) -> None:
         """A kept connection broke under its next request: others to that server may be no better."""
-        self.distrusted_until = time.monotonic() + DISTRUST_S
+        self.distrusted_until_s = time.monotonic() + DISTRUST_PERIOD_S
         for conn in self._idle.pop(address, []):
-            self.drop(conn)
+            self.discard(conn)
 
     def _count(self, change: int) -> None:
-        self.open += change
-        self.metrics.server_sockets.set(self.open)
+        self.open_count += change
+        self.metrics.server_sockets.set(self.open_count)
--- a/ringledge/memory/endpoint_list.py
+++ b/ringledge/memory/endpoint_list.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-LEFT = "left"  # the status of a server that is gone; only among changes, and it needs no address
-HIGHEST_PORT = 65535
+REMOVED_STATUS = "left"  # the status of a server that is gone; only among changes, and it needs no address
+MAX_PORT = 65535
 
 
 class ListError(ValueError):
@@ -27,7 +27,7 @@
     since_ms: float = 0.0
 
 
-class Listing(msgspec.Struct, frozen=True):
+class EndpointListing(msgspec.Struct, frozen=True):
     """The whole list, or what has changed of it."""
 
     index: int
@@ -35,29 +35,29 @@
     endpoints: tuple[Endpoint, ...]
 
 
-def decode(text: bytes) -> Listing:
+def decode(text: bytes) -> EndpointListing:
     """Read one object of the list; ListError where it is none."""
     try:
-        return _checked(msgspec.json.decode(text, type=Listing))
+        return _checked(msgspec.json.decode(text, type=EndpointListing))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ListError(str(error)) from error
 
 
-def convert(told: Any) -> Listing:
+def convert(told: Any) -> EndpointListing:
     """Read a list that was parsed with what stands round it; ListError where it is none."""
     try:
-        return _checked(msgspec.convert(told, Listing))
+        return _checked(msgspec.convert(told, EndpointListing))
     except msgspec.ValidationError as error:
         raise ListError(str(error)) from error
 
 
-def _checked(told: Listing) -> Listing:
+def _checked(told: EndpointListing) -> EndpointListing:
     for each in told.endpoints:
-        if each.status != LEFT and not _is_address(each.address):
+        if each.status != REMOVED_STATUS and not _is_address(each.address):
             raise ListError(f"the address of {each.name!r} is {each.address!r}, not host:port")
     return told
 
 
 def _is_address(text: str) -> bool:
     host, _, port = text.rpartition(":")
-    return bool(host) and port.isascii() and port.isdecimal() and 0 < int(port) <= HIGHEST_PORT
+    return bool(host) and port.isascii() and port.isdecimal() and 0 < int(port) <= MAX_PORT
--- a/ringledge/memory/server_list.py
+++ b/ringledge/memory/server_list.py
@@ -16,7 +16,7 @@
     ServerKind,
 )
 
-MOST_NAMED = 20  # servers that a log line names
+MAX_LOGGED_SERVERS = 20  # servers that a log line names
 
 
 class ServerList:
@@ -27,7 +27,7 @@
         self.version = 0
         self.entries: dict[str, ServerEntry] = {}
         self._addresses: dict[str, str] = {}
-        self._asked: dict[str, bool] = {}
+        self._up_by_server: dict[str, bool] = {}
         self.changed = anyio.Event()  # replaced with each change
 
     def apply(self, members: EndpointUpdate, addresses: dict[str, str]) -> dict[str, str]:
@@ -48,7 +48,7 @@
                 self.entries[entry.server] = entry
                 self._addresses[entry.server] = addresses[entry.server]
         up = Availability.UP
-        self._asked = {name: entry.availability == up for name, entry in self.entries.items()}
+        self._up_by_server = {name: entry.availability == up for name, entry in self.entries.items()}
         self.changed.set()
         self.changed = anyio.Event()
         now = {name: entry.availability for name, entry in self.entries.items()}
@@ -64,9 +64,9 @@
         entry = self.entries.get(server)
         return entry.started_ms if entry is not None else 0.0
 
-    def may_be_asked(self) -> Mapping[str, bool]:
+    def up_by_server(self) -> Mapping[str, bool]:
         """All that are listed, and whether each is up, so that it may be bothered with what another holds."""
-        return self._asked
+        return self._up_by_server
 
     def count(self, availability: Availability) -> int:
         """How many servers are in that state."""
@@ -78,6 +78,6 @@
         return self._kinds[entry.kind].role if entry and entry.kind < len(self._kinds) else None
 
 
-def some_of(changed: Mapping[str, str]) -> dict[str, object]:
+def summarize_changes(changed: Mapping[str, str]) -> dict[str, object]:
     """Some of the servers whose state has changed, and how many there are: for a log line."""
-    return {"count": len(changed), "changed": dict(islice(changed.items(), MOST_NAMED))}
+    return {"count": len(changed), "changed": dict(islice(changed.items(), MAX_LOGGED_SERVERS))}
--- a/ringledge/wire/clients/chat/answer.py
+++ b/ringledge/wire/clients/chat/answer.py
@@ -7,7 +7,7 @@
 import h11
 import orjson
 
-from ringledge.memory.stream_sessions import End, Session
+from ringledge.memory.stream_sessions import SessionEnd, StreamSession
 from ringledge.observe.logging import log
 from ringledge.wire.http.messages import MAX_BODY
 
@@ -17,26 +17,26 @@
 class Answer:
     """The core's caller for one run of a session: reads the server's events into the session."""
 
-    def __init__(self, session: Session) -> None:
+    def __init__(self, session: StreamSession) -> None:
         self._session = session
         self._rest = b""
 
     def reject(self, come_back_ms: float | None) -> None:
         """Final answer: refused."""
-        self._session.come_back_ms = come_back_ms
-        self._end(End.REFUSED)
+        self._session.retry_after_ms = come_back_ms
+        self._end(SessionEnd.REJECTED)
 
     def fail(self) -> None:
         """Final answer: failed."""
-        self._end(End.FAILED)
+        self._end(SessionEnd.FAILED)
 
     def finish(self) -> None:
         """The stream is whole."""
-        self._end(End.SERVED)
+        self._end(SessionEnd.SERVED)
 
     def abort(self) -> None:
         """The stream broke; what came of a half event is not kept, so the rest starts clean behind it."""
-        self._end(End.BROKEN)
+        self._end(SessionEnd.BROKEN)
 
     def is_disconnected(self) -> bool:
         """Whether all that follow its session have left; one that has begun runs on for their return."""
@@ -53,20 +53,20 @@
                 self._take_in(orjson.loads(line[6:]))
             except (ValueError, TypeError, AttributeError) as error:
                 raise h11.RemoteProtocolError(f"an event can't be read: {error}") from error
-        if session.size > MOST_ANSWER:
+        if session.size_bytes > MOST_ANSWER:
             raise h11.RemoteProtocolError("the answer has no end")
-        session.changed()
+        session.notify_followers()
 
     def _take_in(self, event: dict[str, Any]) -> None:
         session = self._session
         for choice in event.get("choices") or ():
             if text := (choice.get("delta") or {}).get("content"):
-                session.size += len(text.encode())
+                session.size_bytes += len(text.encode())
                 session.events.append(text)
             session.finish_reason = choice.get("finish_reason") or session.finish_reason
         session.usage = event.get("usage") or session.usage
 
-    def _end(self, end: End) -> None:
+    def _end(self, end: SessionEnd) -> None:
         self._session.end = end
-        self._session.changed()
+        self._session.notify_followers()
         log.info("chat_ended", session=self._session.name, how=end.value, events=len(self._session.events))
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -18,7 +18,7 @@
 from ringledge.core.conductor import Conductor
 from ringledge.core.port import Payload
 from ringledge.memory.names import Names
-from ringledge.memory.stream_sessions import End, Session, Sessions
+from ringledge.memory.stream_sessions import SessionEnd, StreamSession, StreamSessionStore
 from ringledge.observe.logging import log
 from ringledge.routing.interface import (
     Idempotency,
@@ -60,11 +60,11 @@
         queued: QueuedChat | None = None,
     ) -> None:
         self._config, self._settings, self._names, self._conductor = config, settings, names, conductor
-        self.sessions = Sessions(config.sessions, most_bytes, config.resume_for_s)
+        self.sessions = StreamSessionStore(config.sessions, most_bytes, config.resume_for_s)
         self._gate, self._queued = gate, queued
         self._replies = Replies(conductor, names, self._safe, self._go_on)
         if held is not None:
-            held.keeps(self.sessions.size, self.sessions.give_up)
+            held.register(self.sessions)
 
     async def handle(self, conn: Connection, head: h11.Request) -> None:
         """Answer one request."""
@@ -120,11 +120,11 @@
             if no is not None:
                 raise shed(no)
 
-    def _may_refuse(self, session: Session) -> bool:
+    def _may_refuse(self, session: StreamSession) -> bool:
         """Whether a client may be told that a retry does no harm."""
         return session.record is None or self._conductor.may_reject(session.record)
 
-    def _left(self, session: Session) -> None:
+    def _left(self, session: StreamSession) -> None:
         """A client has gone, or has its answer.
 
         A stream that has begun runs on into the session: it may have booked, so it is neither cut off nor
@@ -133,12 +133,12 @@
         record = session.record
         if record is not None and session.abandoned:
             self._conductor.on_client_disconnected(record)
-            session.end = End.GONE
-            log.info("chat_ended", session=session.name, how=End.GONE.value, events=0)
+            session.end = SessionEnd.CLIENT_DISCONNECTED
+            log.info("chat_ended", session=session.name, how=SessionEnd.CLIENT_DISCONNECTED.value, events=0)
 
     # Starting and resuming.
 
-    async def _start(self, conn: Connection, head: h11.Request, body: bytes) -> Session | None:
+    async def _start(self, conn: Connection, head: h11.Request, body: bytes) -> StreamSession | None:
         """A new session; or, for an idempotency key that is known, the one that it has begun.
 
         None where the request is queued.
@@ -147,10 +147,10 @@
         key = header(head, b"idempotency-key")
         if key and len(key) > MOST_KEY:
             raise HttpError(400, f"longer than {MOST_KEY} bytes", "invalid_value", "Idempotency-Key")
-        known = self.sessions.by_key(key.decode("ascii", "replace")) if key else None
+        known = self.sessions.get_by_idempotency_key(key.decode("ascii", "replace")) if key else None
         if known is not None:
             record = known.record
-            if known.end in (None, End.SERVED):
+            if known.end in (None, SessionEnd.SERVED):
                 return known
             if record is not None and record.may_have_run and not self._safe(known.class_index):
                 raise HttpError(409, "this request may have run before; it is not run again", "may_have_run")
@@ -159,29 +159,29 @@
             self._ask(class_index, head, len(body))
         if self._queued is not None and await self._queued.take(conn, head, question, request):
             return None
-        if not self.sessions.room():
+        if not self.sessions.make_room():
             raise HttpError(429, "too many answers are under way", "rate_limit_exceeded")
-        session = Session(
+        session = StreamSession(
             f"chatcmpl-{uuid4().hex}", question, class_index, request.max_output_tokens, len(body)
         )
         self.sessions.add(session, key.decode("ascii", "replace") if key else None)
         self._run(session, request, question)
         return session
 
-    def _resume(self, last_event: str) -> tuple[Session, int]:
+    def _resume(self, last_event: str) -> tuple[StreamSession, int]:
         """The session that a client comes back to, and how much of it the client has."""
         name, _, number = last_event.rpartition(":")
         session = self.sessions.get(name)
         if session is None or not number.isdecimal() or int(number) > len(session.events):
             raise HttpError(404, "this stream is not known any more", "stream_not_found", "Last-Event-ID")
         # Broken, or a try to go on that was refused, failed or left: each can be taken up again.
-        if session.end not in (None, End.SERVED):
+        if session.end not in (None, SessionEnd.SERVED):
             if not self._safe(session.class_index):
                 raise HttpError(409, "the stream broke; it may have run and is not run again", "may_have_run")
             self._go_on(session)
         return session, int(number)
 
-    def _go_on(self, session: Session) -> None:
+    def _go_on(self, session: StreamSession) -> None:
         """Ask for the rest of a broken answer: the prompt and the answer so far are read, and it goes on."""
         assert session.record is not None
         before, text = session.record.request, session.text
@@ -195,14 +195,14 @@
             request=uuid4().hex,
             expires_in_ms=self._settings.classes[session.class_index].deadline_ms,
             prompt_tokens=len(prompt_of(question)) / 4,
-            max_output_tokens=max(1.0, session.limit - len(text) // 4),
+            max_output_tokens=max(1.0, session.max_tokens - len(text) // 4),
             reconnect=True,
         )
         session.end = None
-        session.resumed += 1
+        session.resume_count += 1
         self._run(session, request, question)
 
-    def _run(self, session: Session, request: Request, question: dict[str, Any]) -> None:
+    def _run(self, session: StreamSession, request: Request, question: dict[str, Any]) -> None:
         """Give the core one request for the session."""
         asked = question | {"stream": True, "max_tokens": int(request.max_output_tokens)}
         asked.pop("max_completion_tokens", None)
@@ -223,4 +223,4 @@
         """Drop old sessions in time."""
         while True:
             await anyio.sleep(5.0)
-            self.sessions.reap()
+            self.sessions.evict_expired()
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -15,7 +15,7 @@
 from ringledge.decide.replay.scheduler import Verdict
 from ringledge.members.replay_sender import Result, Sending
 from ringledge.memory.names import Names
-from ringledge.memory.stream_sessions import End, Session
+from ringledge.memory.stream_sessions import SessionEnd, StreamSession
 from ringledge.routing.interface import (
     Idempotency,
     RouterSettings,
@@ -31,12 +31,12 @@
 class _Run(Answer):
     """One entry's run: a session that nobody follows, whose end goes back to the replay."""
 
-    def __init__(self, session: Session, conductor: Conductor, ended: Callable[[Result], None]) -> None:
+    def __init__(self, session: StreamSession, conductor: Conductor, ended: Callable[[Result], None]) -> None:
         super().__init__(session)
         self._mine, self._conductor, self._told = session, conductor, ended
         self._left = False
 
-    def _end(self, end: End) -> None:
+    def _end(self, end: SessionEnd) -> None:
         super()._end(end)
         if self._left:
             return
@@ -44,12 +44,12 @@
         record = self._mine.record
         # Until `take` has returned nothing can have been sent.
         ran = record is not None and (record.streaming or record.may_have_run)
-        if end is End.SERVED:
+        if end is SessionEnd.SERVED:
             usage = self._mine.usage or {}
             written = float(usage.get("completion_tokens") or 0)
             work = float(usage.get("prompt_tokens") or 0) + written
             self._told(Result(Verdict.SERVED, True, whole_answer(self._mine), work or None, written))
-        elif end is End.REFUSED or not ran:
+        elif end is SessionEnd.REJECTED or not ran:
             self._told(Result(Verdict.REFUSED, False))
         else:
             self._told(Result(Verdict.FAILED, True))
@@ -87,7 +87,7 @@
         except HttpError:
             return None
         name = f"chatcmpl-{entry.name}"
-        session = Session(name, told, index, request.max_output_tokens, len(entry.asked.question))
+        session = StreamSession(name, told, index, request.max_output_tokens, len(entry.asked.question))
         safe = self._settings.classes[index].idempotency is Idempotency.IDEMPOTENT
         run = (_Run if safe and entry.asked.safe else _Booking)(session, self._conductor, ended)
         body = told | {"stream": True, "max_tokens": int(request.max_output_tokens)}
--- a/ringledge/wire/clients/chat/replies.py
+++ b/ringledge/wire/clients/chat/replies.py
@@ -10,7 +10,7 @@
 
 from ringledge.core.conductor import Conductor
 from ringledge.memory.names import Names
-from ringledge.memory.stream_sessions import End, Session
+from ringledge.memory.stream_sessions import SessionEnd, StreamSession
 from ringledge.wire.clients.platform import retry_after
 from ringledge.wire.clients.response import STREAM_HEAD
 from ringledge.wire.http.connection import Connection
@@ -28,53 +28,57 @@
         conductor: Conductor,
         names: Names,
         safe: Callable[[int], bool],
-        go_on: Callable[[Session], None],
+        go_on: Callable[[StreamSession], None],
     ) -> None:
         """`safe`: whether a class may run twice; `go_on`: have the rest of a broken answer asked for."""
         self._conductor, self._names, self._safe, self._go_on = conductor, names, safe, go_on
 
-    async def _first(self, session: Session, seen: int = 0) -> None:
+    async def _first(self, session: StreamSession, seen: int = 0) -> None:
         """Wait for an event behind those seen; HttpError where the answer ends without one."""
         while len(session.events) <= seen and session.end is None:
-            await session.news.wait()
-        if len(session.events) > seen or session.end is End.SERVED:
+            await session.updated.wait()
+        if len(session.events) > seen or session.end is SessionEnd.SERVED:
             return
-        headers = retry_after(session.come_back_ms, self._names)
-        if session.end is End.REFUSED:
+        headers = retry_after(session.retry_after_ms, self._names)
+        if session.end is SessionEnd.REJECTED:
             raise HttpError(503, "overloaded, nothing has run", "overloaded", headers=headers)
-        if session.end is End.BROKEN and self._safe(session.class_index):
+        if session.end is SessionEnd.BROKEN and self._safe(session.class_index):
             raise HttpError(503, "the stream broke again: come back for it", "stream_broken", headers=headers)
         record = session.record
-        if session.end is End.FAILED and record and self._conductor.clock.now_ms() + 50 > record.deadline_ms:
+        if (
+            session.end is SessionEnd.FAILED
+            and record
+            and self._conductor.clock.now_ms() + 50 > record.deadline_ms
+        ):
             raise HttpError(504, "no answer in time; it may have run", "deadline_exceeded")
         raise HttpError(500, "the request failed; it may have run", "failed")
 
-    async def whole(self, conn: Connection, session: Session) -> None:
+    async def whole(self, conn: Connection, session: StreamSession) -> None:
         """One JSON object when all has come."""
         await self._first(session)
-        while session.end is not End.SERVED:
+        while session.end is not SessionEnd.SERVED:
             if session.end is not None:
                 # A client that waits for the whole can't come back for the rest, so it is fetched for it.
-                if session.resumed >= RESUMES or not self._safe(session.class_index):
+                if session.resume_count >= RESUMES or not self._safe(session.class_index):
                     break
                 self._go_on(session)
             else:
-                await session.news.wait()
-        if session.end is not End.SERVED:
+                await session.updated.wait()
+        if session.end is not SessionEnd.SERVED:
             raise HttpError(500, "the answer broke off; it may have run", "stream_broken")
         await respond(conn, 200, whole_answer(session))
 
-    async def stream(self, conn: Connection, session: Session, seen: int) -> None:
+    async def stream(self, conn: Connection, session: StreamSession, seen: int) -> None:
         """Server-sent events from the one behind `seen` on; a break ends the connection, never cleanly."""
         await self._first(session, seen)
         await conn.send(STREAM_HEAD)
         while True:
-            news, end = session.news, session.end
+            news, end = session.updated, session.end
             fresh = b"".join(self._events(session, seen))
             seen = len(session.events)
             if fresh:
                 await conn.send(h11.Data(data=fresh))
-            if end is End.SERVED:
+            if end is SessionEnd.SERVED:
                 break
             if end is not None:
                 return conn.close()
@@ -88,7 +92,7 @@
             tail += _sse(last | {"choices": [], "usage": session.usage})
         await conn.send(h11.Data(data=tail + b"data: [DONE]\n\n"), h11.EndOfMessage())
 
-    def _events(self, session: Session, seen: int) -> Iterator[bytes]:
+    def _events(self, session: StreamSession, seen: int) -> Iterator[bytes]:
         for number, text in enumerate(session.events[seen:], seen + 1):
             delta = {"role": "assistant", "content": text} if number == 1 else {"content": text}
             chunk = _envelope(session, "chat.completion.chunk")
@@ -96,7 +100,7 @@
             yield _sse(chunk, f"{session.name}:{number}")
 
 
-def whole_answer(session: Session) -> bytes:
+def whole_answer(session: StreamSession) -> bytes:
     """All of a session that was served, as one JSON object."""
     message = {"role": "assistant", "content": session.text}
     choice = {"index": 0, "message": message, "finish_reason": session.finish_reason or "stop"}
@@ -106,11 +110,11 @@
     return orjson.dumps(told)
 
 
-def _envelope(session: Session, kind: str) -> dict[str, Any]:
+def _envelope(session: StreamSession, kind: str) -> dict[str, Any]:
     return {
         "id": session.name,
         "object": kind,
-        "created": session.created,
+        "created": session.created_s,
         "model": session.question["model"],
     }
 
--- a/ringledge/wire/clients/operator.py
+++ b/ringledge/wire/clients/operator.py
@@ -61,10 +61,10 @@
 
     async def _change(self, server: str, out: bool) -> None:
         """Leave an instance out or call it back; HttpError for one that nobody has."""
-        if server not in self._servers.entries and server not in self._by_hand.out:
+        if server not in self._servers.entries and server not in self._by_hand.excluded:
             raise HttpError(404, "no such instance", "not_found")
         try:
-            await self._by_hand.change(server, out)
+            await self._by_hand.set_excluded(server, out)
         except OSError as error:
             log.error("by_hand_failed", server=server, out=out, error=str(error))
             raise HttpError(503, "it could not be written down", "unavailable") from error
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -188,7 +188,7 @@
 def shed(no: Rejection) -> ShedError:
     """What a client that the gate turned away is told: when to come back, and whose limit it met."""
     headers: Headers = [(b"Retry-After", b"%.3f" % (no.retry_after_ms / 1000))]
-    if no.over_share:
+    if no.over_quota:
         reason = "overloaded, and this caller is over its share; nothing has run"
         return ShedError(429, reason, "rate_limit_exceeded", headers=headers)
     return ShedError(503, "overloaded, nothing has run", "overloaded", headers=headers)
--- a/ringledge/wire/clients/response.py
+++ b/ringledge/wire/clients/response.py
@@ -82,7 +82,7 @@
     def _count(self, change: int) -> None:
         self._waiting += change
         if self._held is not None:
-            self._held.streams += change
+            self._held.stream_bytes += change
 
     def forget(self) -> None:
         """Nobody takes what still waits."""
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -13,7 +13,7 @@
 from ringledge.decide.backoff import Backoff
 from ringledge.decide.discovery.start_times import ServerStarts
 from ringledge.decide.discovery.watch_timeout import WatchClock
-from ringledge.memory.endpoint_list import Endpoint, ListError, Listing, decode
+from ringledge.memory.endpoint_list import Endpoint, EndpointListing, ListError, decode
 from ringledge.memory.names import Names
 from ringledge.observe.logging import log
 from ringledge.routing.interface import (
@@ -76,7 +76,7 @@
         self._starts = ServerStarts()
         self._known_ms: float | None = None  # when the list was known whole last, on the decisions' clock
 
-    def apply(self, told: Listing, form: EndpointUpdateKind | None = None) -> None:
+    def apply(self, told: EndpointListing, form: EndpointUpdateKind | None = None) -> None:
         """Hand one object of the list on; `form` overrides what it says of itself."""
         if form is None:
             form = EndpointUpdateKind.FULL if told.snapshot else EndpointUpdateKind.CHANGES
--- a/ringledge/wire/servers/connections.py
+++ b/ringledge/wire/servers/connections.py
@@ -11,7 +11,7 @@
 from ringledge.decide.servers.connect_timeout import ConnectTimeout
 from ringledge.decide.servers.reachability import Reachability
 from ringledge.lifecycle.config import Names
-from ringledge.memory.connection_pool import Pool
+from ringledge.memory.connection_pool import ConnectionPool
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -36,7 +36,7 @@
         self, names: Names, sockets: int, clock: Clock, reach: Reachability, metrics: Metrics
     ) -> None:
         # Idle connections go well before the server would close them (half its time).
-        self.pool: Pool[Connection] = Pool(sockets, names.keepalive_s / 2, metrics)
+        self.pool: ConnectionPool[Connection] = ConnectionPool(sockets, names.keepalive_s / 2, metrics)
         self._connect_timeout = ConnectTimeout(names.connect_timeout_s)
         self._clock, self.reach = clock, reach
 
@@ -46,7 +46,7 @@
 
     async def take(self, server: str, address: str, connect_s: float, once: bool = False) -> Connection:
         """An idle connection or a new one; OSError or TimeoutError where none comes up."""
-        conn = self.pool.take(address, once)
+        conn = self.pool.acquire(address, once)
         return conn or await self.open(server, address, connect_s)
 
     async def open(self, server: str, address: str, connect_s: float) -> Connection:
@@ -58,7 +58,7 @@
         try:
             conn = await connect(address, connect_s)
         except BaseException as error:
-            self.pool.unreserve()
+            self.pool.cancel_reservation()
             if isinstance(error, ConnectionRefusedError):
                 self.reach.refused(server, self._clock.now_ms())
             elif isinstance(error, TimeoutError) or (
@@ -83,9 +83,9 @@
             return head, body
         finally:
             if again:
-                self.pool.put(address, conn)
+                self.pool.release(address, conn)
             else:
-                self.pool.drop(conn)
+                self.pool.discard(conn)
 
     async def probe(self, server: str, address: str | None) -> ProbeResult:
         """Ask for the load report."""
@@ -107,4 +107,4 @@
         """Close idle connections in time."""
         while True:
             await anyio.sleep(1.0)
-            self.pool.retire()
+            self.pool.close_idle()
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -99,7 +99,7 @@
         record = attempt.record
         told_ms = int(attempt.expires_ms - self.clock.now_ms())
         self.conductor.on_attempt_sent(attempt, told_ms)
-        facts = {"attempt": attempt.number, "kept": conn.kept, "told_ms": told_ms}
+        facts = {"attempt": attempt.number, "kept": conn.reused, "told_ms": told_ms}
         log.debug("attempt_sent", request=record.request_id, server=attempt.server, **facts)
         attempt.fetches_cache = bool(record.cache_holders) and not attempt.is_prefill
         try:
@@ -112,7 +112,7 @@
                 AttemptStatus.CONNECT_FAILED, note
             )  # the last byte was never written: it can't have run
         attempt.written = True
-        attempt.delivered, live.written_ms = not conn.kept, self.clock.now_ms()
+        attempt.delivered, live.written_ms = not conn.reused, self.clock.now_ms()
         self.metrics.sends.inc()
         return None
 
@@ -171,9 +171,9 @@
 
     def _kept_broke(self, conn: Connection, address: str) -> int:
         """The outcome's note: whether a kept connection broke unheard, which says little of its server."""
-        if conn.kept:
-            self.lines.pool.broke(address)
-        return int(conn.kept)
+        if conn.reused:
+            self.lines.pool.on_reused_broken(address)
+        return int(conn.reused)
 
     async def _stream(self, attempt: Attempt, live: Live, conn: Connection, head: h11.Response) -> End:
         """Pass a stream on as it comes, to its last chunk."""
--- a/ringledge/wire/servers/releases.py
+++ b/ringledge/wire/servers/releases.py
@@ -36,7 +36,7 @@
     ) -> None:
         self._tasks, self._servers, self._reach, self._metrics = tasks, servers, reach, metrics
         self._call, self._clock, self._asleep = call, clock, anyio.Event()
-        self.plan = Releases(let_go_ms, reach, servers.may_be_asked)
+        self.plan = Releases(let_go_ms, reach, servers.up_by_server)
         self._running = False
         self._waits: dict[str, anyio.Event] = {}  # set once the release is done with
 
--- a/ringledge/wire/servers/silence.py
+++ b/ringledge/wire/servers/silence.py
@@ -64,7 +64,7 @@
         try:
             if address:
                 conn = await self._lines.open(server, address, self._lines.connect_s())
-                self._lines.pool.put(address, conn)
+                self._lines.pool.release(address, conn)
         except TimeoutError:
             self._give_up(server)
         except OSError:  # no process listens, or no socket is left: what is out ends by itself
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -12,7 +12,7 @@
 from ringledge.core.records import Attempt
 from ringledge.decide.servers.reachability import Reachability
 from ringledge.lifecycle.config import Names
-from ringledge.memory.connection_pool import Pool
+from ringledge.memory.connection_pool import ConnectionPool
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
@@ -76,7 +76,7 @@
         )
 
     @property
-    def pool(self) -> Pool[Connection]:
+    def pool(self) -> ConnectionPool[Connection]:
         """The connections to servers."""
         return self._lines.pool
 
@@ -147,9 +147,9 @@
             self._live.pop(attempt, None)
             if live.conn is not None:
                 if again and not live.conn.closed and address is not None:
-                    self.pool.put(address, live.conn)
+                    self.pool.release(address, live.conn)
                 else:
-                    self.pool.drop(live.conn)
+                    self.pool.discard(live.conn)
         if end is None and attempt.streaming and attempt.in_flight:
             log.warning("stream_silent", server=attempt.server, request=attempt.record.request_id)
             end = End(AttemptStatus.RESET)
--- a/tests/compatibility/gate_trace.py
+++ b/tests/compatibility/gate_trace.py
@@ -7,8 +7,8 @@
 from typing import cast
 
 from ringledge.core.clock import Clock
-from ringledge.core.gate import AdmissionGate, ResourceLimits
-from ringledge.decide.overload.messages import Reason
+from ringledge.core.gate import AdmissionGate, GateOptions, ResourceLimits
+from ringledge.decide.overload.messages import RejectionReason
 from ringledge.decide.overload.settings import OverloadConfig
 from ringledge.memory.buffered_bytes import BufferedBytes
 from ringledge.memory.process_statistics import ProcessReading, ProcessStatistics
@@ -36,35 +36,45 @@
         return self.reading_ms
 
 
-class _ScriptedVitals:
+class _ScriptedProcessStatistics:
     """What the gate asks of the process between two readings."""
 
     def __init__(self) -> None:
-        self.lag_ms = self.cpu = 0.0
-        self.rss = 0
+        self.lag_ms = 0.0
+        self.cpu = 0.0
+        self.rss_bytes = 0
         self.trims = 0
 
-    def behind_ms(self) -> float:
+    def loop_lag_ms(self) -> float:
         return self.lag_ms
 
-    def busy(self) -> float:
+    def cpu_rate(self) -> float:
         return self.cpu
 
-    def trim(self) -> None:
+    def trim_memory(self) -> None:
         self.trims += 1
 
 
-def _steps(seed: int) -> Iterator[str]:
-    rng = Random(seed)
-    clock, vitals, held = _ScriptedClock(), _ScriptedVitals(), BufferedBytes()
-    kept = [0]
+class _ScriptedCache:
+    """Retained responses of one size."""
+
+    def __init__(self) -> None:
+        self.retained_bytes = 0
 
-    def drop(size: int) -> int:
-        dropped = min(size, kept[0])
-        kept[0] -= dropped
-        return dropped
+    def size_bytes(self) -> int:
+        return self.retained_bytes
 
-    held.keeps(lambda: kept[0], drop)
+    def evict(self, size_bytes: int) -> int:
+        evicted = min(size_bytes, self.retained_bytes)
+        self.retained_bytes -= evicted
+        return evicted
+
+
+def _steps(seed: int) -> Iterator[str]:
+    rng = Random(seed)
+    clock, vitals, held = _ScriptedClock(), _ScriptedProcessStatistics(), BufferedBytes()
+    cache = _ScriptedCache()
+    held.register(cache)
     classes = tuple(
         RequestClass(1000.0, 5000.0, Idempotency.IDEMPOTENT, worth)
         for worth in (2.0, 6.0, rng.choice([0.5, 6.0]))
@@ -74,20 +84,22 @@
         classes, (ServerKind(Role.MIXED),), tenants, routers=rng.choice([1, 3]), over_quota_weight=0.1
     )
     gate = AdmissionGate(
-        OverloadConfig(),
-        ResourceLimits(1.0, MEMORY_BYTES, 500),
-        settings,
-        ("query", "booking", "report"),
+        GateOptions(
+            OverloadConfig(),
+            ResourceLimits(1.0, MEMORY_BYTES, 500),
+            settings,
+            ("query", "booking", "report"),
+            seed,
+        ),
         cast(Clock, clock),
         cast(ProcessStatistics, vitals),
         held,
         Metrics(),
-        seed,
     )
     for _ in range(STEPS):
         clock.reading_ms += rng.uniform(0, 12)
         vitals.lag_ms, vitals.cpu = rng.choice([0.0, 0.0, 3.0, 90.0]), rng.choice([0.1, 0.6, 1.2])
-        kept[0] += rng.choice([0, 0, 3 * 1024 * 1024])
+        cache.retained_bytes += rng.choice([0, 0, 3 * 1024 * 1024])
         match rng.randrange(10):
             case 0 | 1 | 2:
                 span_ms = rng.uniform(50, 110)
@@ -100,12 +112,12 @@
                     rng.choice([50, 200, 499]),
                 )
                 gate.on_reading(reading)
-                yield f"reading {render(reading)} -> {gate.may_reject()} {held.bytes} {vitals.trims}"
+                yield f"reading {render(reading)} -> {gate.may_reject()} {held.total_bytes} {vitals.trims}"
             case 3:
                 told = (gate.rejects_all(), gate.has_max_priority("booking"), gate.has_max_priority("report"))
                 yield f"asked -> {render(told)}"
             case 4:
-                rejection = gate.reject(rng.randrange(3), rng.choice(list(Reason)))
+                rejection = gate.reject(rng.randrange(3), rng.choice(list(RejectionReason)))
                 yield f"turned away -> {render(rejection)}"
             case 5:
                 gate.set_process_count(rng.choice([1, 2]))
--- a/tests/compatibility/overload_trace.py
+++ b/tests/compatibility/overload_trace.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from random import Random
 
-from ringledge.decide.overload.admission import Overload
-from ringledge.decide.overload.messages import Limits, Sample
-from ringledge.decide.overload.tenant_quotas import TenantShare
+from ringledge.decide.overload.admission import OverloadController
+from ringledge.decide.overload.messages import OverloadLimits, ResourceSample
+from ringledge.decide.overload.tenant_quotas import TenantQuota
 from tests.compatibility.rendering import render
 
 SEEDS = range(8)
@@ -16,10 +16,10 @@
 
 def _steps(seed: int) -> Iterator[str]:
     rng = Random(seed)
-    limits = Limits(rng.choice([0.5, 1.0]), rng.choice([0.7, 0.9]), rng.choice([10.0, 30.0]))
+    limits = OverloadLimits(rng.choice([0.5, 1.0]), rng.choice([0.7, 0.9]), rng.choice([10.0, 30.0]))
     worths = [rng.choice([0.0, 1.0, 2.0, 6.0]) for _ in range(3)]
-    shares = [TenantShare(0.6, rng.choice([None, 20.0])), TenantShare(0.4, 5.0)]
-    overload = Overload(limits, worths, shares, 0.2, 1000.0, Random(seed + 1))
+    shares = [TenantQuota(0.6, rng.choice([None, 20.0])), TenantQuota(0.4, 5.0)]
+    overload = OverloadController(limits, worths, shares, 0.2, 1000.0, Random(seed + 1))
     now_ms, busy = 1000.0, 0.0
     yield f"{render(limits)} {render(worths)} {render(shares)}"
     for _ in range(SAMPLES):
@@ -27,7 +27,7 @@
         if rng.random() < 0.1:
             busy = rng.choice([0.2, 0.8, 1.0, 1.3])
         span_ms = rng.uniform(50, 120)
-        sample = Sample(
+        sample = ResourceSample(
             now_ms,
             span_ms,
             busy * span_ms,
@@ -37,14 +37,15 @@
             rng.choice([0.0, 0.2, 0.9]),
             rng.choice([0.1, 0.3, 0.99]) if rng.random() < 0.2 else 0.1,
         )
-        overload.sample(sample)
-        yield f"{render(sample)} {overload.pressed} {overload.changes} {overload.correction!r}"
+        overload.on_sample(sample)
+        state = f"{overload.under_pressure} {overload.transition_count} {overload.rate_correction!r}"
+        yield f"{render(sample)} {state}"
         for _ in range(rng.randrange(12)):
             now_ms += rng.uniform(0, 4)
             asked = (rng.randrange(3), rng.randrange(3), rng.uniform(0.1, 60.0))
             lag_ms = rng.choice([0.0, 0.0, 2.0, 80.0])
-            rejection = overload.decide(now_ms, *asked, lag_ms, busy)
-            admitted = overload.admitted_share(now_ms, asked[0], False)
+            rejection = overload.admit(now_ms, *asked, lag_ms, busy)
+            admitted = overload.admitted_fraction(now_ms, asked[0], False)
             told = (rejection, overload.may_reject, overload.rejects_all(now_ms), admitted)
             yield f"{now_ms!r} {render(asked)} {lag_ms!r} -> {render(told)}"
 
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -38,6 +38,10 @@
     "TimerFired": "Timer",
     "UnreachableServers": "Unreachable",
     "WatchEndpoints": "Subscribe",
+    "EndpointListing": "Listing",
+    "OverloadLimits": "Limits",
+    "ResourceSample": "Sample",
+    "TenantQuota": "TenantShare",
 }
 
 
--- a/tests/compatibility/test_traces.py
+++ b/tests/compatibility/test_traces.py
@@ -20,8 +20,8 @@
 # A constant of each subsystem with another value: module, name, value.
 MUTANTS: dict[str, tuple[str, str, object]] = {
     "policy": ("ringledge.routing.policy", "RETRY_AFTER_SHARE", 0.26),
-    "overload": ("ringledge.decide.overload.admission", "REJECTING_WEIGHT", 0.41),
-    "gate": ("ringledge.core.gate", "GIVE_UP_PART", 0.11),
+    "overload": ("ringledge.decide.overload.admission", "REJECTION_COST_WEIGHT", 0.41),
+    "gate": ("ringledge.core.gate", "EVICTION_FRACTION", 0.11),
     "leases": ("ringledge.decide.leases.proposer", "EXTEND", 0.26),
     "membership": ("ringledge.decide.membership.swim", "AGAIN", 4),
     "ratio": ("ringledge.decide.ratio.demand_estimate", "BEYOND", 1.2),
--- a/tests/memory/test_connection_pool.py
+++ b/tests/memory/test_connection_pool.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ringledge.memory import connection_pool as pooling
-from ringledge.memory.connection_pool import SETTLED_S, Pool
+from ringledge.memory.connection_pool import MIN_SAFE_IDLE_S, ConnectionPool
 from ringledge.observe.metrics import Metrics
 
 ADDRESS = "127.0.0.1:1"
@@ -18,7 +18,7 @@
     """A connection as the pool sees it."""
 
     idle_since: float = 0.0
-    kept: bool = False
+    reused: bool = False
     streamed: bool = False
     closed: bool = False
 
@@ -48,32 +48,32 @@
 
 def test_what_must_not_run_twice_gets_no_connection_on_which_a_second_answer_may_be_due(clock: Clock) -> None:
     """A second answer "turned away" came under a booking, which was then sent to another server as well."""
-    pool, conn = Pool[Idle](8, 30.0, Metrics()), Idle()
-    pool.put(ADDRESS, conn)
-    clock.now_s += SETTLED_S / 2
-    assert pool.take(ADDRESS, once=True) is None
-    assert pool.take(ADDRESS) is conn
-    pool.put(ADDRESS, conn)
-    clock.now_s += SETTLED_S * 1.01
-    assert pool.take(ADDRESS, once=True) is conn
-    assert pool.take(ADDRESS) is None
+    pool, conn = ConnectionPool[Idle](8, 30.0, Metrics()), Idle()
+    pool.release(ADDRESS, conn)
+    clock.now_s += MIN_SAFE_IDLE_S / 2
+    assert pool.acquire(ADDRESS, once=True) is None
+    assert pool.acquire(ADDRESS) is conn
+    pool.release(ADDRESS, conn)
+    clock.now_s += MIN_SAFE_IDLE_S * 1.01
+    assert pool.acquire(ADDRESS, once=True) is conn
+    assert pool.acquire(ADDRESS) is None
 
 
 def test_of_several_the_youngest_settled_one_is_taken(clock: Clock) -> None:
-    pool, first, second, third = Pool[Idle](8, 30.0, Metrics()), Idle(), Idle(), Idle()
+    pool, first, second, third = ConnectionPool[Idle](8, 30.0, Metrics()), Idle(), Idle(), Idle()
     for conn in (first, second, third):
-        pool.put(ADDRESS, conn)
-        clock.now_s += SETTLED_S * 0.7
-    assert pool.take(ADDRESS, once=True) is second
-    assert pool.take(ADDRESS) is third
-    assert pool.take(ADDRESS) is first
+        pool.release(ADDRESS, conn)
+        clock.now_s += MIN_SAFE_IDLE_S * 0.7
+    assert pool.acquire(ADDRESS, once=True) is second
+    assert pool.acquire(ADDRESS) is third
+    assert pool.acquire(ADDRESS) is first
 
 
 def test_a_connection_that_carried_a_stream_rests_before_any_request_gets_it(clock: Clock) -> None:
     """A second answer behind a stream came under a query, whose client was given it."""
-    pool, conn = Pool[Idle](8, 30.0, Metrics()), Idle(streamed=True)
-    pool.put(ADDRESS, conn)
-    clock.now_s += SETTLED_S / 2
-    assert pool.take(ADDRESS) is None
-    clock.now_s += SETTLED_S
-    assert pool.take(ADDRESS) is conn
+    pool, conn = ConnectionPool[Idle](8, 30.0, Metrics()), Idle(streamed=True)
+    pool.release(ADDRESS, conn)
+    clock.now_s += MIN_SAFE_IDLE_S / 2
+    assert pool.acquire(ADDRESS) is None
+    clock.now_s += MIN_SAFE_IDLE_S
+    assert pool.acquire(ADDRESS) is conn
--- a/tests/memory/test_operator_overrides.py
+++ b/tests/memory/test_operator_overrides.py
@@ -25,5 +25,5 @@
 
     monkeypatch.setattr(Path, "read_bytes", failing_once)
     by_hand = OperatorOverrides(tmp_path, "n1", "ours", lambda server, out: told.append((server, out)))
-    by_hand.look_at_start()
+    by_hand.load()
     assert told == [("w0", True)]
--- a/tests/test_forgotten_connections.py
+++ b/tests/test_forgotten_connections.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from ringledge.memory.connection_pool import SETTLED_S
+from ringledge.memory.connection_pool import MIN_SAFE_IDLE_S
 from tests.loopback import WAIT_S, Call, Node, read, take
 
 HELD_S = 0.8  # a KV cache entry may be held so long while no attempt of its request has arrived
@@ -30,7 +30,7 @@
     client, call = read(node, "first", X_Call_Class="booking")
     call.serve("x")
     assert take(client).status == 200
-    time.sleep(2 * SETTLED_S)
+    time.sleep(2 * MIN_SAFE_IDLE_S)
     return call
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -4,7 +4,7 @@
 
 from ringledge.core.clock import Clock
 from ringledge.lifecycle.config import flatten
-from ringledge.memory.connection_pool import Pool
+from ringledge.memory.connection_pool import ConnectionPool
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.http.receive_buffer import Buffer
 
@@ -45,7 +45,7 @@
 
 class Idle:
     idle_since = 0.0
-    kept = streamed = False
+    reused = streamed = False
 
     def __init__(self) -> None:
         self.stale = self.closed = False
@@ -60,22 +60,22 @@
 def test_a_pool_gives_the_youngest_and_drops_stale_and_old_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     now = [100.0]
     monkeypatch.setattr("time.monotonic", lambda: now[0])
-    pool: Pool[Idle] = Pool(3, 15.0, Metrics())
+    pool: ConnectionPool[Idle] = ConnectionPool(3, 15.0, Metrics())
     conns = [Idle() for _ in range(3)]
     for conn in conns:
         assert pool.reserve()
-        pool.put("a", conn)
+        pool.release("a", conn)
         now[0] += 1
     assert pool.reserve() and conns[0].closed  # the oldest made room
-    assert pool.open == 3
-    pool.unreserve()
+    assert pool.open_count == 3
+    pool.cancel_reservation()
     conns[2].stale = True
-    assert pool.take("a") is conns[1] and conns[2].closed
-    pool.put("a", conns[1])
-    pool.broke("b")
-    assert pool.take("a", once=True) is None and pool.take("a") is conns[1] and conns[1].kept
-    pool.put("a", conns[1])
+    assert pool.acquire("a") is conns[1] and conns[2].closed
+    pool.release("a", conns[1])
+    pool.on_reused_broken("b")
+    assert pool.acquire("a", once=True) is None and pool.acquire("a") is conns[1] and conns[1].reused
+    pool.release("a", conns[1])
     now[0] += 15
-    assert pool.take("a") is None and conns[1].closed and pool.open == 0
-    pool.retire()
+    assert pool.acquire("a") is None and conns[1].closed and pool.open_count == 0
+    pool.close_idle()
     assert len(pool) == 0  # an address that has left is not remembered
--- a/tests/test_platform_spoilt.py
+++ b/tests/test_platform_spoilt.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ringledge.memory.connection_pool import SETTLED_S
+from ringledge.memory.connection_pool import MIN_SAFE_IDLE_S
 from tests.loopback import WAIT_S, Node, event, read, take
 
 
@@ -118,7 +118,7 @@
     client, call = read(node)
     call.serve("x")
     assert take(client).status == 200
-    threading.Event().wait(2 * SETTLED_S)  # behind a stream a connection rests for so long
+    threading.Event().wait(2 * MIN_SAFE_IDLE_S)  # behind a stream a connection rests for so long
     client = node.post("a2")
     node.reader[0].next().drop()
     node.reader[0].next().read()
--- a/tests/wire/clients/chat/test_departures.py
+++ b/tests/wire/clients/chat/test_departures.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ringledge.memory.stream_sessions import End, Session
+from ringledge.memory.stream_sessions import SessionEnd, StreamSession
 from ringledge.wire.clients.chat.answer import Answer
 from tests.loopback import Node
 from tests.wire.clients.chat.helpers import HELLO
@@ -24,9 +24,9 @@
         return self.left
 
 
-def session(*left: bool, began: bool = False, end: End | None = None) -> Session:
+def session(*left: bool, began: bool = False, end: SessionEnd | None = None) -> StreamSession:
     record: Any = SimpleNamespace(streaming=began)
-    return Session("a", {}, 0, 100.0, record=record, end=end, followers={Client(each) for each in left})
+    return StreamSession("a", {}, 0, 100.0, record=record, end=end, followers={Client(each) for each in left})
 
 
 @pytest.mark.parametrize(
@@ -37,13 +37,13 @@
         (session(True, False), False),
         (session(False), False),
         (session(True, began=True), False),  # it runs on, and may be come back for
-        (session(True, end=End.SERVED), False),
+        (session(True, end=SessionEnd.SERVED), False),
         (session(), False),  # its connection is about to follow it
     ],
     ids="left both-left one-left stays begun ended nobody-yet".split(),
 )
 def test_a_client_has_gone_once_all_that_follow_an_answer_that_has_not_begun_have(
-    told: Session, gone: bool
+    told: StreamSession, gone: bool
 ) -> None:
     assert Answer(told).is_disconnected() is gone
 
--- a/tests/wire/servers/test_abandoned.py
+++ b/tests/wire/servers/test_abandoned.py
@@ -19,7 +19,7 @@
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, Record
 from ringledge.lifecycle.config import Names
-from ringledge.memory.connection_pool import SETTLED_S
+from ringledge.memory.connection_pool import MIN_SAFE_IDLE_S
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -96,8 +96,8 @@
     def keep(self) -> None:
         """Have the connection kept, and trusted."""
         self.upstream.pool.reserve()
-        self.upstream.pool.put(ADDRESS, self.conn)
-        self.conn.idle_since -= 2 * SETTLED_S
+        self.upstream.pool.release(ADDRESS, self.conn)
+        self.conn.idle_since -= 2 * MIN_SAFE_IDLE_S
 
     def attempt(self) -> Attempt:
         now_ms = self.clock.now_ms()
--- a/tests/wire/servers/test_silence.py
+++ b/tests/wire/servers/test_silence.py
@@ -48,7 +48,7 @@
         if not self.comes_up:
             raise TimeoutError
 
-    def put(self, *_: Any) -> None:
+    def release(self, *_: Any) -> None:
         """The pool takes the connection that came up."""
 
 
