--- a/ringledge/core/context.py
+++ b/ringledge/core/context.py
@@ -6,28 +6,25 @@
 from dataclasses import dataclass
 
 from ringledge.core.clock import Clock
-from ringledge.core.invariants import Invariants
-from ringledge.core.observer import Observer
+from ringledge.core.invariants import InvariantChecker
+from ringledge.core.observer import RequestObserver
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.server_port import ServerTransport
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
-from ringledge.routing.interface import (
-    RouterSettings,
-    RoutingEvent,
-)
+from ringledge.routing.interface import RouterSettings, RoutingEvent
 
 
 @dataclass(slots=True)
 class Context:
-    """The conductor's tools, passed to each stage."""
+    """The conductor's collaborators, passed to each stage."""
 
     settings: RouterSettings
     clock: Clock
     registry: RequestRegistry
     servers: ServerList
     metrics: Metrics
-    port: ServerTransport
-    tell: Callable[[RoutingEvent], None]  # gives an event to the policy
-    invariants: Invariants
-    observer: Observer | None = None  # told of what passes, where a part wants to know
+    transport: ServerTransport
+    dispatch: Callable[[RoutingEvent], None]  # queues an event for the policy
+    invariants: InvariantChecker
+    observer: RequestObserver | None = None
--- a/ringledge/core/registry.py
+++ b/ringledge/core/registry.py
@@ -7,13 +7,13 @@
 from ringledge.core.records import Record
 
 
-class Peer(Protocol):
-    """Another process of this conductor, while the two overlap."""
+class PeerProcess(Protocol):
+    """Another process of this conductor, while the two overlap during a handover."""
 
-    open_request_ids: set[str]  # requests that it has open
+    open_request_ids: set[str]  # requests that are open there
 
     def on_request_change(self, request_id: str, is_open: bool) -> None:
-        """A request was opened here, or has ended: notify the other process."""
+        """Notify it that a request was opened here (`is_open`) or has ended."""
 
 
 class RequestRegistry:
@@ -21,24 +21,24 @@
 
     def __init__(self) -> None:
         self.records: dict[str, Record] = {}
-        self.peers: list[Peer] = []
+        self.peers: list[PeerProcess] = []
 
-    def is_open(self, name: str) -> bool:
+    def is_open(self, request_id: str) -> bool:
         """Whether a request with that id is open, here or in another process."""
-        return name in self.records or any(name in peer.open_request_ids for peer in self.peers)
+        return request_id in self.records or any(request_id in peer.open_request_ids for peer in self.peers)
 
-    def unanswered(self) -> int:
-        """How many requests are still owed their answer's end."""
+    def unanswered_count(self) -> int:
+        """How many requests still await their final answer."""
         return sum(not record.closed for record in self.records.values())
 
     def add(self, record: Record) -> None:
-        """Register a request."""
-        self.records[record.name] = record
+        """Register a request and notify the peers."""
+        self.records[record.request_id] = record
         for peer in self.peers:
-            peer.on_request_change(record.name, True)
+            peer.on_request_change(record.request_id, True)
 
     def remove(self, record: Record) -> None:
-        """A request is done."""
-        del self.records[record.name]
+        """Remove a request that is done and notify the peers."""
+        del self.records[record.request_id]
         for peer in self.peers:
-            peer.on_request_change(record.name, False)
+            peer.on_request_change(record.request_id, False)
--- a/ringledge/lifecycle/components/overload.py
+++ b/ringledge/lifecycle/components/overload.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ringledge.core.gate import Caps, Gate
+from ringledge.core.gate import AdmissionGate, GateOptions, ResourceLimits
 from ringledge.decide.overload.settings import OverloadConfig
 from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.context import ProgramContext
@@ -17,7 +17,7 @@
     """What the fronts use of overload control."""
 
     component: Component
-    gate: Gate
+    gate: AdmissionGate
     buffered_bytes: BufferedBytes
     statistics: ProcessStatistics
 
@@ -25,19 +25,15 @@
 def create(context: ProgramContext) -> OverloadControl:
     """Create the gate; it sheds nothing before the program is ready."""
     config, conductor = context.config, context.conductor
-    caps = Caps(config.cores, config.memory_bytes, config.sockets)
-    statistics = ProcessStatistics(context.metrics, conductor.timer_lag_ms)
+    statistics = ProcessStatistics(context.metrics, conductor.take_max_timer_lag_ms)
     buffered_bytes = BufferedBytes()
-    gate = Gate(
-        config.settings_of(OverloadConfig),
-        caps,
-        config.settings,
-        config.names.classes,
-        conductor.clock,
-        statistics,
-        buffered_bytes,
-        context.metrics,
-        config.seed,
+    options = GateOptions(
+        config=config.settings_of(OverloadConfig),
+        limits=ResourceLimits(config.cores, config.memory_bytes, config.sockets),
+        settings=config.settings,
+        class_names=config.names.classes,
+        seed=config.seed,
     )
-    component = Component(on_ready=gate.start, on_process_count=gate.share)
+    gate = AdmissionGate(options, conductor.clock, statistics, buffered_bytes, context.metrics)
+    component = Component(on_ready=gate.start, on_process_count=gate.set_process_count)
     return OverloadControl(component, gate, buffered_bytes, statistics)
--- a/ringledge/lifecycle/components/platform.py
+++ b/ringledge/lifecycle/components/platform.py
@@ -21,7 +21,7 @@
         return Platform(config.names, conductor)
     from ringledge.wire.clients.loop_budget import Turns
 
-    turns = Turns(config.settings_of(OverloadConfig).turn_ms / 1000)
+    turns = Turns(config.settings_of(OverloadConfig).max_turn_ms / 1000)
     return Platform(config.names, conductor, overload.gate, turns, overload.buffered_bytes)
 
 
--- a/ringledge/lifecycle/components/servers.py
+++ b/ringledge/lifecycle/components/servers.py
@@ -16,9 +16,9 @@
         tasks.start_soon(discovery.fetch_when_asked, upstream)
         tasks.start_soon(upstream.retire_idle)
         tasks.start_soon(upstream.watch_silence)
-        tasks.start_soon(context.operator_overrides.follow)
+        tasks.start_soon(context.operator_overrides.watch)
 
     def on_process_count(processes: int) -> None:
-        upstream.pool.shrink(context.fronts.max_upstream_sockets // processes)
+        upstream.pool.set_limit(context.fronts.max_upstream_sockets // processes)
 
     return Component(start=start, on_process_count=on_process_count)
--- a/ringledge/lifecycle/composition.py
+++ b/ringledge/lifecycle/composition.py
@@ -69,7 +69,7 @@
 
     control = overload.create(composition.context)
     composition.overload = control
-    composition.context.fronts.on_unread_time = control.statistics.waited
+    composition.context.fronts.on_unread_time = control.statistics.record_queue_wait
     return control.component
 
 
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -15,7 +15,7 @@
 
 from ringledge.lifecycle import settings_files
 from ringledge.lifecycle.fingerprint import fingerprint
-from ringledge.memory.endpoint_list import ListError, Listing, convert
+from ringledge.memory.endpoint_list import EndpointListing, ListError, convert
 from ringledge.memory.names import Names as Names
 from ringledge.routing import simulator_adapter
 from ringledge.routing.interface import (
@@ -85,7 +85,7 @@
     memory_mb: float
     cores: float
     folder: Path  # $TMPDIR: a successor on this machine finds what its predecessor left there
-    known_endpoints: Listing  # the endpoint list as it was last known
+    known_endpoints: EndpointListing  # the endpoint list as it was last known
     settings: RouterSettings
     names: Names
     deploy_settings: dict[str, msgspec.Struct]  # of the enabled files, by name without `.toml`
@@ -161,7 +161,7 @@
     )
 
 
-def _read_known_endpoints(document: dict[str, Any]) -> Listing:
+def _read_known_endpoints(document: dict[str, Any]) -> EndpointListing:
     known = document.get("known") or {"index": 0, "snapshot": True, "endpoints": []}
     try:
         return convert(known)
--- a/ringledge/lifecycle/context.py
+++ b/ringledge/lifecycle/context.py
@@ -54,7 +54,7 @@
     conductor = Conductor(settings, config.seed, clock, servers, metrics, upstream)
     upstream.conductor = conductor
     overrides = OperatorOverrides(config.folder, config.name, config.fingerprint, conductor.override_server)
-    overrides.look_at_start()  # before the first request is forwarded
+    overrides.load()  # before the first request is forwarded
     discovery = Discovery(config.discovery, names, conductor, random.Random(config.seed))
     discovery.apply(config.known_endpoints, EndpointUpdateKind.PERSISTED)
     return ProgramContext(
--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -54,15 +54,15 @@
         context = self._context
         metrics, discovery = context.metrics, context.discovery
         metrics.list_age.set_function(lambda: time.monotonic() - discovery.last_heard)
-        metrics.open_requests.set_function(context.conductor.registry.unanswered)
-        metrics.avoided.set_function(context.conductor.avoided)
+        metrics.open_requests.set_function(context.conductor.registry.unanswered_count)
+        metrics.avoided.set_function(context.conductor.avoided_server_count)
         for state in (Availability.UP, Availability.DRAINING):
             metrics.servers.labels(state.value).set_function(partial(context.servers.count, state))
 
     def can_serve(self) -> bool:
         """Whether the program is ready: it has an endpoint list, accepts clients, and is not stopping."""
         context = self._context
-        is_accepting = context.fronts.is_accepting() and context.conductor.timers_run()
+        is_accepting = context.fronts.is_accepting() and context.conductor.timers_running()
         return self._has_endpoint_list() and is_accepting and not context.shutdown.is_requested()
 
     def _has_endpoint_list(self) -> bool:
--- a/ringledge/wire/clients/response.py
+++ b/ringledge/wire/clients/response.py
@@ -82,7 +82,7 @@
     def _count(self, change: int) -> None:
         self._unsent_bytes += change
         if self._buffered is not None:
-            self._buffered.streams += change
+            self._buffered.stream_bytes += change
 
     def discard_unsent(self) -> None:
         """Nobody takes what still waits."""
--- a/ringledge/wire/servers/silence.py
+++ b/ringledge/wire/servers/silence.py
@@ -64,7 +64,7 @@
         try:
             if address:
                 conn = await self._lines.open(server, address, self._lines.connect_s())
-                self._lines.pool.put(address, conn)
+                self._lines.pool.release(address, conn)
         except TimeoutError:
             self._give_up(server)
         except OSError:  # no process listens, or no socket is left: what is out ends by itself
@@ -79,7 +79,7 @@
             if not lost or not self._arrivals.is_lost(server, live.written_ms):
                 continue
             record = attempt.record
-            log.info("attempt_cut_off", server=server, request=record.name)
+            log.info("attempt_cut_off", server=server, request=record.request_id)
             if not attempt.at_most_once:
                 live.scope.cancel()
             else:  # it may be answered yet
@@ -100,5 +100,5 @@
     def _release(self, record: Record) -> None:
         if record.cache_holders:
             known, record.cache_holders, record.released = record.cache_holders, set(), True
-            log.info("state_let_go", request=record.name, servers=sorted(known))
-            self._releaser.release(record.name, known, {})
+            log.info("state_let_go", request=record.request_id, servers=sorted(known))
+            self._releaser.release(record.request_id, known, {})
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -61,6 +61,10 @@
     "LeaseReleased": "Freed",
     "StateTransferRequest": "Learn",
     "StateTransferResponse": "Known",
+    "EndpointListing": "Listing",
+    "OverloadLimits": "Limits",
+    "ResourceSample": "Sample",
+    "TenantQuota": "TenantShare",
 }
 
 
