--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -20,7 +20,7 @@
 from ringledge.decide.replay.partition_detection import State
 from ringledge.decide.replay.rate_control import Pace
 from ringledge.decide.replay.scheduler import Head, Replay, Verdict
-from ringledge.members.duty import Still
+from ringledge.members.duty import LeaseCheck
 from ringledge.members.replay_sender import Result, Sending
 from ringledge.members.replayer import Replayer
 from ringledge.observe.logging import log
@@ -78,7 +78,7 @@
 class LateStart(Replayer):
     """A mutant: the start is written after the send."""
 
-    async def _begin(self, replay: Replay, head: Head, token: int, still: Still) -> bool:
+    async def _begin(self, replay: Replay, head: Head, token: int, still: LeaseCheck) -> bool:
         entry = await self._queue.get(head.name)
         assert entry is not None
         self._start(entry, token)
--- a/ringledge/members/clock_adapter.py
+++ b/ringledge/members/clock_adapter.py
@@ -1,4 +1,4 @@
-"""A decider that lives by a clock of its own beside others."""
+"""Runs a decider on a clock of its own, beside deciders on the runner's clock."""
 
 from __future__ import annotations
 
@@ -9,29 +9,33 @@
 from ringledge.decide.interface import Action, Decider
 
 
-def now_s() -> float:
-    """The clock of leases, s: monotonic, and it runs on while the process or the machine stands still."""
+def boottime_s() -> float:
+    """The clock of leases, s: monotonic, also while the process is stopped or the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ClockAdapter:
-    """Implements Decider; the times that it is given are its runner's, those handed on of `clock`.
+    """Implements Decider: translates between the runner's clock and the decider's.
 
-    Leases run out also while the machine sleeps; the rest of the fleet lives by the ordinary monotonic
-    clock. The two run alike otherwise.
+    Leases expire also while the machine sleeps; the other deciders run on the ordinary monotonic clock. The
+    two clocks run at the same rate otherwise.
     """
 
-    def __init__(self, decider: Decider, clock: Callable[[], float], runner: Callable[[], float]) -> None:
-        self._decider, self._clock, self._runner = decider, clock, runner
+    def __init__(
+        self, decider: Decider, decider_clock: Callable[[], float], runner_clock: Callable[[], float]
+    ) -> None:
+        self._decider = decider
+        self._decider_clock = decider_clock
+        self._runner_clock = runner_clock
 
     def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
-        """Take a message."""
-        return self._decider.receive(self._clock(), sender, message)
+        """Handle a message, at the decider's time instead of `now_s`."""
+        return self._decider.receive(self._decider_clock(), sender, message)
 
     def tick(self, now_s: float) -> list[Action]:
-        """Do what is due."""
-        return self._decider.tick(self._clock())
+        """Do what is due, at the decider's time instead of `now_s`."""
+        return self._decider.tick(self._decider_clock())
 
     def next_s(self) -> float:
-        """When the next call is wanted, on the runner's clock."""
-        return self._decider.next_s() - self._clock() + self._runner()
+        """When the next call of `tick` is needed, on the runner's clock."""
+        return self._decider.next_s() - self._decider_clock() + self._runner_clock()
--- a/ringledge/members/duty.py
+++ b/ringledge/members/duty.py
@@ -1,24 +1,24 @@
-"""What a duty looks like to the part that holds its lease."""
+"""The interface between a duty and the holder of its lease."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-Still = Callable[[], bool]  # whether the lease runs at this moment of our own clock
+LeaseCheck = Callable[[], bool]  # whether the lease is held at this moment of this process's own clock
 
 
 class Duty(Protocol):
     """Work that one member does at a time."""
 
     def begin(self, token: int) -> None:
-        """The lease is ours; each effect from here on carries the token."""
+        """Start under a fencing token, which each effect from here on carries."""
         ...
 
-    async def step(self, token: int, still: Still) -> float:
-        """One step, `still` asked right before each effect; s to wait until the next. It may be cancelled."""
+    async def step(self, token: int, is_held: LeaseCheck, /) -> float:
+        """One step, `is_held` checked right before each effect; s until the next step. May be cancelled."""
         ...
 
     def stop(self) -> None:
-        """The lease is not ours any more: begin nothing new."""
+        """Begin nothing new: the lease is not held any more."""
         ...
--- a/ringledge/members/planner.py
+++ b/ringledge/members/planner.py
@@ -16,7 +16,7 @@
 from ringledge.decide.ratio.role_records import PREFIX, encode, rows
 from ringledge.decide.ratio.role_registry import RoleBook
 from ringledge.decide.ratio.settings import RatioConfig
-from ringledge.members.duty import Still
+from ringledge.members.duty import LeaseCheck
 from ringledge.observe.logging import log
 
 NAME = "planner"  # of the duty
@@ -62,7 +62,7 @@
         self._ratio.begin(self._clock(), token)
         self._next_s = self._clock()
 
-    async def step(self, token: int, still: Still) -> float:
+    async def step(self, token: int, still: LeaseCheck) -> float:
         """One look, if it is time for one; gives s until the next. Each effect asks `still` before."""
         if token != self._ratio.token:
             return self.settings.look_s  # of a holding that has ended
@@ -92,7 +92,7 @@
         """The duty has ended here; rows told stay where they were heard."""
         self._ratio.token = 0
 
-    def _tell(self, server: str, row: RoleAssignment, still: Still) -> bool:
+    def _tell(self, server: str, row: RoleAssignment, still: LeaseCheck) -> bool:
         if not still():
             return False
         now_s = self._clock()
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -14,7 +14,7 @@
 
 from ringledge.decide.replay.partition_detection import State
 from ringledge.decide.replay.scheduler import Head, Replay, Verdict
-from ringledge.members.duty import Still
+from ringledge.members.duty import LeaseCheck
 from ringledge.members.replay_sender import Result, Sender, Sending
 from ringledge.observe.logging import log
 from ringledge.store.entry import End, Entry, MovedError, StaleError, StoreError
@@ -80,7 +80,7 @@
         self.replay = None
         self._out = {name: sending for name, sending in self._out.items() if not sending.cancel()}
 
-    async def step(self, token: int, still: Still) -> float:
+    async def step(self, token: int, still: LeaseCheck) -> float:
         """Settle what is owed, then send what it is time for; s until the next step is wanted.
 
         Shielded: cancelled between a start on the disk and its send, a booking that was never sent would end
@@ -90,7 +90,7 @@
             await self._step(token, still)
         return STEP_S if self._busy else IDLE_S
 
-    async def _step(self, token: int, still: Still) -> None:
+    async def _step(self, token: int, still: LeaseCheck) -> None:
         try:
             await self._adopt(token)
             await self.settle()
@@ -121,7 +121,7 @@
             self._tell_end(name, End.UNKNOWN, token)
         log.info("queue_adopted", token=token, again=found.again, unknown=len(found.unknown))
 
-    async def _send_some(self, replay: Replay, token: int, still: Still) -> None:
+    async def _send_some(self, replay: Replay, token: int, still: LeaseCheck) -> None:
         probing = self._site() is not State.OPEN
         if probing:
             replay.pace.closed()
@@ -137,7 +137,7 @@
             if not await self._begin(replay, head, token, still):
                 return
 
-    async def _begin(self, replay: Replay, head: Head, token: int, still: Still) -> bool:
+    async def _begin(self, replay: Replay, head: Head, token: int, still: LeaseCheck) -> bool:
         """Send one; False where the duty is not ours any more."""
         verdict: Verdict | None = Verdict.WITHHELD
         try:
--- a/tests/members/test_duty_settings.py
+++ b/tests/members/test_duty_settings.py
@@ -1,4 +1,4 @@
-"""deploy/duties.toml is read strictly."""
+"""deploy/duties.toml is validated when it is read."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ringledge.lifecycle import settings_files as strict
+from ringledge.lifecycle import settings_files
 from ringledge.members.duty_settings import DutiesConfig
 
 SHIPPED = Path(__file__).parents[2] / "deploy" / "duties.toml"
@@ -15,15 +15,15 @@
 def _read(tmp_path: Path, text: str) -> DutiesConfig | None:
     path = tmp_path / "duties.toml"
     path.write_text(text)
-    return strict.read(DutiesConfig, path)
+    return settings_files.read(DutiesConfig, path)
 
 
-def test_the_file_that_is_shipped_is_right_and_off(tmp_path: Path) -> None:
-    assert strict.read(DutiesConfig, SHIPPED) is None
-    told = _read(tmp_path, SHIPPED.read_text().replace("enabled = false", "enabled = true"))
-    assert told is not None
-    assert told.terms().startup_silence_s == pytest.approx(3.3)
-    assert told.terms().holder_lease_s == pytest.approx(2.7)
+def test_shipped_file_is_valid_and_disabled(tmp_path: Path) -> None:
+    assert settings_files.read(DutiesConfig, SHIPPED) is None
+    config = _read(tmp_path, SHIPPED.read_text().replace("enabled = false", "enabled = true"))
+    assert config is not None
+    assert config.terms().startup_silence_s == pytest.approx(3.3)
+    assert config.terms().holder_lease_s == pytest.approx(2.7)
 
 
 @pytest.mark.parametrize(
@@ -40,6 +40,6 @@
         (f'voters = ["a", "b", "{"ä" * 30}"]', "voters"),
     ],
 )
-def test_what_is_wrong_is_told_by_its_key(tmp_path: Path, text: str, key: str) -> None:
-    with pytest.raises(strict.SettingsError, match=key):
+def test_invalid_value_raises_an_error_that_names_its_key(tmp_path: Path, text: str, key: str) -> None:
+    with pytest.raises(settings_files.SettingsError, match=key):
         _read(tmp_path, "enabled = true\n" + text)
