--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -13,8 +13,10 @@
 import click
 
 from ringledge.decide.leases.manager import LeaseTerms
-from tests.simulated import cases, exhaustive
-from tests.simulated.held import Held
+from tests.simulated import cases
+from tests.simulated.exhaustive import ACCEPTORS, Model
+from tests.simulated.fleet import SimulatedFleet
+from tests.simulated.search import initial_states, search
 
 TERMS = LeaseTerms(("a", "b", "c"))
 NAMES = "abcdefg"
@@ -24,27 +26,29 @@
 
 def _gone(how: str, seed: int) -> tuple[float, int]:
     """One trial: s until another holds it, and stale effects refused."""
-    held = cases.settled(seed, TERMS, NAMES)
-    before = held.holder()
-    others = [each for each in held.names if each != before]
-    process, network = held.world.processes[before], held.world.network
+    fleet = cases.settled_fleet(seed, TERMS, NAMES)
+    before = fleet.holder()
+    others = [each for each in fleet.names if each != before]
+    process, network = fleet.world.processes[before], fleet.world.network
     if how == "ended in good order":
-        process.run(partial(cases.give_up, held, before))
+        process.run(partial(cases.release_planner, fleet, before))
     elif how == "killed":
-        held.world.kill(before)
+        fleet.world.kill(before)
     elif how == "stopped for 8 s":
-        held._step(process, "planner", held.tops["planner"])  # it has just looked at its clock
-        process.stop()
-        held.world.at(held.world.true_s + 8, process.go_on)
+        fleet.check_and_act(
+            process, "planner", fleet.highest_tokens["planner"]
+        )  # it has just looked at its clock
+        process.suspend()
+        fleet.world.call_at(fleet.world.true_s + 8, process.resume)
     elif how == "cut off":
         network.cut([before], others)
     elif how == "not heard":
         network.cut([before], others, one_way=True)
     elif how == "does not hear":
         network.cut(others, [before], one_way=True)
-    took_s = held.covered_within(9, others)
-    held.world.run_for(10)  # the one that was stopped goes on; each step is checked
-    return took_s, held.receiver.fence.rejected
+    took_s = fleet.run_until_covered(9, others)
+    fleet.world.run_for(10)  # the one that was stopped goes on; each step is checked
+    return took_s, fleet.receiver.fence.rejected
 
 
 @click.group(help=__doc__)
@@ -72,13 +76,13 @@
     """Datagrams and time."""
     for count in (3, 40, 200):
         names = [f"n{each}" for each in range(count)]
-        held = Held(1, names, LeaseTerms(tuple(names[:3])), DUTIES)
-        held.start_all()
-        held.covered_within(9)
-        held.world.run_for(10)
-        sent, began = held.world.network.counts["sent"], time.perf_counter()
-        held.world.run_for(COST_S)
-        spent, sent = time.perf_counter() - began, held.world.network.counts["sent"] - sent
+        fleet = SimulatedFleet(1, names, LeaseTerms(tuple(names[:3])), DUTIES)
+        fleet.start_all()
+        fleet.run_until_covered(9)
+        fleet.world.run_for(10)
+        sent, began = fleet.world.network.counts["sent"], time.perf_counter()
+        fleet.world.run_for(COST_S)
+        spent, sent = time.perf_counter() - began, fleet.world.network.counts["sent"] - sent
         effects = COST_S * len(DUTIES) / 0.25  # told over the same network, not a cost of the leases
         click.echo(
             f"{count:4} members, {len(DUTIES)} duties: {(sent - effects) / COST_S:.0f} datagrams/s in all, "
@@ -95,10 +99,10 @@
     depths |= {"two voters started again": 7, "two voters learn": 5}
     total = 0
     for start, depth in depths.items():
-        model = exhaustive.Model(LeaseTerms(exhaustive.VOTERS), 8, 2)
-        found = exhaustive.search(model, exhaustive.starts(model)[start], depth + more)
+        model = Model(LeaseTerms(ACCEPTORS), 8, 2)
+        found = search(model, initial_states(model)[start], depth + more)
         total += found.states
-        click.echo(f"{start}: {found.depth} events, {found.states} states, {found.broken or 'no breach'}")
+        click.echo(f"{start}: {found.depth} events, {found.states} states, {found.violation or 'no breach'}")
         for event in found.path:
             click.echo(f"    {event}")
     click.echo(f"{total} states")
--- a/benchmarks/fleet_seeds.py
+++ b/benchmarks/fleet_seeds.py
@@ -11,13 +11,13 @@
 
 import click
 
-from tests.simulated.faults import Report, play
+from tests.simulated.faults import SeedReport, run_seed
 
 PART = 50  # seeds given to a process at a time
 
 
-def _play(seeds: range) -> list[Report]:
-    return [play(seed) for seed in seeds]
+def _play(seeds: range) -> list[SeedReport]:
+    return [run_seed(seed) for seed in seeds]
 
 
 def _parts(first: int, count: int) -> list[range]:
@@ -32,7 +32,7 @@
 def main(first: int, seeds: int, processes: int, only: int | None) -> None:
     """Play them."""
     if only is not None:
-        click.echo(play(only))
+        click.echo(run_seed(only))
         return
     began, sums, faults, broken, longest = (
         time.perf_counter(),
@@ -45,11 +45,13 @@
         for reports in pool.map(_play, _parts(first, seeds)):
             for each in reports:
                 faults += each.faults
-                sums += Counter(steps=each.steps, begun=each.begins, applied=each.applied, stale=each.refused)
-                longest[round(each.longest_s, 1)] += 1
-                if each.broken:
+                sums += Counter(
+                    steps=each.events, begun=each.acquisitions, applied=each.applied, stale=each.rejected
+                )
+                longest[round(each.max_coverage_s, 1)] += 1
+                if each.violation:
                     broken += 1
-                    click.echo(f"seed {each.seed} ({each.members} members): {each.broken}")
+                    click.echo(f"seed {each.seed} ({each.members} members): {each.violation}")
     ordered = sorted(longest.elements())
     click.echo(f"{seeds} seeds from {first}, {broken} broken, {time.perf_counter() - began:.0f} s")
     click.echo("; ".join(f"{name} {value}" for name, value in sums.items()))
--- a/tests/simulated/cases.py
+++ b/tests/simulated/cases.py
@@ -1,4 +1,7 @@
-"""Situations that tests of the leases and of their mutants share."""
+"""Situations that tests of the leases and of their mutants share.
+
+Each takes a seed and the terms, runs a fleet into the situation, and returns the fleet.
+"""
 
 from __future__ import annotations
 
@@ -6,120 +9,127 @@
 
 from ringledge.decide.leases.fencing import FencingTokenCheck
 from ringledge.decide.leases.manager import LeaseTerms
-from tests.simulated.held import CHECK_TO_EFFECT_S, STEP_S, Held
+from tests.simulated.fleet import CHECK_TO_EFFECT_S, EFFECT_INTERVAL_S, SimulatedFleet
 
 
-def settled(
+def settled_fleet(
     seed: int,
     terms: LeaseTerms,
     names: Iterable[str] = "abcde",
     fence: Callable[[], FencingTokenCheck] = FencingTokenCheck,
-) -> Held:
-    """Members of which one holds the planner's duty."""
-    held = Held(seed, names, terms, fence=fence)
-    held.start_all()
-    held.covered_within(9)
-    held.world.run_for(2 * STEP_S)
-    return held
+) -> SimulatedFleet:
+    """One member holds the planner's duty, and has sent effects."""
+    fleet = SimulatedFleet(seed, names, terms, fence=fence)
+    fleet.start_all()
+    fleet.run_until_covered(9)
+    fleet.world.run_for(2 * EFFECT_INTERVAL_S)
+    return fleet
+
+
+def long_settled_fleet(seed: int, terms: LeaseTerms) -> SimulatedFleet:
+    """One member has held the duty for a while without faults."""
+    fleet = settled_fleet(seed, terms)
+    fleet.world.run_for(20)
+    return fleet
+
+
+def release_planner(fleet: SimulatedFleet, name: str) -> None:
+    """Have a member release the planner's duty in good order."""
+    process = fleet.world.processes[name]
+    process.execute(fleet.leases[name].release(process.clock_s(), "planner"))
 
 
-def give_up(held: Held, name: str) -> None:
-    """Have it end the planner's duty in good order."""
-    process = held.world.processes[name]
-    process.act(held.leases[name].release(process.clock_s(), "planner"))
+def others_than(fleet: SimulatedFleet, name: str) -> list[str]:
+    """All members but one."""
+    return [each for each in fleet.names if each != name]
 
 
-def stopped_before_the_effect(
+def suspended_between_check_and_effect(
     seed: int, terms: LeaseTerms, fence: Callable[[], FencingTokenCheck] = FencingTokenCheck
-) -> Held:
-    """The holder has looked at its clock, stands still, and acts when another has."""
-    held = settled(seed, terms, fence=fence)
-    process = held.world.processes[held.holder()]
-    applied = held.receiver.applied
-    while held.receiver.applied == applied:
-        held.world.run_for(0.001)
-    # Within CHECK_TO_EFFECT_S before its next effect it has looked; stop it there.
-    held._step(process, "planner", held.tops["planner"])
-    held.world.run_for(0)
-    process.stop()
-    others = [each for each in held.names if each != process.name]
-    held.covered_within(5, others)
-    held.world.run_for(2 * STEP_S + CHECK_TO_EFFECT_S)
-    process.go_on()
-    held.world.run_for(3)
-    return held
-
-
-def apart(seed: int, terms: LeaseTerms, rates: tuple[float, float] = (0.9, 1.1)) -> Held:
-    """Voters that hold nothing, and x or y that does."""
-    held = Held(seed, [*terms.acceptors, "x", "y"], terms, rates=rates)
-    return _begun_apart(held)
-
-
-def _begun_apart(held: Held) -> Held:
-    held.start_all()
-    for each in held.terms.acceptors:
-        held.leases[each].set_eligible(False)
-    held.covered_within(30, ["x", "y"])
-    held.world.run_for(2)
-    return held
-
-
-def cut_off(held: Held) -> list[str]:
-    """Cut the holder off; the others."""
-    others = [each for each in held.names if each != held.holder()]
-    held.world.network.cut([held.holder()], others)
+) -> SimulatedFleet:
+    """The holder checked its lease, was suspended, and sends its effect when another holds the duty."""
+    fleet = settled_fleet(seed, terms, fence=fence)
+    process = fleet.world.processes[fleet.holder()]
+    applied = fleet.receiver.applied
+    while fleet.receiver.applied == applied:
+        fleet.world.run_for(0.001)
+    # The effect follows this check within CHECK_TO_EFFECT_S: suspend the process before.
+    fleet.check_and_act(process, "planner", fleet.highest_tokens["planner"])
+    fleet.world.run_for(0)
+    process.suspend()
+    fleet.run_until_covered(5, others_than(fleet, process.name))
+    fleet.world.run_for(2 * EFFECT_INTERVAL_S + CHECK_TO_EFFECT_S)
+    process.resume()
+    fleet.world.run_for(3)
+    return fleet
+
+
+def separate_holder(
+    seed: int, terms: LeaseTerms, clock_rates: tuple[float, float] = (0.9, 1.1)
+) -> SimulatedFleet:
+    """The holder is x or y, which are no acceptors; the acceptors hold nothing."""
+    fleet = SimulatedFleet(seed, [*terms.acceptors, "x", "y"], terms, clock_rates=clock_rates)
+    _start_with_separate_holder(fleet)
+    return fleet
+
+
+def _start_with_separate_holder(fleet: SimulatedFleet) -> None:
+    fleet.start_all()
+    for acceptor in fleet.terms.acceptors:
+        fleet.leases[acceptor].set_eligible(False)
+    fleet.run_until_covered(30, ["x", "y"])
+    fleet.world.run_for(2)
+
+
+def cut_off_holder(fleet: SimulatedFleet) -> list[str]:
+    """Cut the holder off from all others, and return these."""
+    others = others_than(fleet, fleet.holder())
+    fleet.world.network.cut([fleet.holder()], others)
     return others
 
 
-def voters_restart(seed: int, terms: LeaseTerms) -> Held:
-    """All voters, one after another within a lease, while the holder is well but cut off."""
-    held = apart(seed, terms)
-    others = cut_off(held)
-    for each in terms.acceptors:
-        held.world.start(each)
-        held.world.run_for(0.1)
-    held.covered_within(9, others)
-    held.world.run_for(1)
-    return held
-
-
-def voters_restart_in_turn(seed: int, terms: LeaseTerms) -> Held:
-    """Each voter restarts once the one before votes again; nobody else is heard meanwhile."""
-    held = apart(seed, terms)
-    held.world.network.cut("xy", terms.acceptors)
-    for each in terms.acceptors:
-        held.world.start(each)
-        held.leases[each].stop_seeking(0, "planner")
-        held.world.run_for(6)
-    held.world.network.heal()
-    return held
-
-
-def rates_apart(seed: int, terms: LeaseTerms) -> Held:
-    """The voters' clocks run 10% fast, the holder's 10% slow, and it is cut off."""
-    held = Held(seed, [*terms.acceptors, "x", "y"], terms)
-    held.world.rate_of = {**dict.fromkeys(terms.acceptors, 1.1), "x": 0.9, "y": 0.9}
-    others = cut_off(_begun_apart(held))
-    held.covered_within(5, others)
-    held.world.run_for(1)
-    return held
-
-
-def slow_answers(seed: int, terms: LeaseTerms) -> Held:
-    """Answers to the holder come 1.6 s late, then it is cut off, with some of them still under way."""
-    held = apart(seed, terms, rates=(1.0, 1.0))
-    before = held.holder()
-    held.world.network.slow_s = {(each, before): 1.6 for each in terms.acceptors}
-    held.world.run_for(5.0)
-    others = cut_off(held)
-    held.covered_within(6, others)
-    held.world.run_for(1)
-    return held
-
-
-def settled_long(seed: int, terms: LeaseTerms) -> Held:
-    """A while in which nothing is wrong."""
-    held = settled(seed, terms)
-    held.world.run_for(20)
-    return held
+def acceptors_restart(seed: int, terms: LeaseTerms) -> SimulatedFleet:
+    """All acceptors restart within a lease, while the holder runs but is cut off."""
+    fleet = separate_holder(seed, terms)
+    others = cut_off_holder(fleet)
+    for acceptor in terms.acceptors:
+        fleet.world.start(acceptor)
+        fleet.world.run_for(0.1)
+    fleet.run_until_covered(9, others)
+    fleet.world.run_for(1)
+    return fleet
+
+
+def acceptors_restart_in_turn(seed: int, terms: LeaseTerms) -> SimulatedFleet:
+    """Each acceptor restarts once the previous one is active; no proposer reaches them meanwhile."""
+    fleet = separate_holder(seed, terms)
+    fleet.world.network.cut("xy", terms.acceptors)
+    for acceptor in terms.acceptors:
+        fleet.world.start(acceptor)
+        fleet.leases[acceptor].stop_seeking(0, "planner")
+        fleet.world.run_for(6)
+    fleet.world.network.heal()
+    return fleet
+
+
+def clocks_drift_apart(seed: int, terms: LeaseTerms) -> SimulatedFleet:
+    """The acceptors' clocks run 10% fast, the holder's 10% slow, and it is cut off."""
+    fleet = SimulatedFleet(seed, [*terms.acceptors, "x", "y"], terms)
+    fleet.world.clock_rate_of = {**dict.fromkeys(terms.acceptors, 1.1), "x": 0.9, "y": 0.9}
+    _start_with_separate_holder(fleet)
+    others = cut_off_holder(fleet)
+    fleet.run_until_covered(5, others)
+    fleet.world.run_for(1)
+    return fleet
+
+
+def slow_responses(seed: int, terms: LeaseTerms) -> SimulatedFleet:
+    """Responses reach the holder 1.6 s late; it is cut off with some of them still in flight."""
+    fleet = separate_holder(seed, terms, clock_rates=(1.0, 1.0))
+    holder = fleet.holder()
+    fleet.world.network.extra_delay_s = {(acceptor, holder): 1.6 for acceptor in terms.acceptors}
+    fleet.world.run_for(5.0)
+    others = cut_off_holder(fleet)
+    fleet.run_until_covered(6, others)
+    fleet.world.run_for(1)
+    return fleet
--- a/tests/simulated/faults.py
+++ b/tests/simulated/faults.py
@@ -1,115 +1,163 @@
-"""A stormy day from a seed: faults in bursts, a calm after each in which every duty must be covered again."""
+"""A day of faults from a seed: bursts, and a calm after each in which every duty must be covered again."""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import dataclass, field
+from enum import StrEnum
 from functools import partial
 from random import Random
 
 from ringledge.decide.leases.manager import LeaseTerms
-from tests.simulated.held import BrokenError, Held
+from tests.simulated.fleet import InvariantError, SimulatedFleet
 
 BURSTS = 3
 BURST_S = 8.0  # longer than two leases
-COVERED_S = (
-    9.0  # after a burst: silence (3.3 s) and lock (3.3 s) on a clock that is 10% slow, and asking again
-)
-MOST_MEMBERS = 9  # of most seeds; every 25th has up to 200
+RESTART_SPREAD_S = 2.0  # between the restarts of all acceptors
+MAX_MEMBERS = 9  # of most seeds; every 25th has up to 200
+# After a burst: silence (3.3 s) and lock (3.3 s) on a clock that is 10% slow, and retries.
+MAX_COVERAGE_S = 9.0
+
+
+class Fault(StrEnum):
+    """Kinds of faults; a seed chooses by their order."""
+
+    KILL = "kill"
+    RESTART = "restart"
+    SUSPEND = "stop"
+    CUT = "cut"
+    ONE_WAY_CUT = "one_way"
+    RESTART_ALL = "restart_all"
+    RELEASE = "give_up"
+    SUSPEND_HOLDER = "holder"
 
 
 @dataclass
-class Report:
+class SeedReport:
     """What happened on one seed."""
 
     seed: int
     members: int
-    broken: str = ""
-    steps: int = 0
-    begins: int = 0
-    applied: int = 0
-    refused: int = 0  # stale effects
-    longest_s: float = 0.0  # to cover all duties after a burst
-    faults: Counter[str] = field(default_factory=Counter)
-
-
-def _members(random: Random, seed: int) -> int:
-    return random.randrange(50, 201) if seed % 25 == 24 else random.randrange(3, MOST_MEMBERS + 1)
-
-
-def _storm(held: Held, random: Random, faults: Counter[str]) -> None:
-    """Plan one burst of faults; whatever it leaves is mended at its end."""
-    world, network, names = held.world, held.world.network, held.names
-    network.loss, network.double = random.choice((0, 0, 0.1, 0.4)), random.choice((0, 0.2))
-    network.late = random.choice((0, 0, 0.1))
-    for _ in range(random.randrange(1, 6)):
-        at_s = world.true_s + random.uniform(0, BURST_S)
-        name = random.choice([*names, *held.terms.acceptors, *held.terms.acceptors])
-        some = random.sample(names, random.randrange(1, len(names)))
-        rest = [each for each in names if each not in some]
-        kind = random.choice(
-            ("kill", "restart", "stop", "cut", "one_way", "restart_all", "give_up", "holder")
-        )
-        faults[kind] += 1
-        if kind == "kill":
-            world.at(at_s, partial(world.kill, name))
-        elif kind == "restart":
-            world.at(at_s, partial(world.start, name))
-        elif kind == "restart_all":
-            for each in held.terms.acceptors:
-                again_s = at_s + random.uniform(0, 2)
-                world.at(again_s, partial(world.start, each))
-        elif kind == "give_up":
-            world.at(at_s, partial(_give_up, held))
-        elif kind in ("stop", "holder"):
-            length_s = random.choice((0.5, 3.0, 4.0, 7.0))
-            whom = "" if kind == "holder" else name
-            world.at(at_s, partial(_stop, held, whom, length_s))
-        else:
-            world.at(at_s, partial(network.cut, some, rest, kind == "one_way"))
-
-
-def _stop(held: Held, name: str, length_s: float) -> None:
-    """Stop a member, or a holder, for so long."""
-    process = held.world.processes.get(name or held.holder(held.duties[0]))
-    if process is not None and process.alive and not process.stopped:
-        process.stop()
-        held.world.at(held.world.true_s + length_s, process.go_on)
-
-
-def _give_up(held: Held) -> None:
-    """A holder ends in good order."""
-    process = held.world.processes.get(held.holder(held.duties[0]))
-    if process is not None and not process.stopped:
-        leases = held.leases[process.name]
-        process.run(lambda: process.act(leases.release(process.clock_s(), held.duties[0])))
-
-
-def play(seed: int, terms: LeaseTerms | None = None) -> Report:
-    """One seed; a breach is in `broken`, with the moment."""
+    violation: str = ""  # of an invariant, with the moment
+    events: int = 0
+    acquisitions: int = 0
+    applied: int = 0  # effects
+    rejected: int = 0  # stale effects
+    max_coverage_s: float = 0.0  # to cover all duties after a burst
+    faults: Counter[Fault] = field(default_factory=Counter)
+
+
+class FaultPlanner:
+    """Plans bursts of faults; `end_burst` repairs whatever they leave."""
+
+    def __init__(self, fleet: SimulatedFleet, random: Random, faults: Counter[Fault]) -> None:
+        """`faults`: counts what was planned."""
+        self._fleet = fleet
+        self._world = fleet.world
+        self._random = random
+        self._faults = faults
+
+    def begin_burst(self) -> None:
+        """Plan the faults of the next `BURST_S`."""
+        network = self._world.network
+        network.loss = self._random.choice((0, 0, 0.1, 0.4))
+        network.duplication = self._random.choice((0, 0.2))
+        network.late_fraction = self._random.choice((0, 0, 0.1))
+        for _ in range(self._random.randrange(1, 6)):
+            self._plan_fault()
+
+    def end_burst(self) -> None:
+        """Heal the network, and let every member run."""
+        self._world.network.heal()
+        for name in self._fleet.names:
+            process = self._world.processes[name]
+            if process.suspended:
+                process.resume()
+            if not process.alive:
+                self._world.start(name)
+
+    def _plan_fault(self) -> None:
+        names, acceptors = self._fleet.names, self._fleet.terms.acceptors
+        at_s = self._world.true_s + self._random.uniform(0, BURST_S)
+        name = self._random.choice([*names, *acceptors, *acceptors])
+        group = self._random.sample(names, self._random.randrange(1, len(names)))
+        rest = [each for each in names if each not in group]
+        fault = self._random.choice([*Fault])
+        self._faults[fault] += 1
+        match fault:
+            case Fault.KILL:
+                self._world.call_at(at_s, partial(self._world.kill, name))
+            case Fault.RESTART:
+                self._world.call_at(at_s, partial(self._world.start, name))
+            case Fault.RESTART_ALL:
+                self._plan_restart_of_all_acceptors(at_s)
+            case Fault.RELEASE:
+                self._world.call_at(at_s, partial(release_first_duty, self._fleet))
+            case Fault.SUSPEND:
+                self._plan_suspension(at_s, name)
+            case Fault.SUSPEND_HOLDER:
+                self._plan_suspension(at_s, "")
+            case Fault.CUT | Fault.ONE_WAY_CUT:
+                one_way = fault is Fault.ONE_WAY_CUT
+                self._world.call_at(at_s, partial(self._world.network.cut, group, rest, one_way))
+
+    def _plan_restart_of_all_acceptors(self, at_s: float) -> None:
+        for acceptor in self._fleet.terms.acceptors:
+            restart_s = at_s + self._random.uniform(0, RESTART_SPREAD_S)
+            self._world.call_at(restart_s, partial(self._world.start, acceptor))
+
+    def _plan_suspension(self, at_s: float, name: str) -> None:
+        duration_s = self._random.choice((0.5, 3.0, 4.0, 7.0))
+        self._world.call_at(at_s, partial(suspend_for, self._fleet, name, duration_s))
+
+
+def suspend_for(fleet: SimulatedFleet, name: str, duration_s: float) -> None:
+    """Suspend a member, or for "" the holder of the first duty, where it runs."""
+    process = fleet.world.processes.get(name or fleet.holder(fleet.duties[0]))
+    if process is not None and process.alive and not process.suspended:
+        process.suspend()
+        fleet.world.call_at(fleet.world.true_s + duration_s, process.resume)
+
+
+def release_first_duty(fleet: SimulatedFleet) -> None:
+    """Have the holder of the first duty release it in good order."""
+    duty = fleet.duties[0]
+    process = fleet.world.processes.get(fleet.holder(duty))
+    if process is not None and not process.suspended:
+        leases = fleet.leases[process.name]
+        process.run(lambda: process.execute(leases.release(process.clock_s(), duty)))
+
+
+def run_seed(seed: int, terms: LeaseTerms | None = None) -> SeedReport:
+    """Run one seed; a violation is in the report, with its moment."""
     random = Random(seed)
-    count = _members(random, seed)
-    names = [f"n{each}" for each in range(count)]
-    voters = tuple(names[: 5 if count >= 5 and random.random() < 0.5 else 3])
-    duties = ["planner", "prober", "replay/north"][: random.randrange(1, 4)]
-    held = Held(seed, names, terms or LeaseTerms(voters), duties)
-    report = Report(seed, count)
+    fleet = _random_fleet(random, seed, terms)
+    report = SeedReport(seed, len(fleet.names))
     try:
-        held.start_all()
-        for _ in range(BURSTS):
-            report.longest_s = max(report.longest_s, held.covered_within(COVERED_S))
-            _storm(held, random, report.faults)
-            held.world.run_for(BURST_S + 2)  # the last restart of a burst may be 2 s late
-            held.world.network.heal()
-            for each in names:
-                process = held.world.processes[each]
-                if process.stopped:
-                    process.go_on()
-                if not process.alive:
-                    held.world.start(each)
-        report.longest_s = max(report.longest_s, held.covered_within(COVERED_S))
-    except BrokenError as error:
-        report.broken = str(error)
-    report.steps, report.begins = held.world.steps, sum(held.begins.values())
-    report.applied, report.refused = held.receiver.applied, held.receiver.fence.rejected
+        _run_bursts(fleet, FaultPlanner(fleet, random, report.faults), report)
+    except InvariantError as error:
+        report.violation = str(error)
+    report.events = fleet.world.event_count
+    report.acquisitions = sum(fleet.acquisitions.values())
+    report.applied = fleet.receiver.applied
+    report.rejected = fleet.receiver.fence.rejected
     return report
+
+
+def _random_fleet(random: Random, seed: int, terms: LeaseTerms | None) -> SimulatedFleet:
+    many = seed % 25 == 24
+    count = random.randrange(50, 201) if many else random.randrange(3, MAX_MEMBERS + 1)
+    names = [f"n{number}" for number in range(count)]
+    acceptors = tuple(names[: 5 if count >= 5 and random.random() < 0.5 else 3])
+    duties = ["planner", "prober", "replay/north"][: random.randrange(1, 4)]
+    return SimulatedFleet(seed, names, terms or LeaseTerms(acceptors), duties)
+
+
+def _run_bursts(fleet: SimulatedFleet, planner: FaultPlanner, report: SeedReport) -> None:
+    fleet.start_all()
+    for _ in range(BURSTS):
+        report.max_coverage_s = max(report.max_coverage_s, fleet.run_until_covered(MAX_COVERAGE_S))
+        planner.begin_burst()
+        fleet.world.run_for(BURST_S + RESTART_SPREAD_S)
+        planner.end_burst()
+    report.max_coverage_s = max(report.max_coverage_s, fleet.run_until_covered(MAX_COVERAGE_S))
--- a/tests/simulated/mutants.py
+++ b/tests/simulated/mutants.py
@@ -1,4 +1,4 @@
-"""Ways to get leases wrong, each a change to one place; a named case has to catch each."""
+"""Faulty variants of the leases, each a change to one place, with the case that has to catch it."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """What is broken, by a patch or by terms, and the case that shows it."""
+    """A fault, introduced by a patch or by terms, and the case that shows it."""
 
     name: str
     case: Callable[[int, LeaseTerms], Any]
-    breaks: Callable[[Patch], None] = lambda patch: None
+    apply: Callable[[Patch], None] = lambda patch: None
     terms: LeaseTerms = TERMS
 
 
-class Silent(LeaseTerms):
-    """No silence after a start."""
+class NoStartupSilence(LeaseTerms):
+    """An acceptor is not silent after a start."""
 
     startup_silence_s = property(lambda self: 0.0)  # type: ignore[assignment]
 
 
-class NoMargin(LeaseTerms):
-    """As if all clocks ran alike."""
+class NoDriftMargin(LeaseTerms):
+    """Holders and acceptors rely on clocks of equal rates."""
 
     holder_lease_s = property(lambda self: self.lease_s)  # type: ignore[assignment]
 
@@ -46,22 +46,22 @@
         return lease_ms / 1000
 
 
-class Minority(LeaseTerms):
-    """One voter decides."""
+class MinorityQuorum(LeaseTerms):
+    """One acceptor decides."""
 
     majority = property(lambda self: 1)  # type: ignore[assignment]
 
 
-class NoStarts(LeaseTerms):
-    """Tokens begin anew with the voters."""
+class NoTokenFloor(LeaseTerms):
+    """Tokens begin anew where all acceptors restarted."""
 
     def token_floor(self, start_number_sum: int) -> int:
-        """As if nobody had ever started before."""
+        """As if no process had ever run before."""
         return 0
 
 
-def votes_at_once(patch: Patch) -> None:
-    """A voter that started doesn't learn."""
+def skip_state_transfer(patch: Patch) -> None:
+    """A started acceptor is active without the state of the others."""
 
     def tick(self: AcceptorRecovery, now_s: float) -> list[Any]:
         self.active = self.active or now_s >= self._next_request_s
@@ -70,31 +70,31 @@
     patch.setattr(AcceptorRecovery, "tick", tick)
 
 
-def _from_arrival(patch: Patch) -> None:
-    """The holder's term runs from when the answer came."""
+def _lease_from_arrival(patch: Patch) -> None:
+    """The holder's lease runs from the arrival of the response."""
     on_accepted = LeaseProposer._on_accepted
 
-    def late(self: LeaseProposer, now_s: float, sender: str, message: Any) -> list[Any]:
+    def from_arrival(self: LeaseProposer, now_s: float, sender: str, message: Any) -> list[Any]:
         self._rounds._sent_s = dict.fromkeys(self._rounds._sent_s, now_s)
         return on_accepted(self, now_s, sender, message)
 
-    patch.setattr(LeaseProposer, "_on_accepted", late)
+    patch.setattr(LeaseProposer, "_on_accepted", from_arrival)
 
 
 def _any_round(patch: Patch) -> None:
-    """An answer counts for the latest ProposeRequest, whichever it names."""
+    """An acceptance counts for the latest round, whichever it names."""
     on_accepted = LeaseProposer._on_accepted
 
-    def latest(self: LeaseProposer, now_s: float, sender: str, message: Any) -> list[Any]:
+    def for_latest(self: LeaseProposer, now_s: float, sender: str, message: Any) -> list[Any]:
         sent_s = self._rounds._sent_s
         self._rounds._sent_s = dict.fromkeys(sent_s, max(sent_s.values(), default=0.0))
         return on_accepted(self, now_s, sender, message)
 
-    patch.setattr(LeaseProposer, "_on_accepted", latest)
+    patch.setattr(LeaseProposer, "_on_accepted", for_latest)
 
 
-def _no_expiry(patch: Patch) -> None:
-    """A holder doesn't look at its clock before it acts."""
+def _no_expiry_check(patch: Patch) -> None:
+    """A holder acts without a check of its clock."""
     patch.setattr(
         LeaseProposer,
         "token_at",
@@ -103,59 +103,58 @@
 
 
 def no_lock(patch: Patch) -> None:
-    """A voter lets another take what is locked."""
+    """An acceptor accepts proposals for a duty that is locked for another."""
     patch.setattr(LeaseAcceptor, "_reject_unavailable", lambda *args: None)
 
 
-class Open(FencingTokenCheck):
-    """A receiver that refuses nothing."""
+class AdmitAll(FencingTokenCheck):
+    """A receiver that rejects nothing."""
 
     def admit(self, duty: str, token: int) -> bool:
-        """Any token will do."""
+        """Any token is admitted."""
         return True
 
 
-def _restarted_together(seed: int, terms: LeaseTerms) -> None:
-    held = cases.settled(seed, terms)
+def _all_restart_together(seed: int, terms: LeaseTerms) -> None:
+    fleet = cases.settled_fleet(seed, terms)
     for _ in range(3):
-        held.start_all()
-        held.covered_within(9)
+        fleet.start_all()
+        fleet.run_until_covered(9)
 
 
-def _restarted_in_turn(seed: int, terms: LeaseTerms) -> None:
-    """Each voter restarts, one active again before the next, with nobody to remind them."""
-    held = cases.voters_restart_in_turn(seed, terms)
-    held.covered_within(9)
+def _acceptors_restart_in_turn(seed: int, terms: LeaseTerms) -> None:
+    fleet = cases.acceptors_restart_in_turn(seed, terms)
+    fleet.run_until_covered(9)
 
 
-def _stopped(seed: int, terms: LeaseTerms) -> None:
-    held = cases.settled(seed, terms)
-    process = held.world.processes[held.holder()]
-    others = [each for each in held.names if each != process.name]
-    process.stop()
-    held.covered_within(5, others)
-    held.world.run_for(1)
+def _holder_suspended(seed: int, terms: LeaseTerms) -> None:
+    fleet = cases.settled_fleet(seed, terms)
+    process = fleet.world.processes[fleet.holder()]
+    others = cases.others_than(fleet, process.name)
+    process.suspend()
+    fleet.run_until_covered(5, others)
+    fleet.world.run_for(1)
 
 
-def _open_fence(seed: int, terms: LeaseTerms) -> None:
-    cases.stopped_before_the_effect(seed, terms, Open)
+def _suspended_without_fence(seed: int, terms: LeaseTerms) -> None:
+    cases.suspended_between_check_and_effect(seed, terms, AdmitAll)
 
 
-def _split(seed: int, terms: LeaseTerms) -> None:
-    held = cases.settled(seed, terms)
-    held.world.network.split("abd", "ce")
-    held.world.run_for(9)
+def _partition(seed: int, terms: LeaseTerms) -> None:
+    fleet = cases.settled_fleet(seed, terms)
+    fleet.world.network.partition("abd", "ce")
+    fleet.world.run_for(9)
 
 
 MUTANTS = (
-    Mutant("no silence after a restart", cases.voters_restart, terms=Silent(TERMS.acceptors)),
-    Mutant("no learning after a restart", _restarted_in_turn, votes_at_once),
-    Mutant("no margin for the rates of clocks", cases.rates_apart, terms=NoMargin(TERMS.acceptors)),
-    Mutant("a minority decides", _split, terms=Minority(TERMS.acceptors)),
-    Mutant("tokens begin anew with all voters", _restarted_together, terms=NoStarts(TERMS.acceptors)),
-    Mutant("the term runs from the answer's arrival", cases.slow_answers, _from_arrival),
-    Mutant("an answer counts for a later ProposeRequest", cases.slow_answers, _any_round),
-    Mutant("no look at the clock before acting", _stopped, _no_expiry),
-    Mutant("a voter lets go of what it locked", cases.settled_long, no_lock),
-    Mutant("no fence at the receiver", _open_fence),
+    Mutant("no silence after a restart", cases.acceptors_restart, terms=NoStartupSilence(TERMS.acceptors)),
+    Mutant("no state transfer after a restart", _acceptors_restart_in_turn, skip_state_transfer),
+    Mutant("no margin for clock drift", cases.clocks_drift_apart, terms=NoDriftMargin(TERMS.acceptors)),
+    Mutant("a minority decides", _partition, terms=MinorityQuorum(TERMS.acceptors)),
+    Mutant("no token floor", _all_restart_together, terms=NoTokenFloor(TERMS.acceptors)),
+    Mutant("the lease runs from the response's arrival", cases.slow_responses, _lease_from_arrival),
+    Mutant("an acceptance counts for a later round", cases.slow_responses, _any_round),
+    Mutant("no check of the clock before acting", _holder_suspended, _no_expiry_check),
+    Mutant("no lock at the acceptor", cases.long_settled_fleet, no_lock),
+    Mutant("no fence at the receiver", _suspended_without_fence),
 )
--- a/tests/simulated/network.py
+++ b/tests/simulated/network.py
@@ -10,57 +10,59 @@
 
 @dataclass
 class Network:
-    """Drops, doubles, delays (so that later ones overtake) and cuts, one way or both; counts what it did."""
+    """Loses, duplicates, delays (and so reorders) and cuts, one way or both; counts what it did."""
 
     random: Random
     delay_s: tuple[float, float] = (0.0005, 0.02)
-    loss: float = 0.0
-    double: float = 0.0
-    late: float = 0.0  # part that comes `late_s` late
-    late_s: tuple[float, float] = (0.05, 6.0)
-    loss_at: dict[str, float] = field(default_factory=dict)  # more for all to and from one member
-    slow_s: dict[tuple[str, str], float] = field(default_factory=dict)  # more, from, to
-    cuts: set[tuple[str, str]] = field(default_factory=set)  # from, to
+    loss: float = 0.0  # probability
+    duplication: float = 0.0  # probability
+    late_fraction: float = 0.0  # delayed by `late_delay_s` instead of `delay_s`
+    late_delay_s: tuple[float, float] = (0.05, 6.0)
+    member_loss: dict[str, float] = field(default_factory=dict)  # of all to and from one member
+    extra_delay_s: dict[tuple[str, str], float] = field(default_factory=dict)  # by sender and recipient
+    cuts: set[tuple[str, str]] = field(default_factory=set)  # sender, recipient
     counts: Counter[str] = field(default_factory=Counter)
 
-    def cut(self, here: Iterable[str], there: Iterable[str], one_way: bool = False) -> None:
-        """Nothing goes from `here` to `there`; nor back, unless one way."""
-        for one in here:
-            for other in there:
-                self.cuts.add((one, other))
+    def cut(self, senders: Iterable[str], recipients: Iterable[str], one_way: bool = False) -> None:
+        """Lose all from `senders` to `recipients`, and back unless `one_way`."""
+        for sender in senders:
+            for recipient in recipients:
+                self.cuts.add((sender, recipient))
                 if not one_way:
-                    self.cuts.add((other, one))
+                    self.cuts.add((recipient, sender))
 
-    def split(self, *groups: Iterable[str]) -> None:
-        """Only inside each group is anything heard."""
-        parts = [*map(list, groups)]
-        for part in parts:
-            for other in parts:
-                if part is not other:
-                    self.cut(part, other)
+    def partition(self, *groups: Iterable[str]) -> None:
+        """Lose all between members of different groups."""
+        members = [*map(list, groups)]
+        for group in members:
+            for other in members:
+                if group is not other:
+                    self.cut(group, other)
 
     def heal(self) -> None:
-        """No cut, no loss, nothing late or twice."""
+        """End all cuts, losses, late and duplicated datagrams."""
         self.cuts.clear()
-        self.loss_at.clear()
-        self.loss = self.double = self.late = 0.0
+        self.member_loss.clear()
+        self.loss = 0.0
+        self.duplication = 0.0
+        self.late_fraction = 0.0
 
-    def delays(self, sender: str, to: str) -> list[float]:
-        """After how long a datagram arrives, each time that it does."""
+    def delays(self, sender: str, recipient: str) -> list[float]:
+        """The delay of each copy of a datagram that arrives, in s."""
         self.counts["sent"] += 1
-        if (sender, to) in self.cuts:
+        if (sender, recipient) in self.cuts:
             self.counts["cut"] += 1
             return []
-        lost = max(self.loss, self.loss_at.get(sender, 0), self.loss_at.get(to, 0))
-        copies = 1 + (self.random.random() < self.double)
+        loss = max(self.loss, self.member_loss.get(sender, 0), self.member_loss.get(recipient, 0))
+        copies = 1 + (self.random.random() < self.duplication)
         self.counts["doubled"] += copies - 1
-        out = []
+        delays_s = []
         for _ in range(copies):
-            if self.random.random() < lost:
+            if self.random.random() < loss:
                 self.counts["lost"] += 1
                 continue
-            is_late = self.random.random() < self.late
-            self.counts["late"] += is_late
-            delay_s = self.random.uniform(*(self.late_s if is_late else self.delay_s))
-            out.append(delay_s + self.slow_s.get((sender, to), 0.0))
-        return out
+            late = self.random.random() < self.late_fraction
+            self.counts["late"] += late
+            delay_s = self.random.uniform(*(self.late_delay_s if late else self.delay_s))
+            delays_s.append(delay_s + self.extra_delay_s.get((sender, recipient), 0.0))
+        return delays_s
--- a/tests/simulated/test_lease_exhaustive.py
+++ b/tests/simulated/test_lease_exhaustive.py
@@ -7,12 +7,20 @@
 import pytest
 
 from ringledge.decide.leases.manager import LeaseTerms
-from tests.simulated.exhaustive import VOTERS, Model, search, starts
-from tests.simulated.mutants import Minority, NoMargin, Silent, no_lock, votes_at_once
+from tests.simulated.exhaustive import ACCEPTORS, Model
+from tests.simulated.mutants import (
+    MinorityQuorum,
+    NoDriftMargin,
+    NoStartupSilence,
+    no_lock,
+    skip_state_transfer,
+)
+from tests.simulated.search import initial_states, search
 
-TERMS = LeaseTerms(VOTERS)
-STEPS, RESTARTS = 8, 2
-DEPTHS = {  # events beyond each start, with the states that are seen
+TERMS = LeaseTerms(ACCEPTORS)
+MAX_STEPS = 8
+MAX_RESTARTS = 2
+MIN_STATES = {  # events beyond each initial state, and how many states these lead to at least
     "at rest": (6, 20_000),
     "asked": (5, 12_000),
     "held": (5, 18_000),
@@ -22,42 +30,42 @@
 }
 
 
-@pytest.mark.parametrize("start", DEPTHS)
-def test_no_order_of_events_breaks_the_lease(start: str) -> None:
-    model = Model(TERMS, STEPS, RESTARTS)
-    depth, states = DEPTHS[start]
-    found = search(model, starts(model)[start], depth)
-    assert found.broken == "", found.path
-    assert found.depth == depth
-    assert found.states >= states  # a search that stopped looking would pass everything
+@pytest.mark.parametrize("initial", MIN_STATES)
+def test_no_order_of_events_violates_an_invariant(initial: str) -> None:
+    model = Model(TERMS, MAX_STEPS, MAX_RESTARTS)
+    depth, min_states = MIN_STATES[initial]
+    result = search(model, initial_states(model)[initial], depth)
+    assert result.violation == "", result.path
+    assert result.depth == depth
+    assert result.states >= min_states  # a search that ended early would pass everything
 
 
 @pytest.mark.parametrize(
-    ("terms", "breaks", "start", "turns", "depth"),
+    ("terms", "mutate", "initial", "processes", "depth"),
     [
-        (NoMargin(VOTERS), None, "held two thirds of a lease", "yab", 7),
-        (Minority(VOTERS), None, "held", "yc", 3),
+        (NoDriftMargin(ACCEPTORS), None, "held two thirds of a lease", "yab", 7),
+        (MinorityQuorum(ACCEPTORS), None, "held", "yc", 3),
         (TERMS, no_lock, "held", "yab", 6),
-        (Silent(VOTERS), votes_at_once, "two voters started again", "yab", 8),
-        (TERMS, votes_at_once, "two voters learn", "yab", 6),
+        (NoStartupSilence(ACCEPTORS), skip_state_transfer, "two voters started again", "yab", 8),
+        (TERMS, skip_state_transfer, "two voters learn", "yab", 6),
     ],
-    ids=["no margin", "a minority decides", "no lock", "no silence", "no learning"],
+    ids=["no drift margin", "a minority decides", "no lock", "no silence", "no state transfer"],
 )
-def test_a_mutant_is_caught(
+def test_search_finds_the_violation_of_a_mutant(
     terms: LeaseTerms,
-    breaks: Callable[[pytest.MonkeyPatch], None] | None,
-    start: str,
-    turns: str,
+    mutate: Callable[[pytest.MonkeyPatch], None] | None,
+    initial: str,
+    processes: str,
     depth: int,
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        if breaks is not None:
-            breaks(patch)
-        model = Model(terms, STEPS, RESTARTS)
-        found = search(
+        if mutate is not None:
+            mutate(patch)
+        model = Model(terms, MAX_STEPS, MAX_RESTARTS)
+        result = search(
             model,
-            starts(model)[start],
+            initial_states(model)[initial],
             depth,
-            lambda what: what[0] in turns + "w" and "restarts" not in what,
+            lambda event: event[0] in processes + "w" and "restarts" not in event,
         )
-    assert found.broken
+    assert result.violation
--- a/tests/simulated/test_lease_mutants.py
+++ b/tests/simulated/test_lease_mutants.py
@@ -1,29 +1,31 @@
-"""The checks bite: each mutant breaks an invariant in its case, and the program doesn't."""
+"""Each mutant violates an invariant in its case, and the program does not."""
 
 from __future__ import annotations
 
 import pytest
 
-from tests.simulated.held import BrokenError
+from tests.simulated.fleet import InvariantError
 from tests.simulated.mutants import MUTANTS, TERMS, Mutant
 
-SEEDS = range(6)  # a case's network differs by seed; one that shows the mutant is enough
+SEEDS = range(6)  # a case's network differs by seed; one violation is enough
 
 
-@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda each: each.name)
-def test_a_mutant_is_caught(mutant: Mutant) -> None:
-    caught = []
+@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
+def test_case_finds_the_violation_of_its_mutant(mutant: Mutant) -> None:
+    violations = []
     for seed in SEEDS:
         with pytest.MonkeyPatch.context() as patch:
-            mutant.breaks(patch)
+            mutant.apply(patch)
             try:
                 mutant.case(seed, mutant.terms)
-            except BrokenError as error:
-                caught.append(str(error))
-    assert any("is held by" in each or "not above" in each or "stale" in each for each in caught), caught
+            except InvariantError as error:
+                violations.append(str(error))
+    assert any(
+        "is held by" in each or "not above" in each or "stale" in each for each in violations
+    ), violations
 
 
-@pytest.mark.parametrize("mutant", MUTANTS[:-1], ids=lambda each: each.name)
-def test_the_program_keeps_its_case(mutant: Mutant) -> None:
+@pytest.mark.parametrize("mutant", MUTANTS[:-1], ids=lambda mutant: mutant.name)
+def test_program_violates_no_invariant_in_the_case(mutant: Mutant) -> None:
     for seed in SEEDS:
         mutant.case(seed, TERMS)
--- a/tests/simulated/world.py
+++ b/tests/simulated/world.py
@@ -1,4 +1,4 @@
-"""Processes with clocks of their own in one virtual time; every event is followed by the checks."""
+"""Processes with clocks of their own in one virtual time; the checks run after every event."""
 
 from __future__ import annotations
 
@@ -11,147 +11,158 @@
 from ringledge.decide.interface import Action, Decider, SendMessage
 from tests.simulated.network import Network
 
-READING_S = 1e6  # a clock's reading says nothing: it begins anywhere below
+MAX_INITIAL_READING_S = 1e6  # clocks start anywhere below: readings of two clocks can't be compared
 
 
 class Process:
-    """One start of a member: its deciders, its clock, and what waits while it is stopped."""
-
-    def __init__(self, world: World, name: str, start: int, rate: float, reading_s: float) -> None:
-        self.world, self.name, self.start = world, name, start
-        self.rate, self._reading_s, self._began_s = rate, reading_s, world.true_s
-        self.alive, self.stopped = True, False
-        self.routes: dict[type[Any], Decider] = {}
+    """One process of a member: its deciders, its clock, and the events that wait while it is suspended."""
+
+    def __init__(
+        self, world: World, name: str, start_number: int, clock_rate: float, initial_reading_s: float
+    ) -> None:
+        self.world = world
+        self.name = name
+        self.start_number = start_number
+        self.clock_rate = clock_rate
+        self._initial_reading_s = initial_reading_s
+        self._started_s = world.true_s
+        self.alive = True
+        self.suspended = False
+        self.routes: dict[type[Any], Decider] = {}  # by type of message
         self.deciders: list[Decider] = []
-        self._backlog: list[Callable[[], None]] = []
-        self._tick_s = float("inf")  # true time of the next tick that is on its way
+        self._backlog: list[Callable[[], None]] = []  # events while suspended
+        self._next_tick_s = float("inf")  # true time of the next scheduled tick
 
     def clock_s(self) -> float:
-        """What its own clock reads now; it runs on while the process is stopped."""
-        return self._reading_s + (self.world.true_s - self._began_s) * self.rate
+        """The reading of its own clock, which runs on while the process is suspended."""
+        return self._initial_reading_s + (self.world.true_s - self._started_s) * self.clock_rate
 
-    def run(self, what: Callable[[], None]) -> None:
-        """Now; once it goes on, where it is stopped; never, where it is dead."""
+    def run(self, event: Callable[[], None]) -> None:
+        """Run an event now; after `resume`, where the process is suspended; never, where it is dead."""
         if not self.alive:
             return
-        if self.stopped:
-            self._backlog.append(what)
+        if self.suspended:
+            self._backlog.append(event)
             return
-        what()
-        self.plan()
+        event()
+        self.schedule_tick()
         self.world.check(self)
 
-    def after(self, own_s: float, what: Callable[[], None]) -> None:
-        """After so long by its own clock."""
-        self.world.at(self.world.true_s + own_s / self.rate, lambda: self.run(what))
+    def call_later(self, delay_s: float, event: Callable[[], None]) -> None:
+        """Run an event after a delay by its own clock."""
+        self.world.call_at(self.world.true_s + delay_s / self.clock_rate, lambda: self.run(event))
 
-    def act(self, actions: list[Action]) -> None:
-        """Carry out what a decider said."""
-        for each in actions:
-            if isinstance(each, SendMessage):
-                self.world.send(self.name, each)
+    def execute(self, actions: list[Action]) -> None:
+        """Carry out a decider's actions."""
+        for action in actions:
+            if isinstance(action, SendMessage):
+                self.world.send(self.name, action)
             else:
-                self.world.told(self, each)
+                self.world.notify(self, action)
 
     def receive(self, sender: str, message: Any) -> None:
-        """A datagram came."""
-        self.act(self.routes[type(message)].receive(self.clock_s(), sender, message))
-
-    def plan(self) -> None:
-        """Have the next tick come when it is wanted."""
-        due_s = min((each.next_s() for each in self.deciders), default=float("inf"))
-        true_s = max(self.world.true_s, self._began_s + (due_s - self._reading_s) / self.rate)
-        if true_s < self._tick_s:
-            self._tick_s = true_s
-            self.world.at(true_s + 1e-6, lambda: self._tick(true_s))
-
-    def _tick(self, planned_s: float) -> None:
-        if planned_s != self._tick_s:
-            return  # an earlier one was planned since
-        self._tick_s = float("inf")
-        self.run(self._tick_all)
-
-    def _tick_all(self) -> None:
-        for each in self.deciders:
-            self.act(each.tick(self.clock_s()))
-
-    def stop(self) -> None:
+        """Handle a datagram."""
+        self.execute(self.routes[type(message)].receive(self.clock_s(), sender, message))
+
+    def schedule_tick(self) -> None:
+        """Schedule a tick for when the first decider needs it."""
+        due_s = min((decider.next_s() for decider in self.deciders), default=float("inf"))
+        due_true_s = self._started_s + (due_s - self._initial_reading_s) / self.clock_rate
+        tick_s = max(self.world.true_s, due_true_s)
+        if tick_s < self._next_tick_s:
+            self._next_tick_s = tick_s
+            self.world.call_at(tick_s + 1e-6, lambda: self._tick(tick_s))
+
+    def _tick(self, scheduled_s: float) -> None:
+        if scheduled_s != self._next_tick_s:
+            return  # an earlier one has been scheduled since
+        self._next_tick_s = float("inf")
+        self.run(self._tick_deciders)
+
+    def _tick_deciders(self) -> None:
+        for decider in self.deciders:
+            self.execute(decider.tick(self.clock_s()))
+
+    def suspend(self) -> None:
         """As SIGSTOP does."""
-        self.stopped = True
+        self.suspended = True
 
-    def go_on(self) -> None:
-        """As SIGCONT does; what waited comes in any order."""
-        self.stopped, backlog, self._backlog = False, self._backlog, []
+    def resume(self) -> None:
+        """As SIGCONT does; the events that waited run in any order."""
+        self.suspended = False
+        backlog = self._backlog
+        self._backlog = []
         self.world.random.shuffle(backlog)
-        for each in backlog:
-            self.run(each)
+        for event in backlog:
+            self.run(event)
 
 
 class World:
-    """Events in true time, from a seed alone."""
+    """Events in true time, determined by a seed alone."""
 
-    def __init__(self, seed: int, rates: tuple[float, float] = (0.9, 1.1)) -> None:
+    def __init__(self, seed: int, clock_rates: tuple[float, float] = (0.9, 1.1)) -> None:
         self.random = Random(seed)
         self.network = Network(Random(seed + 1))
         self.true_s = 0.0
-        self.processes: dict[str, Process] = {}
-        self.starts: dict[str, int] = {}
-        self.rates = rates
-        self.rate_of: Mapping[str, float] = {}  # where a test says so
-        self.make: Callable[[Process], None] = lambda process: None  # gives a process its deciders
-        self.on_told: list[Callable[[Process, Any], None]] = []  # actions other than Tell
-        self.checks: list[Callable[[Process], None]] = []  # after each event of a process
-        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self.processes: dict[str, Process] = {}  # by member; the latest of each
+        self.start_numbers: dict[str, int] = {}
+        self.clock_rates = clock_rates
+        self.clock_rate_of: Mapping[str, float] = {}  # by member, where a test fixes it
+        self.set_up_process: Callable[[Process], None] = lambda process: None  # adds its deciders
+        self.action_listeners: list[Callable[[Process, Any], None]] = []  # of all but SendMessage
+        self.checks: list[Callable[[Process], None]] = []  # run after each event of a process
+        self.event_count = 0
+        self._events: list[tuple[float, int, Callable[[], None]]] = []  # heap by time, then order
         self._order = count()
-        self.steps = 0
 
-    def at(self, true_s: float, what: Callable[[], None]) -> None:
-        """Do it then."""
-        heappush(self._events, (true_s, next(self._order), what))
+    def call_at(self, true_s: float, event: Callable[[], None]) -> None:
+        """Run an event at a true time; events of the same time run in the order of these calls."""
+        heappush(self._events, (true_s, next(self._order), event))
 
     def start(self, name: str) -> None:
-        """Start a member, or start it anew."""
+        """Start a member's process; kill the one that runs."""
         if name in self.processes:
             self.kill(name)
-        before = self.starts.get(name, self.random.randrange(1000))
-        self.starts[name] = before + self.random.choice((1, 1, 7, 5000))
-        rate = self.rate_of.get(name, self.random.uniform(*self.rates))
-        reading_s = self.random.uniform(0, READING_S)
-        process = self.processes[name] = Process(self, name, self.starts[name], rate, reading_s)
-        self.make(process)
-        process.plan()
+        previous_start = self.start_numbers.get(name, self.random.randrange(1000))
+        self.start_numbers[name] = previous_start + self.random.choice((1, 1, 7, 5000))
+        clock_rate = self.clock_rate_of.get(name, self.random.uniform(*self.clock_rates))
+        reading_s = self.random.uniform(0, MAX_INITIAL_READING_S)
+        process = Process(self, name, self.start_numbers[name], clock_rate, reading_s)
+        self.processes[name] = process
+        self.set_up_process(process)
+        process.schedule_tick()
 
     def kill(self, name: str) -> None:
         """As SIGKILL does."""
         self.processes[name].alive = False
 
-    def send(self, sender: str, tell: SendMessage) -> None:
-        """Let the network have it."""
-        for delay_s in self.network.delays(sender, tell.recipient):
-            self.at(self.true_s + delay_s, lambda: self._arrive(sender, tell))
+    def send(self, sender: str, action: SendMessage) -> None:
+        """Send a datagram through the network."""
+        for delay_s in self.network.delays(sender, action.recipient):
+            self.call_at(self.true_s + delay_s, lambda: self._deliver(sender, action))
 
-    def _arrive(self, sender: str, tell: SendMessage) -> None:
-        if (process := self.processes.get(tell.recipient)) is not None:
-            process.run(lambda: process.receive(sender, tell.message))
+    def _deliver(self, sender: str, action: SendMessage) -> None:
+        if (process := self.processes.get(action.recipient)) is not None:
+            process.run(lambda: process.receive(sender, action.message))
 
-    def told(self, process: Process, action: Any) -> None:
-        """A decider said something that isn't a message."""
-        for each in self.on_told:
-            each(process, action)
+    def notify(self, process: Process, action: Any) -> None:
+        """Pass a decider's action that isn't a message to the listeners."""
+        for listener in self.action_listeners:
+            listener(process, action)
 
     def check(self, process: Process) -> None:
-        """After each event of a process."""
-        self.steps += 1
-        for each in self.checks:
-            each(process)
+        """Count an event of a process and run the checks."""
+        self.event_count += 1
+        for check in self.checks:
+            check(process)
 
     def run_until(self, true_s: float) -> None:
-        """All that happens up to then."""
+        """Run all events up to a true time."""
         while self._events and self._events[0][0] <= true_s:
-            self.true_s, _, what = heappop(self._events)
-            what()
+            self.true_s, _, event = heappop(self._events)
+            event()
         self.true_s = true_s
 
-    def run_for(self, length_s: float) -> None:
-        """All that happens in so long."""
-        self.run_until(self.true_s + length_s)
+    def run_for(self, duration_s: float) -> None:
+        """Run all events of the next `duration_s` of true time."""
+        self.run_until(self.true_s + duration_s)
