--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,54 +1,79 @@
-"""Leased duties in virtual time: how soon each is taken on again, and what they cost.
+"""Leased duties in virtual time: how soon another member takes over, and what the leases cost.
 
-`handing`: trials of each way that a holder goes. `cost`: datagrams a member and second, and the time of a
-processor that the deciders take, at 3, 40 and 200 members. `orders`: every order of events of a small lease.
+`handing`: trials of each way that a holder fails or ends. `cost`: datagrams per member and second, and the
+CPU time of world and deciders, at 3, 40 and 200 members. `orders`: every order of events of a small lease.
 """
 
 from __future__ import annotations
 
 import statistics
 import time
-from functools import partial
+from collections.abc import Callable
 
 import click
 
 from ringledge.decide.leases.manager import LeaseTerms
 from tests.simulated import cases
 from tests.simulated.exhaustive import ACCEPTORS, Model
-from tests.simulated.fleet import SimulatedFleet
+from tests.simulated.fleet import EFFECT_INTERVAL_S, SimulatedFleet
 from tests.simulated.search import initial_states, search
 
 TERMS = LeaseTerms(("a", "b", "c"))
 NAMES = "abcdefg"
 COST_S = 60.0  # of virtual time over which the cost is counted
 DUTIES = ("planner", "replay/north", "replay/south")
+SUSPENSION_S = 8
 
+Fault = Callable[[SimulatedFleet, str], None]  # of the holder of that name
 
-def _gone(how: str, seed: int) -> tuple[float, int]:
-    """One trial: s until another holds it, and stale effects refused."""
+
+def _release(fleet: SimulatedFleet, holder: str) -> None:
+    process = fleet.world.processes[holder]
+    process.run(lambda: cases.release_planner(fleet, holder))
+
+
+def _kill(fleet: SimulatedFleet, holder: str) -> None:
+    fleet.world.kill(holder)
+
+
+def _suspend(fleet: SimulatedFleet, holder: str) -> None:
+    """Suspend it right after a check of its lease."""
+    process = fleet.world.processes[holder]
+    fleet.check_and_act(process, "planner", fleet.highest_tokens["planner"])
+    process.suspend()
+    fleet.world.call_at(fleet.world.true_s + SUSPENSION_S, process.resume)
+
+
+def _cut_off(fleet: SimulatedFleet, holder: str) -> None:
+    fleet.world.network.cut([holder], cases.others_than(fleet, holder))
+
+
+def _lose_sent(fleet: SimulatedFleet, holder: str) -> None:
+    fleet.world.network.cut([holder], cases.others_than(fleet, holder), one_way=True)
+
+
+def _lose_received(fleet: SimulatedFleet, holder: str) -> None:
+    fleet.world.network.cut(cases.others_than(fleet, holder), [holder], one_way=True)
+
+
+FAULTS: dict[str, Fault] = {
+    "ended in good order": _release,
+    "killed": _kill,
+    f"stopped for {SUSPENSION_S} s": _suspend,
+    "cut off": _cut_off,
+    "not heard": _lose_sent,
+    "does not hear": _lose_received,
+}
+
+
+def _failover(fault: Fault, seed: int) -> tuple[float, int]:
+    """One trial: s until another member holds the duty, and the number of stale effects rejected."""
     fleet = cases.settled_fleet(seed, TERMS, NAMES)
-    before = fleet.holder()
-    others = [each for each in fleet.names if each != before]
-    process, network = fleet.world.processes[before], fleet.world.network
-    if how == "ended in good order":
-        process.run(partial(cases.release_planner, fleet, before))
-    elif how == "killed":
-        fleet.world.kill(before)
-    elif how == "stopped for 8 s":
-        fleet.check_and_act(
-            process, "planner", fleet.highest_tokens["planner"]
-        )  # it has just looked at its clock
-        process.suspend()
-        fleet.world.call_at(fleet.world.true_s + 8, process.resume)
-    elif how == "cut off":
-        network.cut([before], others)
-    elif how == "not heard":
-        network.cut([before], others, one_way=True)
-    elif how == "does not hear":
-        network.cut(others, [before], one_way=True)
-    took_s = fleet.run_until_covered(9, others)
-    fleet.world.run_for(10)  # the one that was stopped goes on; each step is checked
-    return took_s, fleet.receiver.fence.rejected
+    holder = fleet.holder()
+    fault(fleet, holder)
+    failover_s = fleet.run_until_covered(9, cases.others_than(fleet, holder))
+    fleet.world.run_for(10)  # a suspended holder resumes; the invariants are checked at each event
+    return failover_s, fleet.receiver.fence.rejected
 
 
 @click.group(help=__doc__)
@@ -59,35 +84,36 @@
 @main.command()
 @click.option("--trials", default=30, show_default=True)
 def handing(trials: int) -> None:
-    """How soon another holds it."""
-    ways = ("ended in good order", "killed", "stopped for 8 s", "cut off", "not heard", "does not hear")
-    for how in ways:
-        results = [_gone(how, seed) for seed in range(trials)]
-        took = sorted(each for each, _ in results)
-        refused = sum(each for _, each in results)
+    """How soon another member holds the duty."""
+    for name, fault in FAULTS.items():
+        results = [_failover(fault, seed) for seed in range(trials)]
+        durations_s = sorted(failover_s for failover_s, _ in results)
+        rejected = sum(rejected for _, rejected in results)
         click.echo(
-            f"{how:20} median {statistics.median(took):.2f} s, most {took[-1]:.2f} s, "
-            f"stale effects refused {refused}"
+            f"{name:20} median {statistics.median(durations_s):.2f} s, most {durations_s[-1]:.2f} s, "
+            f"stale effects refused {rejected}"
         )
 
 
 @main.command()
 def cost() -> None:
-    """Datagrams and time."""
+    """Datagrams and CPU time."""
     for count in (3, 40, 200):
-        names = [f"n{each}" for each in range(count)]
+        names = [f"n{number}" for number in range(count)]
         fleet = SimulatedFleet(1, names, LeaseTerms(tuple(names[:3])), DUTIES)
         fleet.start_all()
         fleet.run_until_covered(9)
         fleet.world.run_for(10)
-        sent, began = fleet.world.network.counts["sent"], time.perf_counter()
+        sent_before = fleet.world.network.counts["sent"]
+        began = time.perf_counter()
         fleet.world.run_for(COST_S)
-        spent, sent = time.perf_counter() - began, fleet.world.network.counts["sent"] - sent
-        effects = COST_S * len(DUTIES) / 0.25  # told over the same network, not a cost of the leases
+        cpu_s = time.perf_counter() - began
+        sent = fleet.world.network.counts["sent"] - sent_before
+        effects = COST_S * len(DUTIES) / EFFECT_INTERVAL_S  # over the same network, but no cost of the leases
         click.echo(
             f"{count:4} members, {len(DUTIES)} duties: {(sent - effects) / COST_S:.0f} datagrams/s in all, "
             f"{(sent - effects) / COST_S / count:.2f} a member; "
-            f"world and deciders {spent / COST_S:.2%} of a core"
+            f"world and deciders {cpu_s / COST_S:.2%} of a core"
         )
 
 
@@ -98,12 +124,13 @@
     depths = {"at rest": 6, "asked": 5, "held": 5, "held two thirds of a lease": 5}
     depths |= {"two voters started again": 7, "two voters learn": 5}
     total = 0
-    for start, depth in depths.items():
+    for initial, depth in depths.items():
         model = Model(LeaseTerms(ACCEPTORS), 8, 2)
-        found = search(model, initial_states(model)[start], depth + more)
-        total += found.states
-        click.echo(f"{start}: {found.depth} events, {found.states} states, {found.violation or 'no breach'}")
-        for event in found.path:
+        result = search(model, initial_states(model)[initial], depth + more)
+        total += result.states
+        outcome = result.violation or "no breach"
+        click.echo(f"{initial}: {result.depth} events, {result.states} states, {outcome}")
+        for event in result.path:
             click.echo(f"    {event}")
     click.echo(f"{total} states")
 
--- a/benchmarks/duties_processes.py
+++ b/benchmarks/duties_processes.py
@@ -1,7 +1,8 @@
-"""How soon a duty of real processes is taken on again: s from each fault to the first effect elsewhere.
+"""How soon another real process takes a duty over: s from each fault to the first effect elsewhere.
 
-Three processes of the program on loopback, with relays between them (tests/fleet), a fleet a fault. JSON on
-standard output. In a trial the holder ends in good order, is killed, stopped, or cut off from all others.
+Three processes of the program on loopback, with relays between them (tests/fleet), a fleet for each fault.
+JSON on standard output. In a trial the holder ends in good order, is killed, suspended, or cut off from all
+others.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from tests.fleet.record import breaches, holdings
 
 DUTY = "watch"
-Fault = Callable[[Fleet, Effect], float]  # gives when it was done
+Fault = Callable[[Fleet, Effect], float]  # given the holder's last effect; returns the time of the fault
 
 
 def good_order(fleet: Fleet, holder: Effect) -> float:
@@ -37,12 +38,12 @@
 
 
 def stopped(fleet: Fleet, holder: Effect) -> float:
-    """SIGSTOP, wherever it is."""
+    """SIGSTOP, at any point of its step."""
     return fleet.signal(holder.member, signal.SIGSTOP)
 
 
 def stopped_within(fleet: Fleet, holder: Effect) -> float:
-    """Between its look at the lease and the effect; counted from its last effect before."""
+    """SIGSTOP between its check of the lease and the effect; the time is that of its last effect."""
     (fleet.nodes[holder.member].folder / "stand_still").touch()
     return holder.at_s
 
@@ -60,7 +61,7 @@
 
 
 def undo(fleet: Fleet, name: str, member: str) -> None:
-    """Have all members vote again, whatever was done to one."""
+    """Repair the fault, and wait until all members vote again."""
     node = fleet.nodes[member]
     if name in ("good_order", "killed"):
         node.process.wait()
@@ -75,25 +76,27 @@
 
 
 def trials(name: str, count: int, lease_s: float) -> dict[str, Any]:
-    """One fleet's."""
+    """Run the trials of one fault, and summarise them."""
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder), lease_s=lease_s) as fleet:
-        took, late = list[float](), list[float]()
+        failover_s = list[float]()
+        last_effect_s = list[float]()  # of the old holder, after the fault
         fleet.receiver.next(DUTY)
         for _ in range(count):
             holder = fleet.receiver.accepted[-1]
             at_s = FAULTS[name](fleet, holder)
             first = fleet.receiver.next(DUTY, above=holder.token)
-            took.append(first.at_s - at_s)
+            failover_s.append(first.at_s - at_s)
             undo(fleet, name, holder.member)
-            its = [e.at_s - at_s for e in fleet.receiver.accepted if e.token == holder.token]
-            late.append(its[-1])
+            accepted = fleet.receiver.accepted
+            old_s = [effect.at_s - at_s for effect in accepted if effect.token == holder.token]
+            last_effect_s.append(old_s[-1])
         found = breaches(fleet.records())
         assert not found, found
         return {
             "trials": count,
-            "median_s": round(statistics.median(took), 3),
-            "most_s": round(max(took), 3),
-            "last_effect_of_the_old_s": round(max(late), 3),
+            "median_s": round(statistics.median(failover_s), 3),
+            "most_s": round(max(failover_s), 3),
+            "last_effect_of_the_old_s": round(max(last_effect_s), 3),
             "refused": len(fleet.receiver.refused),
             "holdings": len(holdings(fleet.records())[DUTY]),
             "cut": fleet.links.count("cut"),
@@ -105,7 +108,7 @@
 @click.option("--lease-s", default=3.0, show_default=True)
 @click.option("--fault", "names", multiple=True, type=click.Choice(list(FAULTS)), help="Else all, at once.")
 def main(count: int, lease_s: float, names: tuple[str, ...]) -> None:
-    """Run them."""
+    """Run the faults at once, each with a fleet of its own."""
     results = dict[str, Any]()
 
     def run(name: str) -> None:
--- a/benchmarks/fleet_seeds.py
+++ b/benchmarks/fleet_seeds.py
@@ -1,6 +1,6 @@
-"""Stormy days of leased duties by the thousand: what broke, and how long duties were uncovered.
+"""Days of faults of leased duties by the thousand: violated invariants, and how long duties were uncovered.
 
-A seed that breaks is printed with the moment and is played again by `--only SEED`.
+A seed that violates an invariant is printed with the moment; `--only SEED` repeats it.
 """
 
 from __future__ import annotations
@@ -8,20 +8,49 @@
 import time
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass, field
 
 import click
 
-from tests.simulated.faults import SeedReport, run_seed
+from tests.simulated.faults import Fault, SeedReport, run_seed
 
-PART = 50  # seeds given to a process at a time
+SEEDS_PER_TASK = 50  # given to a process at a time
+QUANTILES = {"half": 0.5, "99 of 100": 0.99, "all": 1.0}
 
 
-def _play(seeds: range) -> list[SeedReport]:
+@dataclass
+class Totals:
+    """Sums over the reports of all seeds."""
+
+    counts: Counter[str] = field(default_factory=Counter)
+    faults: Counter[Fault] = field(default_factory=Counter)
+    coverage_s: list[float] = field(default_factory=list)  # the longest of each seed
+    violations: int = 0
+
+    def add(self, report: SeedReport) -> None:
+        """Add one seed."""
+        self.faults += report.faults
+        self.counts += Counter(
+            steps=report.events, begun=report.acquisitions, applied=report.applied, stale=report.rejected
+        )
+        self.coverage_s.append(round(report.max_coverage_s, 1))
+        self.violations += bool(report.violation)
+
+    def coverage_quantiles_s(self) -> dict[str, float]:
+        """Within how many seconds duties were covered after a burst, by part of the seeds."""
+        ordered = sorted(self.coverage_s)
+        last = len(ordered) - 1
+        return {name: ordered[min(last, int(part * len(ordered)))] for name, part in QUANTILES.items()}
+
+
+def _run_seeds(seeds: range) -> list[SeedReport]:
     return [run_seed(seed) for seed in seeds]
 
 
-def _parts(first: int, count: int) -> list[range]:
-    return [range(each, min(first + count, each + PART)) for each in range(first, first + count, PART)]
+def _tasks(first: int, count: int) -> list[range]:
+    end = first + count
+    starts = range(first, end, SEEDS_PER_TASK)
+    return [range(start, min(end, start + SEEDS_PER_TASK)) for start in starts]
 
 
 @click.command(help=__doc__)
@@ -30,35 +59,24 @@
 @click.option("--processes", default=2, show_default=True)
 @click.option("--only", type=int, help="Play this one and tell all of it.")
 def main(first: int, seeds: int, processes: int, only: int | None) -> None:
-    """Play them."""
+    """Run the seeds and print the totals."""
     if only is not None:
         click.echo(run_seed(only))
         return
-    began, sums, faults, broken, longest = (
-        time.perf_counter(),
-        Counter[str](),
-        Counter[str](),
-        0,
-        Counter[float](),
-    )
+    began = time.perf_counter()
+    totals = Totals()
     with ProcessPoolExecutor(processes) as pool:
-        for reports in pool.map(_play, _parts(first, seeds)):
-            for each in reports:
-                faults += each.faults
-                sums += Counter(
-                    steps=each.events, begun=each.acquisitions, applied=each.applied, stale=each.rejected
-                )
-                longest[round(each.max_coverage_s, 1)] += 1
-                if each.violation:
-                    broken += 1
-                    click.echo(f"seed {each.seed} ({each.members} members): {each.violation}")
-    ordered = sorted(longest.elements())
-    click.echo(f"{seeds} seeds from {first}, {broken} broken, {time.perf_counter() - began:.0f} s")
-    click.echo("; ".join(f"{name} {value}" for name, value in sums.items()))
-    click.echo("; ".join(f"{name} {value}" for name, value in sorted(faults.items())))
-    part = {"half": 0.5, "99 of 100": 0.99, "all": 1.0}
-    within = {name: ordered[min(len(ordered) - 1, int(each * len(ordered)))] for name, each in part.items()}
-    click.echo("covered after a burst within, s: " + ", ".join(f"{k} {v}" for k, v in within.items()))
+        for reports in pool.map(_run_seeds, _tasks(first, seeds)):
+            for report in reports:
+                totals.add(report)
+                if report.violation:
+                    click.echo(f"seed {report.seed} ({report.members} members): {report.violation}")
+    elapsed_s = time.perf_counter() - began
+    click.echo(f"{seeds} seeds from {first}, {totals.violations} broken, {elapsed_s:.0f} s")
+    click.echo("; ".join(f"{name} {value}" for name, value in totals.counts.items()))
+    click.echo("; ".join(f"{fault} {value}" for fault, value in sorted(totals.faults.items())))
+    quantiles = ", ".join(f"{name} {value}" for name, value in totals.coverage_quantiles_s().items())
+    click.echo(f"covered after a burst within, s: {quantiles}")
 
 
 if __name__ == "__main__":
