--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -121,8 +121,8 @@
 @click.option("--more", default=1, show_default=True, help="Events beyond the depths that the tests search.")
 def orders(more: int) -> None:
     """States of the exhaustive model."""
-    depths = {"at rest": 6, "asked": 5, "held": 5, "held two thirds of a lease": 5}
-    depths |= {"two voters started again": 7, "two voters learn": 5}
+    depths = {"at rest": 6, "prepared": 5, "held": 5, "held two thirds of a lease": 5}
+    depths |= {"two acceptors restarted": 7, "two acceptors recovering": 5}
     total = 0
     for initial, depth in depths.items():
         model = Model(LeaseTerms(ACCEPTORS), 8, 2)
--- a/ringledge/decide/leases/duty_locks.py
+++ b/ringledge/decide/leases/duty_locks.py
@@ -59,7 +59,7 @@
         self.reserved_until_s = until_s
 
     def clear_reservation(self) -> None:
-        """Whoever had it."""
+        """End the reservation, whoever has it."""
         self.reserved_for = NOBODY
         self.reserved_until_s = float("-inf")
 
@@ -89,7 +89,7 @@
         return self.released_by == proposer and token <= self.released_token
 
     def take_waiters(self) -> list[str]:
-        """The proposers to notify; none is left."""
+        """Return the proposers to notify, and forget them."""
         waiters = [*self.waiters]
         self.waiters = {}
         return waiters
--- a/ringledge/decide/leases/fencing.py
+++ b/ringledge/decide/leases/fencing.py
@@ -1,6 +1,6 @@
 """The receiver's side of fencing tokens: effects under a token below the highest seen are rejected.
 
-A holder may be suspended between its look at the clock and its effect, for any length of time, and resume
+A holder may be suspended between its check of the clock and its effect, for any length of time, and resume
 when another member holds the duty. No lease can prevent that; the receiver of the effect can.
 """
 
--- a/ringledge/decide/leases/proposer.py
+++ b/ringledge/decide/leases/proposer.py
@@ -53,7 +53,7 @@
         # Invariant: the token changes only as a propose phase begins; renewals repeat it.
         self.token = 0  # of the current or the last holding
         self._highest_token = 0  # known from acceptors, or proposed
-        # Invariant: by the time `until_s` is reached no majority that granted it has lost its locks.
+        # Invariant: until `until_s` a majority of acceptors has the duty locked for this process.
         self.until_s = float("-inf")
         self.holder = ""  # the last known one, as acceptors reported; "": nobody
         self._prepare_number = 0
--- a/ringledge/decide/leases/requests.py
+++ b/ringledge/decide/leases/requests.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class ReleaseRetransmission:
-    """The latest release, and how often and when it is still to be sent: nobody acknowledges it."""
+    """The latest release, and its retransmissions, since acceptors do not acknowledge it."""
 
     message: LeaseRelease | None = None
     remaining_sends: int = 0
@@ -53,7 +53,7 @@
         self.due_s = now_s + RELEASE_RESEND_S
 
     def due_message(self, now_s: float) -> LeaseRelease | None:
-        """The release, where it is to be sent again now; counted as sent."""
+        """The release, where a retransmission is due now; counted as sent."""
         if not self.remaining_sends or now_s < self.due_s:
             return None
         self.remaining_sends -= 1
--- a/tests/simulated/network.py
+++ b/tests/simulated/network.py
@@ -55,7 +55,7 @@
             return []
         loss = max(self.loss, self.member_loss.get(sender, 0), self.member_loss.get(recipient, 0))
         copies = 1 + (self.random.random() < self.duplication)
-        self.counts["doubled"] += copies - 1
+        self.counts["duplicated"] += copies - 1
         delays_s = []
         for _ in range(copies):
             if self.random.random() < loss:
--- a/tests/simulated/search.py
+++ b/tests/simulated/search.py
@@ -107,9 +107,9 @@
     assert held.highest_token
     contended = walk(model, held, "y ticks")
     late = walk(model, contended, "wait", "wait")
-    states = {"at rest": rest, "asked": prepared, "held": contended, "held two thirds of a lease": late}
+    states = {"at rest": rest, "prepared": prepared, "held": contended, "held two thirds of a lease": late}
     if model.max_restarts:
         restarted = walk(model, contended, "a restarts", "b restarts")
         recovering = walk(model, restarted, *4 * ["wait"], "a ticks", "b ticks")
-        states |= {"two voters started again": restarted, "two voters learn": recovering}
+        states |= {"two acceptors restarted": restarted, "two acceptors recovering": recovering}
     return states
--- a/tests/simulated/test_lease_exhaustive.py
+++ b/tests/simulated/test_lease_exhaustive.py
@@ -22,11 +22,11 @@
 MAX_RESTARTS = 2
 MIN_STATES = {  # events beyond each initial state, and how many states these lead to at least
     "at rest": (6, 20_000),
-    "asked": (5, 12_000),
+    "prepared": (5, 12_000),
     "held": (5, 18_000),
     "held two thirds of a lease": (5, 40_000),
-    "two voters started again": (7, 12_000),
-    "two voters learn": (5, 9_000),
+    "two acceptors restarted": (7, 12_000),
+    "two acceptors recovering": (5, 9_000),
 }
 
 
@@ -46,8 +46,8 @@
         (NoDriftMargin(ACCEPTORS), None, "held two thirds of a lease", "yab", 7),
         (MinorityQuorum(ACCEPTORS), None, "held", "yc", 3),
         (TERMS, no_lock, "held", "yab", 6),
-        (NoStartupSilence(ACCEPTORS), skip_state_transfer, "two voters started again", "yab", 8),
-        (TERMS, skip_state_transfer, "two voters learn", "yab", 6),
+        (NoStartupSilence(ACCEPTORS), skip_state_transfer, "two acceptors restarted", "yab", 8),
+        (TERMS, skip_state_transfer, "two acceptors recovering", "yab", 6),
     ],
     ids=["no drift margin", "a minority decides", "no lock", "no silence", "no state transfer"],
 )
