--- a/benchmarks/members_world.py
+++ b/benchmarks/members_world.py
@@ -135,7 +135,7 @@
     def _act(self, name: str, node: Node, actions: list[Action]) -> None:
         if changes := node.membership.take_changes():
             node.changes += [(self.now_s, each) for each in changes]
-            node.facts.members(self.now_s, node.membership.me, node.membership.active_members())
+            node.facts.update_members(self.now_s, node.membership.me, node.membership.active_members())
         for action in actions:
             assert isinstance(action, SendMessage)
             size = FIXED_HEADER_BYTES + len(name) + len(self._encoder.encode(action.message))
--- a/ringledge/decide/interface.py
+++ b/ringledge/decide/interface.py
@@ -1,7 +1,7 @@
-"""What the deciders of the fleet share: members, messages, duties held, facts, and rows that are told.
+"""Types that the deciders of the cluster share: members, actions, and the records that they replicate.
 
-A decider is free of I/O, clocks and global randomness: it gets events with a time (s, of its own monotonic
-clock) and gives actions. The same objects run in the program, in the simulated world and in the benchmarks.
+A decider is free of I/O, clocks and global randomness: it takes events with a time (s, of its own monotonic
+clock) and returns actions. The same objects run in the program, in the simulation and in the benchmarks.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 import msgspec
 
-MAX_DATAGRAM_BYTES = 256  # a datagram whole: what the platform carries where it permits talk at all
+MAX_DATAGRAM_BYTES = 256  # of a complete datagram: the limit of the platform
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Member:
-    """One process of the program; a restart is another member than its predecessor."""
+    """One process of the program. A restarted process is another member than its predecessor."""
 
     name: str
     start: int  # grows with each start of this name
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send one message to the member of this name; it may come late, twice, out of order, or never."""
+    """Send a message to the member of this name. It may be delayed, duplicated, reordered or lost."""
 
     recipient: str
     message: msgspec.Struct
@@ -34,16 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """From now on the member holds a duty; `until_s` on its own monotonic clock, unless extended."""
+    """The member has become the lease holder of a duty, until `until_s` of its monotonic clock."""
 
     duty: str
-    token: int  # grows with each holding of the duty, by whomever, over restarts of everyone too
+    token: int  # fencing token: grows with each acquisition by any member, across restarts of all
     until_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseEnded:
-    """The member holds the duty no more."""
+    """The member is no longer the lease holder of a duty."""
 
     duty: str
     token: int
@@ -54,50 +54,51 @@
 
 
 class Decider(Protocol):
-    """What each decider that talks looks like to the part that runs it."""
+    """A state machine that exchanges messages with its peers on other members."""
 
     def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
-        """Take a message of this decider's kinds from the member of that name."""
+        """Take a message of one of this decider's types from the member of that name."""
         ...
 
     def tick(self, now_s: float) -> list[Action]:
-        """Do what is due; may be called early."""
+        """Do what is due; calling it early does no harm."""
         ...
 
     def next_s(self) -> float:
-        """When the next call of `tick` is wanted."""
+        """When the next call of `tick` is due."""
         ...
 
 
 class RecordStore(Protocol):
-    """Small records that every member hears of; one writer each, gone with their writer."""
+    """Small records replicated to every member; one writer each, deleted after their writer is gone."""
 
     def write(self, now_s: float, key: str, value: bytes) -> None:
-        """Say something under a key of our own; later values replace earlier ones."""
+        """Write a record of the local member; later values replace earlier ones."""
         ...
 
     def delete(self, now_s: float, key: str) -> None:
-        """Take a key of our own back."""
+        """Delete a record of the local member."""
         ...
 
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
-        """What is known under keys with a prefix, by writer's name and key."""
+        """All known values under keys with a prefix, by the writer's name and the key."""
         ...
 
 
 class LeaseTokens(Protocol):
-    """Whether a duty is held, asked before each step of it."""
+    """The fencing tokens of held leases, to be checked before each step of a duty."""
 
     def token(self, now_s: float, duty: str) -> int | None:
-        """The token, where this member holds the duty at this moment of its own clock; else None."""
+        """The token, while this member is the lease holder by its own clock; else None."""
         ...
 
 
-# Rows told as facts. Keys: "demand/CLASS", "server/NAME", "backlog/SITE", "plan/SERVER", "doubt/SERVER".
+# Values of replicated records, by key: "demand/CLASS", "server/NAME", "backlog/SITE", "plan/SERVER",
+# "doubt/SERVER".
 
 
 class ClassDemand(msgspec.Struct, array_like=True, frozen=True):
-    """What one member sees of one class (key demand/CLASS): rates per s over its window."""
+    """The demand for a class as one member observes it (key demand/CLASS), over its window."""
 
     arrivals: float  # requests per s
     prefill_tokens: float  # unread prompt tokens per s
@@ -105,26 +106,26 @@
 
 
 class ServerObservation(msgspec.Struct, array_like=True, frozen=True):
-    """What one member sees of one server (key server/NAME)."""
+    """The state of one server that one member observes (key server/NAME)."""
 
-    prefill_rate: float  # prompt tokens per s that it gets through, 0: not known
-    decode_rate: float  # answer tokens per s that it gets through, 0: not known
-    warmth: float  # part of its capacity, 0 to 1
-    waiting_entries: int  # read states of this member that wait there to be fetched
+    prefill_rate: float  # prompt tokens per s of its throughput, 0: not known
+    decode_rate: float  # answer tokens per s of its throughput, 0: not known
+    warmth: float  # share of its capacity, 0 to 1
+    waiting_entries: int  # prefilled states of this member that wait there to be fetched
 
 
 class RoleAssignment(msgspec.Struct, array_like=True, frozen=True):
-    """One server's role by the planner (key plan/SERVER)."""
+    """The role that the planner assigns to one server (key plan/SERVER)."""
 
-    token: int  # of the planner's duty
+    token: int  # fencing token of the planner's lease
     number: int  # grows with each plan under a token
     role: str  # "read", "write", "both"
 
 
 class QueueBacklog(msgspec.Struct, array_like=True, frozen=True):
-    """A site's queue (key backlog/SITE)."""
+    """The backlog of a site's queue (key backlog/SITE)."""
 
-    token: int  # of the site's replay duty
+    token: int  # fencing token of the site's replay lease
     entries: int
     oldest_s: float  # age of the oldest
     weight: float
--- a/ringledge/decide/paging.py
+++ b/ringledge/decide/paging.py
@@ -1,4 +1,4 @@
-"""Rows in groups that fit a datagram each, and names in buckets whose sums are compared."""
+"""Groups of rows that fit a datagram each, and buckets of names whose digests are compared."""
 
 from __future__ import annotations
 
@@ -8,31 +8,34 @@
 
 import msgspec
 
-R = TypeVar("R", bound=msgspec.Struct)
-BUCKET_COUNT = 16  # their sums take 80 bytes; of 200 names a bucket has a dozen, a few datagrams of rows
+Row = TypeVar("Row", bound=msgspec.Struct)
+BUCKET_COUNT = 16  # their digests take 80 bytes; of 200 names a bucket has a dozen: a few datagrams of rows
 _encoder = msgspec.msgpack.Encoder()
 
 
 def bucket_of(name: str) -> int:
-    """Where what belongs to a name is summed up."""
+    """The bucket of a name."""
     return zlib.crc32(name.encode()) % BUCKET_COUNT
 
 
 def encoded_size(row: msgspec.Struct) -> int:
-    """How many bytes a row takes, packed."""
+    """The size of a row in bytes, encoded as msgpack."""
     return len(_encoder.encode(row))
 
 
-def paginate(rows: Iterable[R], room: int) -> list[tuple[R, ...]]:
-    """Rows in their order, in groups of so many bytes; a row alone may take more."""
-    groups: list[tuple[R, ...]] = []
-    group: list[R] = []
-    used = 0
+def paginate(rows: Iterable[Row], page_bytes: int) -> list[tuple[Row, ...]]:
+    """Rows in their order, in pages of at most so many bytes; a single row may exceed its page."""
+    pages: list[tuple[Row, ...]] = []
+    page: list[Row] = []
+    used_bytes = 0
     for row in rows:
-        needed = encoded_size(row)
-        if group and used + needed > room:
-            groups.append(tuple(group))
-            group, used = [], 0
-        group.append(row)
-        used += needed
-    return [*groups, tuple(group)] if group else groups
+        row_bytes = encoded_size(row)
+        if page and used_bytes + row_bytes > page_bytes:
+            pages.append(tuple(page))
+            page = []
+            used_bytes = 0
+        page.append(row)
+        used_bytes += row_bytes
+    if page:
+        pages.append(tuple(page))
+    return pages
--- a/ringledge/decide/records/messages.py
+++ b/ringledge/decide/records/messages.py
@@ -1,4 +1,7 @@
-"""What members say to one another about facts: sums to compare, rows to compare closer, and records."""
+"""The messages of record replication: digests and versions to compare, requests, and the records themselves.
+
+Messages are encoded as arrays: the order of the fields, and of the types in `MESSAGES`, is the wire format.
+"""
 
 from __future__ import annotations
 
@@ -10,61 +13,62 @@
 from ringledge.decide.datagram import MAX_BODY_BYTES, Count, Name, Start, Word
 from ringledge.decide.paging import BUCKET_COUNT
 
-KEY_MOST, VALUE_MOST = 48, 120  # bytes
-ROOM_BYTES = MAX_BODY_BYTES - 10  # for the rows or records of one message, without the heads of its arrays
+MAX_KEY_BYTES = 48
+MAX_VALUE_BYTES = 120
+PAYLOAD_BYTES = MAX_BODY_BYTES - 10  # for the versions or records of one message, without its array heads
 
-Key = Annotated[str, Meta(min_length=1, max_length=KEY_MOST)]
-Value = Annotated[bytes, Meta(max_length=VALUE_MOST)]
+Key = Annotated[str, Meta(min_length=1, max_length=MAX_KEY_BYTES)]
+Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """What one writer says under one key.
+    """The value of one writer under one key, in one version.
 
-    Of a writer's records that were not replaced since, none lies between `after` and `version`: whoever holds
-    all up to `after` holds all up to `version` with this one.
+    Of the writer's records that have not been replaced since, none lies between `previous_version` and
+    `version`: who holds all up to the former holds all up to the latter with this one.
     """
 
     writer: Name
     start: Start
-    after: Count
-    version: Count  # one count for all keys of the writer
+    previous_version: Count
+    version: Count  # one counter for all keys of the writer
     key: Key
-    value: Value | None  # None: taken back
+    value: Value | None  # None: deleted
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
-    """How far a member's knowledge of a writer goes."""
+class WriterVersion(msgspec.Struct, array_like=True, frozen=True):
+    """How far a member is up to date with a writer: an entry of its version vector."""
 
     writer: Name
     start: Start
-    version: Count  # all up to this one is held
+    version: Count  # all records up to this one are held
 
 
-class Sums(msgspec.Struct, array_like=True, frozen=True):
-    """A sum over the rows of each bucket. Answered by the rows of those that differ."""
+class VersionDigests(msgspec.Struct, array_like=True, frozen=True):
+    """A digest of the version vector by bucket. Answered by the entries of the buckets that differ."""
 
-    sums: Annotated[tuple[Word, ...], Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
+    digests: Annotated[tuple[Word, ...], Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
 
 
-class Rows(msgspec.Struct, array_like=True, frozen=True):
-    """Some of the sender's rows. Answered by records that it lacks, and by Wants."""
+class VersionVector(msgspec.Struct, array_like=True, frozen=True):
+    """A part of the sender's version vector. Answered by records that it lacks, and by a RecordRequest."""
 
-    rows: tuple[Row, ...]
-    whole: Word = 0  # bit by bit, the buckets of which these are all rows: it lacks all other writers of them
+    versions: tuple[WriterVersion, ...]
+    complete_buckets: Word = 0  # a bit mask: of these buckets the sender has no other writers
 
 
-class Wants(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender holds of writers of whom the other has more. Answered by records."""
+class RecordRequest(msgspec.Struct, array_like=True, frozen=True):
+    """What the sender holds of writers of whom the recipient has more. Answered by records."""
 
-    rows: tuple[Row, ...]
+    versions: tuple[WriterVersion, ...]
 
 
-class Records(msgspec.Struct, array_like=True, frozen=True):
+class RecordBatch(msgspec.Struct, array_like=True, frozen=True):
     """Records, of any writers."""
 
     records: tuple[Record, ...]
-    pushed: bool = False  # a change; who hears it first passes it on
+    pushed: bool = False  # recent changes: a recipient to which they are new pushes them on
 
 
-MESSAGES: tuple[type[msgspec.Struct], ...] = (Sums, Rows, Wants, Records)
-Message = Sums | Rows | Wants | Records
+MESSAGES: tuple[type[msgspec.Struct], ...] = (VersionDigests, VersionVector, RecordRequest, RecordBatch)
+Message = VersionDigests | VersionVector | RecordRequest | RecordBatch
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -1,246 +1,241 @@
-"""What each member tells all others: small versioned records, one writer each, gone with their writer.
+"""Small versioned records, one writer each, replicated to all members by push and anti-entropy.
 
-A change is pushed to a few others, and by each who hears it first to a few more. What that misses is found
-by comparing: each interval a member sends another its sums over the rows of sixteen buckets of writers; for
-those that differ it is answered with rows, and asks for or sends the records between. A writer's restart
-takes the place of all it said before; what one who died or left said is forgotten after a stated time.
+A change is pushed to a few members, and by each one to which it is new to a few more. What the pushes miss is
+found by anti-entropy (van Renesse, Dumitriu, Gough, Thomas 2008): each interval a member sends another one
+digests of its version vector by bucket of writers; for those that differ it is answered with entries of the
+version vector, and requests or sends the records in between. A restart of a writer replaces all its records;
+those of a writer that has died or left are deleted after a retention time.
 """
 
 from __future__ import annotations
 
 import math
 import random
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
 
 from ringledge.decide.datagram import validated_name
 from ringledge.decide.interface import Action, Member, SendMessage
-from ringledge.decide.paging import BUCKET_COUNT, bucket_of, encoded_size, paginate
+from ringledge.decide.paging import paginate
+from ringledge.decide.records.log_table import LogTable, version_vectors
 from ringledge.decide.records.messages import (
-    KEY_MOST,
     MESSAGES,
-    ROOM_BYTES,
-    VALUE_MOST,
+    PAYLOAD_BYTES,
     Message,
     Record,
-    Records,
-    Row,
-    Rows,
-    Sums,
-    Wants,
+    RecordBatch,
+    RecordRequest,
+    VersionDigests,
+    VersionVector,
+    WriterVersion,
 )
 from ringledge.decide.records.settings import RecordsConfig
-from ringledge.decide.records.writer_log import Book, rows_pages
 
 __all__ = ["MESSAGES", "ReplicatedRecords"]
 
-KEYS_MOST = 1024  # of one writer, those taken back too: they are kept, so that their end is heard of by all
-PUSH_S = 0.02  # that a change waits for others that go with it
-HURRY = 4  # times as soon the next comparison follows one that brought something
-ANSWER_S = 0.2  # in which one who was asked answers: several times the way there and back
-ROWS_PAGES = 2  # datagrams of rows that answer sums; the rest comes with later sums, for they are shuffled
-LARGEST = (1 << 53) - 1  # a version at its longest, to tell what always fits
+PUSH_DELAY_S = 0.02  # that a change waits for others to be pushed with it
+FAST_COMPARE_FACTOR = 4  # times sooner the next comparison follows one that found something missing
+INTERVAL_JITTER = (0.9, 1.1)  # factors of the interval, so that members do not compare in step
+REQUEST_TIMEOUT_S = 0.2  # within which a request is answered: several round trips
+MAX_VECTOR_DATAGRAMS = 2  # in answer to digests; other buckets follow later, for their order is shuffled
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingRequest:
+    """A request for a writer's records: to whom it was sent, and when it times out."""
+
+    recipient: str
+    expires_s: float
 
 
 class ReplicatedRecords:
-    """One member's side of the facts; implements Facts and Decider. Told by `members` of who is there."""
+    """The local member's replica; implements RecordStore and Decider. Times in s of its own monotonic clock.
+
+    The owner reports the active members by `update_members`. `rng` draws recipients and orders.
+    """
 
     def __init__(self, me: Member, settings: RecordsConfig, rng: random.Random) -> None:
+        """ValueError where the member's name does not fit a datagram."""
         validated_name(me.name)
-        self.me, self._settings, self._rng = me, settings, rng
-        self._own = Book(me.name, me.start)
-        self._books = {me.name: self._own}
-        self._sums = [0] * BUCKET_COUNT
-        self._there: dict[str, int] = {me.name: me.start}
-        self._gone: dict[str, float] = {}  # writers who aren't there: when what they said is forgotten
-        self._pushes: dict[tuple[str, str], Record] = {}
-        self._asked: dict[
-            str, tuple[str, float]
-        ] = {}  # by writer: who was asked, and until when it may answer
-        self._push_s = math.inf
-        self._compare_s = -math.inf
+        self.me = me
+        self._settings = settings
+        self._rng = rng
+        self._logs = LogTable()
+        self._own_log = self._logs.create(me.name, me.start)
+        self._active: dict[str, int] = {me.name: me.start}  # start numbers by name
+        self._expires_s: dict[str, float] = {}  # inactive writers: when their records are deleted
+        self._unpushed: dict[tuple[str, str], Record] = {}  # by writer and key
+        self._requests: dict[str, _PendingRequest] = {}  # by writer
+        self._next_push_s = math.inf
+        self._next_compare_s = -math.inf
 
     def write(self, now_s: float, key: str, value: bytes) -> None:
-        """Say something under a key of our own; ValueError: it is too long, or there are too many keys."""
-        if not 0 < len(key.encode()) <= KEY_MOST or len(value) > VALUE_MOST:
-            raise ValueError(f"a fact has a key of 1 to {KEY_MOST} bytes and a value of {VALUE_MOST} at most")
-        if encoded_size(Record(self.me.name, self.me.start, LARGEST, LARGEST, key, value)) > ROOM_BYTES:
-            raise ValueError(f"fact {key!r}: longer than a datagram with its writer's name")
-        if self._own.value(key) is None and self._own.keys() >= KEYS_MOST and not self._own.used(key):
-            raise ValueError(f"fact {key!r}: more than {KEYS_MOST} keys of one writer")
-        if self._own.value(key) != value:
-            self._write(now_s, key, value)
+        """Write a record of the local member; ValueError: it is too long, or there are too many keys."""
+        self._own_log.validate(key, value)
+        if self._own_log.value(key) != value:
+            self._append(now_s, key, value)
 
     def delete(self, now_s: float, key: str) -> None:
-        """Take a key of our own back."""
-        if self._own.value(key) is not None:
-            self._write(now_s, key, None)
+        """Delete a record of the local member."""
+        if self._own_log.value(key) is not None:
+            self._append(now_s, key, None)
 
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
-        """What is known under keys with a prefix, by writer's name and key."""
+        """All known values under keys with a prefix, by the writer's name and the key."""
         return {
-            (writer, key): value
-            for writer, book in self._books.items()
-            if self._gone.get(writer, math.inf) > now_s
-            for key, value in book.values(prefix)
+            (log.writer, key): value
+            for log in self._logs
+            if self._expires_s.get(log.writer, math.inf) > now_s
+            for key, value in log.values(prefix)
         }
 
-    def members(self, now_s: float, me: Member, alive: Iterable[Member]) -> None:
-        """Who is there now; `me` with a new start says all it said again, under that."""
-        there = {each.name: each.start for each in alive}
-        there[me.name] = me.start
+    def update_members(self, now_s: float, me: Member, members: Iterable[Member]) -> None:
+        """Take the active members; `me` with another start writes its records again under that."""
+        active = {member.name: member.start for member in members}
+        active[me.name] = me.start
         if me.start != self.me.start:
             self._restart(now_s, me)
-        for name in self._there.keys() - there.keys():
-            if name in self._books:
-                self._gone[name] = now_s + self._settings.lifetime_s
-        for name, start in there.items():
-            self._gone.pop(name, None)
-            book = self._books.get(name)
-            if book is not None and book.start < start:
-                self._forget(name)
-        self._there = there
+        for name in self._active.keys() - active.keys():
+            if name in self._logs:
+                self._expires_s[name] = now_s + self._settings.retention_s
+        for name, start in active.items():
+            self._expires_s.pop(name, None)
+            log = self._logs.get(name)
+            if log is not None and log.start < start:
+                self._remove(name)
+        self._active = active
 
     def next_s(self) -> float:
-        """When the next tick is wanted."""
-        return min(self._push_s, self._compare_s, min(self._gone.values(), default=math.inf))
+        """When the next tick is due."""
+        return min(self._next_push_s, self._next_compare_s, min(self._expires_s.values(), default=math.inf))
 
     def tick(self, now_s: float) -> list[Action]:
-        """Push changes, compare with another member, and forget who is long gone."""
-        for name in [each for each, until_s in self._gone.items() if until_s <= now_s]:
-            del self._gone[name]
-            self._forget(name)
+        """Delete expired records, push changes, and compare with another member, as far as they are due."""
+        for name in [name for name, expires_s in self._expires_s.items() if expires_s <= now_s]:
+            del self._expires_s[name]
+            self._remove(name)
         actions: list[Action] = []
-        if now_s >= self._push_s:
-            self._push_s = math.inf
-            changed, self._pushes = list(self._pushes.values()), {}
-            told = self._others(self._settings.fan_out)
-            for page in paginate(changed, ROOM_BYTES):
-                actions += [SendMessage(name, Records(page, pushed=True)) for name in told]
-        if now_s >= self._compare_s:
-            self._compare_s = now_s + self._settings.interval_s * self._rng.uniform(
-                0.9, 1.1
-            )  # not all at once
-            actions += [SendMessage(name, Sums(tuple(self._sums))) for name in self._others(1)]
+        if now_s >= self._next_push_s:
+            self._next_push_s = math.inf
+            actions += self._push()
+        if now_s >= self._next_compare_s:
+            self._next_compare_s = now_s + self._settings.interval_s * self._rng.uniform(*INTERVAL_JITTER)
+            digests = VersionDigests(self._logs.digests())
+            actions += [SendMessage(name, digests) for name in self._sample_others(1)]
         return actions
 
     def receive(self, now_s: float, sender: str, message: Message) -> list[Action]:
         """Take a message."""
         match message:
-            case Sums(sums):
-                return self._rows(sender, sums)
-            case Rows(rows, whole):
-                return self._compare(now_s, sender, rows, whole)
-            case Wants(rows):
-                return self._answer(sender, rows)
-            case Records(records, pushed):
+            case VersionDigests(digests):
+                return self._answer_digests(sender, digests)
+            case VersionVector():
+                return self._answer_vector(now_s, sender, message)
+            case RecordRequest(versions):
+                return self._send_records(sender, versions)
+            case RecordBatch(records, pushed):
                 for record in records:
-                    self._take(now_s, record, pushed)
+                    if self._apply(record) and pushed:
+                        self._queue_push(now_s, record)
                 return []
 
-    def _write(self, now_s: float, key: str, value: bytes | None) -> None:
-        self._count(self._own)
-        self._push(now_s, self._own.put(key, value))
-        self._count(self._own)
+    def _append(self, now_s: float, key: str, value: bytes | None) -> None:
+        with self._logs.modifying(self._own_log):
+            record = self._own_log.write(key, value)
+        self._queue_push(now_s, record)
+
+    def _queue_push(self, now_s: float, record: Record) -> None:
+        self._unpushed[record.writer, record.key] = record
+        self._next_push_s = min(self._next_push_s, now_s + PUSH_DELAY_S)
 
-    def _push(self, now_s: float, record: Record) -> None:
-        self._pushes[record.writer, record.key] = record
-        self._push_s = min(self._push_s, now_s + PUSH_S)
+    def _push(self) -> list[Action]:
+        records = list(self._unpushed.values())
+        self._unpushed = {}
+        recipients = self._sample_others(self._settings.fan_out)
+        batches = [RecordBatch(group, pushed=True) for group in paginate(records, PAYLOAD_BYTES)]
+        return [SendMessage(name, batch) for batch in batches for name in recipients]
 
     def _restart(self, now_s: float, me: Member) -> None:
-        said = list(self._own.values(""))
-        self._forget(self.me.name)
+        values = list(self._own_log.values(""))
+        self._remove(self.me.name)
         self.me = me
-        self._own = self._books[me.name] = Book(me.name, me.start)
-        for key, value in said:
-            self._write(now_s, key, value)
-
-    def _forget(self, name: str) -> None:
-        self._asked.pop(name, None)
-        if (book := self._books.pop(name, None)) is not None:
-            self._count(book)
-
-    def _count(self, book: Book) -> None:
-        """Take a book into the sum of its bucket, or out of it again."""
-        if book.version:
-            self._sums[bucket_of(book.writer)] ^= book.mark()
-
-    def _others(self, most: int) -> list[str]:
-        others = [name for name in self._there if name != self.me.name]
-        return self._rng.sample(others, min(most, len(others)))
-
-    def _rows(self, sender: str, sums: tuple[int, ...]) -> list[Action]:
-        """Rows of the buckets that differ; shuffled, since not all may have room."""
-        both = enumerate(zip(self._sums, sums, strict=True))
-        differ = [at for at, (mine, theirs) in both if mine != theirs]
-        self._rng.shuffle(differ)
-        groups = [(at, self._bucket(at)) for at in differ]
-        return [SendMessage(sender, each) for each in rows_pages(groups, ROOM_BYTES)[:ROWS_PAGES]]
-
-    def _bucket(self, at: int) -> list[Row]:
-        return [each.row() for each in self._books.values() if each.version and bucket_of(each.writer) == at]
-
-    def _compare(self, now_s: float, sender: str, rows: tuple[Row, ...], whole: int) -> list[Action]:
-        """Send what the other lacks, and ask for what it has more."""
-        wants: list[Row] = []
-        told = {row.writer for row in rows}
-        behind = [
-            Row(each.writer, each.start, 0)
-            for each in self._books.values()
-            if each.version and whole >> bucket_of(each.writer) & 1 and each.writer not in told
-        ]
-        for row in rows:
-            book = self._books.get(row.writer)
-            start, version = (0, 0) if book is None else (book.start, book.version)
-            if (row.start, row.version) < (start, version):
-                behind.append(row)
-            elif (row.start, row.version) > (start, version) and self._may_ask(now_s, sender, row):
-                self._asked[row.writer] = (sender, now_s + ANSWER_S)
-                wants.append(Row(row.writer, row.start, version if row.start == start else 0))
-        if wants:  # there may be more, here or elsewhere
-            self._compare_s = min(self._compare_s, now_s + self._settings.interval_s / HURRY)
-        asked: list[Action] = [SendMessage(sender, Wants(page)) for page in paginate(wants, ROOM_BYTES)]
-        return self._answer(sender, tuple(behind)) + asked
-
-    def _answer(self, sender: str, rows: tuple[Row, ...]) -> list[Action]:
-        """Records that the other lacks, so many at once, then rows, by which it asks again for the rest."""
-        lacking: list[Record] = []
-        for row in rows:
-            if (book := self._books.get(row.writer)) is not None and book.start >= row.start:
-                lacking += book.after(row.version if book.start == row.start else 0)
-        groups = paginate(lacking, ROOM_BYTES)[: self._settings.answer]
-        if not groups:
+        self._own_log = self._logs.create(me.name, me.start)
+        for key, value in values:
+            self._append(now_s, key, value)
+
+    def _remove(self, writer: str) -> None:
+        self._requests.pop(writer, None)
+        self._logs.remove(writer)
+
+    def _sample_others(self, max_count: int) -> list[str]:
+        others = [name for name in self._active if name != self.me.name]
+        return self._rng.sample(others, min(max_count, len(others)))
+
+    def _answer_digests(self, sender: str, digests: tuple[int, ...]) -> list[Action]:
+        """Send the version vector in the buckets that differ; shuffled, since not all of them may fit."""
+        buckets = self._logs.differing_buckets(digests)
+        self._rng.shuffle(buckets)
+        entries = [(bucket, self._logs.versions_in(bucket)) for bucket in buckets]
+        messages = version_vectors(entries, PAYLOAD_BYTES)[:MAX_VECTOR_DATAGRAMS]
+        return [SendMessage(sender, message) for message in messages]
+
+    def _answer_vector(self, now_s: float, sender: str, vector: VersionVector) -> list[Action]:
+        """Send the records that the sender lacks, and request those that it has more."""
+        behind = self._logs.writers_missing_in(vector)
+        wanted: list[WriterVersion] = []
+        for remote in vector.versions:
+            local = self._logs.held_version(remote.writer)
+            if (remote.start, remote.version) < (local.start, local.version):
+                behind.append(remote)
+            elif remote != local and self._may_request(now_s, sender, remote):
+                self._requests[remote.writer] = _PendingRequest(sender, now_s + REQUEST_TIMEOUT_S)
+                held = local.version if remote.start == local.start else 0
+                wanted.append(WriterVersion(remote.writer, remote.start, held))
+        if wanted:  # there may be more, here or elsewhere
+            soon_s = now_s + self._settings.interval_s / FAST_COMPARE_FACTOR
+            self._next_compare_s = min(self._next_compare_s, soon_s)
+        requests = [SendMessage(sender, RecordRequest(group)) for group in paginate(wanted, PAYLOAD_BYTES)]
+        return [*self._send_records(sender, behind), *requests]
+
+    def _send_records(self, recipient: str, versions: Sequence[WriterVersion]) -> list[Action]:
+        """Records beyond the recipient's versions, as many as one answer takes, then the local versions.
+
+        By the latter it requests the rest.
+        """
+        records = self._logs.records_beyond(versions)
+        batches = paginate(records, PAYLOAD_BYTES)[: self._settings.max_answer_datagrams]
+        if not batches:
             return []
-        told = paginate(
-            [self._books[row.writer].row() for row in rows if row.writer in self._books], ROOM_BYTES
-        )
-        return [SendMessage(sender, each) for each in (*map(Records, groups), *map(Rows, told[:1]))]
-
-    def _may_ask(self, now_s: float, sender: str, row: Row) -> bool:
-        """One at a time is asked for a writer's records, so that they don't come twice."""
-        asked, until_s = self._asked.get(row.writer, (sender, 0.0))
-        return (asked == sender or until_s <= now_s) and self._welcome(row.writer, row.start)
-
-    def _welcome(self, writer: str, start: int) -> bool:
-        """Whether something of this writer may be held: it is there, or was and isn't forgotten yet."""
+        vectors = paginate(self._logs.held_versions(versions), PAYLOAD_BYTES)[:1]
+        messages = (*map(RecordBatch, batches), *map(VersionVector, vectors))
+        return [SendMessage(recipient, message) for message in messages]
+
+    def _may_request(self, now_s: float, sender: str, remote: WriterVersion) -> bool:
+        """Whether to request a writer's records: from one member at a time, lest they come twice."""
+        pending = self._requests.get(remote.writer)
+        is_free = pending is None or pending.recipient == sender or pending.expires_s <= now_s
+        return is_free and self._accepts(remote.writer, remote.start)
+
+    def _accepts(self, writer: str, start: int) -> bool:
+        """Whether records of this start may be held: the writer is active, or its records are retained."""
         if writer == self.me.name:
             return False
-        if writer in self._there:
-            return start >= self._there[writer]
-        return writer in self._gone and start == self._books[writer].start
-
-    def _take(self, now_s: float, record: Record, pushed: bool) -> None:
-        if not self._welcome(record.writer, record.start):
-            return
-        book = self._books.get(record.writer)
-        if book is not None and record.start > book.start:
-            self._forget(record.writer)
-            book = None
-        if book is None:
-            book = self._books[record.writer] = Book(record.writer, record.start)
-        if record.start < book.start:
-            return
-        self._count(book)
-        fresh = book.take(record)
-        self._count(book)
-        if fresh and pushed:
-            self._push(now_s, record)
+        if writer in self._active:
+            return start >= self._active[writer]
+        log = self._logs.get(writer)
+        return writer in self._expires_s and log is not None and log.start == start
+
+    def _apply(self, record: Record) -> bool:
+        """Take a record of another writer; whether it was new."""
+        if not self._accepts(record.writer, record.start):
+            return False
+        log = self._logs.get(record.writer)
+        if log is not None and record.start > log.start:
+            self._remove(record.writer)
+            log = None
+        if log is None:
+            log = self._logs.create(record.writer, record.start)
+        if record.start < log.start:
+            return False
+        with self._logs.modifying(log):
+            return log.apply(record)
--- a/ringledge/decide/records/settings.py
+++ b/ringledge/decide/records/settings.py
@@ -1,4 +1,4 @@
-"""How facts spread (the table `facts` of deploy/members.toml)."""
+"""Settings of record replication (the table `facts` of deploy/members.toml)."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 class RecordsConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Times and counts of the exchange of facts."""
+    """Times and counts of the exchange of records."""
 
     interval_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # between two comparisons by one member
-    lifetime_s: Annotated[float, Meta(ge=1, le=3600)] = 30.0  # that facts outlast a writer who died
-    fan_out: Few = 3  # others that are told of a change at once, by the writer and by each who hears it first
-    answer: Few = 6  # datagrams of records that one answer takes at most
+    # How long records are retained after their writer has died or left.
+    retention_s: Annotated[float, Meta(ge=1, le=3600)] = msgspec.field(name="lifetime_s", default=30.0)
+    fan_out: Few = 3  # members to which a change is pushed, by its writer and by each one to which it is new
+    max_answer_datagrams: Few = msgspec.field(name="answer", default=6)  # of records, in one answer
--- a/ringledge/decide/records/writer_log.py
+++ b/ringledge/decide/records/writer_log.py
@@ -1,49 +1,59 @@
-"""The records of one writer: one for each key, in the order of their versions, with or without gaps."""
+"""The records of one writer: the latest of each key, ordered by version, possibly with gaps."""
 
 from __future__ import annotations
 
 import zlib
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterator
 
-from ringledge.decide.paging import encoded_size, paginate
-from ringledge.decide.records.messages import Record, Row, Rows
+from ringledge.decide.paging import encoded_size
+from ringledge.decide.records.messages import (
+    MAX_KEY_BYTES,
+    MAX_VALUE_BYTES,
+    PAYLOAD_BYTES,
+    Record,
+    WriterVersion,
+)
 
+MAX_KEYS = (
+    1024  # of one writer, deleted ones too: they are retained, so that the deletion reaches all members
+)
+MAX_VERSION = (1 << 53) - 1  # the version with the longest encoding
 
-def rows_pages(groups: Iterable[tuple[int, list[Row]]], room: int) -> list[Rows]:
-    """Rows by bucket in messages; a bucket whose rows lie in one message is told to be whole there."""
-    messages: list[Rows] = []
-    rows: list[Row] = []
-    whole = used = 0
-    for at, group in groups:
-        needed = sum(map(encoded_size, group))
-        if used + needed > room and whole:
-            messages.append(Rows(tuple(rows), whole))
-            rows, whole, used = [], 0, 0
-        if needed > room:
-            messages += [Rows(page) for page in paginate(group, room)]
-        else:
-            rows, whole, used = rows + group, whole | 1 << at, used + needed
-    return [*messages, Rows(tuple(rows), whole)] if whole else messages
 
+class WriterLog:
+    """The records of one start of a writer, as far as they are known here.
 
-class Book:
-    """What one writer says, as far as it is known here."""
+    Invariant: all of the writer's records up to `version` are held, or have been replaced by later ones.
+    """
 
     def __init__(self, writer: str, start: int) -> None:
-        self.writer, self.start = writer, start
-        self.version = 0  # all up to this one is held
+        self.writer = writer
+        self.start = start
+        self.version = 0
         self._records: dict[str, Record] = {}  # by key
 
-    def mark(self) -> int:
-        """Its part in the sum of its bucket, 32 bits."""
+    def digest(self) -> int:
+        """Its share in the digest of its bucket, 32 bits."""
         return zlib.crc32(f"{self.writer}/{self.start}/{self.version}".encode())
 
-    def row(self) -> Row:
-        """How far it goes."""
-        return Row(self.writer, self.start, self.version)
-
-    def put(self, key: str, value: bytes | None) -> Record:
-        """A new version by the writer itself."""
+    def held_version(self) -> WriterVersion:
+        """Its entry in the version vector."""
+        return WriterVersion(self.writer, self.start, self.version)
+
+    def validate(self, key: str, value: bytes) -> None:
+        """ValueError where a write would not fit a datagram with the writer's name, or add a key too many."""
+        if not 0 < len(key.encode()) <= MAX_KEY_BYTES or len(value) > MAX_VALUE_BYTES:
+            raise ValueError(
+                f"a fact has a key of 1 to {MAX_KEY_BYTES} bytes and a value of {MAX_VALUE_BYTES} at most"
+            )
+        longest = Record(self.writer, self.start, MAX_VERSION, MAX_VERSION, key, value)
+        if encoded_size(longest) > PAYLOAD_BYTES:
+            raise ValueError(f"fact {key!r}: longer than a datagram with its writer's name")
+        if key not in self._records and len(self._records) >= MAX_KEYS:
+            raise ValueError(f"fact {key!r}: more than {MAX_KEYS} keys of one writer")
+
+    def write(self, key: str, value: bytes | None) -> Record:
+        """Add a new version, by the writer itself; None deletes the key's value."""
         record = Record(self.writer, self.start, self.version, self.version + 1, key, value)
         self._records.pop(key, None)
         self._records[key] = record
@@ -51,48 +61,44 @@
         return record
 
     def value(self, key: str) -> bytes | None:
-        """What is said under a key."""
+        """The value of a key; None where it has none."""
         record = self._records.get(key)
         return None if record is None else record.value
 
-    def used(self, key: str) -> bool:
-        """Whether something was ever said under a key."""
-        return key in self._records
-
-    def keys(self) -> int:
-        """How many keys were ever used."""
-        return len(self._records)
-
-    def take(self, record: Record) -> bool:
-        """Hold a record of this start; whether it was new."""
+    def apply(self, record: Record) -> bool:
+        """Take a record of this start from another member; whether it was new."""
         known = self._records.get(record.key)
-        fresh = known is None or known.version < record.version
-        if fresh:
+        is_new = known is None or known.version < record.version
+        if is_new:
             self._records[record.key] = record
-        if record.after <= self.version < record.version:
+        if record.previous_version <= self.version < record.version:
             self.version = record.version
-            self._close()
-        return fresh
-
-    def after(self, version: int) -> Iterator[Record]:
-        """What one lacks that holds all up to a version, in order; each says what it follows."""
-        held = sorted((each for each in self._records.values()), key=lambda each: each.version)
-        before = 0
-        for each in held:
-            if each.version > self.version:
-                return  # past a gap: what lies in between is not known here
-            if each.version > version:
-                yield Record(each.writer, each.start, before, each.version, each.key, each.value)
-            before = each.version
-
-    def _close(self) -> None:
-        """Take in what was held past the gap that is closed now."""
-        for each in sorted(self._records.values(), key=lambda each: each.version):
-            if each.after <= self.version < each.version:
-                self.version = each.version
+            self._advance()
+        return is_new
+
+    def records_after(self, version: int) -> Iterator[Record]:
+        """What a holder of all records up to a version lacks, in order, up to the first gap here."""
+        previous_version = 0
+        for record in self._by_version():
+            if record.version > self.version:
+                return  # beyond a gap: the records in between are not known here
+            if record.version > version:
+                yield Record(
+                    record.writer, record.start, previous_version, record.version, record.key, record.value
+                )
+            previous_version = record.version
 
     def values(self, prefix: str) -> Iterator[tuple[str, bytes]]:
-        """What is said under keys with a prefix."""
+        """Keys with a prefix, and their values."""
         for key, record in self._records.items():
             if record.value is not None and key.startswith(prefix):
                 yield key, record.value
+
+    def _advance(self) -> None:
+        """Count the records that were held beyond a gap which is closed now."""
+        for record in self._by_version():
+            if record.previous_version <= self.version < record.version:
+                self.version = record.version
+
+    def _by_version(self) -> list[Record]:
+        return sorted(self._records.values(), key=lambda record: record.version)
--- a/ringledge/members/service.py
+++ b/ringledge/members/service.py
@@ -194,7 +194,7 @@
             return
         there = self.membership.active_members()
         self._figures.there.set(len(there))
-        self.facts.members(self._clock(), self.membership.me, there)
+        self.facts.update_members(self._clock(), self.membership.me, there)
         for change in changes:
             if isinstance(change, MemberFailed):
                 self._figures.died(change.reason.value)
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -18,7 +18,7 @@
 NEWS = membership.MembershipUpdate("n1", 77, 3, membership.MemberStatus.SUSPECT, "10.0.0.1:9000", "north")
 SUMS = tuple(range(BUCKET_COUNT))
 RECORD = records.Record("n1", 77, 4, 5, "server/s1", b"\x01\x02")
-ROW = records.Row("n1", 77, 5)
+ROW = records.WriterVersion("n1", 77, 5)
 
 MESSAGES: tuple[msgspec.Struct, ...] = (
     membership.Ping(77, 78, 9, 1234, (NEWS,)),
@@ -28,10 +28,10 @@
     membership.MemberList(77, 78, (NEWS,)),
     membership.MemberListQuery(),
     membership.ViewDigests(77, 78, SUMS),
-    records.Sums(SUMS),
-    records.Rows((ROW,), 6),
-    records.Wants((ROW,)),
-    records.Records((RECORD, records.Record("n1", 77, 5, 6, "k", None)), True),
+    records.VersionDigests(SUMS),
+    records.VersionVector((ROW,), 6),
+    records.RecordRequest((ROW,)),
+    records.RecordBatch((RECORD, records.Record("n1", 77, 5, 6, "k", None)), True),
     leases.Ask("planner", 77, 2, True, 99),
     leases.Promise("planner", 77, 2, 2**50),
     leases.Take("planner", 77, 2**50 + 1, 4, 3000, True, 99),
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -13,6 +13,11 @@
 RENAMED_TYPES = {
     "SendMessage": "Tell",
     "MembershipUpdate": "News",
+    "WriterVersion": "Row",
+    "VersionVector": "Rows",
+    "RecordRequest": "Wants",
+    "VersionDigests": "Sums",
+    "RecordBatch": "Records",
     "MemberList": "Roster",
     "IndirectPingRequest": "Ask",
     "ViewDigests": "Views",
--- a/tests/members/test_codec.py
+++ b/tests/members/test_codec.py
@@ -23,7 +23,14 @@
 )
 from ringledge.decide.paging import BUCKET_COUNT
 from ringledge.decide.records import messages as facts_messages
-from ringledge.decide.records.messages import Record, Records, Row, Rows, Sums, Wants
+from ringledge.decide.records.messages import (
+    Record,
+    RecordBatch,
+    RecordRequest,
+    VersionDigests,
+    VersionVector,
+    WriterVersion,
+)
 from ringledge.members.codec import FIRST_KIND, SPAN, Codec, Drop, MalformedError
 from ringledge.members.replay_window import WINDOW, Guard
 
@@ -36,7 +43,7 @@
 news = st.builds(MembershipUpdate, names, starts, words, st.sampled_from(MemberStatus), names, names)
 few = st.lists(news, max_size=1).map(tuple)
 sums = st.lists(words, min_size=BUCKET_COUNT, max_size=BUCKET_COUNT).map(tuple)
-rows = st.lists(st.builds(Row, names, starts, words), max_size=3).map(tuple)
+rows = st.lists(st.builds(WriterVersion, names, starts, words), max_size=3).map(tuple)
 messages = st.one_of(
     st.builds(Ping, starts, starts, words, words, few),
     st.builds(Ack, starts, starts, words, words, few),
@@ -45,11 +52,11 @@
     st.builds(MemberList, starts, starts, few),
     st.just(MemberListQuery()),
     st.builds(ViewDigests, starts, starts, sums),
-    st.builds(Sums, sums),
-    st.builds(Rows, rows, words),
-    st.builds(Wants, rows),
+    st.builds(VersionDigests, sums),
+    st.builds(VersionVector, rows, words),
+    st.builds(RecordRequest, rows),
     st.builds(
-        Records,
+        RecordBatch,
         st.tuples(st.builds(Record, names, starts, words, words, names, st.none() | st.binary(max_size=70))),
         st.booleans(),
     ),
@@ -132,7 +139,7 @@
 def test_what_is_too_long_is_never_packed() -> None:
     record = Record("w", 1, 0, 1, "k", bytes(120))
     with pytest.raises(MalformedError) as told:
-        codec().pack(Records((record, record)), 1, 1)
+        codec().pack(RecordBatch((record, record)), 1, 1)
     assert told.value.why is Drop.TOO_LONG
 
 
