--- a/benchmarks/members_sockets.py
+++ b/benchmarks/members_sockets.py
@@ -19,7 +19,7 @@
 from ringledge.observe.metrics import Metrics
 
 if TYPE_CHECKING:
-    from ringledge.members.component import MembersPart
+    from ringledge.members.component import MembersComponent
 
 SETTLE_S = 120.0  # in which all have to agree
 LOOK_S = 0.05
@@ -32,7 +32,7 @@
 
 async def play(members: int, seconds: float, seed: int) -> dict[str, Any]:
     """So many members in one process; what each takes on the average."""
-    from ringledge.members.component import MembersPart
+    from ringledge.members.component import MembersComponent
     from ringledge.members.settings import MembersConfig
 
     log.configure("error", "benchmark")
@@ -41,19 +41,21 @@
         key.write_text(random.Random(seed).randbytes(32).hex())
         async with anyio.create_task_group() as tasks:
             memory = psutil.Process().memory_info().rss
-            parts: list[MembersPart] = []
+            parts: list[MembersComponent] = []
             registries: list[CollectorRegistry] = []
             seeds: dict[str, str] = {}
             began_s = time.monotonic()
             for at in range(members):
                 settings = MembersConfig(
-                    "benchmark", str(key), "127.0.0.1:0", peers=dict(seeds), strangers=True
+                    "benchmark", str(key), "127.0.0.1:0", peers=dict(seeds), accept_unlisted=True
                 )
                 registries.append(Metrics().registry)
                 name = f"conductor-{at}"
-                parts.append(MembersPart(settings, name, {}, registries[-1], random.Random(seed * 1000 + at)))
+                parts.append(
+                    MembersComponent(settings, name, {}, registries[-1], random.Random(seed * 1000 + at))
+                )
                 parts[-1].start(tasks)
-                address = await parts[-1].bound()
+                address = await parts[-1].wait_bound()
                 if at < 3:
                     seeds[name] = address
             with anyio.fail_after(SETTLE_S):
--- a/ringledge/cli/members.py
+++ b/ringledge/cli/members.py
@@ -19,8 +19,8 @@
     """Ask a running member, with the cluster's key, who is there. Exits 1 without an answer."""
     from ringledge.lifecycle import settings_files as strict
     from ringledge.lifecycle.config import DEPLOY
-    from ringledge.members.settings import MembersConfig, with_told
-    from ringledge.members.snapshot_query import look
+    from ringledge.members.settings import MembersConfig, with_platform_config
+    from ringledge.members.snapshot_query import query_members
 
     try:
         path = Path(os.environ.get("RINGLEDGE_DEPLOY", DEPLOY)) / "members.toml"
@@ -29,8 +29,10 @@
             raise ValueError(f"{path}: absent or not enabled")
         if not address:
             told = os.environ.get("RELAY_CONFIG")
-            address = with_told(settings, orjson.loads(Path(told).read_bytes()) if told else {}).listen
-        rows = look(settings.cluster, settings.key(), address, wait_s)
+            address = with_platform_config(
+                settings, orjson.loads(Path(told).read_bytes()) if told else {}
+            ).listen
+        rows = query_members(settings.cluster, settings.key(), address, wait_s)
     except (OSError, ValueError, strict.SettingsError) as error:
         click.echo(f"members: {error}", err=True)
         sys.exit(2)
--- a/ringledge/lifecycle/components/duties.py
+++ b/ringledge/lifecycle/components/duties.py
@@ -60,11 +60,11 @@
         if leases.voter is not None:
             shared.tasks.start_soon(_tell_voting, leases.voter.learning)
 
-    fleet.give_up = give_up
-    members.add("leases", ClockAdapter(leases, now_s, time.monotonic), MESSAGES)
-    members.hooks.duties.append(duties.apply)
-    members.hooks.changes.append(changed)
-    members.hooks.bound.append(bound)
+    fleet.release_duty = give_up
+    members.add_decider("leases", ClockAdapter(leases, now_s, time.monotonic), MESSAGES)
+    members.hooks.on_lease_event.append(duties.apply)
+    members.hooks.on_membership_change.append(changed)
+    members.hooks.on_bound.append(bound)
     return Part(start=start, ready=ready, stop=stop)
 
 
--- a/ringledge/lifecycle/components/members.py
+++ b/ringledge/lifecycle/components/members.py
@@ -6,8 +6,8 @@
 
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.shared import Part, Shared
-from ringledge.members.cluster import Fleet
-from ringledge.members.component import MembersPart
+from ringledge.members.cluster import ClusterMember
+from ringledge.members.component import MembersComponent
 from ringledge.members.settings import MembersConfig
 
 
@@ -16,10 +16,10 @@
     config, rng = shared.config, random.Random()  # unlike its peers' and its predecessor's: no seed is shared
     try:
         told = config.extra(MembersConfig)
-        members = MembersPart(told, config.name, config.peers, shared.metrics.registry, rng)
+        members = MembersComponent(told, config.name, config.peers, shared.metrics.registry, rng)
     except ValueError as error:
         raise ConfigError(f"members.toml: {error}") from error
-    shared.fleet = Fleet(members)
+    shared.fleet = ClusterMember(members)
 
     async def stop() -> None:
         members.stop()
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -23,7 +23,7 @@
     chat, settings, names = config.extra(ChatConfig), config.settings, config.names
     sight = Sight(shared.conductor, shared.upstream.reach, shared.metrics)
     fleet, leased = shared.fleet, "duties" in config.extras
-    facts = None if fleet is None else fleet.members.facts
+    facts = None if fleet is None else fleet.members.records
     queue = QueuePart(told, sight, shared.metrics.registry, Random(), facts, leased)
     if fleet is not None and leased:
         fleet.duties[queue.duty] = queue.replayer
--- a/ringledge/lifecycle/components/ratio.py
+++ b/ringledge/lifecycle/components/ratio.py
@@ -21,7 +21,7 @@
     if members.membership.me.site not in zones:
         raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
     book = RoleBook(told)
-    keeper = RoleKeeper(told, members.facts, members.membership, shared.conductor, config.names, book)
-    fleet.duties[NAME] = Planner(told, members.facts, keeper, book, time.monotonic)
+    keeper = RoleKeeper(told, members.records, members.membership, shared.conductor, config.names, book)
+    fleet.duties[NAME] = Planner(told, members.records, keeper, book, time.monotonic)
     shared.conductor.context.observer = keeper
     return Part(ready=lambda: shared.tasks.start_soon(keeper.run))
--- a/ringledge/lifecycle/shared.py
+++ b/ringledge/lifecycle/shared.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from ringledge.core.gate import Gate
-    from ringledge.members.cluster import Fleet
+    from ringledge.members.cluster import ClusterMember
     from ringledge.memory.buffered_bytes import BufferedBytes
     from ringledge.wire.clients.chat.queued import QueuedChat
 
@@ -68,5 +68,5 @@
     gate: Gate | None = None
     held: BufferedBytes | None = None
     platform: Platform | None = None
-    fleet: Fleet | None = None
+    fleet: ClusterMember | None = None
     queued: QueuedChat | None = None
--- a/ringledge/members/datagrams.py
+++ b/ringledge/members/datagrams.py
@@ -1,4 +1,4 @@
-"""One UDP socket. What waits is bounded by the system's buffer; what it has no room for is counted."""
+"""A UDP socket. The system's buffer bounds the waiting datagrams; those that overflow it are counted."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from ringledge.decide.interface import MAX_DATAGRAM_BYTES
 
-BATCH = 64  # datagrams that are read in one turn of the loop, then everything else has its turn
-OVERFLOWS = 40  # SO_RXQ_OVFL: with each datagram the system tells how many it dropped since the socket opened
+BATCH_SIZE = 64  # datagrams that are received before other tasks of the loop run
+SO_RXQ_OVFL = 40  # Linux: each datagram carries how many were dropped since the socket was opened
 
 Endpoint = tuple[str, int]
 
 
-def endpoint(address: str) -> Endpoint:
-    """IP:PORT or [IP]:PORT taken apart; ValueError where it is none. Names of hosts are not looked up."""
+def parse_endpoint(address: str) -> Endpoint:
+    """Host and port of IP:PORT or [IP]:PORT; ValueError otherwise. Host names are not resolved."""
     host, colon, port = address.rpartition(":")
     try:
         ip = ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
@@ -28,56 +28,60 @@
     return str(ip), int(port)
 
 
-def spelled(at: Endpoint) -> str:
-    """The same in one piece."""
-    return f"[{at[0]}]:{at[1]}" if ":" in at[0] else f"{at[0]}:{at[1]}"
+def format_endpoint(endpoint: Endpoint) -> str:
+    """IP:PORT or [IP]:PORT."""
+    host, port = endpoint
+    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-class Datagrams:
-    """The socket; OSError where the address can't be had."""
+def address_family(endpoint: Endpoint) -> socket.AddressFamily:
+    """The address family of an endpoint's IP address."""
+    return socket.AF_INET6 if ":" in endpoint[0] else socket.AF_INET
+
+
+class DatagramSocket:
+    """A bound, non-blocking socket; OSError where it cannot be bound to the address."""
 
     def __init__(self, listen: str, buffer_bytes: int) -> None:
-        at = endpoint(listen)
-        self._socket = socket.socket(socket.AF_INET6 if ":" in at[0] else socket.AF_INET, socket.SOCK_DGRAM)
+        endpoint = parse_endpoint(listen)
+        self._socket = socket.socket(address_family(endpoint), socket.SOCK_DGRAM)
         try:
             self._socket.setblocking(False)
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer_bytes)
-            self._socket.setsockopt(socket.SOL_SOCKET, OVERFLOWS, 1)
-            self._socket.bind(at)
+            self._socket.setsockopt(socket.SOL_SOCKET, SO_RXQ_OVFL, 1)
+            self._socket.bind(endpoint)
         except OSError:
             self._socket.close()
             raise
-        self.overflowed = 0  # datagrams that found no room
-        self.address = spelled(self._socket.getsockname()[:2])
+        self.overflow_count = 0  # datagrams that the system dropped since the socket was opened
+        self.address = format_endpoint(self._socket.getsockname()[:2])
 
     def send(self, datagram: bytes, to: Endpoint) -> None:
-        """Hand one to the system; BlockingIOError where it has no room, else OSError where it won't."""
+        """Send a datagram; BlockingIOError where the buffer is full, else OSError where it fails."""
         self._socket.sendto(datagram, to)
 
-    async def readable(self) -> None:
-        """Wait until something can be read."""
+    async def wait_readable(self) -> None:
+        """Wait until a datagram is waiting."""
         await anyio.wait_readable(self._socket)
 
-    def read(self) -> list[tuple[bytes, Endpoint]]:
-        """What waits, up to a batch, with its source; one longer than all may be is cut one byte later."""
-        heard: list[tuple[bytes, Endpoint]] = []
-        for _ in range(BATCH):
+    def receive(self) -> list[tuple[bytes, Endpoint]]:
+        """The waiting datagrams with their sources, up to a batch; too long ones are truncated."""
+        received: list[tuple[bytes, Endpoint]] = []
+        for _ in range(BATCH_SIZE):
             try:
-                datagram, extra, _, source = self._socket.recvmsg(
+                datagram, ancillary, _, source = self._socket.recvmsg(
                     MAX_DATAGRAM_BYTES + 1, socket.CMSG_SPACE(4)
                 )
             except BlockingIOError:
                 break
-            except (
-                OSError
-            ):  # an earlier one came back as unreachable: told on the next call, and nothing to do
+            except OSError:  # the pending error of an earlier send, as to an unreachable port
                 continue
-            for level, kind, value in extra:
-                if (level, kind) == (socket.SOL_SOCKET, OVERFLOWS) and len(value) == 4:
-                    self.overflowed = struct.unpack("=I", value)[0]
-            heard.append((datagram, source[:2]))
-        return heard
+            for level, kind, value in ancillary:
+                if (level, kind) == (socket.SOL_SOCKET, SO_RXQ_OVFL) and len(value) == 4:
+                    self.overflow_count = struct.unpack("=I", value)[0]
+            received.append((datagram, source[:2]))
+        return received
 
     def close(self) -> None:
-        """Let it go."""
+        """Close the socket."""
         self._socket.close()
--- a/ringledge/members/metrics.py
+++ b/ringledge/members/metrics.py
@@ -1,14 +1,24 @@
-"""The figures of members, in the program's registry only while they are on."""
+"""The metrics of members, in the program's registry only while members are enabled."""
 
 from __future__ import annotations
 
+import enum
+
 from prometheus_client import CollectorRegistry, Counter, Gauge
 
-from ringledge.members.codec import Drop
+from ringledge.decide.membership.changes import FailureReason
+from ringledge.members.codec import DropReason
+
+
+class Direction(enum.Enum):
+    """Which way a datagram goes."""
 
+    SENT = "sent"
+    RECEIVED = "heard"
 
-class Figures:
-    """Datagrams sent, heard and dropped, and who is there."""
+
+class MemberMetrics:
+    """Counts of datagrams sent, received and dropped, of failures, and the number of active members."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self._datagrams = Counter(
@@ -23,24 +33,29 @@
             ["way", "why"],
             registry=registry,
         )
-        self.there = Gauge("ringledge_members", "Members that count as there, itself too", registry=registry)
-        self._deaths = Counter("ringledge_members_deaths", "Members taken for dead, by why", ["why"],
-                               registry=registry)  # fmt: skip
-
-    def sent(self, size: int) -> None:
-        """One went out."""
-        self._datagrams.labels("sent").inc()
-        self._bytes.labels("sent").inc(size)
-
-    def heard(self, size: int) -> None:
-        """One came, to be taken or not."""
-        self._datagrams.labels("heard").inc()
-        self._bytes.labels("heard").inc(size)
-
-    def dropped(self, way: str, why: Drop, count: int = 1) -> None:
-        """`way`: "sent" for one that did not go out, "heard" for one that was not taken."""
-        self._dropped.labels(way, why.value).inc(count)
-
-    def died(self, why: str) -> None:
-        """A member was taken for dead."""
-        self._deaths.labels(why).inc()
+        self.active_members = Gauge(
+            "ringledge_members", "Members that count as there, itself too", registry=registry
+        )
+        self._failures = Counter(
+            "ringledge_members_deaths", "Members taken for dead, by why", ["why"], registry=registry
+        )
+
+    def record_sent(self, size_bytes: int) -> None:
+        """Count a datagram that was sent."""
+        self._record(Direction.SENT, size_bytes)
+
+    def record_received(self, size_bytes: int) -> None:
+        """Count a datagram that was received, whether it is accepted or dropped."""
+        self._record(Direction.RECEIVED, size_bytes)
+
+    def record_dropped(self, direction: Direction, reason: DropReason, count: int = 1) -> None:
+        """Count datagrams that were not sent, or not accepted."""
+        self._dropped.labels(direction.value, reason.value).inc(count)
+
+    def record_failure(self, reason: FailureReason) -> None:
+        """Count a member that was declared failed."""
+        self._failures.labels(reason.value).inc()
+
+    def _record(self, direction: Direction, size_bytes: int) -> None:
+        self._datagrams.labels(direction.value).inc()
+        self._bytes.labels(direction.value).inc(size_bytes)
--- a/ringledge/members/record_writer.py
+++ b/ringledge/members/record_writer.py
@@ -1,4 +1,4 @@
-"""Facts as other parts use them: what they say is sent at once."""
+"""Replicated records for other components: a write schedules the push at once."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 
 
 class RecordWriter:
-    """Implements Facts; `changed` is called after each change, since the table wants its tick sooner then."""
+    """Implements RecordStore. `on_write` is called after each change, for the next tick is due sooner."""
 
-    def __init__(self, table: ReplicatedRecords, changed: Callable[[], None]) -> None:
-        self._table, self._changed = table, changed
+    def __init__(self, records: ReplicatedRecords, on_write: Callable[[], None]) -> None:
+        self._records = records
+        self._on_write = on_write
 
     def write(self, now_s: float, key: str, value: bytes) -> None:
-        """Say something under a key of our own; ValueError: it is too long, or there are too many keys."""
-        self._table.write(now_s, key, value)
-        self._changed()
+        """Write a record of the local member; ValueError: it is too long, or there are too many keys."""
+        self._records.write(now_s, key, value)
+        self._on_write()
 
     def delete(self, now_s: float, key: str) -> None:
-        """Take a key of our own back."""
-        self._table.delete(now_s, key)
-        self._changed()
+        """Delete a record of the local member."""
+        self._records.delete(now_s, key)
+        self._on_write()
 
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
-        """What is known under keys with a prefix, by writer's name and key."""
-        return self._table.values(now_s, prefix)
+        """All known values under keys with a prefix, by the writer's name and the key."""
+        return self._records.values(now_s, prefix)
--- a/ringledge/members/replay_window.py
+++ b/ringledge/members/replay_window.py
@@ -1,28 +1,47 @@
-"""Which datagrams were heard before: a window over the count of each sender's start."""
+"""Detects duplicated and replayed datagrams by a window over the sequence numbers of each sender's start."""
 
 from __future__ import annotations
 
-WINDOW = 1024  # datagrams by which one may be overtaken by others of its sender
-SENDERS_MOST = 1024  # starts of names that are remembered, the latest heard
+from dataclasses import dataclass
 
+WINDOW_SIZE = 1024  # sequence numbers by which a datagram may be overtaken by others of its sender
+MAX_SENDERS = 1024  # starts of names that are remembered, the latest received
 
-class Guard:
-    """Tells what is new from what is doubled or replayed."""
+
+@dataclass(slots=True)
+class _SenderWindow:
+    """The highest sequence number, and a bit mask of those accepted: bit 0 is the highest, bit n n below."""
+
+    highest: int
+    accepted: int = 0
+
+
+class ReplayWindow:
+    """Tells new datagrams from duplicated or replayed ones."""
 
     def __init__(self) -> None:
-        self._seen: dict[tuple[str, int], tuple[int, int]] = {}  # the highest number, and bits of those below
-
-    def fresh(self, sender: str, start: int, number: int) -> bool:
-        """Whether this one was not heard before, as far as is remembered; it is from now on."""
-        highest, bits = self._seen.pop((sender, start), (number, 0))
-        behind = highest - number
-        if behind < 0:
-            bits = (bits << -behind | 1) & (1 << WINDOW) - 1 if -behind < WINDOW else 1
-            highest, is_fresh = number, True
-        else:
-            is_fresh = behind < WINDOW and not bits >> behind & 1
-            bits |= 1 << behind if behind < WINDOW else 0
-        self._seen[sender, start] = (highest, bits)
-        if len(self._seen) > SENDERS_MOST:
-            del self._seen[next(iter(self._seen))]
-        return is_fresh
+        self._windows: dict[tuple[str, int], _SenderWindow] = {}  # the least recently received first
+
+    def accept(self, sender: str, start: int, sequence: int) -> bool:
+        """Whether a datagram is new as far as is remembered; from now on it is not."""
+        window = self._windows.pop((sender, start), None) or _SenderWindow(sequence)
+        is_new = _accept(window, sequence)
+        self._windows[sender, start] = window
+        if len(self._windows) > MAX_SENDERS:
+            del self._windows[next(iter(self._windows))]
+        return is_new
+
+
+def _accept(window: _SenderWindow, sequence: int) -> bool:
+    behind = window.highest - sequence
+    if behind >= WINDOW_SIZE:  # too old to tell
+        return False
+    if behind < 0:
+        ahead = -behind
+        moved = window.accepted << ahead if ahead < WINDOW_SIZE else 0
+        window.accepted = (moved | 1) & (1 << WINDOW_SIZE) - 1
+        window.highest = sequence
+        return True
+    is_new = not window.accepted >> behind & 1
+    window.accepted |= 1 << behind
+    return is_new
--- a/ringledge/members/service.py
+++ b/ringledge/members/service.py
@@ -1,230 +1,228 @@
-"""Runs the deciders of one member: ticks them when they want it, hears for them, and sends what they tell."""
+"""Runs the deciders of one member: ticks them when due, passes them messages, and executes their actions."""
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Protocol
 
 import anyio
-import msgspec
 
 from ringledge.decide.interface import Action, Decider, LeaseAcquired, LeaseEnded, SendMessage
-from ringledge.decide.membership import swim as membership_decider
 from ringledge.decide.membership.changes import MemberFailed, MembershipChange
 from ringledge.decide.membership.messages import MemberListQuery
-from ringledge.decide.membership.swim import Membership
-from ringledge.decide.records import replicated_records as facts_decider
-from ringledge.decide.records.replicated_records import ReplicatedRecords
-from ringledge.members.codec import Codec, Drop, MalformedError
-from ringledge.members.datagrams import Endpoint, endpoint
-from ringledge.members.metrics import Figures
-from ringledge.members.replay_window import Guard
+from ringledge.members.address_book import AddressBook
+from ringledge.members.codec import Codec, DatagramError, DropReason, ReceivedDatagram
+from ringledge.members.datagrams import Endpoint
+from ringledge.members.deciders import DeciderTable
+from ringledge.members.metrics import Direction, MemberMetrics
+from ringledge.members.replay_window import ReplayWindow
 from ringledge.observe.logging import log
 
-BATCHES = 8  # read at most before a tick
-ORDINARY = (Drop.REPLAYED, Drop.OTHER_START, Drop.SILENT)  # drops that networks and restarts bring
-SOURCES_MOST = 256  # names whose last source address is remembered
+MAX_BATCHES_PER_TICK = 8  # of waiting datagrams that are read before a tick
+# Drops that networks and restarts cause in ordinary operation: counted, not logged.
+UNLOGGED_REASONS = (DropReason.REPLAYED, DropReason.OTHER_START, DropReason.MEMBER_STOPPED)
 
 
 class Socket(Protocol):
     """What the service needs of its socket."""
 
-    overflowed: int
+    overflow_count: int
 
     def send(self, datagram: bytes, to: Endpoint) -> None:
-        """Send one."""
+        """Send a datagram; BlockingIOError where the buffer is full, else OSError where it fails."""
 
-    async def readable(self) -> None:
-        """Wait for more."""
+    async def wait_readable(self) -> None:
+        """Wait until a datagram is waiting."""
 
-    def read(self) -> list[tuple[bytes, Endpoint]]:
-        """What waits."""
+    def receive(self) -> list[tuple[bytes, Endpoint]]:
+        """The waiting datagrams with their sources, up to a batch."""
 
 
 @dataclass(slots=True)
 class Hooks:
-    """Who is told of what the deciders give."""
+    """Callbacks for what the deciders report."""
 
-    duties: list[Callable[[LeaseAcquired | LeaseEnded], None]] = field(default_factory=list)
-    changes: list[Callable[[MembershipChange], None]] = field(default_factory=list)
-    bound: list[Callable[[], None]] = field(default_factory=list)  # the address is ours from now on
+    on_lease_event: list[Callable[[LeaseAcquired | LeaseEnded], None]] = field(default_factory=list)
+    on_membership_change: list[Callable[[MembershipChange], None]] = field(default_factory=list)
+    on_bound: list[Callable[[], None]] = field(default_factory=list)  # the socket has its address
 
 
-class Service:
-    """One member at a socket.
+@dataclass(frozen=True, slots=True)
+class Transport:
+    """How datagrams are encoded, sent, received and counted. `clock`: monotonic, in s."""
 
-    `others`: further deciders by their name in the codec's table, each with its MESSAGES.
-    `clock`: monotonic, s.
-    """
+    codec: Codec
+    socket: Socket
+    clock: Callable[[], float]
+    metrics: MemberMetrics
+
+
+@dataclass(frozen=True, slots=True)
+class PeerPolicy:
+    """Where other members are reached, and whether those that the settings do not list may join."""
+
+    addresses: AddressBook
+    accept_unlisted: bool
+
+
+class MemberService:
+    """One member at a socket. All deciders have to be in the table by now."""
 
     def __init__(
-        self,
-        membership: Membership,
-        facts: ReplicatedRecords,
-        others: Mapping[str, tuple[Decider, tuple[type[msgspec.Struct], ...]]],
-        hooks: Hooks,
-        codec: Callable[[Mapping[str, tuple[type[msgspec.Struct], ...]]], Codec],
-        peers: Mapping[str, str],
-        strangers: bool,
-        clock: Callable[[], float],
-        socket: Socket,
-        figures: Figures,
+        self, deciders: DeciderTable, hooks: Hooks, policy: PeerPolicy, transport: Transport
     ) -> None:
-        self.membership, self.facts, self._hooks = membership, facts, hooks
-        deciders: dict[str, tuple[Decider, tuple[type[msgspec.Struct], ...]]] = {
-            "membership": (membership, membership_decider.MESSAGES),
-            "facts": (facts, facts_decider.MESSAGES),
-            **others,
-        }
-        self._deciders = [decider for decider, _ in deciders.values()]
-        self._by_kind = {kind: decider for decider, kinds in deciders.values() for kind in kinds}
-        self._codec = codec({name: kinds for name, (_, kinds) in deciders.items()})
-        self._peers, self._strangers = dict(peers), strangers
-        self._clock, self._socket, self._figures, self._guard = clock, socket, figures, Guard()
-        self._sources: dict[str, Endpoint] = {}
-        self._wake = anyio.Event()
-        self._awaited_s = -math.inf
+        self._membership = deciders.membership
+        self._records = deciders.records
+        self._deciders = deciders.all()
+        self._decider_by_type = deciders.by_message_type()
+        self._hooks = hooks
+        self._policy = policy
+        self._codec = transport.codec
+        self._socket = transport.socket
+        self._clock = transport.clock
+        self._metrics = transport.metrics
+        self._replay_window = ReplayWindow()
+        self._wake_event = anyio.Event()
+        self._scheduled_s = -math.inf  # until when the tick loop sleeps
 
     async def run(self) -> None:
-        """Hear and tick until cancelled."""
+        """Receive and tick until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._receive)
-            await self._tick()
+            tasks.start_soon(self._receive_loop)
+            await self._tick_loop()
 
     def wake(self) -> None:
-        """A decider may want its tick earlier than it said."""
-        if self._next_s() < self._awaited_s:
-            self._wake.set()
+        """Interrupt the tick loop's sleep where a decider is due earlier by now."""
+        if self._next_s() < self._scheduled_s:
+            self._wake_event.set()
 
     def leave(self) -> None:
-        """Say goodbye."""
-        self._act(self.membership.leave(self._clock()))
+        """Announce that the member leaves."""
+        self._execute(self._membership.leave(self._clock()))
 
     def act(self, actions: list[Action]) -> None:
-        """Do what a decider wants that was asked from outside, as when a duty is given up."""
-        self._act(self._muted(actions))
+        """Execute actions of a decider that was called from outside, as when a lease is released."""
+        self._execute(self._without_messages_once_stopped(actions))
         self.wake()
 
     def _next_s(self) -> float:
-        return min(each.next_s() for each in self._deciders)
+        return min(decider.next_s() for decider in self._deciders)
 
-    async def _tick(self) -> None:
+    async def _tick_loop(self) -> None:
         while True:
-            for _ in range(BATCHES):  # what waits is heard first: after a stall it tells that others are well
-                if not self._read():
+            # Waiting datagrams come first: after a stall they show that other members are alive.
+            for _ in range(MAX_BATCHES_PER_TICK):
+                if not self._receive_batch():
                     break
             now_s = self._clock()
             for decider in self._deciders:
                 if decider.next_s() <= now_s:
-                    self._act(self._muted(decider.tick(now_s)))
-            self._awaited_s = self._next_s()
-            self._wake = anyio.Event()
-            wait_s = self._awaited_s - self._clock()
-            with anyio.move_on_after(max(0.0, wait_s)):
-                await self._wake.wait()
-
-    async def _receive(self) -> None:
+                    self._execute(self._without_messages_once_stopped(decider.tick(now_s)))
+            self._scheduled_s = self._next_s()
+            self._wake_event = anyio.Event()
+            sleep_s = self._scheduled_s - self._clock()
+            with anyio.move_on_after(max(0.0, sleep_s)):
+                await self._wake_event.wait()
+
+    async def _receive_loop(self) -> None:
         while True:
-            await self._socket.readable()
-            self._read()
+            await self._socket.wait_readable()
+            self._receive_batch()
             self.wake()
             await anyio.sleep(0)
 
-    def _read(self) -> bool:
-        """Hear what waits, up to a batch; whether there was anything."""
-        before = self._socket.overflowed
-        heard = self._socket.read()
-        for datagram, source in heard:
-            self._figures.heard(len(datagram))
+    def _receive_batch(self) -> bool:
+        """Take the waiting datagrams, up to a batch; whether there were any."""
+        overflows_before = self._socket.overflow_count
+        batch = self._socket.receive()
+        for datagram, source in batch:
+            self._metrics.record_received(len(datagram))
             try:
-                self._take(datagram, source)
-            except MalformedError as error:
-                self._figures.dropped("heard", error.why)
-                if error.why not in ORDINARY:
-                    log.often("datagram_dropped", why=error.why.value, source=source[0], bytes=len(datagram))
-        if (lost := self._socket.overflowed - before) > 0:
-            self._figures.dropped("heard", Drop.FULL, lost)
-        return bool(heard)
-
-    def _take(self, datagram: bytes, source: Endpoint) -> None:
-        """Hand a datagram to its decider; MalformedError with the reason where it is for none."""
-        if self.membership.stopped:
-            raise MalformedError(Drop.SILENT)
-        heard = self._codec.read(datagram)
-        if not self._guard.fresh(heard.sender, heard.start, heard.number):
-            raise MalformedError(Drop.REPLAYED)
-        decider, sender = self._by_kind[type(heard.message)], heard.sender
-        member = self.membership.latest_member(sender)
-        if decider is self.membership:
-            known = self._strangers or member is not None or sender in self._peers
-            if not known and not isinstance(heard.message, MemberListQuery):
-                raise MalformedError(Drop.SENDER_UNKNOWN)
-        else:
-            if heard.to_start != self.membership.me.start:
-                raise MalformedError(Drop.OTHER_START)
-            if member is None or member.start != heard.start or not self.membership.is_active(sender):
-                raise MalformedError(Drop.SENDER_UNKNOWN)
-        self._sources.pop(sender, None)
-        self._sources[sender] = source
-        if len(self._sources) > SOURCES_MOST:
-            del self._sources[next(iter(self._sources))]
-        self._act(decider.receive(self._clock(), sender, heard.message))
-
-    def _act(self, actions: list[Action]) -> None:
-        self._tell_changes()
+                self._receive(datagram, source)
+            except DatagramError as error:
+                self._record_drop(error.reason, datagram, source)
+        overflows = self._socket.overflow_count - overflows_before
+        if overflows > 0:
+            self._metrics.record_dropped(Direction.RECEIVED, DropReason.BUFFER_FULL, overflows)
+        return bool(batch)
+
+    def _record_drop(self, reason: DropReason, datagram: bytes, source: Endpoint) -> None:
+        self._metrics.record_dropped(Direction.RECEIVED, reason)
+        if reason not in UNLOGGED_REASONS:
+            log.often("datagram_dropped", why=reason.value, source=source[0], bytes=len(datagram))
+
+    def _receive(self, datagram: bytes, source: Endpoint) -> None:
+        """Pass a datagram to its decider; DatagramError with the reason where it is rejected."""
+        if self._membership.stopped:
+            raise DatagramError(DropReason.MEMBER_STOPPED)
+        received = self._codec.decode(datagram)
+        if not self._replay_window.accept(received.sender, received.start, received.sequence):
+            raise DatagramError(DropReason.REPLAYED)
+        decider = self._decider_by_type[type(received.message)]
+        self._check_sender(decider, received)
+        self._policy.addresses.learn(received.sender, source)
+        self._execute(decider.receive(self._clock(), received.sender, received.message))
+
+    def _check_sender(self, decider: Decider, received: ReceivedDatagram) -> None:
+        """DatagramError where the sender may not send to this decider, or means a predecessor of ours."""
+        member = self._membership.latest_member(received.sender)
+        if decider is self._membership:
+            if not self._may_join(received.sender) and not isinstance(received.message, MemberListQuery):
+                raise DatagramError(DropReason.SENDER_UNKNOWN)
+            return
+        if received.to_start != self._membership.me.start:
+            raise DatagramError(DropReason.OTHER_START)
+        is_current = member is not None and member.start == received.start
+        if not is_current or not self._membership.is_active(received.sender):
+            raise DatagramError(DropReason.SENDER_UNKNOWN)
+
+    def _may_join(self, name: str) -> bool:
+        policy = self._policy
+        is_known = self._membership.latest_member(name) is not None
+        return policy.accept_unlisted or is_known or policy.addresses.is_configured(name)
+
+    def _execute(self, actions: list[Action]) -> None:
+        self._report_changes()
         for action in actions:
             match action:
                 case SendMessage():
                     self._send(action)
                 case _:
-                    for hook in self._hooks.duties:
+                    for hook in self._hooks.on_lease_event:
                         hook(action)
 
-    def _muted(self, actions: list[Action]) -> list[Action]:
-        """Without what they tell others, where the name is a successor's by now; duties end all the same."""
-        if not self.membership.stopped:
+    def _without_messages_once_stopped(self, actions: list[Action]) -> list[Action]:
+        """A stopped member sends nothing, for its name may be a successor's; its leases still end."""
+        if not self._membership.stopped:
             return actions
         return [action for action in actions if not isinstance(action, SendMessage)]
 
-    def _tell_changes(self) -> None:
-        changes = self.membership.take_changes()
+    def _report_changes(self) -> None:
+        changes = self._membership.take_changes()
         if not changes:
             return
-        there = self.membership.active_members()
-        self._figures.there.set(len(there))
-        self.facts.update_members(self._clock(), self.membership.me, there)
+        active = self._membership.active_members()
+        self._metrics.active_members.set(len(active))
+        self._records.update_members(self._clock(), self._membership.me, active)
         for change in changes:
             if isinstance(change, MemberFailed):
-                self._figures.died(change.reason.value)
-            for hook in self._hooks.changes:
+                self._metrics.record_failure(change.reason)
+            for hook in self._hooks.on_membership_change:
                 hook(change)
 
     def _send(self, action: SendMessage) -> None:
-        member = self.membership.latest_member(action.recipient)
+        member = self._membership.latest_member(action.recipient)
         to_start = 0 if member is None else member.start
         try:
-            datagram = self._codec.pack(action.message, self.membership.me.start, to_start)
-            self._socket.send(datagram, self._address(action.recipient))
-        except MalformedError as error:
-            self._figures.dropped("sent", error.why)
+            datagram = self._codec.encode(action.message, self._membership.me.start, to_start)
+            self._socket.send(datagram, self._policy.addresses.resolve(action.recipient, member))
+        except DatagramError as error:
+            self._metrics.record_dropped(Direction.SENT, error.reason)
         except BlockingIOError:
-            self._figures.dropped("sent", Drop.FULL)
+            self._metrics.record_dropped(Direction.SENT, DropReason.BUFFER_FULL)
         except OSError:
-            self._figures.dropped("sent", Drop.NETWORK)
+            self._metrics.record_dropped(Direction.SENT, DropReason.NETWORK)
         else:
-            self._figures.sent(len(datagram))
-
-    def _address(self, name: str) -> Endpoint:
-        """Where a member is reached: as the settings say, as it says itself, or where it last spoke from."""
-        member = self.membership.latest_member(name)
-        address = self._peers.get(name) or ("" if member is None else member.address)
-        if address:
-            try:
-                return endpoint(address)
-            except ValueError as error:
-                raise MalformedError(Drop.NO_ADDRESS) from error
-        if name not in self._sources:
-            raise MalformedError(Drop.NO_ADDRESS)
-        return self._sources[name]
+            self._metrics.record_sent(len(datagram))
--- a/ringledge/members/snapshot_query.py
+++ b/ringledge/members/snapshot_query.py
@@ -1,4 +1,4 @@
-"""A look at who is there, by one datagram to a member and the Rosters that it answers."""
+"""Queries a member for its member table: one datagram, answered by MemberLists."""
 
 from __future__ import annotations
 
@@ -7,31 +7,32 @@
 import time
 
 from ringledge.decide.membership.messages import MESSAGES, MemberList, MemberListQuery, MembershipUpdate
-from ringledge.members.codec import Codec, MalformedError
-from ringledge.members.datagrams import endpoint
+from ringledge.members.codec import Codec, DatagramError
+from ringledge.members.datagrams import address_family, parse_endpoint
 
-QUIET_S = 0.3  # after the last Roster no more are waited for
+QUIET_S = 0.3  # after the last MemberList no more are expected
+MAX_RECEIVE_BYTES = 4096
 
 
-def look(cluster: str, key: bytes, address: str, wait_s: float) -> list[MembershipUpdate]:
-    """What the member at an address believes, itself first; empty where it does not answer in time."""
-    at = endpoint(address)
+def query_members(cluster: str, key: bytes, address: str, wait_s: float) -> list[MembershipUpdate]:
+    """The member table of the member at an address, itself first; empty where it does not answer in time."""
+    endpoint = parse_endpoint(address)
     codec = Codec(cluster, key, f"look-{os.getpid()}", {"membership": MESSAGES})
-    rows: dict[str, MembershipUpdate] = {}
-    until_s = time.monotonic() + wait_s
-    with socket.socket(socket.AF_INET6 if ":" in at[0] else socket.AF_INET, socket.SOCK_DGRAM) as asking:
-        asking.sendto(codec.pack(MemberListQuery(), time.time_ns() // 1_000_000, 0), at)
-        while (left_s := until_s - time.monotonic()) > 0:
-            asking.settimeout(left_s)
+    updates: dict[str, MembershipUpdate] = {}
+    deadline_s = time.monotonic() + wait_s
+    with socket.socket(address_family(endpoint), socket.SOCK_DGRAM) as client:
+        client.sendto(codec.encode(MemberListQuery(), time.time_ns() // 1_000_000, 0), endpoint)
+        while (remaining_s := deadline_s - time.monotonic()) > 0:
+            client.settimeout(remaining_s)
             try:
-                message = codec.read(asking.recv(4096)).message
+                message = codec.decode(client.recv(MAX_RECEIVE_BYTES)).message
             except TimeoutError:
                 break
-            except MalformedError:
+            except DatagramError:
                 continue
-            except ConnectionError:  # told by the system: nobody listens there
+            except ConnectionError:  # reported by the system: nobody listens there
                 break
             if isinstance(message, MemberList):
-                rows |= {news.name: news for news in message.updates}
-                until_s = min(until_s, time.monotonic() + QUIET_S)
-    return list(rows.values())
+                updates |= {update.name: update for update in message.updates}
+                deadline_s = min(deadline_s, time.monotonic() + QUIET_S)
+    return list(updates.values())
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -52,7 +52,7 @@
 def packed() -> list[bytes]:
     """All messages as one sender packs them, in this order."""
     codec = Codec("yards", KEY, "n1", TABLES)
-    return [codec.pack(message, 77, 78) for message in MESSAGES]
+    return [codec.encode(message, 77, 78) for message in MESSAGES]
 
 
 def _lending_rows() -> dict[str, Want | Lend]:
--- a/tests/compatibility/test_formats.py
+++ b/tests/compatibility/test_formats.py
@@ -108,9 +108,9 @@
 
 def test_older_datagrams_are_read() -> None:
     codec = Codec("yards", KEY, "n2", TABLES)
-    told = [codec.read(bytes.fromhex(line)) for line in path("datagrams.hex").read_text().split()]
+    told = [codec.decode(bytes.fromhex(line)) for line in path("datagrams.hex").read_text().split()]
     assert [render(each.message) for each in told] == [render(each) for each in MESSAGES]
-    assert [each.number for each in told] == list(range(1, len(MESSAGES) + 1))
+    assert [each.sequence for each in told] == list(range(1, len(MESSAGES) + 1))
 
 
 def test_a_moved_message_kind_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/members/test_codec.py
+++ b/tests/members/test_codec.py
@@ -1,4 +1,4 @@
-"""What goes through the codec comes out as it was; what is malformed is dropped by its reason."""
+"""The codec decodes what it encoded, and rejects invalid datagrams with the reason; the replay window."""
 
 import itertools
 
@@ -22,7 +22,7 @@
     ViewDigests,
 )
 from ringledge.decide.paging import BUCKET_COUNT
-from ringledge.decide.records import messages as facts_messages
+from ringledge.decide.records import messages as record_messages
 from ringledge.decide.records.messages import (
     Record,
     RecordBatch,
@@ -31,11 +31,11 @@
     VersionVector,
     WriterVersion,
 )
-from ringledge.members.codec import FIRST_KIND, SPAN, Codec, Drop, MalformedError
-from ringledge.members.replay_window import WINDOW, Guard
+from ringledge.members.codec import FIRST_KIND, KINDS_PER_DECIDER, Codec, DatagramError, DropReason
+from ringledge.members.replay_window import WINDOW_SIZE, ReplayWindow
 
 KEY = bytes(range(32))
-TABLES = {"membership": membership_messages.MESSAGES, "facts": facts_messages.MESSAGES}
+TABLES = {"membership": membership_messages.MESSAGES, "facts": record_messages.MESSAGES}
 
 names = st.text(st.characters(codec="ascii", categories=["L", "N"]), min_size=1, max_size=MAX_NAME_BYTES)
 starts = st.integers(0, MAX_START)
@@ -67,96 +67,103 @@
     return Codec(cluster, key, name, TABLES)
 
 
-def why(datagram: bytes, reader: Codec | None = None) -> Drop | None:
+def drop_reason(datagram: bytes, decoder: Codec | None = None) -> DropReason | None:
     try:
-        (reader or codec("b")).read(datagram)
-    except MalformedError as error:
-        return error.why
+        (decoder or codec("b")).decode(datagram)
+    except DatagramError as error:
+        return error.reason
     return None
 
 
 @settings(max_examples=300, deadline=None)
 @given(messages, names, starts, starts)
-def test_round_trip(message: msgspec.Struct, name: str, start: int, to_start: int) -> None:
-    packed = codec(name).pack(message, start, to_start)
-    heard = codec("b").read(packed)
-    assert len(packed) <= MAX_DATAGRAM_BYTES
-    assert (heard.sender, heard.start, heard.to_start, heard.number) == (name, start, to_start, 1)
-    assert heard.message == message and type(heard.message) is type(message)
+def test_decoding_an_encoded_message_returns_it(
+    message: msgspec.Struct, name: str, start: int, to_start: int
+) -> None:
+    datagram = codec(name).encode(message, start, to_start)
+    received = codec("b").decode(datagram)
+    assert len(datagram) <= MAX_DATAGRAM_BYTES
+    assert (received.sender, received.start, received.to_start, received.sequence) == (
+        name,
+        start,
+        to_start,
+        1,
+    )
+    assert received.message == message and type(received.message) is type(message)
 
 
 @settings(max_examples=500, deadline=None)
 @given(messages, st.data())
-def test_any_byte_changed_or_cut_off_is_noticed(message: msgspec.Struct, data: st.DataObject) -> None:
-    packed = codec().pack(message, 5, 6)
-    at = data.draw(st.integers(0, len(packed) - 1))
+def test_changed_or_truncated_datagram_is_rejected(message: msgspec.Struct, data: st.DataObject) -> None:
+    datagram = codec().encode(message, 5, 6)
+    at = data.draw(st.integers(0, len(datagram) - 1))
     bit = data.draw(st.integers(0, 7))
-    changed = packed[:at] + bytes((packed[at] ^ 1 << bit,)) + packed[at + 1 :]
-    assert why(changed) is not None and why(packed[:at]) is not None
+    changed = datagram[:at] + bytes((datagram[at] ^ 1 << bit,)) + datagram[at + 1 :]
+    assert drop_reason(changed) is not None and drop_reason(datagram[:at]) is not None
 
 
 @settings(max_examples=500, deadline=None)
 @given(st.binary(max_size=300))
-def test_noise_says_nothing(noise: bytes) -> None:
-    assert why(noise) is not None
+def test_random_bytes_are_rejected(noise: bytes) -> None:
+    assert drop_reason(noise) is not None
 
 
 @settings(max_examples=500, deadline=None)
 @given(st.integers(0, 255), st.binary(min_size=1, max_size=MAX_BODY_BYTES))
-def test_a_body_of_one_who_has_the_key_is_checked_too(kind: int, body: bytes) -> None:
+def test_authenticated_body_is_validated(kind: int, body: bytes) -> None:
     sender = codec()
-    packed = sender.pack(IndirectPingRequest(1, 1, 1, "x"), 1, 1)
-    head = packed[:1] + bytes((kind,)) + packed[2 : FIXED_HEADER_BYTES - 12 + 1]
-    reason = why(head + sender._tag(head, body) + body)
-    if kind not in sender._readers:
-        assert reason is Drop.KIND
+    datagram = sender.encode(IndirectPingRequest(1, 1, 1, "x"), 1, 1)
+    head = datagram[:1] + bytes((kind,)) + datagram[2 : FIXED_HEADER_BYTES - 12 + 1]
+    reason = drop_reason(head + sender._tag(head, body) + body)
+    if kind not in sender._decoders:
+        assert reason is DropReason.KIND
     else:
-        assert reason in (None, Drop.BODY)
+        assert reason in (None, DropReason.BODY)
 
 
-def test_each_reason() -> None:
+def test_invalid_datagrams_are_rejected_with_their_reason() -> None:
     sender = codec()
-    packed = sender.pack(IndirectPingRequest(1, 1, 1, "x"), 1, 1)
-    assert why(packed) is None
-    assert why(packed + bytes(MAX_DATAGRAM_BYTES)) is Drop.TOO_LONG
-    assert why(packed[:30]) is Drop.TOO_SHORT
-    assert why(b"\x09" + packed[1:]) is Drop.VERSION
-    assert why(packed, codec("b", cluster="other")) is Drop.CLUSTER
-    assert why(packed, codec("b", key=bytes(32))) is Drop.TAG
+    datagram = sender.encode(IndirectPingRequest(1, 1, 1, "x"), 1, 1)
+    assert drop_reason(datagram) is None
+    assert drop_reason(datagram + bytes(MAX_DATAGRAM_BYTES)) is DropReason.TOO_LONG
+    assert drop_reason(datagram[:30]) is DropReason.TOO_SHORT
+    assert drop_reason(b"\x09" + datagram[1:]) is DropReason.VERSION
+    assert drop_reason(datagram, codec("b", cluster="other")) is DropReason.CLUSTER
+    assert drop_reason(datagram, codec("b", key=bytes(32))) is DropReason.TAG
     assert (
-        why(
-            Codec("yards", KEY, "a", {"leases": (IndirectPingRequest,)}).pack(
+        drop_reason(
+            Codec("yards", KEY, "a", {"leases": (IndirectPingRequest,)}).encode(
                 IndirectPingRequest(1, 1, 1, "x"), 1, 1
             )
         )
-        is Drop.KIND
+        is DropReason.KIND
     )
-    long_name = "é" * 30  # a name that no member has: its writer keeps other rules
+    long_name = "é" * 30  # a name that is too long for any member
     sender._name = long_name.encode()
-    assert why(sender.pack(IndirectPingRequest(1, 1, 1, "x"), 1, 1)) is Drop.BODY
+    assert drop_reason(sender.encode(IndirectPingRequest(1, 1, 1, "x"), 1, 1)) is DropReason.BODY
 
 
-def test_what_is_too_long_is_never_packed() -> None:
+def test_too_long_message_is_not_encoded() -> None:
     record = Record("w", 1, 0, 1, "k", bytes(120))
-    with pytest.raises(MalformedError) as told:
-        codec().pack(RecordBatch((record, record)), 1, 1)
-    assert told.value.why is Drop.TOO_LONG
+    with pytest.raises(DatagramError) as raised:
+        codec().encode(RecordBatch((record, record)), 1, 1)
+    assert raised.value.reason is DropReason.TOO_LONG
 
 
-def test_kinds_of_deciders_do_not_meet() -> None:
+def test_kinds_of_deciders_do_not_overlap() -> None:
     firsts = sorted(FIRST_KIND.values())
-    assert all(after - before >= SPAN for before, after in itertools.pairwise(firsts))
-    assert firsts[-1] + SPAN <= 256
+    assert all(after - before >= KINDS_PER_DECIDER for before, after in itertools.pairwise(firsts))
+    assert firsts[-1] + KINDS_PER_DECIDER <= 256
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.lists(st.integers(0, 3 * WINDOW), max_size=60))
-def test_no_number_of_a_start_is_fresh_twice(numbers: list[int]) -> None:
-    guard, taken = Guard(), set[int]()
-    for number in numbers:
-        newest = max(taken, default=number)
-        fresh = guard.fresh("a", 1, number)
-        assert fresh is (number not in taken and newest - number < WINDOW)
-        if fresh:
-            taken.add(number)
-    assert guard.fresh("a", 2, 0) and guard.fresh("b", 1, 0)
+@given(st.lists(st.integers(0, 3 * WINDOW_SIZE), max_size=60))
+def test_replay_window_accepts_no_sequence_number_twice(sequences: list[int]) -> None:
+    window, accepted = ReplayWindow(), set[int]()
+    for sequence in sequences:
+        newest = max(accepted, default=sequence)
+        is_new = window.accept("a", 1, sequence)
+        assert is_new is (sequence not in accepted and newest - sequence < WINDOW_SIZE)
+        if is_new:
+            accepted.add(sequence)
+    assert window.accept("a", 2, 0) and window.accept("b", 1, 0)
--- a/tests/members/test_component.py
+++ b/tests/members/test_component.py
@@ -1,4 +1,4 @@
-"""Members on real sockets of loopback: they find each other, tell, part, and say who is there."""
+"""Members on real loopback sockets: joining, replication, leaving, and the query of the member table."""
 
 import random
 import time
@@ -16,82 +16,86 @@
 from ringledge.cli import main
 from ringledge.decide.interface import Action, LeaseAcquired, SendMessage
 from ringledge.decide.membership.settings import ProbeConfig
-from ringledge.members.component import MembersPart
+from ringledge.members.component import MembersComponent
 from ringledge.members.settings import MembersConfig
 
-QUICK = ProbeConfig(interval_s=0.1, ack_timeout_s=0.04)
-LONG_S = 30.0  # a busy machine's bound; nothing here waits for it to pass
+FAST_PROBES = ProbeConfig(interval_s=0.1, ack_timeout_s=0.04)
+TIMEOUT_S = 30.0  # limit for a busy machine; no test waits for it to elapse
 
 
-def part(folder: Path, name: str, peers: dict[str, str], key: str = "0f" * 16) -> MembersPart:
+def component(folder: Path, name: str, peers: dict[str, str], key: str = "0f" * 16) -> MembersComponent:
     path = folder / f"{key[:4]}.key"
     path.write_text(key)
-    settings = MembersConfig("yards", str(path), "127.0.0.1:0", peers=peers, probe=QUICK, strangers=True)
-    return MembersPart(settings, name, {}, CollectorRegistry(), random.Random(name))
+    settings = MembersConfig(
+        "yards", str(path), "127.0.0.1:0", peers=peers, probe=FAST_PROBES, accept_unlisted=True
+    )
+    return MembersComponent(settings, name, {}, CollectorRegistry(), random.Random(name))
 
 
-def dropped(each: MembersPart, why: str) -> float:
-    registry = each._figures._dropped
+def dropped_count(member: MembersComponent, reason: str) -> float:
+    registry = member._metrics._dropped
     return sum(
         sample.value
         for family in registry.collect()
         for sample in family.samples
-        if sample.name.endswith("_total") and sample.labels["why"] == why
+        if sample.name.endswith("_total") and sample.labels["why"] == reason
     )
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    with anyio.fail_after(LONG_S):
+async def wait_until(holds: Callable[[], bool]) -> None:
+    with anyio.fail_after(TIMEOUT_S):
         while not holds():
             await anyio.sleep(0.005)
 
 
-async def three(tasks: anyio.abc.TaskGroup, folder: Path) -> tuple[list[MembersPart], str]:
-    first = part(folder, "n0", {})
+async def start_three(tasks: anyio.abc.TaskGroup, folder: Path) -> tuple[list[MembersComponent], str]:
+    first = component(folder, "n0", {})
     first.start(tasks)
-    address = await first.bound()
-    parts = [first, part(folder, "n1", {"n0": address}), part(folder, "n2", {"n0": address})]
+    address = await first.wait_bound()
+    parts = [first, component(folder, "n1", {"n0": address}), component(folder, "n2", {"n0": address})]
     for each in parts[1:]:
         each.start(tasks)
-    await until(lambda: all(len(each.membership.active_members()) == 3 for each in parts))
+    await wait_until(lambda: all(len(each.membership.active_members()) == 3 for each in parts))
     return parts, address
 
 
-def test_three_find_each_other_tell_and_part(tmp_path: Path) -> None:
+def test_three_members_join_replicate_records_and_leave(tmp_path: Path) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            parts, address = await three(tasks, tmp_path)
-            assert all(each.ready() for each in parts)
+            parts, address = await start_three(tasks, tmp_path)
+            assert all(each.is_ready() for each in parts)
             now_s = time.monotonic()
-            parts[1].facts.write(now_s, "plan/a", b"x")
+            parts[1].records.write(now_s, "plan/a", b"x")
             wanted = {("n1", "plan/a"): b"x"}
-            await until(lambda: all(each.facts.values(time.monotonic(), "") == wanted for each in parts))
-            intruder = part(tmp_path, "n9", {"n0": address}, key="1e" * 16)
+            await wait_until(
+                lambda: all(each.records.values(time.monotonic(), "") == wanted for each in parts)
+            )
+            intruder = component(tmp_path, "n9", {"n0": address}, key="1e" * 16)
             intruder.start(tasks)
-            await until(lambda: dropped(parts[0], "tag") > 0)
+            await wait_until(lambda: dropped_count(parts[0], "tag") > 0)
             intruder.stop()
             parts[2].stop()
-            await until(lambda: len(parts[0].membership.active_members()) == 2)
-            assert not dropped(parts[0], "body") and len(intruder.membership.active_members()) == 1
+            await wait_until(lambda: len(parts[0].membership.active_members()) == 2)
+            assert not dropped_count(parts[0], "body") and len(intruder.membership.active_members()) == 1
             for each in parts[:2]:
                 each.stop()
 
     anyio.run(run)
 
 
-def test_an_address_is_taken_over_when_its_holder_stops(tmp_path: Path) -> None:
+def test_successor_binds_the_address_once_its_predecessor_stops(tmp_path: Path) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            parts, address = await three(tasks, tmp_path)
+            parts, address = await start_three(tasks, tmp_path)
             others = {"n1": parts[1].membership.me.address}
             settings = msgspec.structs.replace(parts[0]._settings, listen=address, peers=others)
-            heir = MembersPart(settings, "n0", {}, CollectorRegistry(), random.Random(1))
-            heir.start(tasks)
+            successor = MembersComponent(settings, "n0", {}, CollectorRegistry(), random.Random(1))
+            successor.start(tasks)
             await anyio.lowlevel.checkpoint()
             parts[0].stop()
-            await heir.bound()
-            await until(lambda: heir.membership.me in parts[2].membership.active_members())
-            for each in (*parts[1:], heir):
+            await successor.wait_bound()
+            await wait_until(lambda: successor.membership.me in parts[2].membership.active_members())
+            for each in (*parts[1:], successor):
                 each.stop()
 
     anyio.run(run)
@@ -104,84 +108,88 @@
 class Greeter:
     """A decider of another subsystem."""
 
-    def __init__(self, to: str) -> None:
-        self.to, self.heard, self.told = to, list[tuple[str, str]](), False
+    def __init__(self, recipient: str) -> None:
+        self.recipient = recipient
+        self.received: list[tuple[str, str]] = []
+        self.has_sent = False
 
     def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
-        self.heard.append((sender, message.word))
+        self.received.append((sender, message.word))
         return [LeaseAcquired("d", 1, now_s + 1)]
 
     def tick(self, now_s: float) -> list[Action]:
-        self.told = True
+        self.has_sent = True
         return [
-            SendMessage(self.to, Greet("x" * 300)),
-            SendMessage(self.to, Greet("hello")),
+            SendMessage(self.recipient, Greet("x" * 300)),
+            SendMessage(self.recipient, Greet("hello")),
             SendMessage("nobody", Greet("?")),
         ]
 
     def next_s(self) -> float:
-        return float("inf") if self.told or not self.to else 0.0
+        return float("inf") if self.has_sent or not self.recipient else 0.0
 
 
-def test_another_decider_talks_through_it_and_is_heard_only_by_those_who_are_there(tmp_path: Path) -> None:
+def test_further_decider_receives_messages_of_active_members_only(tmp_path: Path) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            one = part(tmp_path, "n0", {})
-            begun: list[object] = []
+            one = component(tmp_path, "n0", {})
+            acquired: list[object] = []
             listener, talker = Greeter(""), Greeter("n0")
-            one.add("duties", listener, (Greet,))
-            one.hooks.duties.append(begun.append)
+            one.add_decider("duties", listener, (Greet,))
+            one.hooks.on_lease_event.append(acquired.append)
             one.start(tasks)
-            two = part(tmp_path, "n1", {"n0": await one.bound()})
-            two.add("duties", talker, (Greet,))
+            two = component(tmp_path, "n1", {"n0": await one.wait_bound()})
+            two.add_decider("duties", talker, (Greet,))
             two.start(tasks)
-            # n0 does not know n1 when the first comes; once it does, the next is taken.
-            await until(lambda: dropped(one, "sender_unknown") + dropped(one, "other_start") > 0)
-            assert not listener.heard
-            await until(lambda: len(one.membership.active_members()) == 2)
+            # n0 does not know n1 when the first message arrives; once it does, the next one is accepted.
+            await wait_until(
+                lambda: dropped_count(one, "sender_unknown") + dropped_count(one, "other_start") > 0
+            )
+            assert not listener.received
+            await wait_until(lambda: len(one.membership.active_members()) == 2)
             assert two.service is not None
             two.service.act(talker.tick(0.0))
-            await until(lambda: listener.heard == [("n1", "hello")])
-            assert isinstance(begun[0], LeaseAcquired)
-            one.membership.stopped = True  # as with a successor: no decider of it hears or says any more
+            await wait_until(lambda: listener.received == [("n1", "hello")])
+            assert isinstance(acquired[0], LeaseAcquired)
+            one.membership.stopped = True  # as if superseded: none of its deciders receives or sends any more
             two.service.act(talker.tick(0.0))
-            await until(lambda: dropped(one, "silent") > 0)
-            assert len(listener.heard) == 1
-            assert dropped(two, "too_long") >= 2 and dropped(two, "no_address") >= 2
+            await wait_until(lambda: dropped_count(one, "silent") > 0)
+            assert len(listener.received) == 1
+            assert dropped_count(two, "too_long") >= 2 and dropped_count(two, "no_address") >= 2
             one.stop()
             two.stop()
 
     anyio.run(run)
 
 
-def test_the_command_shows_who_is_there(tmp_path: Path) -> None:
+def test_members_command_lists_the_member_table(tmp_path: Path) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            parts, address = await three(tasks, tmp_path)
+            parts, address = await start_three(tasks, tmp_path)
             key = tmp_path / "0f0f.key"
             (tmp_path / "members.toml").write_text(
                 f'enabled = true\ncluster = "yards"\nkey_file = "{key}"\nlisten = "{address}"\n'
             )
             environ = {"RINGLEDGE_DEPLOY": str(tmp_path), "RELAY_CONFIG": ""}
             call = CliRunner().invoke
-            told = await anyio.to_thread.run_sync(
+            result = await anyio.to_thread.run_sync(
                 lambda: call(main, ["members", "--wait", "20"], env=environ)
             )
-            assert told.exit_code == 0, told.output
-            assert [line.split()[:2] for line in told.output.splitlines()] == [
-                [f"n{at}", "alive"] for at in range(3)
+            assert result.exit_code == 0, result.output
+            assert [line.split()[:2] for line in result.output.splitlines()] == [
+                [f"n{number}", "alive"] for number in range(3)
             ]
-            assert len(parts[0].membership.statuses()) == 3  # who looks is no member
+            assert len(parts[0].membership.statuses()) == 3  # the querying process is no member
             for each in parts:
                 each.stop()
-            await until(lambda: not tasks_running(parts))
-            told = await anyio.to_thread.run_sync(
+            await wait_until(lambda: not any_running(parts))
+            result = await anyio.to_thread.run_sync(
                 lambda: call(main, ["members", "--wait", "0.2"], env=environ)
             )
-            assert told.exit_code == 1 and "no answer" in told.output
+            assert result.exit_code == 1 and "no answer" in result.output
 
     anyio.run(run)
 
 
-def tasks_running(parts: list[MembersPart]) -> bool:
+def any_running(parts: list[MembersComponent]) -> bool:
     return not all(each._scope.cancelled_caught for each in parts)
--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -1,4 +1,4 @@
-"""What deploy/members.toml may say."""
+"""The settings of deploy/members.toml."""
 
 import subprocess
 import sys
@@ -9,7 +9,7 @@
 import pytest
 
 from ringledge.lifecycle import settings_files as strict
-from ringledge.members.settings import MembersConfig, with_told
+from ringledge.members.settings import MembersConfig, with_platform_config
 
 GOOD = 'enabled = true\ncluster = "yards"\nkey_file = "members.key"\nlisten = "127.0.0.1:0"\n'
 
@@ -22,15 +22,15 @@
     return settings
 
 
-def test_the_file_of_the_repository_is_off_and_right() -> None:
+def test_shipped_file_is_disabled_and_holds_the_defaults() -> None:
     path = Path(__file__).parents[2] / "deploy" / "members.toml"
     assert strict.read(MembersConfig, path) is None
     plain = MembersConfig("ringledge", "members.key")
     enabled = path.read_text().replace("enabled = false", "enabled = true")
-    assert read_text(enabled) == plain  # what it says is what holds without it
+    assert read_text(enabled) == plain  # the file states the defaults
 
 
-def test_nothing_of_it_is_imported_while_it_is_off() -> None:
+def test_members_are_not_imported_while_disabled() -> None:
     parts = (
         "ringledge.members",
         "ringledge.decide.membership.swim",
@@ -59,12 +59,12 @@
         ("[facts]\nfan_out = 0\n", "facts.fan_out"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path: Path, extra: str, names: str) -> None:
+def test_invalid_setting_is_named_in_the_error(tmp_path: Path, extra: str, names: str) -> None:
     with pytest.raises(strict.SettingsError, match=names):
         read(tmp_path, GOOD + extra)
 
 
-def test_a_key_is_hex_of_enough_bytes(tmp_path: Path) -> None:
+def test_key_file_holds_enough_bytes_in_hex(tmp_path: Path) -> None:
     settings = read(tmp_path, GOOD.replace("members.key", str(tmp_path / "key")))
     for text in (None, "00" * 15, "xy" * 16, "00" * 65):
         if text is not None:
@@ -75,12 +75,12 @@
     assert settings.key() == b"\x0f" * 16
 
 
-def test_what_the_platform_tells_counts_first(tmp_path: Path) -> None:
+def test_platform_config_overrides_the_file(tmp_path: Path) -> None:
     settings = read(tmp_path, GOOD + '[peers]\nn1 = "127.0.0.1:1"\nn2 = "127.0.0.1:2"\n')
     told = {"peer_listen": "127.0.0.9:9", "peers": {"n1": "127.0.0.5:5"}, "peers_all": "127.0.0.6:6"}
-    merged = with_told(settings, told)
-    assert (merged.listen, merged.everyone) == ("127.0.0.9:9", "127.0.0.6:6")
+    merged = with_platform_config(settings, told)
+    assert (merged.listen, merged.broadcast_address) == ("127.0.0.9:9", "127.0.0.6:6")
     assert merged.peers == {"n1": "127.0.0.5:5", "n2": "127.0.0.1:2"}
-    assert with_told(settings, {}) == settings
+    assert with_platform_config(settings, {}) == settings
     with pytest.raises(ValueError, match="listen"):
-        with_told(MembersConfig("a", "b"), {})
+        with_platform_config(MembersConfig("a", "b"), {})
