--- a/benchmarks/members_sockets.py
+++ b/benchmarks/members_sockets.py
@@ -1,4 +1,4 @@
-"""What members cost on real sockets of loopback: CPU, memory and datagrams a member and second. JSON."""
+"""The cost of members on real loopback sockets: CPU, memory and datagrams per member and second. JSON."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 if TYPE_CHECKING:
     from ringledge.members.component import MembersComponent
 
-SETTLE_S = 120.0  # in which all have to agree
-LOOK_S = 0.05
+CONVERGENCE_LIMIT_S = 120.0  # within which the group has to converge
+CHECK_INTERVAL_S = 0.05
 
 
-def figure(registry: CollectorRegistry, name: str, way: str) -> float:
+def counter_value(registry: CollectorRegistry, name: str, direction: str) -> float:
     """A counter's value."""
-    return registry.get_sample_value(f"ringledge_members_{name}_total", {"way": way}) or 0.0
+    return registry.get_sample_value(f"ringledge_members_{name}_total", {"way": direction}) or 0.0
 
 
-async def play(members: int, seconds: float, seed: int) -> dict[str, Any]:
-    """So many members in one process; what each takes on the average."""
+async def measure(members: int, seconds: float, seed: int) -> dict[str, Any]:
+    """The average cost of one of so many members in one process."""
     from ringledge.members.component import MembersComponent
     from ringledge.members.settings import MembersConfig
 
@@ -58,17 +58,20 @@
                 address = await parts[-1].wait_bound()
                 if at < 3:
                     seeds[name] = address
-            with anyio.fail_after(SETTLE_S):
+            with anyio.fail_after(CONVERGENCE_LIMIT_S):
                 while any(len(each.membership.active_members()) < members for each in parts):
-                    await anyio.sleep(LOOK_S)
+                    await anyio.sleep(CHECK_INTERVAL_S)
             joined_s = time.monotonic() - began_s
-            await anyio.sleep(5)  # news of the joining is through
-            cpu_s, sent = time.process_time(), sum(figure(each, "datagrams", "sent") for each in registries)
-            size = sum(figure(each, "bytes", "sent") for each in registries)
+            await anyio.sleep(5)  # until the joins are disseminated
+            cpu_s, sent = (
+                time.process_time(),
+                sum(counter_value(each, "datagrams", "sent") for each in registries),
+            )
+            size = sum(counter_value(each, "bytes", "sent") for each in registries)
             await anyio.sleep(seconds)
             cpu_s = time.process_time() - cpu_s
-            sent = sum(figure(each, "datagrams", "sent") for each in registries) - sent
-            size = sum(figure(each, "bytes", "sent") for each in registries) - size
+            sent = sum(counter_value(each, "datagrams", "sent") for each in registries) - sent
+            size = sum(counter_value(each, "bytes", "sent") for each in registries) - size
             grown = psutil.Process().memory_info().rss - memory
             tasks.cancel_scope.cancel()
     each_s = members * seconds
@@ -91,7 +94,7 @@
     memory = psutil.Process().memory_info().rss
     importlib.import_module("ringledge.members.component")
     imported = psutil.Process().memory_info().rss - memory
-    rows = [anyio.run(play, members, seconds, seed) for members in map(int, sizes.split(","))]
+    rows = [anyio.run(measure, members, seconds, seed) for members in map(int, sizes.split(","))]
     click.echo(
         orjson.dumps(
             {"seed": seed, "imported_kb": imported // 1024, "rows": rows}, option=orjson.OPT_INDENT_2
--- a/tests/compatibility/membership_trace.py
+++ b/tests/compatibility/membership_trace.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from random import Random
 
-from benchmarks.members_world import World
+from benchmarks.members_world import SimulatedGroup
 from ringledge.decide.interface import SendMessage
 from tests.compatibility.rendering import render
 
@@ -14,7 +14,7 @@
 PART_S = 4.0
 
 
-class _RecordedWorld(World):
+class _RecordedWorld(SimulatedGroup):
     """Members in virtual time whose datagrams are recorded."""
 
     def __init__(self, seed: int) -> None:
@@ -49,7 +49,7 @@
             if name in world.nodes:
                 world.resume(name)
     for each in sorted(world.nodes):
-        facts = world.nodes[each].facts
+        facts = world.nodes[each].records
         for _ in range(rng.randrange(4)):
             key = f"server/s{rng.randrange(8)}"
             if rng.random() < 0.2:
@@ -72,4 +72,4 @@
         yield from world.steps
         for name, node in sorted(world.nodes.items()):
             yield f"{name}: {render(node.changes)} {render(node.membership.active_members())}"
-            yield f"{name}: {render(sorted(node.facts.values(world.now_s, '').items()))}"
+            yield f"{name}: {render(sorted(node.records.values(world.now_s, '').items()))}"
--- a/tests/decide/membership/test_mutants.py
+++ b/tests/decide/membership/test_mutants.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from benchmarks.members_world import World
+from benchmarks.members_world import SimulatedGroup
 from ringledge.decide.membership import periodic
 from ringledge.decide.membership.member_table import MemberTable
 from ringledge.decide.membership.messages import MembershipUpdate, MemberStatus
@@ -36,7 +36,7 @@
     monkeypatch.setattr(periodic, "MAX_TICK_DELAY_INTERVALS", 1e9)
     runs_with_failures = 0
     for seed in range(8):
-        world: World = started_group(4, seed)
+        world: SimulatedGroup = started_group(4, seed)
         world.run(0.2 + seed / 10)
         world.is_partitioned = lambda a, b: b == "n2"
         world.run(1.0)  # long enough to suspect others
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from benchmarks.members_world import World
+from benchmarks.members_world import SimulatedGroup
 from ringledge.decide.membership.changes import (
     FailureReason,
     LocalMemberSuperseded,
@@ -17,8 +17,8 @@
 CONVERGENCE_LIMIT_S = 30.0  # within which every group here has to converge
 
 
-def started_group(count: int, seed: int = 1, loss: float = 0.0) -> World:
-    world = World(seed)
+def started_group(count: int, seed: int = 1, loss: float = 0.0) -> SimulatedGroup:
+    world = SimulatedGroup(seed)
     names = [f"n{number}" for number in range(count)]
     for name in names:
         world.start(name, names[:3])
@@ -27,7 +27,7 @@
     return world
 
 
-def failures(world: World) -> list[tuple[str, str, FailureReason]]:
+def failures(world: SimulatedGroup) -> list[tuple[str, str, FailureReason]]:
     """Who declared whom failed, and the reason."""
     return [
         (name, change.member.name, change.reason)
@@ -48,7 +48,7 @@
     world = started_group(count)
     world.kill("n1")
     elapsed_s = world.run(CONVERGENCE_LIMIT_S, world.has_converged)
-    assert world.probe.suspicion_timeout_s(count) <= elapsed_s < 10.0
+    assert world.probe_config.suspicion_timeout_s(count) <= elapsed_s < 10.0
     assert {(name, "n1", FailureReason.SILENT) for name in world.nodes} == set(failures(world))
 
 
@@ -90,7 +90,7 @@
 
 
 def test_members_without_seed_names_discover_each_other_by_broadcast() -> None:
-    world = World(1)
+    world = SimulatedGroup(1)
     for name in ("n0", "n1", "n2"):
         world.start(name, [BROADCAST])
     assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < 2.0
@@ -201,7 +201,7 @@
     world = started_group(6, seed)
     latest_seen: dict[tuple[str, str], int] = {}
 
-    def assert_starts_never_decrease(world: World) -> None:
+    def assert_starts_never_decrease(world: SimulatedGroup) -> None:
         for name, node in world.nodes.items():
             for member in node.membership.active_members():
                 key = (f"{name}/{node.membership.me.start}", member.name)
--- a/tests/decide/records/test_replicated_records.py
+++ b/tests/decide/records/test_replicated_records.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.members_world import World
+from benchmarks.members_world import SimulatedGroup
 from ringledge.decide.interface import Member, RecordStore
 from ringledge.decide.records.messages import MAX_VALUE_BYTES, Record, RecordBatch
 from ringledge.decide.records.replicated_records import ReplicatedRecords
@@ -15,18 +15,18 @@
 from tests.decide.membership.test_swim import CONVERGENCE_LIMIT_S, started_group
 
 
-def write(world: World, name: str, key: str, value: bytes) -> None:
-    world.nodes[name].facts.write(world.now_s, key, value)
+def write(world: SimulatedGroup, name: str, key: str, value: bytes) -> None:
+    world.nodes[name].records.write(world.now_s, key, value)
     world.notify_written(name)
 
 
-def values(world: World, prefix: str = "") -> list[dict[tuple[str, str], bytes]]:
-    return [node.facts.values(world.now_s, prefix) for node in world.nodes.values()]
+def values(world: SimulatedGroup, prefix: str = "") -> list[dict[tuple[str, str], bytes]]:
+    return [node.records.values(world.now_s, prefix) for node in world.nodes.values()]
 
 
 def test_latest_write_reaches_all_members_and_a_deletion_too() -> None:
     world = started_group(6)
-    store: RecordStore = world.nodes["n0"].facts
+    store: RecordStore = world.nodes["n0"].records
     for number in range(5):
         store.write(world.now_s, "plan/a", b"%d" % number)
         write(world, "n1", "plan/a", b"other")
@@ -51,7 +51,7 @@
     world.loss = loss
     assert world.run(60.0, lambda: all(len(each) == 400 for each in values(world))) < 60.0
     world.start("n9", ["n1"])
-    assert world.run(60.0, lambda: len(world.nodes["n9"].facts.values(world.now_s, "")) == 400) < 60.0
+    assert world.run(60.0, lambda: len(world.nodes["n9"].records.values(world.now_s, "")) == 400) < 60.0
 
 
 def test_records_of_a_dead_writer_are_retained_for_the_configured_time_only() -> None:
@@ -61,7 +61,7 @@
     world.kill("n3")
     world.run(CONVERGENCE_LIMIT_S, world.has_converged)
     agreed_s = world.now_s
-    lifetime_s = world.facts.retention_s
+    lifetime_s = world.records_config.retention_s
     world.run(lifetime_s - 10.0)
     assert values(world) == [{("n3", "backlog/a"): b"9"}] * 3
     world.run(agreed_s + lifetime_s + 1.0 - world.now_s)
