--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -5,6 +5,7 @@
 import resource
 import statistics
 import time
+from dataclasses import dataclass
 from typing import Any
 
 import click
@@ -54,9 +55,63 @@
     ]
 
 
-def measure(
-    members: int, loss: float, seed: int, idle_s: float, deaths: int, changes: float
-) -> dict[str, Any]:
+@dataclass(frozen=True, slots=True)
+class Measurement:
+    """What one group has cost, per member and s of its idle time, and how its failures were detected."""
+
+    joined_s: float
+    datagrams: float
+    size_bytes: float
+    cpu_ms: float
+    detection_times_s: list[float]
+    false_failures: int
+    member_hours: float
+
+
+@dataclass(frozen=True, slots=True)
+class Workload:
+    """`idle_s`: over which cost is counted; `deaths`: members killed; `changes`: records per member and s."""
+
+    idle_s: float
+    deaths: int
+    changes: float
+
+
+def idle(world: SimulatedGroup, names: list[str], workload: Workload) -> None:
+    """Let the idle time pass; members write records at the workload's rate."""
+    start_s = world.now_s
+    while world.now_s - start_s < workload.idle_s:
+        if not workload.changes:
+            world.run(workload.idle_s)
+            continue
+        for name in names:
+            key = f"demand/{world.rng.randrange(10)}"
+            world.nodes[name].records.write(world.now_s, key, world.rng.randbytes(24))
+            world.notify_written(name)
+        world.run(1 / workload.changes)
+
+
+def kill_one_by_one(
+    world: SimulatedGroup, names: list[str], deaths: int
+) -> tuple[set[tuple[str, int]], list[float]]:
+    """Kill and restart members; names and starts of the killed ones, and all detection times in s."""
+    killed: set[tuple[str, int]] = set()
+    times_s: list[float] = []
+    for name in world.rng.sample(names, deaths):
+        me = world.nodes[name].membership.me
+        victim = (me.name, me.start)
+        world.run(world.rng.uniform(0, 1))  # anywhere in an interval
+        killed_s = world.now_s
+        killed.add(victim)
+        world.kill(name)
+        run_until_converged(world)
+        times_s += detection_times(world, victim, killed_s)
+        world.start(name, [other for other in names[:4] if other != name])
+        run_until_converged(world)
+    return killed, times_s
+
+
+def measure(members: int, loss: float, seed: int, workload: Workload) -> Measurement:
     """One group: it joins, is idle (or writes records), and loses members one after another."""
     world = SimulatedGroup(seed)
     world.loss = loss
@@ -65,41 +120,42 @@
         world.start(name, names[:3])
     joined_s = run_until_converged(world)
     world.run(10.0)  # until the joins are disseminated
-    before = traffic(world)
+    datagrams_before, bytes_before = traffic(world)
     cpu_start_s = time.process_time()
-    idle_start_s = world.now_s
-    while world.now_s - idle_start_s < idle_s:
-        if changes:
-            for name in names:
-                node = world.nodes[name]
-                node.records.write(world.now_s, f"demand/{world.rng.randrange(10)}", world.rng.randbytes(24))
-                world.notify_written(name)
-            world.run(1 / changes)
-        else:
-            world.run(idle_s)
-    after = traffic(world)
+    idle(world, names, workload)
+    datagrams_after, bytes_after = traffic(world)
     cpu_s = time.process_time() - cpu_start_s
-    killed: set[tuple[str, int]] = set()
-    times: list[float] = []
-    for name in world.rng.sample(names, deaths):
-        victim = world.nodes[name].membership.me
-        world.run(world.rng.uniform(0, 1))  # anywhere in an interval
-        killed_s = world.now_s
-        killed.add((victim.name, victim.start))
-        world.kill(name)
-        run_until_converged(world)
-        times += detection_times(world, (victim.name, victim.start), killed_s)
-        world.start(name, [other for other in names[:4] if other != name])
-        run_until_converged(world)
-    member_s = members * idle_s
+    killed, times_s = kill_one_by_one(world, names, workload.deaths)
+    member_s = members * workload.idle_s
+    return Measurement(
+        joined_s,
+        datagrams=(datagrams_after - datagrams_before) / member_s,
+        size_bytes=(bytes_after - bytes_before) / member_s,
+        cpu_ms=cpu_s * 1000 / member_s,
+        detection_times_s=times_s,
+        false_failures=false_failures(world, killed),
+        member_hours=world.now_s * members / 3600,
+    )
+
+
+def report_row(members: int, loss: float, runs: list[Measurement]) -> dict[str, Any]:
+    """The averages over some runs, as they are printed."""
+    times_s = np.array([time_s for run in runs for time_s in run.detection_times_s])
     return {
-        "joined_s": joined_s,
-        "datagrams": (after[0] - before[0]) / member_s,
-        "bytes": (after[1] - before[1]) / member_s,
-        "cpu_ms": cpu_s * 1000 / member_s,
-        "times": times,
-        "false": false_failures(world, killed),
-        "hours": world.now_s * members / 3600,
+        "members": members,
+        "loss": loss,
+        "datagrams_per_member_s": round(statistics.fmean(run.datagrams for run in runs), 2),
+        "bytes_per_member_s": round(statistics.fmean(run.size_bytes for run in runs)),
+        "decider_cpu_ms_per_member_s": round(statistics.fmean(run.cpu_ms for run in runs), 2),
+        "join_s": [round(run.joined_s, 2) for run in runs],
+        "death_heard_s": {
+            "median": round(float(np.median(times_s)), 2),
+            "p99": round(float(np.quantile(times_s, 0.99)), 2),
+            "most": round(float(times_s.max()), 2),
+            "count": len(times_s),
+        },
+        "false_deaths": sum(run.false_failures for run in runs),
+        "member_hours": round(sum(run.member_hours for run in runs), 2),
     }
 
 
@@ -115,30 +171,10 @@
     """Print one JSON object: for each number of members and loss what a member costs, and deaths."""
     rows = []
     for members in map(int, sizes.split(",")):
+        workload = Workload(idle_s, min(deaths, members - 1), changes)
         for loss in map(float, losses.split(",")):
-            runs = [
-                measure(members, loss, seed + number, idle_s, min(deaths, members - 1), changes)
-                for number in range(seeds)
-            ]
-            times = np.array([each for run in runs for each in run["times"]])
-            rows.append(
-                {
-                    "members": members,
-                    "loss": loss,
-                    "datagrams_per_member_s": round(statistics.fmean(p["datagrams"] for p in runs), 2),
-                    "bytes_per_member_s": round(statistics.fmean(p["bytes"] for p in runs)),
-                    "decider_cpu_ms_per_member_s": round(statistics.fmean(p["cpu_ms"] for p in runs), 2),
-                    "join_s": [round(p["joined_s"], 2) for p in runs],
-                    "death_heard_s": {
-                        "median": round(float(np.median(times)), 2),
-                        "p99": round(float(np.quantile(times, 0.99)), 2),
-                        "most": round(float(times.max()), 2),
-                        "count": len(times),
-                    },
-                    "false_deaths": sum(p["false"] for p in runs),
-                    "member_hours": round(sum(p["hours"] for p in runs), 2),
-                }
-            )
+            runs = [measure(members, loss, seed + number, workload) for number in range(seeds)]
+            rows.append(report_row(members, loss, runs))
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     report = {"seed": seed, "seeds": seeds, "changes": changes, "rows": rows, "peak_rss_mb": round(peak_mb)}
     click.echo(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
--- a/benchmarks/members_sockets.py
+++ b/benchmarks/members_sockets.py
@@ -10,6 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 import anyio
+import anyio.abc
 import click
 import orjson
 import psutil
@@ -30,58 +31,68 @@
     return registry.get_sample_value(f"ringledge_members_{name}_total", {"way": direction}) or 0.0
 
 
-async def measure(members: int, seconds: float, seed: int) -> dict[str, Any]:
-    """The average cost of one of so many members in one process."""
+def total(registries: list[CollectorRegistry], name: str) -> float:
+    """What all members have sent, by a counter."""
+    return sum(counter_value(registry, name, "sent") for registry in registries)
+
+
+async def start_members(
+    count: int, key: Path, seed: int, tasks: anyio.abc.TaskGroup
+) -> tuple[list[MembersComponent], list[CollectorRegistry]]:
+    """Start members one after another; the first three are the seeds of the later ones."""
     from ringledge.members.component import MembersComponent
     from ringledge.members.settings import MembersConfig
 
+    started: list[MembersComponent] = []
+    registries: list[CollectorRegistry] = []
+    seeds: dict[str, str] = {}
+    for number in range(count):
+        settings = MembersConfig(
+            "benchmark", str(key), "127.0.0.1:0", peers=dict(seeds), accept_unlisted=True
+        )
+        registries.append(Metrics().registry)
+        name = f"conductor-{number}"
+        rng = random.Random(seed * 1000 + number)
+        started.append(MembersComponent(settings, name, {}, registries[-1], rng))
+        started[-1].start(tasks)
+        address = await started[-1].wait_bound()
+        if number < 3:
+            seeds[name] = address
+    return started, registries
+
+
+async def measure(members: int, seconds: float, seed: int) -> dict[str, Any]:
+    """The average cost of one of so many members in one process."""
     log.configure("error", "benchmark")
     with tempfile.TemporaryDirectory() as folder:
         key = Path(folder) / "key"
         key.write_text(random.Random(seed).randbytes(32).hex())
         async with anyio.create_task_group() as tasks:
             memory = psutil.Process().memory_info().rss
-            parts: list[MembersComponent] = []
-            registries: list[CollectorRegistry] = []
-            seeds: dict[str, str] = {}
-            began_s = time.monotonic()
-            for at in range(members):
-                settings = MembersConfig(
-                    "benchmark", str(key), "127.0.0.1:0", peers=dict(seeds), accept_unlisted=True
-                )
-                registries.append(Metrics().registry)
-                name = f"conductor-{at}"
-                parts.append(
-                    MembersComponent(settings, name, {}, registries[-1], random.Random(seed * 1000 + at))
-                )
-                parts[-1].start(tasks)
-                address = await parts[-1].wait_bound()
-                if at < 3:
-                    seeds[name] = address
+            start_s = time.monotonic()
+            started, registries = await start_members(members, key, seed, tasks)
             with anyio.fail_after(CONVERGENCE_LIMIT_S):
-                while any(len(each.membership.active_members()) < members for each in parts):
+                while any(len(member.membership.active_members()) < members for member in started):
                     await anyio.sleep(CHECK_INTERVAL_S)
-            joined_s = time.monotonic() - began_s
+            joined_s = time.monotonic() - start_s
             await anyio.sleep(5)  # until the joins are disseminated
-            cpu_s, sent = (
-                time.process_time(),
-                sum(counter_value(each, "datagrams", "sent") for each in registries),
-            )
-            size = sum(counter_value(each, "bytes", "sent") for each in registries)
+            cpu_start_s = time.process_time()
+            datagrams_before = total(registries, "datagrams")
+            bytes_before = total(registries, "bytes")
             await anyio.sleep(seconds)
-            cpu_s = time.process_time() - cpu_s
-            sent = sum(counter_value(each, "datagrams", "sent") for each in registries) - sent
-            size = sum(counter_value(each, "bytes", "sent") for each in registries) - size
-            grown = psutil.Process().memory_info().rss - memory
+            cpu_s = time.process_time() - cpu_start_s
+            datagrams = total(registries, "datagrams") - datagrams_before
+            size_bytes = total(registries, "bytes") - bytes_before
+            memory_growth = psutil.Process().memory_info().rss - memory
             tasks.cancel_scope.cancel()
-    each_s = members * seconds
+    member_s = members * seconds
     return {
         "members": members,
         "joined_s": round(joined_s, 2),
-        "datagrams_per_member_s": round(sent / each_s, 2),
-        "bytes_per_member_s": round(size / each_s),
-        "cpu_ms_per_member_s": round(cpu_s * 1000 / each_s, 2),
-        "kb_per_member": round(grown / 1024 / members),
+        "datagrams_per_member_s": round(datagrams / member_s, 2),
+        "bytes_per_member_s": round(size_bytes / member_s),
+        "cpu_ms_per_member_s": round(cpu_s * 1000 / member_s, 2),
+        "kb_per_member": round(memory_growth / 1024 / members),
     }
 
 
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -15,22 +15,22 @@
 
 KEY = bytes(range(32))
 TABLES = {"membership": membership.MESSAGES, "facts": records.MESSAGES, "leases": leases.MESSAGES}
-NEWS = membership.MembershipUpdate("n1", 77, 3, membership.MemberStatus.SUSPECT, "10.0.0.1:9000", "north")
-SUMS = tuple(range(BUCKET_COUNT))
+UPDATE = membership.MembershipUpdate("n1", 77, 3, membership.MemberStatus.SUSPECT, "10.0.0.1:9000", "north")
+DIGESTS = tuple(range(BUCKET_COUNT))
 RECORD = records.Record("n1", 77, 4, 5, "server/s1", b"\x01\x02")
-ROW = records.WriterVersion("n1", 77, 5)
+VERSION = records.WriterVersion("n1", 77, 5)
 
 MESSAGES: tuple[msgspec.Struct, ...] = (
-    membership.Ping(77, 78, 9, 1234, (NEWS,)),
+    membership.Ping(77, 78, 9, 1234, (UPDATE,)),
     membership.Ack(78, 77, 9, 4321, ()),
     membership.IndirectPingRequest(77, 78, 9, "n3"),
-    membership.Join(0, NEWS),
-    membership.MemberList(77, 78, (NEWS,)),
+    membership.Join(0, UPDATE),
+    membership.MemberList(77, 78, (UPDATE,)),
     membership.MemberListQuery(),
-    membership.ViewDigests(77, 78, SUMS),
-    records.VersionDigests(SUMS),
-    records.VersionVector((ROW,), 6),
-    records.RecordRequest((ROW,)),
+    membership.ViewDigests(77, 78, DIGESTS),
+    records.VersionDigests(DIGESTS),
+    records.VersionVector((VERSION,), 6),
+    records.RecordRequest((VERSION,)),
     records.RecordBatch((RECORD, records.Record("n1", 77, 5, 6, "k", None)), True),
     leases.Ask("planner", 77, 2, True, 99),
     leases.Promise("planner", 77, 2, 2**50),
@@ -42,7 +42,7 @@
     leases.Learn(77, 99),
     leases.Known(77, 78, True, 2**50, 99),
 )
-ROWS: dict[str, msgspec.Struct] = {
+RECORD_VALUES: dict[str, msgspec.Struct] = {
     "demand/query": ClassDemand(3.5, 900.0, 120.0),
     "server/s1": ServerObservation(7000.0, 0.0, 0.5, 2),
     "backlog/north": QueueBacklog(7, 12, 30.5, 1.5, 4000.0),
@@ -68,7 +68,7 @@
 
 def record_rows() -> dict[str, bytes]:
     """Keys and values of records."""
-    rows = {key: msgspec.msgpack.encode(row) for key, row in (ROWS | _lending_rows()).items()}
+    rows = {key: msgspec.msgpack.encode(row) for key, row in (RECORD_VALUES | _lending_rows()).items()}
     key, value = role_rows.encode("s1", RoleAssignment(9, 4, "read"))
     return rows | {key: value}
 
--- a/tests/compatibility/membership_trace.py
+++ b/tests/compatibility/membership_trace.py
@@ -10,8 +10,8 @@
 from tests.compatibility.rendering import render
 
 SEEDS = range(6)
-PARTS = 12  # of a day
-PART_S = 4.0
+PHASES = 12  # of a run
+PHASE_S = 4.0
 
 
 class _RecordedWorld(SimulatedGroup):
@@ -48,15 +48,15 @@
             world.run(rng.uniform(0.2, 3.0))
             if name in world.nodes:
                 world.resume(name)
-    for each in sorted(world.nodes):
-        facts = world.nodes[each].records
+    for member_name in sorted(world.nodes):
+        records = world.nodes[member_name].records
         for _ in range(rng.randrange(4)):
             key = f"server/s{rng.randrange(8)}"
             if rng.random() < 0.2:
-                facts.delete(world.now_s, key)
+                records.delete(world.now_s, key)
             else:
-                facts.write(world.now_s, key, rng.randbytes(rng.randrange(1, 60)))
-        world.notify_written(each)
+                records.write(world.now_s, key, rng.randbytes(rng.randrange(1, 60)))
+        world.notify_written(member_name)
 
 
 def membership_steps() -> Iterator[str]:
@@ -66,8 +66,8 @@
         names = [f"n{number}" for number in range(4 + seed)]
         for name in names:
             world.start(name, names[:2])
-        for _ in range(PARTS):
-            world.run(PART_S)
+        for _ in range(PHASES):
+            world.run(PHASE_S)
             _disturb(world, rng, names)
         yield from world.steps
         for name, node in sorted(world.nodes.items()):
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -73,7 +73,7 @@
     world.is_partitioned = lambda a, b: (a in minority_side) != (b in minority_side)
     world.run(20.0)
     assert {
-        each.name for each in world.nodes["n3"].membership.active_members()
+        member.name for member in world.nodes["n3"].membership.active_members()
     } == minority_side and world.lost_datagrams > 50
     world.is_partitioned = lambda a, b: False
     assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < CONVERGENCE_LIMIT_S
@@ -169,7 +169,7 @@
     assert world.nodes["n0"].membership.statuses()["n2"] is MemberStatus.DEAD
     world.resume("n2")
     assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < 5.0
-    assert not [each for each in failures(world) if each[0] == "n2"]
+    assert not [failure for failure in failures(world) if failure[0] == "n2"]
 
 
 def test_member_restarted_with_an_earlier_clock_rejoins_under_a_higher_start() -> None:
--- a/tests/decide/records/test_replicated_records.py
+++ b/tests/decide/records/test_replicated_records.py
@@ -20,7 +20,7 @@
     world.notify_written(name)
 
 
-def values(world: SimulatedGroup, prefix: str = "") -> list[dict[tuple[str, str], bytes]]:
+def views(world: SimulatedGroup, prefix: str = "") -> list[dict[tuple[str, str], bytes]]:
     return [node.records.values(world.now_s, prefix) for node in world.nodes.values()]
 
 
@@ -32,14 +32,12 @@
         write(world, "n1", "plan/a", b"other")
         world.run(0.01)
     wanted = {("n0", "plan/a"): b"4", ("n1", "plan/a"): b"other"}
-    assert (
-        world.run(CONVERGENCE_LIMIT_S, lambda: all(each == wanted for each in values(world, "plan/"))) < 3.0
-    )
+    assert world.run(CONVERGENCE_LIMIT_S, lambda: all(view == wanted for view in views(world, "plan/"))) < 3.0
     store.delete(world.now_s, "plan/a")
     world.notify_written("n0")
     del wanted["n0", "plan/a"]
-    assert world.run(CONVERGENCE_LIMIT_S, lambda: all(each == wanted for each in values(world))) < 3.0
-    assert values(world, "plan/b") == [{}] * 6
+    assert world.run(CONVERGENCE_LIMIT_S, lambda: all(view == wanted for view in views(world))) < 3.0
+    assert views(world, "plan/b") == [{}] * 6
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
@@ -49,7 +47,7 @@
         for number in range(100):
             write(world, name, f"server/{number}", bytes(60))
     world.loss = loss
-    assert world.run(60.0, lambda: all(len(each) == 400 for each in values(world))) < 60.0
+    assert world.run(60.0, lambda: all(len(view) == 400 for view in views(world))) < 60.0
     world.start("n9", ["n1"])
     assert world.run(60.0, lambda: len(world.nodes["n9"].records.values(world.now_s, "")) == 400) < 60.0
 
@@ -61,13 +59,13 @@
     world.kill("n3")
     world.run(CONVERGENCE_LIMIT_S, world.has_converged)
     agreed_s = world.now_s
-    lifetime_s = world.records_config.retention_s
-    world.run(lifetime_s - 10.0)
-    assert values(world) == [{("n3", "backlog/a"): b"9"}] * 3
-    world.run(agreed_s + lifetime_s + 1.0 - world.now_s)
-    assert values(world) == [{}] * 3
-    world.run(3 * lifetime_s)  # and no member replicates them again
-    assert values(world) == [{}] * 3
+    retention_s = world.records_config.retention_s
+    world.run(retention_s - 10.0)
+    assert views(world) == [{("n3", "backlog/a"): b"9"}] * 3
+    world.run(agreed_s + retention_s + 1.0 - world.now_s)
+    assert views(world) == [{}] * 3
+    world.run(3 * retention_s)  # and no member replicates them again
+    assert views(world) == [{}] * 3
 
 
 def test_restarted_writer_starts_without_records() -> None:
@@ -80,7 +78,7 @@
     write(world, "n3", "demand/0", b"new")
     assert (
         world.run(
-            CONVERGENCE_LIMIT_S, lambda: all(each == {("n3", "demand/0"): b"new"} for each in values(world))
+            CONVERGENCE_LIMIT_S, lambda: all(view == {("n3", "demand/0"): b"new"} for view in views(world))
         )
         < 5.0
     )
@@ -93,9 +91,7 @@
     world.start("n1", ["n0"], start=0)
     write(world, "n1", "plan/a", b"x")
     assert (
-        world.run(
-            CONVERGENCE_LIMIT_S, lambda: all(each == {("n1", "plan/a"): b"x"} for each in values(world))
-        )
+        world.run(CONVERGENCE_LIMIT_S, lambda: all(view == {("n1", "plan/a"): b"x"} for view in views(world)))
         < 10.0
     )
 
@@ -108,10 +104,10 @@
     write(world, "n3", "plan/a", b"left")
     write(world, "n5", "plan/a", b"right")
     world.run(10.0)
-    assert all(len(each) == 1 for each in values(world))
+    assert all(len(view) == 1 for view in views(world))
     world.is_partitioned = lambda a, b: False
     assert (
-        world.run(CONVERGENCE_LIMIT_S, lambda: all(len(each) == 2 for each in values(world)))
+        world.run(CONVERGENCE_LIMIT_S, lambda: all(len(view) == 2 for view in views(world)))
         < CONVERGENCE_LIMIT_S
     )
 
@@ -155,10 +151,10 @@
         rng.shuffle(batch)
         for record in batch[: rng.randrange(len(batch) + 1)]:
             reader.apply(record)
-        latest = {each.key: each for each in writer.records_after(0)}
-        held = {each.key: each.version for each in reader.records_after(0)}
-        for each in latest.values():
-            assert each.version > reader.version or held[each.key] == each.version
+        latest = {record.key: record for record in writer.records_after(0)}
+        held = {record.key: record.version for record in reader.records_after(0)}
+        for record in latest.values():
+            assert record.version > reader.version or held[record.key] == record.version
     for record in writer.records_after(reader.version):
         reader.apply(record)
     assert reader.version == writer.version and dict(reader.values("")) == dict(writer.values(""))
--- a/tests/members/test_component.py
+++ b/tests/members/test_component.py
@@ -52,33 +52,33 @@
     first = component(folder, "n0", {})
     first.start(tasks)
     address = await first.wait_bound()
-    parts = [first, component(folder, "n1", {"n0": address}), component(folder, "n2", {"n0": address})]
-    for each in parts[1:]:
-        each.start(tasks)
-    await wait_until(lambda: all(len(each.membership.active_members()) == 3 for each in parts))
-    return parts, address
+    members = [first, component(folder, "n1", {"n0": address}), component(folder, "n2", {"n0": address})]
+    for member in members[1:]:
+        member.start(tasks)
+    await wait_until(lambda: all(len(member.membership.active_members()) == 3 for member in members))
+    return members, address
 
 
 def test_three_members_join_replicate_records_and_leave(tmp_path: Path) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            parts, address = await start_three(tasks, tmp_path)
-            assert all(each.is_ready() for each in parts)
+            members, address = await start_three(tasks, tmp_path)
+            assert all(member.is_ready() for member in members)
             now_s = time.monotonic()
-            parts[1].records.write(now_s, "plan/a", b"x")
+            members[1].records.write(now_s, "plan/a", b"x")
             wanted = {("n1", "plan/a"): b"x"}
             await wait_until(
-                lambda: all(each.records.values(time.monotonic(), "") == wanted for each in parts)
+                lambda: all(member.records.values(time.monotonic(), "") == wanted for member in members)
             )
             intruder = component(tmp_path, "n9", {"n0": address}, key="1e" * 16)
             intruder.start(tasks)
-            await wait_until(lambda: dropped_count(parts[0], "tag") > 0)
+            await wait_until(lambda: dropped_count(members[0], "tag") > 0)
             intruder.stop()
-            parts[2].stop()
-            await wait_until(lambda: len(parts[0].membership.active_members()) == 2)
-            assert not dropped_count(parts[0], "body") and len(intruder.membership.active_members()) == 1
-            for each in parts[:2]:
-                each.stop()
+            members[2].stop()
+            await wait_until(lambda: len(members[0].membership.active_members()) == 2)
+            assert not dropped_count(members[0], "body") and len(intruder.membership.active_members()) == 1
+            for member in members[:2]:
+                member.stop()
 
     anyio.run(run)
 
@@ -86,17 +86,17 @@
 def test_successor_binds_the_address_once_its_predecessor_stops(tmp_path: Path) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            parts, address = await start_three(tasks, tmp_path)
-            others = {"n1": parts[1].membership.me.address}
-            settings = msgspec.structs.replace(parts[0]._settings, listen=address, peers=others)
+            members, address = await start_three(tasks, tmp_path)
+            others = {"n1": members[1].membership.me.address}
+            settings = msgspec.structs.replace(members[0]._settings, listen=address, peers=others)
             successor = MembersComponent(settings, "n0", {}, CollectorRegistry(), random.Random(1))
             successor.start(tasks)
             await anyio.lowlevel.checkpoint()
-            parts[0].stop()
+            members[0].stop()
             await successor.wait_bound()
-            await wait_until(lambda: successor.membership.me in parts[2].membership.active_members())
-            for each in (*parts[1:], successor):
-                each.stop()
+            await wait_until(lambda: successor.membership.me in members[2].membership.active_members())
+            for member in (*members[1:], successor):
+                member.stop()
 
     anyio.run(run)
 
@@ -165,7 +165,7 @@
 def test_members_command_lists_the_member_table(tmp_path: Path) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            parts, address = await start_three(tasks, tmp_path)
+            members, address = await start_three(tasks, tmp_path)
             key = tmp_path / "0f0f.key"
             (tmp_path / "members.toml").write_text(
                 f'enabled = true\ncluster = "yards"\nkey_file = "{key}"\nlisten = "{address}"\n'
@@ -179,10 +179,10 @@
             assert [line.split()[:2] for line in result.output.splitlines()] == [
                 [f"n{number}", "alive"] for number in range(3)
             ]
-            assert len(parts[0].membership.statuses()) == 3  # the querying process is no member
-            for each in parts:
-                each.stop()
-            await wait_until(lambda: not any_running(parts))
+            assert len(members[0].membership.statuses()) == 3  # the querying process is no member
+            for member in members:
+                member.stop()
+            await wait_until(lambda: not any_running(members))
             result = await anyio.to_thread.run_sync(
                 lambda: call(main, ["members", "--wait", "0.2"], env=environ)
             )
@@ -191,5 +191,5 @@
     anyio.run(run)
 
 
-def any_running(parts: list[MembersComponent]) -> bool:
-    return not all(each._scope.cancelled_caught for each in parts)
+def any_running(members: list[MembersComponent]) -> bool:
+    return not all(member._scope.cancelled_caught for member in members)
--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -36,15 +36,15 @@
         "ringledge.decide.membership.swim",
         "ringledge.decide.records.replicated_records",
     )
-    code = f"import sys, ringledge.cli; print([each for each in sys.modules if each.startswith({parts})])"
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    assert told.stdout.strip() == "[]"
+    code = f"import sys, ringledge.cli; print([name for name in sys.modules if name.startswith({parts})])"
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
 
 
 def read_text(text: str) -> MembersConfig:
-    told = tomllib.loads(text)
-    del told["enabled"]
-    return msgspec.convert(told, MembersConfig)
+    table = tomllib.loads(text)
+    del table["enabled"]
+    return msgspec.convert(table, MembersConfig)
 
 
 @pytest.mark.parametrize(
@@ -77,8 +77,8 @@
 
 def test_platform_config_overrides_the_file(tmp_path: Path) -> None:
     settings = read(tmp_path, GOOD + '[peers]\nn1 = "127.0.0.1:1"\nn2 = "127.0.0.1:2"\n')
-    told = {"peer_listen": "127.0.0.9:9", "peers": {"n1": "127.0.0.5:5"}, "peers_all": "127.0.0.6:6"}
-    merged = with_platform_config(settings, told)
+    relay_config = {"peer_listen": "127.0.0.9:9", "peers": {"n1": "127.0.0.5:5"}, "peers_all": "127.0.0.6:6"}
+    merged = with_platform_config(settings, relay_config)
     assert (merged.listen, merged.broadcast_address) == ("127.0.0.9:9", "127.0.0.6:6")
     assert merged.peers == {"n1": "127.0.0.5:5", "n2": "127.0.0.1:2"}
     assert with_platform_config(settings, {}) == settings
