--- a/ringledge/lifecycle/components/members.py
+++ b/ringledge/lifecycle/components/members.py
@@ -7,12 +7,12 @@
 from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.context import ProgramContext
-from ringledge.members.cluster import Fleet
-from ringledge.members.component import MembersPart
+from ringledge.members.cluster import ClusterMember
+from ringledge.members.component import MembersComponent
 from ringledge.members.settings import MembersConfig
 
 
-def create_fleet(context: ProgramContext) -> Fleet:
+def create_fleet(context: ProgramContext) -> ClusterMember:
     """Create this member, to which later components add protocols and duties.
 
     ConfigError where the settings are unusable.
@@ -21,13 +21,13 @@
     rng = random.Random()  # unlike those of its peers and its predecessor: no seed is shared
     try:
         settings = config.settings_of(MembersConfig)
-        members = MembersPart(settings, config.name, config.peers, context.metrics.registry, rng)
+        members = MembersComponent(settings, config.name, config.peers, context.metrics.registry, rng)
     except ValueError as error:
         raise ConfigError(f"members.toml: {error}") from error
-    return Fleet(members)
+    return ClusterMember(members)
 
 
-def create(context: ProgramContext, fleet: Fleet) -> Component:
+def create(context: ProgramContext, fleet: ClusterMember) -> Component:
     """A component that leaves the cluster after all components behind it have stopped."""
     members = fleet.members
 
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -17,7 +17,7 @@
 from ringledge.wire.servers.observation import Sight
 
 if TYPE_CHECKING:
-    from ringledge.members.cluster import Fleet
+    from ringledge.members.cluster import ClusterMember
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -28,7 +28,7 @@
     chat: QueuedChat
 
 
-def create(context: ProgramContext, fleet: Fleet | None) -> QueuedRequests:
+def create(context: ProgramContext, fleet: ClusterMember | None) -> QueuedRequests:
     """Create the queue; its file is opened at the start, and the replay begins when the program is ready.
 
     Where duties are enabled, only the holder of the replay's lease replays.
@@ -41,7 +41,7 @@
     chat_settings, settings, names = config.settings_of(ChatConfig), config.settings, config.names
     observation = Sight(context.conductor, context.upstream.reach, context.metrics)
     is_leased = "duties" in config.deploy_settings
-    records = None if fleet is None else fleet.members.facts
+    records = None if fleet is None else fleet.members.records
     queue = QueueComponent(
         queue_settings, observation, context.metrics.registry, Random(), records, is_leased
     )
--- a/ringledge/lifecycle/components/role_planning.py
+++ b/ringledge/lifecycle/components/role_planning.py
@@ -9,12 +9,12 @@
 from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.context import ProgramContext
-from ringledge.members.cluster import Fleet
+from ringledge.members.cluster import ClusterMember
 from ringledge.members.planner import NAME, Planner
 from ringledge.members.role_keeper import RoleKeeper
 
 
-def create(context: ProgramContext, fleet: Fleet) -> Component:
+def create(context: ProgramContext, fleet: ClusterMember) -> Component:
     """Register the planner's duty, and follow the plan of the member that holds its lease.
 
     ConfigError where this member's site is none of the zones.
@@ -25,8 +25,8 @@
         raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
     role_registry = RoleRegistry(settings)
     role_keeper = RoleKeeper(
-        settings, members.facts, members.membership, context.conductor, config.names, role_registry
+        settings, members.records, members.membership, context.conductor, config.names, role_registry
     )
-    fleet.duties[NAME] = Planner(settings, members.facts, role_keeper, role_registry, time.monotonic)
+    fleet.duties[NAME] = Planner(settings, members.records, role_keeper, role_registry, time.monotonic)
     context.conductor.context.observer = role_keeper
     return Component(on_ready=lambda: context.tasks.start_soon(role_keeper.run))
--- a/ringledge/lifecycle/composition.py
+++ b/ringledge/lifecycle/composition.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from ringledge.lifecycle.components.overload import OverloadControl
-    from ringledge.members.cluster import Fleet
+    from ringledge.members.cluster import ClusterMember
     from ringledge.wire.clients.chat.queued import QueuedChat
     from ringledge.wire.clients.platform import Platform
 
@@ -33,7 +33,7 @@
     components: list[Component] = field(default_factory=list)  # in the order in which they are started
     overload: OverloadControl | None = None
     platform: Platform | None = None
-    fleet: Fleet | None = None
+    fleet: ClusterMember | None = None
     queued_chat: QueuedChat | None = None
 
 
