--- /dev/null
+++ b/ringledge/store/capacity_sharing.py
@@ -0,0 +1,93 @@
+"""A site's part of the spare capacity that all sites share, exchanged with them as records.
+
+The lease holder of the replay estimates the capacity that live traffic leaves unused, borrows other sites'
+parts of it while they have nothing to replay, and allots the result to its replay as a rate.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+import msgspec
+
+from ringledge.decide.interface import ClassDemand, RecordStore, ServerObservation
+from ringledge.decide.replay.capacity_estimate import room, rows
+from ringledge.decide.replay.capacity_loans import Lend, Lending, Want
+from ringledge.decide.replay.rate_control import spare
+from ringledge.decide.replay.scheduler import Replay
+from ringledge.store.settings import QueueConfig
+
+BORROWED_RATE_FACTOR = 2  # of the present rate: a loan arrives before the growing rate needs it
+
+
+class CapacitySharing:
+    """Allots capacity to the replay of one site."""
+
+    def __init__(self, config: QueueConfig, records: RecordStore | None) -> None:
+        """`records`: shared with other sites; None where this process is alone and no capacity is known."""
+        self._config = config
+        self._records = records
+        self._lending: Lending | None = None
+        self._published: set[str] = set()  # keys of our records of loans and requests for them
+
+    def begin_lease(self, now_s: float, token: int) -> None:
+        """Forget earlier loans: the process has become the lease holder."""
+        weights = self._config.site_weights or {self._config.site: 1.0}
+        self._lending = Lending(self._config.site, weights, token, now_s)
+
+    def allot(self, now_s: float, replay: Replay, has_work: bool) -> None:
+        """Exchange loans and set the replay's maximum rate; `has_work`: entries wait and the site is open."""
+        assert self._lending is not None
+        capacity = self._spare_capacity(now_s, replay)
+        self._lending.need(now_s, self._needed_fraction(self._lending, replay, capacity, has_work))
+        if self._records is not None:
+            self._exchange_loans(now_s, self._lending, self._records)
+        max_rate = None if capacity is None else capacity * self._lending.part(now_s)
+        replay.pace.allot(now_s, max_rate)
+
+    def _spare_capacity(self, now_s: float, replay: Replay) -> float | None:
+        """What replay may use of the capacity that live traffic leaves, in tokens/s; None: not known."""
+        if self._records is None:
+            return None
+        observations = rows(self._records.values(now_s, "server/"), ServerObservation)
+        demand = rows(self._records.values(now_s, "demand/"), ClassDemand)
+        estimate = room(observations, demand)
+        unused = spare(estimate, self._config.reserved_fraction, replay.written(estimate.written()))
+        return None if unused is None else unused * self._config.replay_fraction
+
+    @staticmethod
+    def _needed_fraction(lending: Lending, replay: Replay, capacity: float | None, has_work: bool) -> float:
+        """The fraction of the sites' shared capacity that this site could use now."""
+        if not has_work:
+            return 0.0
+        if not capacity:
+            return 1.0
+        return min(1.0, max(lending.base, BORROWED_RATE_FACTOR * replay.pace.rate / capacity))
+
+    def _exchange_loans(self, now_s: float, lending: Lending, records: RecordStore) -> None:
+        requests = _newest_by_site(rows(records.values(now_s, "want/"), Want))
+        loans = rows(records.values(now_s, "lend/"), Lend)
+        to_this_site = f"/{self._config.site}"
+        by_lender = {
+            key.split("/")[1]: loan for (_, key), loan in loans.items() if key.endswith(to_this_site)
+        }
+        lending.receive(now_s, requests, by_lender)
+        self._publish(now_s, records, lending.rows())
+
+    def _publish(self, now_s: float, records: RecordStore, current: Mapping[str, Want | Lend]) -> None:
+        for key in self._published - current.keys():
+            records.delete(now_s, key)
+        for key, row in current.items():
+            records.write(now_s, key, msgspec.msgpack.encode(row))
+        self._published = set(current)
+
+
+def _newest_by_site(requests: Mapping[tuple[str, str], Want]) -> dict[str, Want]:
+    """By site the request with the highest token and number, where several writers have one for it."""
+    newest: dict[str, Want] = {}
+    for (_, key), request in requests.items():
+        site = key.removeprefix("want/")
+        known = newest.get(site)
+        if known is None or (request.token, request.number) > (known.token, known.number):
+            newest[site] = request
+    return newest
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -1,231 +1,160 @@
-"""The queue of a site as one part of the program: the file, how the site stands, the duty of its replay.
+"""The durable queue of a site as a component of the program: its file, the site's state, and its replay.
 
-    part = QueuePart(config, Sight(conductor, upstream.reach, metrics), metrics.registry, random, facts)
-    queued = QueuedChat(part.queue, part.state, classes, settings, tenant, config.expire_s, part.figures)
-    chats = Chat(..., queued=queued)
-    part.sender = ReplaySender(chat_config, settings, names, conductor)
-    part.start(tasks); part.ready(); await part.stop()
+    component = QueueComponent(config, observations, registry, random, records, leased)
+    queued = QueuedChat(component.queue, component.site_state, ...)
+    component.sender = ReplaySender(...)
+    component.start(tasks); component.ready(); await component.stop()
 
-Under leases `part.replayer` is handed to them as the duty `part.duty` once it is made, and `leased` is true;
-else a lock beside the file says which process replays.
+Where members hold leases (`leased`), `component.replayer` is registered there as the duty
+`component.duty_name`; elsewhere a lock beside the file decides which process replays.
 """
 
 from __future__ import annotations
 
 import time
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from pathlib import Path
 from random import Random
-from typing import Protocol
 
 import anyio
 import anyio.abc
 import msgspec
 from prometheus_client import CollectorRegistry
 
-from ringledge.decide.interface import ClassDemand, QueueBacklog, RecordStore, ServerObservation
-from ringledge.decide.replay.capacity_estimate import room, rows
-from ringledge.decide.replay.capacity_loans import Lend, Lending, Want
-from ringledge.decide.replay.partition_detection import CutOff, Reached, Seen, State
-from ringledge.decide.replay.rate_control import Pace, spare
+from ringledge.decide.interface import QueueBacklog, RecordStore
+from ringledge.decide.replay.partition_detection import State
+from ringledge.decide.replay.rate_control import Pace
 from ringledge.decide.replay.scheduler import Replay
 from ringledge.members.replay_sender import Result, Sender, Sending
 from ringledge.members.replayer import Replayer
 from ringledge.observe.logging import log
-from ringledge.store.entry import Entry, QueueError
+from ringledge.store.capacity_sharing import CapacitySharing
+from ringledge.store.entry import Entry, EntryOutcome, QueueError
 from ringledge.store.file_lock import FileLockLease
 from ringledge.store.metrics import QueueMetrics
 from ringledge.store.queries import TenantBacklog
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
+from ringledge.store.site_monitor import SiteMonitor, SiteObservations
 
-STEP_S = 0.1  # between steps of the replay while anything waits, at most
-IDLE_S = 0.5  # while nothing does
-TELL_S = 1.0  # between looks at what waits, what expires, and what other sites say
-DRAIN_S = 2.5  # at the stop, for bookings under way: SIGKILL comes 3.7 s after SIGTERM
-
-
-class SiteObservations(Protocol):
-    """What this process sees of its servers and answers."""
-
-    def servers(self, now_s: float) -> list[Seen]:
-        """Every server, with times on the clock that reads `now_s`."""
-        ...
-
-    def answers(self) -> tuple[float, float]:
-        """Requests answered, and refused or failed, since the start."""
-        ...
+BUSY_INTERVAL_S = 0.1  # maximum between two steps while entries wait
+IDLE_INTERVAL_S = 0.5  # maximum between two steps while none do
+MAINTENANCE_INTERVAL_S = 1.0  # between two rounds of expiry, metrics and exchange with other sites
+DRAIN_TIMEOUT_S = 2.5  # at a graceful shutdown, for requests in flight: SIGKILL comes 3.7 s after SIGTERM
 
 
 class QueueComponent:
-    """Start, ready and stop of a site's queue."""
+    """Life cycle of a site's queue: start, ready, stop."""
 
     def __init__(
         self,
         config: QueueConfig,
-        looks: SiteObservations,
+        observations: SiteObservations,
         registry: CollectorRegistry,
         random: Random,
-        facts: RecordStore | None = None,
+        records: RecordStore | None = None,
         leased: bool = False,
     ) -> None:
-        """`leased`: leases begin and stop the replay; else the lock beside the file does."""
-        self.config, self._looks, self._random, self._facts = config, looks, random, facts
+        """`leased`: members' leases start and stop the replay; else the lock beside the file does."""
+        self.config = config
         self.metrics = QueueMetrics(registry)
         self.queue = Queue(config)
-        self.partition_detector = CutOff()
         self.duty_name = f"replay/{config.site}"
         self.sender: Sender | None = None
         self.replayer = Replayer(
-            self.queue, self._send, self._decider, self.site_state, time.monotonic, self.metrics
+            self.queue, self._send, self._begin_lease, self.site_state, time.monotonic, self.metrics
         )
-        self._leased, self._waiting, self._token = leased, list[TenantBacklog](), 0
-        self._file_lock: FileLockLease | None = None
-        self._answers, self._told_s, self._stopping = looks.answers(), 0.0, False
-        self._state = State.OPEN
-        self._said: State | None = None  # what the other conductors were told of our own view
-        self._lending: Lending | None = None
-        self._told: set[str] = set()  # keys of loans and questions that stand as facts
+        self._random = random
+        self._records = records
+        self._site_monitor = SiteMonitor(config.site, observations, records)
+        self._capacity_sharing = CapacitySharing(config, records)
+        self._file_lock = None if leased else FileLockLease(Path(config.path), self.queue, self.replayer)
+        self._tasks: anyio.abc.TaskGroup | None = None
+        self._backlog: list[TenantBacklog] = []
+        self._token = 0  # of the lease that was acquired last
+        self._maintained_s = 0.0
+        self._stopping = False
 
     def site_state(self) -> State:
-        """How the site stands."""
-        return self._state
+        """Whether the site is open, short of capacity, or cut off from its servers."""
+        return self._site_monitor.state
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Open the file; the sender has to be set by now."""
+        """Open the file; `sender` has to be set before."""
         assert self.sender is not None
         self.queue.start()
-        self._tasks = self.replayer.tasks = tasks
-        if not self._leased:
-            self._file_lock = FileLockLease(Path(self.config.path), self.queue, self.replayer)
+        self._tasks = tasks
+        self.replayer.tasks = tasks
 
     def ready(self) -> None:
-        """The list is known: begin to look at it, and to replay."""
+        """Begin to monitor the site and to replay, now that the list of servers is known."""
+        assert self._tasks is not None
         self._tasks.start_soon(self._run)
 
     async def stop(self) -> None:
-        """Give the duty up; wait for bookings under way and have their ends written.
+        """Release the lease, then wait for requests in flight and record their outcomes.
 
-        The file stays open: clients may still ask for their entries, and a kill does it no harm.
+        The file stays open: clients may still poll their entries, and it withstands a kill.
         """
         self._stopping = True
         if self._file_lock is not None:
             self._file_lock.release()
-        with anyio.move_on_after(DRAIN_S):
+        with anyio.move_on_after(DRAIN_TIMEOUT_S):
             while self.replayer.under_way or self.replayer.owed:
-                await self.replayer.news(STEP_S)
+                await self.replayer.news(BUSY_INTERVAL_S)
                 await self.replayer.settle()
 
     async def _run(self) -> None:
         while not self._stopping:
             now_s = time.monotonic()
-            self._look(now_s)
+            self._site_monitor.update(now_s)
+            self.metrics.site_state.set(self.site_state().value)
             try:
-                if now_s - self._told_s >= TELL_S:
-                    self._told_s = now_s
-                    await self._tidy(now_s)
-                if self._file_lock is not None:
-                    await self._file_lock.step()
+                await self._step(now_s)
             except QueueError as error:
                 log.often("queue_step_failed", why=error.reason.value, error=str(error))
-            await self.replayer.news(STEP_S if self._waiting else IDLE_S)
-
-    def _look(self, now_s: float) -> None:
-        """How the site stands now."""
-        answered, refused = self._looks.answers()
-        if answered > self._answers[0]:
-            self.partition_detector.served(now_s)
-        elif refused > self._answers[1]:
-            for _ in range(int(refused - self._answers[1])):
-                self.partition_detector.refused()
-        self._answers = answered, refused
-        site = f"reach/{self.config.site}"
-        if self._facts is not None:
-            said = rows(self._facts.values(now_s, site), Reached)
-            self.partition_detector.receive(
-                now_s, [(name, row) for (name, key), row in said.items() if key == site]
-            )
-        before = self._state
-        self._state = self.partition_detector.look(now_s, self._looks.servers(now_s))
-        if self._facts is not None and self._said is not self.partition_detector.own:
-            self._said = (
-                self.partition_detector.own
-            )  # also at the start: who says nothing would not count as open
-            self._facts.write(now_s, site, msgspec.msgpack.encode(self.partition_detector.row()))
-        if self._state is not before:
-            log.info("site_state", site=self.config.site, state=self._state.name.lower())
-        self.metrics.site_state.set(self._state.value)
-
-    async def _tidy(self, now_s: float) -> None:
-        """End what expired, remove old ends, tell the other sites."""
+            await self.replayer.news(BUSY_INTERVAL_S if self._backlog else IDLE_INTERVAL_S)
+
+    async def _step(self, now_s: float) -> None:
+        if now_s - self._maintained_s >= MAINTENANCE_INTERVAL_S:
+            self._maintained_s = now_s
+            await self._expire_and_purge()
+            self._backlog = await self.queue.backlog_by_tenant()
+            self._report_backlog(now_s)
+        if self._file_lock is not None:
+            await self._file_lock.step()
+
+    async def _expire_and_purge(self) -> None:
+        outcome = EntryOutcome.EXPIRED.value
         for name in await self.queue.expire_and_purge():
-            self.metrics.outcomes.labels("expired").inc()
-            log.info("queue_entry_ended", entry=name, how="expired", token=0)
-        self._waiting = await self.queue.backlog_by_tenant()
-        entries = sum(each.entries for each in self._waiting)
-        oldest_s = max((time.time() - each.oldest_created_s for each in self._waiting), default=0.0)
+            self.metrics.outcomes.labels(outcome).inc()
+            log.info("queue_entry_ended", entry=name, how=outcome, token=0)
+
+    def _report_backlog(self, now_s: float) -> None:
+        """Set the metrics; as the lease holder also allot capacity and publish the backlog to other sites."""
+        entries = sum(backlog.entries for backlog in self._backlog)
+        ages_s = (time.time() - backlog.oldest_created_s for backlog in self._backlog)
+        oldest_s = max(ages_s, default=0.0)
         self.metrics.backlog_entries.set(entries)
         self.metrics.backlog_age.set(oldest_s)
         replay = self.replayer.replay
-        if replay is None or self._lending is None:
+        if replay is None:
             self.metrics.replay_rate.set(0.0)
             return
-        self._share(now_s, replay, self._lending, entries)
+        has_work = entries > 0 and self.site_state() is State.OPEN
+        self._capacity_sharing.allot(now_s, replay, has_work)
         self.metrics.replay_rate.set(replay.pace.rate)
-        if self._facts is not None:
+        if self._records is not None:
             weight = self.config.site_weights.get(self.config.site, 1.0)
             row = QueueBacklog(self._token, entries, oldest_s, weight, replay.served)
-            self._facts.write(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(row))
-
-    def _share(self, now_s: float, replay: Replay, lending: Lending, entries: int) -> None:
-        """The site's part of what live traffic leaves over."""
-        left = None
-        if self._facts is not None:
-            seen = rows(self._facts.values(now_s, "server/"), ServerObservation)
-            demand = rows(self._facts.values(now_s, "demand/"), ClassDemand)
-            known = room(seen, demand)
-            left = spare(known, self.config.reserved_fraction, replay.written(known.written()))
-        if left is not None:
-            left *= self.config.replay_fraction
-        wished = 0.0
-        if entries and self._state is State.OPEN:  # twice the pace: a loan is there before the pace needs it
-            wished = 1.0 if not left else min(1.0, max(lending.base, 2 * replay.pace.rate / left))
-        lending.need(now_s, wished)
-        if self._facts is not None:
-            wants = _by_site(rows(self._facts.values(now_s, "want/"), Want), "want/{}")
-            mine = f"/{self.config.site}"
-            lends = rows(self._facts.values(now_s, "lend/"), Lend)
-            ours = {key.split("/")[1]: row for (_, key), row in lends.items() if key.endswith(mine)}
-            lending.receive(now_s, wants, ours)
-            self._put(now_s, lending.rows())
-        replay.pace.allot(now_s, None if left is None else left * lending.part(now_s))
-
-    def _put(self, now_s: float, told: Mapping[str, Want | Lend]) -> None:
-        assert self._facts is not None
-        for key in self._told - told.keys():
-            self._facts.delete(now_s, key)
-        for key, row in told.items():
-            self._facts.write(now_s, key, msgspec.msgpack.encode(row))
-        self._told = set(told)
+            self._records.write(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(row))
 
     def _send(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
         assert self.sender is not None
         return self.sender(entry, ended)
 
-    def _decider(self, now_s: float, token: int) -> Replay:
-        """A new holding begins."""
+    def _begin_lease(self, now_s: float, token: int) -> Replay:
+        """The scheduler for a newly acquired lease."""
         self._token = token
-        weights = self.config.site_weights or {self.config.site: 1.0}
-        self._lending = Lending(self.config.site, weights, token, now_s)
+        self._capacity_sharing.begin_lease(now_s, token)
         return Replay(Pace(self._random), self.config.max_in_flight, self.config.tenant_weights)
-
-
-def _by_site(found: Mapping[tuple[str, str], Want], pattern: str) -> dict[str, Want]:
-    """Of several that were heard for one site the newest token's counts."""
-    newest: dict[str, Want] = {}
-    for (_, key), row in found.items():
-        site = key.removeprefix(pattern.format(""))
-        known = newest.get(site)
-        if known is None or (row.token, row.number) > (known.token, known.number):
-            newest[site] = row
-    return newest
--- /dev/null
+++ b/ringledge/store/site_monitor.py
@@ -0,0 +1,74 @@
+"""Monitors whether a site is partitioned from its servers, in agreement with the site's other conductors."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+import msgspec
+
+from ringledge.decide.interface import RecordStore
+from ringledge.decide.replay.capacity_estimate import rows
+from ringledge.decide.replay.partition_detection import CutOff, Reached, Seen, State
+from ringledge.observe.logging import log
+
+
+class SiteObservations(Protocol):
+    """What this process observes of its servers and of the answers that its clients get."""
+
+    def servers(self, now_s: float) -> list[Seen]:
+        """Every server, with times on the clock that reads `now_s`."""
+        ...
+
+    def answers(self) -> tuple[float, float]:
+        """Counts since the start: requests answered, and requests rejected or failed."""
+        ...
+
+
+class SiteMonitor:
+    """Feeds the partition detector and publishes this conductor's own view of the site as a record."""
+
+    def __init__(self, site: str, observations: SiteObservations, records: RecordStore | None) -> None:
+        """`records`: shared with other conductors; None where this one is alone."""
+        self.state = State.OPEN
+        self._site = site
+        self._record_key = f"reach/{site}"
+        self._observations = observations
+        self._records = records
+        self._detector = CutOff()
+        self._answered, self._rejected = observations.answers()
+        self._published: State | None = None
+
+    def update(self, now_s: float) -> None:
+        """Evaluate new observations and records; sets `state`."""
+        self._feed_answers(now_s)
+        self._receive_records(now_s)
+        previous = self.state
+        self.state = self._detector.look(now_s, self._observations.servers(now_s))
+        self._publish(now_s)
+        if self.state is not previous:
+            log.info("site_state", site=self._site, state=self.state.name.lower())
+
+    def _feed_answers(self, now_s: float) -> None:
+        answered, rejected = self._observations.answers()
+        if answered > self._answered:
+            self._detector.served(now_s)
+        elif rejected > self._rejected:
+            for _ in range(int(rejected - self._rejected)):
+                self._detector.refused()
+        self._answered = answered
+        self._rejected = rejected
+
+    def _receive_records(self, now_s: float) -> None:
+        if self._records is None:
+            return
+        views = rows(self._records.values(now_s, self._record_key), Reached)
+        # The store selects by prefix, which other sites' keys may share.
+        own_site = [(writer, view) for (writer, key), view in views.items() if key == self._record_key]
+        self._detector.receive(now_s, own_site)
+
+    def _publish(self, now_s: float) -> None:
+        """Write our own view when it changes, and at the start: a silent conductor does not count as open."""
+        if self._records is None or self._published is self._detector.own:
+            return
+        self._published = self._detector.own
+        self._records.write(now_s, self._record_key, msgspec.msgpack.encode(self._detector.row()))
