--- a/ringledge/cli/queue.py
+++ b/ringledge/cli/queue.py
@@ -1,4 +1,4 @@
-"""Looking at a site's queue; nothing here changes an entry."""
+"""Commands that inspect a site's queue; none of them changes an entry."""
 
 from __future__ import annotations
 
@@ -7,14 +7,20 @@
 import time
 from collections import Counter
 from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 from typing import TYPE_CHECKING
 
 import click
 import orjson
 
+# The store and sqlite3 are imported in the commands: a serving process without a queue needs neither.
 if TYPE_CHECKING:
-    import sqlite3  # else only where a command needs it: serving has no use for it
+    import sqlite3
+
+    from ringledge.store.entry import EntryState
+
+READ_LOCK_TIMEOUT_S = 2.0
 
 
 @click.group()
@@ -25,47 +31,18 @@
     context.obj = path
 
 
-def _open(path: Path | None) -> sqlite3.Connection:
-    """The file, as it is: nothing is made or brought up to date."""
-    import sqlite3
-
-    from ringledge.lifecycle import settings_files as strict
-    from ringledge.store.settings import QueueConfig
-
-    if path is None:
-        file = Path(os.environ.get("RINGLEDGE_DEPLOY", "deploy")) / "queue.toml"
-        try:
-            config = strict.read(QueueConfig, file)
-        except strict.SettingsError as error:
-            raise click.ClickException(str(error)) from error
-        if config is None:
-            raise click.ClickException(f"{file} is absent or not enabled; --path names a file")
-        path = Path(config.path)
-    if not path.exists():
-        raise click.ClickException(f"{path}: no such file")
-    try:
-        db = sqlite3.connect(f"{path.resolve().as_uri()}?mode=ro", uri=True, timeout=2.0)
-        db.execute("SELECT 1 FROM entries LIMIT 1")
-    except sqlite3.Error as error:
-        raise click.ClickException(f"{path}: {error}") from error
-    return db
-
-
 @queue.command("list")
 @click.option("--state", type=click.Choice(["waiting", "begun", "ended"]))
-@click.option("--most", default=50)
+@click.option("--most", "max_entries", default=50)
 @click.pass_obj
-def list_(path: Path | None, state: str | None, most: int) -> None:
+def list_(path: Path | None, state: str | None, max_entries: int) -> None:
     """Entries by age, a line of JSON each; questions and answers are left out."""
     from ringledge.store.entry import EntryState
 
-    db, wanted = _open(path), [EntryState[state.upper()]] if state else list(EntryState)
-    told = f"""SELECT name, tenant, kind, work, created_s, state, attempts, end, token FROM entries
-        WHERE state IN ({", ".join(str(int(each)) for each in wanted)}) ORDER BY seq LIMIT ?"""
-    for name, tenant, kind, work, created_s, stands, attempts, end, token in db.execute(told, (most,)):
-        line = {"entry": name, "tenant": tenant, "class": kind, "tokens": work}
-        line |= {"age_s": round(time.time() - created_s, 1), "state": EntryState(stands).name.lower()}
-        click.echo(orjson.dumps(line | {"attempts": attempts, "end": end, "token": token}))
+    db = _connect_read_only(path)
+    states = [EntryState[state.upper()]] if state else list(EntryState)
+    for summary in _summaries(db, states, max_entries):
+        click.echo(orjson.dumps(summary))
 
 
 @queue.command()
@@ -76,23 +53,27 @@
     """One entry."""
     from ringledge.store.queries import get_entry
 
-    entry = get_entry(_open(path), name)
+    entry = get_entry(_connect_read_only(path), name)
     if entry is None:
         raise click.ClickException(f"{name}: no such entry, or its end was kept for long enough")
-    asked = entry.request
-    line = {
+    request = entry.request
+    output = {
         "entry": name,
-        "tenant": asked.tenant,
-        "class": asked.request_class,
-        "may_repeat": asked.idempotent,
+        "tenant": request.tenant,
+        "class": request.request_class,
+        "may_repeat": request.idempotent,
+        "created": request.created_s,
+        "expires": request.expires_s,
+        "state": entry.state.name.lower(),
+        "attempts": entry.attempts,
+        "token": entry.token,
+        "ended": entry.ended_s,
+        "end": entry.outcome.value if entry.outcome else None,
     }
-    line |= {"created": asked.created_s, "expires": asked.expires_s, "state": entry.state.name.lower()}
-    line |= {"attempts": entry.attempts, "token": entry.token, "ended": entry.ended_s}
-    line["end"] = entry.outcome.value if entry.outcome else None
     if with_text:
-        line |= {"question": asked.body.decode(errors="replace")}
-        line |= {"answer": (entry.response or b"").decode(errors="replace")}
-    click.echo(orjson.dumps(line, option=orjson.OPT_INDENT_2))
+        output["question"] = request.body.decode(errors="replace")
+        output["answer"] = (entry.response or b"").decode(errors="replace")
+    click.echo(orjson.dumps(output, option=orjson.OPT_INDENT_2))
 
 
 @queue.command()
@@ -101,20 +82,86 @@
     """Check the file and each row of it; ends with 1 where something is spoilt."""
     from ringledge.store.queries import highest_token
 
-    db, counts, wrong = _open(path), Counter[str](), list[str]()
-    (found,) = db.execute("PRAGMA integrity_check(1)").fetchone()
-    if found != "ok":
-        wrong.append(f"file: {found}")
-    for stands, fault in _rows(db):
-        counts[stands] += 1
-        wrong += [fault] if fault else []
-    told = {"token": highest_token(db), "entries": dict(counts), "wrong": wrong}
-    click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2))
-    sys.exit(bool(wrong))
+    db = _connect_read_only(path)
+    counts = Counter[str]()
+    faults = list[str]()
+    (finding,) = db.execute("PRAGMA integrity_check(1)").fetchone()
+    if finding != "ok":
+        faults.append(f"file: {finding}")
+    for check in _check_rows(db):
+        counts[check.status] += 1
+        if check.fault is not None:
+            faults.append(check.fault)
+    output = {"token": highest_token(db), "entries": dict(counts), "wrong": faults}
+    click.echo(orjson.dumps(output, option=orjson.OPT_INDENT_2))
+    sys.exit(bool(faults))
+
 
+@dataclass(slots=True, frozen=True)
+class _RowCheck:
+    """The finding on one row of the file."""
+
+    status: str  # an entry's outcome or state; "spoilt" for a corrupt row, "unread" for the rest of the file
+    fault: str | None = None
+
+
+def _connect_read_only(path: Path | None) -> sqlite3.Connection:
+    """Open an existing file without creating or migrating it; ClickException if it is none of ours."""
+    import sqlite3
+
+    path = path or _configured_path()
+    if not path.exists():
+        raise click.ClickException(f"{path}: no such file")
+    try:
+        uri = f"{path.resolve().as_uri()}?mode=ro"
+        db = sqlite3.connect(uri, uri=True, timeout=READ_LOCK_TIMEOUT_S)
+        db.execute("SELECT 1 FROM entries LIMIT 1")
+    except sqlite3.Error as error:
+        raise click.ClickException(f"{path}: {error}") from error
+    return db
+
+
+def _configured_path() -> Path:
+    """The path that the deployment's settings name."""
+    from ringledge.lifecycle import settings_files as strict
+    from ringledge.store.settings import QueueConfig
+
+    file = Path(os.environ.get("RINGLEDGE_DEPLOY", "deploy")) / "queue.toml"
+    try:
+        config = strict.read(QueueConfig, file)
+    except strict.SettingsError as error:
+        raise click.ClickException(str(error)) from error
+    if config is None:
+        raise click.ClickException(f"{file} is absent or not enabled; --path names a file")
+    return Path(config.path)
+
+
+def _summaries(
+    db: sqlite3.Connection, states: list[EntryState], max_entries: int
+) -> Iterator[dict[str, object]]:
+    """The lines of `list`, in the order of arrival."""
+    from ringledge.store.entry import EntryState
 
-def _rows(db: sqlite3.Connection) -> Iterator[tuple[str, str]]:
-    """How each row stands, and what is wrong with it."""
+    numbers = ", ".join(str(int(state)) for state in states)
+    query = f"""SELECT name, tenant, kind, work, created_s, state, attempts, end, token FROM entries
+        WHERE state IN ({numbers}) ORDER BY seq LIMIT ?"""
+    for row in db.execute(query, (max_entries,)):
+        name, tenant, request_class, estimated_tokens, created_s, state, attempts, outcome, token = row
+        yield {
+            "entry": name,
+            "tenant": tenant,
+            "class": request_class,
+            "tokens": estimated_tokens,
+            "age_s": round(time.time() - created_s, 1),
+            "state": EntryState(state).name.lower(),
+            "attempts": attempts,
+            "end": outcome,
+            "token": token,
+        }
+
+
+def _check_rows(db: sqlite3.Connection) -> Iterator[_RowCheck]:
+    """Check the seal of each row; the last check tells of an error that ends the scan."""
     import sqlite3
 
     from ringledge.store.seal import COLUMNS, CorruptRowError, from_row
@@ -124,8 +171,8 @@
             try:
                 entry = from_row(row)
             except CorruptRowError:
-                yield "spoilt", f"{row[0]}: its bytes do not fit their seal"
+                yield _RowCheck("spoilt", f"{row[0]}: its bytes do not fit their seal")
                 continue
-            yield entry.outcome.value if entry.outcome else entry.state.name.lower(), ""
+            yield _RowCheck(entry.outcome.value if entry.outcome else entry.state.name.lower())
     except sqlite3.DatabaseError as error:
-        yield "unread", f"rows: {error}"
+        yield _RowCheck("unread", f"rows: {error}")
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -8,7 +8,7 @@
 from ringledge.lifecycle.shared import Part, Shared
 from ringledge.store.component import QueueComponent
 from ringledge.store.settings import QueueConfig
-from ringledge.wire.clients.chat.queued import QueuedChat
+from ringledge.wire.clients.chat.queued import QueuedChat, QueuedChatOptions
 from ringledge.wire.clients.chat.replaying import ReplaySender
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.servers.observation import Sight
@@ -28,7 +28,6 @@
     if fleet is not None and leased:
         fleet.duties[queue.duty_name] = queue.replayer
     queue.sender = ReplaySender(chat, settings, names, shared.conductor)
-    shared.queued = QueuedChat(
-        queue.queue, queue.site_state, names.classes, settings, chat.tenant, told.expiry_s, queue.metrics
-    )
+    options = QueuedChatOptions(names.classes, settings, chat.tenant, told.expiry_s)
+    shared.queued = QueuedChat(queue.queue, queue.site_state, queue.metrics, options)
     return Part(start=lambda: queue.start(shared.tasks), ready=queue.ready, stop=queue.stop)
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -157,7 +157,7 @@
         class_index, request = to_request(self._config, self._names, self._settings, head, question)
         if key or not told_header(head, b"x-call-class"):  # else it was asked about by its head
             self._ask(class_index, head, len(body))
-        if self._queued is not None and await self._queued.take(conn, head, question, request):
+        if self._queued is not None and await self._queued.answer_if_queued(conn, head, question, request):
             return None
         if not self.sessions.room():
             raise HttpError(429, "too many answers are under way", "rate_limit_exceeded")
--- /dev/null
+++ b/ringledge/wire/clients/chat/queue_responses.py
@@ -0,0 +1,93 @@
+"""Responses of the chat front about queued requests: accepted, rejected, and an entry's state or outcome."""
+
+from __future__ import annotations
+
+import orjson
+
+from ringledge.store.entry import (
+    Entry,
+    EntryOutcome,
+    EntryState,
+    QueueError,
+    QueueRejectionReason,
+)
+from ringledge.wire.http.connection import Connection
+from ringledge.wire.http.errors import HttpError
+from ringledge.wire.http.headers import Headers
+from ringledge.wire.http.messages import respond
+
+LOCATION_PREFIX = b"/v1/queue/"
+POLL_AFTER = (b"Retry-After", b"2")  # s, for a client that polls an entry
+RETRY_AFTER = (b"Retry-After", b"1")  # s, for a client whose request was rejected
+PREFERENCE_APPLIED = (b"Preference-Applied", b"respond-async")
+
+# Status and code of the response to a request that the queue rejected.
+REJECTION_RESPONSES = {
+    QueueRejectionReason.MAX_ENTRIES: (503, "queue_full"),
+    QueueRejectionReason.MAX_BYTES: (503, "queue_full"),
+    QueueRejectionReason.TENANT_QUOTA: (429, "queue_share_used"),
+    QueueRejectionReason.TOO_LARGE: (413, "queue_entry_too_large"),
+    QueueRejectionReason.ALREADY_EXPIRED: (503, "queue_too_late"),
+    QueueRejectionReason.DISK_FULL: (503, "queue_disk_full"),
+    QueueRejectionReason.LOCKED: (503, "queue_busy"),
+    QueueRejectionReason.UNAVAILABLE: (503, "queue_closed"),
+    QueueRejectionReason.IO_ERROR: (500, "may_be_queued"),
+}
+
+# Status, code and message of the response for an entry that ended without being served.
+OUTCOME_RESPONSES = {
+    EntryOutcome.FAILED: (500, "failed", "it failed"),
+    EntryOutcome.EXPIRED: (410, "expired", "its time was up before it could be sent; it never ran"),
+    EntryOutcome.UNKNOWN: (409, "may_have_run", "it may have run and is not run again"),
+    EntryOutcome.WITHDRAWN: (410, "withdrawn", "it was taken back; it never ran"),
+}
+
+STATUS_NAMES = {
+    EntryState.WAITING: "queued",
+    EntryState.BEGUN: "in_progress",
+    EntryState.ENDED: "ended",
+}
+
+
+def rejection_response(error: QueueError, location_headers: Headers | None = None) -> HttpError:
+    """The response to a request that the queue rejected; the headers are for one that may be queued yet."""
+    status, code = REJECTION_RESPONSES[error.reason]
+    if error.reason is QueueRejectionReason.IO_ERROR:
+        return HttpError(status, "the disk failed; it may have been queued", code, headers=location_headers)
+    headers = [RETRY_AFTER] if status in (429, 503) else []
+    message = f"not queued, nothing has run ({error.reason.value})"
+    return HttpError(status, message, code, headers=headers)
+
+
+def location(name: str) -> tuple[bytes, bytes]:
+    """The header field with the URL at which the client polls the entry."""
+    return (b"Location", LOCATION_PREFIX + name.encode())
+
+
+async def respond_accepted(conn: Connection, entry: Entry) -> None:
+    """Respond 202 with the location of the entry."""
+    headers = [location(entry.name), PREFERENCE_APPLIED, POLL_AFTER]
+    await respond(conn, 202, _status_body(entry), headers)
+
+
+async def respond_entry(conn: Connection, entry: Entry) -> None:
+    """Respond with the entry's state, its response, or HttpError for another outcome."""
+    if entry.outcome is None:
+        await respond(conn, 202, _status_body(entry), [POLL_AFTER])
+    elif entry.outcome is EntryOutcome.SERVED:
+        await respond(conn, 200, entry.response or b"")
+    else:
+        status, code, message = OUTCOME_RESPONSES[entry.outcome]
+        details = (entry.response or b"").decode("utf-8", "replace")
+        raise HttpError(status, f"{message}: {details}".rstrip(": "), code)
+
+
+def _status_body(entry: Entry) -> bytes:
+    body = {
+        "id": entry.name,
+        "object": "queue.entry",
+        "status": STATUS_NAMES[entry.state],
+        "created": int(entry.request.created_s),
+        "expires_at": int(entry.request.expires_s),
+    }
+    return orjson.dumps(body)
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -1,13 +1,15 @@
-"""Requests that are kept while the site is cut off or short: 202 with a place to ask, and what is told there.
+"""Asynchronous requests: 202 for a request that is queued while the site is cut off or short of capacity.
 
-Only for clients that ask for it (`Prefer: respond-async`, RFC 7240); a 202 is said once the request is on
-the disk. Any process of the site answers for the place, since all share the file. An idempotency key that
-is in the queue is never run beside it, whoever asks.
+Only for clients that ask for it (`Prefer: respond-async`, RFC 7240); 202 is sent once the request is durable.
+The response's Location is polled with GET, which any process of the site answers, since they share the
+queue's file, and DELETE withdraws the request. A request whose idempotency key is in the queue is never run
+beside it, whether or not its client asks for an asynchronous answer.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from time import time
 from typing import Any
 from uuid import uuid4
@@ -25,186 +27,173 @@
 from ringledge.store.entry import (
     Entry,
     EntryOutcome,
-    EntryState,
     InvalidTransitionError,
     QueuedRequest,
     QueueError,
-    QueueRejectionReason,
 )
 from ringledge.store.metrics import QueueMetrics
 from ringledge.store.queue import Queue
+from ringledge.wire.clients.chat.queue_responses import (
+    LOCATION_PREFIX,
+    RETRY_AFTER,
+    location,
+    rejection_response,
+    respond_accepted,
+    respond_entry,
+)
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
-from ringledge.wire.http.headers import Headers, header
+from ringledge.wire.http.headers import header
 from ringledge.wire.http.messages import read_body, respond
 
-PLACE = b"/v1/queue/"
-LOOK_AGAIN = (b"Retry-After", b"2")  # s: for who looks whether the answer is there
-LATER = (b"Retry-After", b"1")
-APPLIED = (b"Preference-Applied", b"respond-async")
-
-# What a request is refused with that can't be queued: status, code.
-REFUSALS = {
-    QueueRejectionReason.MAX_ENTRIES: (503, "queue_full"),
-    QueueRejectionReason.MAX_BYTES: (503, "queue_full"),
-    QueueRejectionReason.TENANT_QUOTA: (429, "queue_share_used"),
-    QueueRejectionReason.TOO_LARGE: (413, "queue_entry_too_large"),
-    QueueRejectionReason.ALREADY_EXPIRED: (503, "queue_too_late"),
-    QueueRejectionReason.DISK_FULL: (503, "queue_disk_full"),
-    QueueRejectionReason.LOCKED: (503, "queue_busy"),
-    QueueRejectionReason.UNAVAILABLE: (503, "queue_closed"),
-    QueueRejectionReason.IO_ERROR: (500, "may_be_queued"),
-}
-
-# What is told of an entry that ended without an answer: status, code, words.
-ENDS = {
-    EntryOutcome.FAILED: (500, "failed", "it failed"),
-    EntryOutcome.EXPIRED: (410, "expired", "its time was up before it could be sent; it never ran"),
-    EntryOutcome.UNKNOWN: (409, "may_have_run", "it may have run and is not run again"),
-    EntryOutcome.WITHDRAWN: (410, "withdrawn", "it was taken back; it never ran"),
-}
-
-
-def prefers_async(head: h11.Request) -> bool:
-    """Whether the client asks for it, in one of its Prefer fields."""
-    told = b",".join(value for name, value in head.headers if name == b"prefer").decode("latin-1")
-    return any(each.partition(";")[0].strip().lower() == "respond-async" for each in told.split(","))
 
+@dataclass(slots=True, frozen=True)
+class QueuedChatOptions:
+    """Settings of the chat front that apply to queued requests."""
 
-def refusal(error: QueueError, place: Headers | None = None) -> HttpError:
-    """What a client is told that the queue could not serve."""
-    status, code = REFUSALS[error.reason]
-    if error.reason is QueueRejectionReason.IO_ERROR:
-        return HttpError(status, "the disk failed; it may have been queued", code, headers=place)
-    later = [LATER] if status in (429, 503) else []
-    return HttpError(status, f"not queued, nothing has run ({error.reason.value})", code, headers=later)
+    class_names: tuple[str, ...]  # by class index
+    settings: RouterSettings
+    default_tenant: str  # of a client that names none
+    expiry_s: float  # after which a request that was not sent expires
 
 
 class QueuedChat:
-    """The chat front's way into the queue, and out of it."""
+    """Enqueues chat requests and answers for the entries of the queue."""
 
     def __init__(
         self,
         queue: Queue,
-        site: Callable[[], State],
-        classes: tuple[str, ...],
-        settings: RouterSettings,
-        tenant: str,
-        expire_s: float,
-        figures: QueueMetrics,
+        site_state: Callable[[], State],
+        metrics: QueueMetrics,
+        options: QueuedChatOptions,
     ) -> None:
-        """`tenant`: of a client that names none."""
-        self._queue, self._site, self._tenant, self._expire_s = queue, site, tenant, expire_s
-        self._classes, self._settings, self._figures = classes, settings, figures
+        self._queue = queue
+        self._site_state = site_state
+        self._metrics = metrics
+        self._options = options
 
-    async def take(
+    async def answer_if_queued(
         self,
         conn: Connection,
         head: h11.Request,
         question: dict[str, Any],
         request: Request,
     ) -> bool:
-        """Answer 202 where the request is queued, or is in the queue already; False: run it now."""
-        told = header(head, b"idempotency-key")
-        key, wished = told.decode("ascii", "replace") if told else None, prefers_async(head)
-        tenant = self._owner(head)
-        if key is not None and (entry := await self._known(tenant, key, request.class_index)) is not None:
-            if entry.outcome is not None:
-                await _tell(conn, entry)
+        """Answer a request that is in the queue or is enqueued now; False: it has to be run now.
+
+        Raises HttpError where the queue rejects it, or where it is queued and the client wants it run now.
+        """
+        idempotency_key = _idempotency_key(head)
+        if idempotency_key is not None:
+            entry = await self._find_entry(self._tenant(head), idempotency_key, request.class_index)
+            if entry is not None:
+                await _respond_to_repeated_request(conn, head, entry)
                 return True
-            if not wished:
-                text = "this request is queued: ask for it at its place"
-                raise HttpError(409, text, "queued", headers=[_place(entry)])
-            await _accepted(conn, entry)
-            return True
-        if not wished or self._site() is State.OPEN:
+        if not prefers_async(head) or self._site_state() is State.OPEN:
             return False
-        now_s = time()
-        asked = QueuedRequest(
-            uuid4().hex,
-            tenant,
-            self._classes[request.class_index],
-            self._settings.classes[request.class_index].idempotency is Idempotency.IDEMPOTENT,
-            orjson.dumps(question | {"stream": False}),
-            request.prompt_tokens + request.max_output_tokens,
-            now_s,
-            now_s + self._expire_s,
-            key,
-        )
-        try:
-            entry = await self._queue.enqueue(asked)
-        except QueueError as error:
-            self._figures.rejected.labels(error.reason.value).inc()
-            log.often("queue_refused", why=error.reason.value, error=str(error))
-            raise refusal(error, [(b"Location", PLACE + asked.name.encode())]) from error
-        self._figures.accepted.inc()
-        log.info("queue_entry_taken", entry=entry.name, tenant=tenant, **{"class": asked.request_class})
-        await _accepted(conn, entry)
+        entry = await self._enqueue(self._queued_request(head, idempotency_key, question, request))
+        await respond_accepted(conn, entry)
         return True
 
     async def handle(self, conn: Connection, head: h11.Request) -> None:
-        """Tell of an entry (GET), or take it back (DELETE)."""
+        """Answer a request at an entry's location: its state or outcome (GET), or withdraw it (DELETE)."""
         await read_body(conn, head)
-        name = head.target.partition(b"?")[0][len(PLACE) :].decode("ascii", "replace")
+        name = head.target.partition(b"?")[0][len(LOCATION_PREFIX) :].decode("ascii", "replace")
         if head.method not in (b"GET", b"DELETE"):
             allow = [(b"Allow", b"GET, DELETE")]
             raise HttpError(405, "only GET and DELETE here", "method_not_allowed", headers=allow)
         try:
             entry = await self._queue.get(name)
-            if entry is None or entry.request.tenant != self._owner(head):  # others learn nothing of it
+            if entry is None or entry.request.tenant != self._tenant(head):  # nothing is revealed to others
                 raise HttpError(404, "no such entry, or its answer was kept for long enough", "not_found")
             if head.method == b"DELETE":
                 await self._queue.withdraw(name)
-                self._figures.outcomes.labels(EntryOutcome.WITHDRAWN.value).inc()
-                log.info("queue_entry_ended", entry=name, how=EntryOutcome.WITHDRAWN.value, token=0)
-                told = {"id": name, "object": "queue.entry", "status": "withdrawn"}
-                return await respond(conn, 200, orjson.dumps(told))
         except InvalidTransitionError as error:
             raise HttpError(409, "it has begun or ended, and can't be taken back", "begun") from error
         except QueueError as error:
-            # Not 404: the entry may well be there.
-            text = f"the queue can't be read ({error.reason.value})"
-            raise HttpError(503, text, "queue_closed", headers=[LATER]) from error
-        await _tell(conn, entry)
-
-    def _owner(self, head: h11.Request) -> str:
-        told = header(head, b"x-caller")
-        return (told.decode("utf-8", "replace").strip() if told else "") or self._tenant
-
-    async def _known(self, tenant: str, key: str, class_index: int) -> Entry | None:
-        """The entry of an idempotency key. Where the file can't tell, only what may run twice may go on."""
+            # Not 404: the entry may well exist.
+            message = f"the queue can't be read ({error.reason.value})"
+            raise HttpError(503, message, "queue_closed", headers=[RETRY_AFTER]) from error
+        if head.method == b"DELETE":
+            await self._respond_withdrawn(conn, name)
+        else:
+            await respond_entry(conn, entry)
+
+    def _tenant(self, head: h11.Request) -> str:
+        caller = header(head, b"x-caller")
+        name = caller.decode("utf-8", "replace").strip() if caller else ""
+        return name or self._options.default_tenant
+
+    def _is_idempotent(self, class_index: int) -> bool:
+        return self._options.settings.classes[class_index].idempotency is Idempotency.IDEMPOTENT
+
+    async def _find_entry(self, tenant: str, idempotency_key: str, class_index: int) -> Entry | None:
+        """The entry with the key; where the file can't be read, only an idempotent request goes on."""
         try:
-            return await self._queue.find_by_idempotency_key(tenant, key)
+            return await self._queue.find_by_idempotency_key(tenant, idempotency_key)
         except QueueError as error:
-            if self._settings.classes[class_index].idempotency is Idempotency.IDEMPOTENT:
+            if self._is_idempotent(class_index):
                 return None
-            raise refusal(error) from error
-
+            raise rejection_response(error) from error
 
-def _place(entry: Entry) -> tuple[bytes, bytes]:
-    return (b"Location", PLACE + entry.name.encode())
-
-
-async def _accepted(conn: Connection, entry: Entry) -> None:
-    await respond(conn, 202, _status(entry), [_place(entry), APPLIED, LOOK_AGAIN])
+    def _queued_request(
+        self,
+        head: h11.Request,
+        idempotency_key: str | None,
+        question: dict[str, Any],
+        request: Request,
+    ) -> QueuedRequest:
+        now_s = time()
+        return QueuedRequest(
+            name=uuid4().hex,
+            tenant=self._tenant(head),
+            request_class=self._options.class_names[request.class_index],
+            idempotent=self._is_idempotent(request.class_index),
+            body=orjson.dumps(question | {"stream": False}),
+            estimated_tokens=request.prompt_tokens + request.max_output_tokens,
+            created_s=now_s,
+            expires_s=now_s + self._options.expiry_s,
+            idempotency_key=idempotency_key,
+        )
 
+    async def _enqueue(self, queued_request: QueuedRequest) -> Entry:
+        try:
+            entry = await self._queue.enqueue(queued_request)
+        except QueueError as error:
+            self._metrics.rejected.labels(error.reason.value).inc()
+            log.often("queue_refused", why=error.reason.value, error=str(error))
+            raise rejection_response(error, [location(queued_request.name)]) from error
+        self._metrics.accepted.inc()
+        tenant, class_field = queued_request.tenant, {"class": queued_request.request_class}
+        log.info("queue_entry_taken", entry=entry.name, tenant=tenant, **class_field)
+        return entry
 
-async def _tell(conn: Connection, entry: Entry) -> None:
-    """How an entry stands, or how it ended."""
-    if entry.outcome is None:
-        return await respond(conn, 202, _status(entry), [LOOK_AGAIN])
-    if entry.outcome is EntryOutcome.SERVED:
-        return await respond(conn, 200, entry.response or b"")
-    status, code, text = ENDS[entry.outcome]
-    raise HttpError(
-        status, f"{text}: {(entry.response or b'').decode('utf-8', 'replace')}".rstrip(": "), code
-    )
+    async def _respond_withdrawn(self, conn: Connection, name: str) -> None:
+        outcome = EntryOutcome.WITHDRAWN.value
+        self._metrics.outcomes.labels(outcome).inc()
+        log.info("queue_entry_ended", entry=name, how=outcome, token=0)
+        body = {"id": name, "object": "queue.entry", "status": "withdrawn"}
+        await respond(conn, 200, orjson.dumps(body))
 
 
-def _status(entry: Entry) -> bytes:
-    stands = {EntryState.WAITING: "queued", EntryState.BEGUN: "in_progress", EntryState.ENDED: "ended"}[
-        entry.state
-    ]
-    told = {"id": entry.name, "object": "queue.entry", "status": stands}
-    times = {"created": int(entry.request.created_s), "expires_at": int(entry.request.expires_s)}
-    return orjson.dumps(told | times)
+def prefers_async(head: h11.Request) -> bool:
+    """Whether one of the Prefer header fields has the preference `respond-async` (RFC 7240)."""
+    fields = b",".join(value for name, value in head.headers if name == b"prefer").decode("latin-1")
+    preferences = (preference.partition(";")[0].strip().lower() for preference in fields.split(","))
+    return "respond-async" in preferences
+
+
+def _idempotency_key(head: h11.Request) -> str | None:
+    value = header(head, b"idempotency-key")
+    return value.decode("ascii", "replace") if value else None
+
+
+async def _respond_to_repeated_request(conn: Connection, head: h11.Request, entry: Entry) -> None:
+    """Answer a request whose idempotency key is in the queue; HttpError 409 if it was to be run now."""
+    if entry.outcome is not None:
+        await respond_entry(conn, entry)
+    elif prefers_async(head):
+        await respond_accepted(conn, entry)
+    else:
+        message = "this request is queued: ask for it at its place"
+        raise HttpError(409, message, "queued", headers=[location(entry.name)])
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -1,4 +1,4 @@
-"""Queued requests on their way: by the same conductor, decisions and rules as those of clients that wait."""
+"""Sends queued requests through the conductor, by the same decisions as those of waiting clients."""
 
 from __future__ import annotations
 
@@ -10,7 +10,6 @@
 
 from ringledge.core.conductor import Conductor
 from ringledge.core.port import Payload
-from ringledge.core.records import Record
 from ringledge.core.stages.accept import DuplicateError
 from ringledge.decide.replay.scheduler import Verdict
 from ringledge.members.replay_sender import Result, Sending
@@ -18,6 +17,7 @@
 from ringledge.memory.stream_sessions import End, Session
 from ringledge.routing.interface import (
     Idempotency,
+    Request,
     RouterSettings,
 )
 from ringledge.store.entry import Entry
@@ -28,46 +28,57 @@
 from ringledge.wire.http.errors import HttpError
 
 
-class _Run(Answer):
-    """One entry's run: a session that nobody follows, whose end goes back to the replay."""
+class _ReplayAttempt(Answer):
+    """One attempt for an entry: a session without followers, whose result is reported to the replay once."""
 
-    def __init__(self, session: Session, conductor: Conductor, ended: Callable[[Result], None]) -> None:
+    def __init__(
+        self,
+        session: Session,
+        conductor: Conductor,
+        report: Callable[[Result], None],
+        idempotent: bool,
+    ) -> None:
         super().__init__(session)
-        self._mine, self._conductor, self._told = session, conductor, ended
-        self._left = False
-
-    def _end(self, end: End) -> None:
-        super()._end(end)
-        if self._left:
-            return
-        self._left = True
-        record = self._mine.record
-        # Until `take` has returned nothing can have been sent.
-        ran = record is not None and (record.streaming or record.may_have_run)
-        if end is End.SERVED:
-            usage = self._mine.usage or {}
-            written = float(usage.get("completion_tokens") or 0)
-            work = float(usage.get("prompt_tokens") or 0) + written
-            self._told(Result(Verdict.SERVED, True, whole_answer(self._mine), work or None, written))
-        elif end is End.REFUSED or not ran:
-            self._told(Result(Verdict.REFUSED, False))
-        else:
-            self._told(Result(Verdict.FAILED, True))
+        self._conductor = conductor
+        self._report = report
+        self._idempotent = idempotent
+        self._finished = False  # the result was reported, or is not wanted any more
 
     def cancel(self) -> bool:
-        """Give it up: the next holder sends it again."""
-        record, self._left = self._mine.record, True
-        if record is not None:
-            self._conductor.client_gone(record)
+        """Give up an idempotent request, which the next lease holder sends again.
+
+        Another one runs on, for it may have run already, and its result may yet be accepted: False.
+        """
+        if not self._idempotent:
+            return False
+        self._finished = True
+        if self._session.record is not None:
+            self._conductor.client_gone(self._session.record)
         return True
 
+    def _end(self, end: End) -> None:
+        super()._end(end)
+        if self._finished:
+            return
+        self._finished = True
+        self._report(self._result(end))
 
-class _Booking(_Run):
-    """One that must not run twice."""
-
-    def cancel(self) -> bool:
-        """It runs on: it may have run, and its end may still be taken."""
-        return False
+    def _result(self, end: End) -> Result:
+        if end is End.SERVED:
+            return self._served()
+        record = self._session.record
+        # Without a record the conductor has not returned from `accept`, and nothing can have been sent.
+        may_have_run = record is not None and (record.streaming or record.may_have_run)
+        if end is End.REFUSED or not may_have_run:
+            return Result(Verdict.REFUSED, False)
+        return Result(Verdict.FAILED, True)
+
+    def _served(self) -> Result:
+        usage = self._session.usage or {}
+        output_tokens = float(usage.get("completion_tokens") or 0)
+        total_tokens = float(usage.get("prompt_tokens") or 0) + output_tokens
+        response = whole_answer(self._session)
+        return Result(Verdict.SERVED, True, response, total_tokens or None, output_tokens)
 
 
 class ReplaySender:
@@ -76,32 +87,48 @@
     def __init__(
         self, config: ChatConfig, settings: RouterSettings, names: Names, conductor: Conductor
     ) -> None:
-        self._config, self._settings, self._names, self._conductor = config, settings, names, conductor
+        self._config = config
+        self._settings = settings
+        self._names = names
+        self._conductor = conductor
 
     def __call__(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
-        """Start one; None where its class or model is not served any more."""
-        told: dict[str, Any] = orjson.loads(entry.request.body)
+        """Start an attempt; None if the entry's class or model is not served any more."""
+        queued = entry.request
+        question: dict[str, Any] = orjson.loads(queued.body)
         try:
-            asked, shop = entry.request, (self._config, self._names, self._settings)
-            index, request = class_and_request(*shop, told, asked.request_class, asked.tenant, _id(entry))
+            class_index, request = class_and_request(
+                self._config,
+                self._names,
+                self._settings,
+                question,
+                queued.request_class,
+                queued.tenant,
+                _attempt_id(entry),
+            )
         except HttpError:
             return None
-        name = f"chatcmpl-{entry.name}"
-        session = Session(name, told, index, request.max_output_tokens, len(entry.request.body))
-        safe = self._settings.classes[index].idempotency is Idempotency.IDEMPOTENT
-        run = (_Run if safe and entry.request.idempotent else _Booking)(session, self._conductor, ended)
-        body = told | {"stream": True, "max_tokens": int(request.max_output_tokens)}
-        body.pop("max_completion_tokens", None)
-        payload = Payload(b"/v1/chat/completions", orjson.dumps(body))
+        session_name = f"chatcmpl-{entry.name}"
+        session = Session(session_name, question, class_index, request.max_output_tokens, len(queued.body))
+        idempotent = self._is_idempotent(class_index) and queued.idempotent
+        attempt = _ReplayAttempt(session, self._conductor, ended, idempotent)
         try:
-            record: Record = self._conductor.accept(request, payload, run)
-        except DuplicateError:  # the last attempt is still being let go of
+            session.record = self._conductor.accept(request, _payload(question, request), attempt)
+        except DuplicateError:  # the previous attempt is not closed yet
             ended(Result(Verdict.REFUSED, False))
-            return run
-        session.record = record
-        return run
+        return attempt
+
+    def _is_idempotent(self, class_index: int) -> bool:
+        return self._settings.classes[class_index].idempotency is Idempotency.IDEMPOTENT
+
+
+def _payload(question: dict[str, Any], request: Request) -> Payload:
+    """The request to the servers, which stream in any case."""
+    body = question | {"stream": True, "max_tokens": int(request.max_output_tokens)}
+    body.pop("max_completion_tokens", None)
+    return Payload(b"/v1/chat/completions", orjson.dumps(body))
 
 
-def _id(entry: Entry) -> str:
-    """The request's id at the servers: another for each attempt, and not the name that opens the answer."""
+def _attempt_id(entry: Entry) -> str:
+    """The id at the servers: each attempt has its own, and none reveals the name that clients poll."""
     return blake2b(f"{entry.name}:{entry.attempts}".encode(), digest_size=16).hexdigest()
--- a/tests/wire/clients/chat/queued.py
+++ b/tests/wire/clients/chat/queued.py
@@ -36,7 +36,7 @@
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 from ringledge.wire.clients.chat import Chat, error_body
-from ringledge.wire.clients.chat.queued import QueuedChat
+from ringledge.wire.clients.chat.queued import QueuedChat, QueuedChatOptions
 from ringledge.wire.clients.chat.replaying import ReplaySender
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.http.connection import Connection
@@ -102,10 +102,10 @@
         )
         self.queue = Queue(QueueConfig(**{"path": str(file)} | told))
         self.queue.start()
-        self.state, self.figures = State.CUT_OFF, QueueMetrics(CollectorRegistry())
-        queued = QueuedChat(
-            self.queue, lambda: self.state, NAMES.classes, SETTINGS, "farm", 600.0, self.figures
-        )
+        self.site_state = State.CUT_OFF
+        self.metrics = QueueMetrics(CollectorRegistry())
+        options = QueuedChatOptions(NAMES.classes, SETTINGS, "farm", 600.0)
+        queued = QueuedChat(self.queue, lambda: self.site_state, self.metrics, options)
         self.chat = Chat(CONFIG, SETTINGS, NAMES, self.conductor, 1e6, queued=queued)
         self.sender = ReplaySender(CONFIG, SETTINGS, NAMES, self.conductor)
 
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -45,7 +45,7 @@
     tmp_path: Path, prefer: str, state: State
 ) -> None:
     async def game(process: Process) -> None:
-        process.state = state
+        process.site_state = state
         async with anyio.create_task_group() as tasks:
             answers: list[int] = []
 
@@ -126,7 +126,7 @@
         _, headers, told = await process.post("book", Idempotency_Key="k", **ASYNC)
         again = await process.post("book", Idempotency_Key="k", **ASYNC)
         assert again[0] == 202 and again[2]["id"] == told["id"]
-        process.state = State.OPEN  # the link is back, and its client tries it live
+        process.site_state = State.OPEN  # the link is back, and its client tries it live
         status, place, body = await process.post("book", Idempotency_Key="k")
         assert (status, body["error"]["code"]) == (409, "queued") and place["location"] == headers["location"]
         assert not process.port.sent
