--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -1,8 +1,8 @@
-"""A process that takes requests into a queue's file and replays them, to be killed by `queue_kills`.
+"""A process that enqueues requests in a file and replays them, to be killed by `queue_kills`.
 
-On standard output a line for each thing that its world would see: `taken NAME KIND` (a 202), `sent NAME`
-(at the stand-in), `ended NAME`. On standard input `answer NAME` from the stand-in, `stop` to end once all
-has ended.
+It writes a line to standard output for each event that is observable outside: `taken NAME CLASS` (a 202),
+`sent NAME` (an attempt), `began TOKEN` and `done TOKEN`. It reads `answer NAME` from standard input, and
+`stop` to end once all entries have ended.
 """
 
 from __future__ import annotations
@@ -28,38 +28,40 @@
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 
-LATE_S = 0.5  # of the mutant between the send and its start: as long as a slow disk takes
-TAKE_S = 0.002  # between two requests of its clients
+LATE_RECORD_DELAY_S = 0.5  # of the mutant between an attempt and its record: as long as a slow disk takes
+ENQUEUE_INTERVAL_S = 0.002
 
 
-def say(*words: str) -> None:
-    """A line, whole or not at all: shorter than a pipe's atomic write."""
+def write_line(*words: str) -> None:
+    """Write a line atomically: it is shorter than PIPE_BUF."""
     os.write(1, (" ".join(words) + "\n").encode())
 
 
-class StandIn:
-    """The servers, which are the process that started this one."""
+class RemoteServers:
+    """The servers, played by the process that started this one."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, Callable[[Result], None]] = {}
-        self.stopping = self.all_taken = False
+        self._in_flight: dict[str, Callable[[Result], None]] = {}
+        self.stopping = False
+        self.all_enqueued = False
 
     def __call__(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
-        """Tell the other side of a send."""
-        self._waiting[entry.name] = ended
-        say("sent", entry.name)
+        """Start an attempt."""
+        self._in_flight[entry.name] = ended
+        write_line("sent", entry.name)
         return self
 
     @property
-    def over(self) -> bool:
-        """Whether nothing new comes."""
-        return self.stopping and self.all_taken
+    def finished(self) -> bool:
+        """Whether no more requests come."""
+        return self.stopping and self.all_enqueued
 
     def cancel(self) -> bool:
-        """The stand-in answers all the same."""
+        """The servers answer all the same."""
         return False
 
     async def receive(self) -> None:
+        """Read answers from standard input; exits when it is closed."""
         rest = b""
         while True:
             await anyio.wait_readable(sys.stdin)
@@ -71,71 +73,79 @@
                 word, _, name = line.decode().partition(" ")
                 if word == "stop":
                     self.stopping = True
-                elif ended := self._waiting.pop(name, None):
+                elif ended := self._in_flight.pop(name, None):
                     ended(Result(Verdict.SERVED, True, b'{"object":"chat.completion"}'))
 
 
-class LateStart(Replayer):
-    """A mutant: the start is written after the send."""
+class LateRecordReplayer(Replayer):
+    """A mutant that records an attempt only after it was sent."""
 
     async def _begin(self, replay: Replay, head: Head, token: int, still: Still) -> bool:
         entry = await self._queue.get(head.name)
         assert entry is not None
         self._start(entry, token)
-        await anyio.sleep(LATE_S)
+        await anyio.sleep(LATE_RECORD_DELAY_S)
         await self._queue.begin_attempt(entry.name, token)
         return True
 
 
 async def run(path: str, entries: int, seed: int, late: bool) -> None:
-    """Take so many requests in and replay all that the file holds."""
-    queue, stand_in = Queue(QueueConfig(path=path, lock_timeout_s=10.0)), StandIn()
+    """Enqueue requests and replay all that the file holds."""
+    queue = Queue(QueueConfig(path=path, lock_timeout_s=10.0))
+    servers = RemoteServers()
     queue.start()
 
-    def decider(now_s: float, token: int) -> Replay:
+    def scheduler(now_s: float, token: int) -> Replay:
         pace = Pace(random.Random(seed), jitter_s=0.0)
         pace.allot(now_s, 1e6)
         pace.opened(now_s)
         pace.rate = 1e5
         return Replay(pace, 16)
 
-    async def clients() -> None:
+    async def enqueue() -> None:
         for number in range(entries):
-            now_s, safe = time.time(), number % 2 == 0
-            kind = "query" if safe else "booking"
-            asked = QueuedRequest(
-                uuid4().hex, f"t{number % 3}", kind, safe, b"?" * 100, 10.0, now_s, now_s + 600
+            idempotent = number % 2 == 0
+            now_s = time.time()
+            request = QueuedRequest(
+                name=uuid4().hex,
+                tenant=f"t{number % 3}",
+                request_class="query" if idempotent else "booking",
+                idempotent=idempotent,
+                body=b"?" * 100,
+                estimated_tokens=10.0,
+                created_s=now_s,
+                expires_s=now_s + 600,
             )
-            await queue.enqueue(asked)
-            say("taken", asked.name, kind)
-            await anyio.sleep(TAKE_S)
-        stand_in.all_taken = True
+            await queue.enqueue(request)
+            write_line("taken", request.name, request.request_class)
+            await anyio.sleep(ENQUEUE_INTERVAL_S)
+        servers.all_enqueued = True
 
     async with anyio.create_task_group() as tasks:
-        kind = LateStart if late else Replayer
-        replayer = kind(queue, stand_in, decider, lambda: State.OPEN, time.monotonic)
+        replayer_type = LateRecordReplayer if late else Replayer
+        replayer = replayer_type(queue, servers, scheduler, lambda: State.OPEN, time.monotonic)
         replayer.tasks = tasks
-        tasks.start_soon(stand_in.receive)
-        tasks.start_soon(clients)
+        tasks.start_soon(servers.receive)
+        tasks.start_soon(enqueue)
         token = await queue.highest_token() + 1
         replayer.begin(token)
-        say("began", str(token))
+        write_line("began", str(token))
         await replayer.step(token, lambda: True)  # settles what earlier holders had begun
-        while not stand_in.over or replayer.under_way or replayer.owed or await queue.backlog_by_tenant():
+        while not servers.finished or replayer.under_way or replayer.owed or await queue.backlog_by_tenant():
             await replayer.news(0.005)
             await replayer.step(token, lambda: True)
         tasks.cancel_scope.cancel()
     queue.stop()
-    say("done", str(token))
+    write_line("done", str(token))
 
 
 @click.command()
 @click.argument("path")
 @click.option("--entries", default=50)
 @click.option("--seed", default=1)
-@click.option("--late", is_flag=True, help="The mutant that writes the start after the send.")
+@click.option("--late", is_flag=True, help="The mutant that records an attempt after it was sent.")
 def main(path: str, entries: int, seed: int, late: bool) -> None:
-    """Take requests in and replay them."""
+    """Enqueue requests and replay them."""
     log.configure("error", "child")
     anyio.run(run, path, entries, seed, late)
 
--- a/benchmarks/queue_kills.py
+++ b/benchmarks/queue_kills.py
@@ -1,7 +1,7 @@
-"""A process that takes requests in and replays them is killed (SIGKILL) at random moments and started again.
+"""Crash test: a process that enqueues and replays requests is killed (SIGKILL) at random and restarted.
 
-Afterwards the file and what the outside saw are compared: no request that was answered 202 is lost, no
-booking reached the stand-in twice, each entry has one end. JSON on standard output.
+Then the file is compared with what was observed outside the process: no request that was answered 202 is
+lost, no booking was sent twice, each entry has one outcome. JSON on standard output.
 
     python -m benchmarks.queue_kills --kills 200
 """
@@ -27,47 +27,52 @@
 from ringledge.store.schema import connect
 
 ROOT = Path(__file__).parent.parent
-PER_LIFE = 40  # requests that each process takes in; each brings two lines at least
-LATEST_S = 0.004  # after a line that a kill may come: some syncs long
+REQUESTS_PER_PROCESS = 40  # each of which brings two lines of output at least
+MAX_KILL_DELAY_S = 0.004  # after a line of output: as long as some syncs
 
 
 @dataclass
-class World:
-    """What the outside saw."""
+class Observed:
+    """What was observed outside the killed processes."""
 
-    taken: dict[str, str] = field(default_factory=dict)  # kinds by name
-    sent: Counter[str] = field(default_factory=Counter)
+    accepted: dict[str, str] = field(default_factory=dict)  # request classes by name of those answered 202
+    sent: Counter[str] = field(default_factory=Counter)  # attempts by name
     kills: int = 0
     lines: int = 0
 
     def note(self, line: str) -> None:
-        """Take a line of a process in."""
-        word, name, *more = line.split()
+        """Record a line of a process's output."""
+        event, name, *details = line.split()
         self.lines += 1
-        if word == "taken":
-            self.taken[name] = more[0]
-        elif word == "sent":
+        if event == "taken":
+            self.accepted[name] = details[0]
+        elif event == "sent":
             self.sent[name] += 1
 
 
-class Life:
-    """One process at the file."""
+class ChildProcess:
+    """One process with the queue's file, and the servers that answer it."""
 
     def __init__(
-        self, path: Path, world: World, seed: int, entries: int = PER_LIFE, late: bool = False
+        self,
+        path: Path,
+        observed: Observed,
+        seed: int,
+        entries: int = REQUESTS_PER_PROCESS,
+        late: bool = False,
     ) -> None:
         command = [sys.executable, "-m", "benchmarks.queue_child", str(path), "--seed", str(seed)]
         command += ["--entries", str(entries), *(["--late"] if late else [])]
-        self.world = world
+        self.observed = observed
         self.process = subprocess.Popen(
             command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True, bufsize=1
         )
 
-    def until(self, stop: Callable[[str], bool]) -> bool:
-        """Answer what is sent until a line that is wanted comes; False: the process has ended."""
+    def run_until(self, stop: Callable[[str], bool]) -> bool:
+        """Answer attempts until a line of output for which `stop` holds; False: the process has ended."""
         assert self.process.stdin and self.process.stdout
         for line in self.process.stdout:
-            self.world.note(line)
+            self.observed.note(line)
             if stop(line):
                 return True
             if line.startswith("sent "):
@@ -75,26 +80,26 @@
         return False
 
     def kill(self) -> None:
-        """SIGKILL; what it had said by then still counts."""
+        """Send SIGKILL; whole lines that were written before still count."""
         assert self.process.stdout
         self.process.kill()
         for line in self.process.stdout:
             if line.endswith("\n"):
-                self.world.note(line)
+                self.observed.note(line)
         self.process.wait()
-        self.world.kills += 1
+        self.observed.kills += 1
 
     def finish(self) -> None:
-        """Let it end all that there is."""
+        """Let it replay all entries, then end."""
         assert self.process.stdin
         self.process.stdin.write("stop\n")
-        self.until(lambda line: line.startswith("done"))
+        self.run_until(lambda line: line.startswith("done"))
         self.process.stdin.close()
         self.process.wait()
 
 
-def read(path: Path, names: list[str]) -> dict[str, Entry | None]:
-    """What the file holds of these."""
+def read_entries(path: Path, names: list[str]) -> dict[str, Entry | None]:
+    """The entries of these names in the file."""
     db = connect(path, 5.0)
     try:
         return {name: get_entry(db, name) for name in names}
@@ -102,60 +107,80 @@
         db.close()
 
 
-def faults(world: World, found: dict[str, Entry | None]) -> list[str]:
-    """What must not be, each in words."""
-    told = []
-    for name, kind in world.taken.items():
-        entry = found[name]
+def violations(observed: Observed, entries: dict[str, Entry | None]) -> list[str]:
+    """Violations of the queue's guarantees, each described in words."""
+    found = []
+    for name, request_class in observed.accepted.items():
+        entry = entries[name]
         if entry is None:
-            told.append(f"lost: {name} was answered 202")
+            found.append(f"lost: {name} was answered 202")
         elif entry.state is not EntryState.ENDED or entry.outcome is None:
-            told.append(f"no end: {name} is {entry.state.name}")
-        elif kind == "booking" and world.sent[name] > 1:
-            told.append(f"twice: booking {name} was sent {world.sent[name]} times")
-        elif entry.outcome is EntryOutcome.SERVED and not world.sent[name]:
-            told.append(f"never sent: {name} is said to be served")
-        elif kind == "query" and entry.outcome is not EntryOutcome.SERVED:
-            told.append(f"not served: {name} may run twice, and ended as {entry.outcome.value}")
-    return told
-
-
-def play(path: Path, kills: int, seed: int) -> tuple[World, list[str], Counter[str]]:
-    """So many lives, killed after a number of lines and a time drawn at random; then one that ends all."""
-    rng, world = random.Random(seed), World()
-    for number in range(kills):
-        life, left = Life(path, world, seed + number), [rng.randrange(1, 2 * PER_LIFE)]
+            found.append(f"no end: {name} is {entry.state.name}")
+        elif request_class == "booking" and observed.sent[name] > 1:
+            found.append(f"twice: booking {name} was sent {observed.sent[name]} times")
+        elif entry.outcome is EntryOutcome.SERVED and not observed.sent[name]:
+            found.append(f"never sent: {name} is said to be served")
+        elif request_class == "query" and entry.outcome is not EntryOutcome.SERVED:
+            found.append(f"not served: {name} may run twice, and ended as {entry.outcome.value}")
+    return found
+
+
+@dataclass(frozen=True)
+class CrashTestResult:
+    """The observations of a crash test, what they violate, and the entries' outcomes."""
+
+    observed: Observed
+    violations: list[str]
+    outcomes: Counter[str]
+
 
-        def last(_: str, left: list[int] = left) -> bool:
-            left[0] -= 1
-            return left[0] <= 0
+class _CountDown:
+    """Holds for the last of a number of lines."""
 
-        life.until(last)
-        time.sleep(rng.uniform(0.0, LATEST_S))  # the kill's moment is what is drawn; nothing waits for it
-        life.kill()
-    Life(path, world, seed, entries=0).finish()
-    found = read(path, list(world.taken))
-    ends = Counter(
-        entry.outcome.value for entry in found.values() if entry is not None and entry.outcome is not None
-    )
-    return world, faults(world, found), ends
+    def __init__(self, lines: int) -> None:
+        self._lines = lines
+
+    def __call__(self, line: str) -> bool:
+        self._lines -= 1
+        return self._lines <= 0
+
+
+def run_crash_test(path: Path, kills: int, seed: int) -> CrashTestResult:
+    """Kill `kills` processes after a random number of lines and a random delay; then replay what is left."""
+    rng = random.Random(seed)
+    observed = Observed()
+    for number in range(kills):
+        process = ChildProcess(path, observed, seed + number)
+        process.run_until(_CountDown(rng.randrange(1, 2 * REQUESTS_PER_PROCESS)))
+        time.sleep(rng.uniform(0.0, MAX_KILL_DELAY_S))  # the moment is random; nothing is waited for
+        process.kill()
+    ChildProcess(path, observed, seed, entries=0).finish()
+    entries = read_entries(path, list(observed.accepted))
+    outcomes = Counter(entry.outcome.value for entry in entries.values() if entry and entry.outcome)
+    return CrashTestResult(observed, violations(observed, entries), outcomes)
 
 
 @click.command()
 @click.option("--kills", default=200)
 @click.option("--seed", default=26)
 def main(kills: int, seed: int) -> None:
-    """Kill a process at a queue so many times, and check what is left."""
+    """Kill processes that use a queue, and check its guarantees."""
     with tempfile.TemporaryDirectory() as folder:
-        began = time.monotonic()
-        world, wrong, ends = play(Path(folder) / "queue.db", kills, seed)
-    told: dict[str, Any] = {"kills": world.kills, "seed": seed, "taken": len(world.taken)}
-    told["sends"] = world.sent.total()
-    twice = sum(world.sent[name] > 1 for name in world.taken)
-    told |= {"sent_twice_may_run_twice": twice, "ends": dict(ends), "faults": wrong}
-    told["took_s"] = round(time.monotonic() - began, 1)
-    print(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
-    sys.exit(bool(wrong))
+        started_s = time.monotonic()
+        result = run_crash_test(Path(folder) / "queue.db", kills, seed)
+    sent = result.observed.sent
+    output: dict[str, Any] = {
+        "kills": result.observed.kills,
+        "seed": seed,
+        "taken": len(result.observed.accepted),
+        "sends": sent.total(),
+        "sent_twice_may_run_twice": sum(sent[name] > 1 for name in result.observed.accepted),
+        "ends": dict(result.outcomes),
+        "faults": result.violations,
+        "took_s": round(time.monotonic() - started_s, 1),
+    }
+    print(orjson.dumps(output, option=orjson.OPT_INDENT_2).decode())
+    sys.exit(bool(result.violations))
 
 
 if __name__ == "__main__":
--- a/tests/store/test_component.py
+++ b/tests/store/test_component.py
@@ -1,4 +1,4 @@
-"""The queue as a part: from a site that is cut off to its replay, with stand-ins for the servers."""
+"""The queue's component: from a partitioned site to the replay of its queue, with fakes for the servers."""
 
 from __future__ import annotations
 
@@ -24,22 +24,25 @@
 from tests.loopback import ROOT
 
 
-class Links:
-    """What a process sees of its servers, as the test has it."""
+class FakeObservations:
+    """One prefill and one decode server, both reachable or neither."""
 
-    def __init__(self, up: bool) -> None:
-        self.up, self.count = up, (0.0, 0.0)
+    def __init__(self, reachable: bool) -> None:
+        self.reachable = reachable
 
     def servers(self, now_s: float) -> list[Seen]:
-        heard_s = now_s if self.up else -inf
-        return [Seen(True, False, self.up, True, heard_s), Seen(False, True, self.up, True, heard_s)]
+        heard_s = now_s if self.reachable else -inf
+        return [
+            Seen(True, False, self.reachable, True, heard_s),
+            Seen(False, True, self.reachable, True, heard_s),
+        ]
 
     def answers(self) -> tuple[float, float]:
-        return self.count
+        return 0.0, 0.0
 
 
-class Told:
-    """Facts of one member, and what it hears of others."""
+class FakeRecordStore:
+    """The records of one member, and those that it has received from others."""
 
     def __init__(self) -> None:
         self.own: dict[str, bytes] = {}
@@ -55,12 +58,12 @@
         return {place: value for place, value in self.others.items() if place[1].startswith(prefix)}
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    while not holds():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await anyio.sleep(0.005)
 
 
-def answered(entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+def serve(entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
     ended(Result(Verdict.SERVED, True, b'{"ok":1}', 20.0, 10.0))
     return None
 
@@ -69,61 +72,66 @@
     return QueuedRequest(name, "farm", "query", True, b"{}", 10.0, time.time(), time.time() + 60)
 
 
-def test_cut_off_queued_and_replayed_once_the_link_is_back(tmp_path: Path) -> None:
+def test_requests_queued_during_a_partition_are_replayed_after_it(tmp_path: Path) -> None:
     async def run() -> None:
-        links, facts = Links(up=False), Told()
+        observations = FakeObservations(reachable=False)
+        records = FakeRecordStore()
         sites = {"north": 1.0, "south": 1.0}
         config = QueueConfig(path=str(tmp_path / "queue.db"), site="north", site_weights=sites)
-        part = QueueComponent(config, links, CollectorRegistry(), random.Random(1), facts)
-        refused = list[str]()
+        component = QueueComponent(config, observations, CollectorRegistry(), random.Random(1), records)
+        rejected = list[str]()
 
         def send(entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
-            if not links.up:
-                refused.append(entry.name)
+            if not observations.reachable:
+                rejected.append(entry.name)
                 ended(Result(Verdict.REFUSED, False))
                 return None
-            return answered(entry, ended)
+            return serve(entry, ended)
 
-        part.sender = send
+        component.sender = send
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
-                part.start(tasks)
-                part.ready()
-                await until(lambda: part.site_state() is State.CUT_OFF)
-                said: Reached = msgspec.msgpack.decode(facts.own["reach/north"], type=Reached)
-                assert said.state == State.CUT_OFF.value
+                component.start(tasks)
+                component.ready()
+                await wait_until(lambda: component.site_state() is State.CUT_OFF)
+                view: Reached = msgspec.msgpack.decode(records.own["reach/north"], type=Reached)
+                assert view.state == State.CUT_OFF.value
                 for number in range(3):
-                    await part.queue.enqueue(request(f"{number}"))
-                await until(lambda: "backlog/north" in facts.own)
-                await until(lambda: bool(refused))  # one alone tries the link
-                assert len(refused) == 1
-                links.up = True
+                    await component.queue.enqueue(request(f"{number}"))
+                await wait_until(lambda: "backlog/north" in records.own)
+                await wait_until(lambda: bool(rejected))  # one entry alone probes the servers
+                assert len(rejected) == 1
+                observations.reachable = True
                 for number in range(3):
-                    while (await part.queue.get(f"{number}")).outcome is not EntryOutcome.SERVED:  # type: ignore[union-attr]
+                    while (await component.queue.get(f"{number}")).outcome is not EntryOutcome.SERVED:  # type: ignore[union-attr]
                         await anyio.sleep(0.01)
-                row: QueueBacklog = msgspec.msgpack.decode(facts.own["backlog/north"], type=QueueBacklog)
+                row: QueueBacklog = msgspec.msgpack.decode(records.own["backlog/north"], type=QueueBacklog)
                 assert row.token == 1 and row.weight == 1.0
-                await part.stop()
-                part.queue.stop()
+                await component.stop()
+                component.queue.stop()
                 tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_one_of_two_processes_replays_and_the_other_takes_over_with_a_higher_token(tmp_path: Path) -> None:
+def test_a_second_process_takes_the_replay_over_with_a_higher_token_when_the_first_stops(
+    tmp_path: Path,
+) -> None:
     async def run() -> None:
-        parts = []
+        components = []
         async with anyio.create_task_group() as tasks:
             for _ in range(2):
                 config = QueueConfig(path=str(tmp_path / "queue.db"))
-                part = QueueComponent(config, Links(up=True), CollectorRegistry(), random.Random(1))
-                part.sender = answered
-                part.start(tasks)
-                parts.append(part)
-            first, second = parts
+                component = QueueComponent(
+                    config, FakeObservations(reachable=True), CollectorRegistry(), random.Random(1)
+                )
+                component.sender = serve
+                component.start(tasks)
+                components.append(component)
+            first, second = components
             with anyio.fail_after(20):
                 first.ready()
-                await until(lambda: first.replayer.replay is not None)
+                await wait_until(lambda: first.replayer.replay is not None)
                 second.ready()
                 await second.queue.enqueue(request("a"))
                 while (await second.queue.get("a")).outcome is not EntryOutcome.SERVED:  # type: ignore[union-attr]
@@ -131,18 +139,18 @@
                 assert second.replayer.replay is None
                 assert await second.queue.highest_token() == 1
                 await first.stop()
-                await until(lambda: second.replayer.replay is not None)
+                await wait_until(lambda: second.replayer.replay is not None)
                 while await second.queue.highest_token() != 2:
                     await anyio.sleep(0.01)
                 await second.stop()
-                for part in parts:
-                    part.queue.stop()
+                for component in components:
+                    component.queue.stop()
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_the_file_that_is_shipped_can_be_used_and_is_off(tmp_path: Path) -> None:
+def test_the_shipped_settings_are_disabled_and_valid_once_enabled(tmp_path: Path) -> None:
     shipped = ROOT / "deploy/queue.toml"
     assert strict.read(QueueConfig, shipped) is None
     on = tmp_path / "queue.toml"
--- a/tests/store/test_kills.py
+++ b/tests/store/test_kills.py
@@ -1,4 +1,4 @@
-"""A real process is killed at its file, at random and right after each thing that the outside sees."""
+"""Crash tests of the queue: a process is killed at random, and right after each event observable outside."""
 
 from __future__ import annotations
 
@@ -6,65 +6,79 @@
 
 import pytest
 
-from benchmarks import queue_kills
-from benchmarks.queue_kills import Life, World, faults, read
+from benchmarks.queue_kills import (
+    ChildProcess,
+    Observed,
+    read_entries,
+    run_crash_test,
+    violations,
+)
 from ringledge.store.entry import EntryOutcome
 from ringledge.store.schema import connect
+from ringledge.store.seal import COLUMNS, row_seal
+
+
+def test_kills_at_random_lose_no_accepted_request_and_send_no_booking_twice(tmp_path: Path) -> None:
+    result = run_crash_test(tmp_path / "queue.db", kills=15, seed=7)
+
+    assert not result.violations and result.observed.kills == 15
+    assert result.outcomes[EntryOutcome.SERVED.value] > 50
 
 
-def test_killed_at_random_no_202_is_lost_no_booking_sent_twice_and_each_has_one_end(tmp_path: Path) -> None:
-    world, wrong, ends = queue_kills.play(tmp_path / "queue.db", kills=15, seed=7)
-    assert not wrong and world.kills == 15
-    assert ends[EntryOutcome.SERVED.value] > 50
+def kill_after(path: Path, event: str, late: bool = False) -> tuple[Observed, list[str]]:
+    """Kill a process right after an event of a booking and let another one finish; returns violations too."""
+    observed = Observed()
 
+    def is_event_of_booking(line: str) -> bool:
+        kind, name, *_ = line.split()
+        return kind == event and observed.accepted.get(name) == "booking"
 
-def at_point(path: Path, word: str, late: bool = False) -> tuple[World, list[str]]:
-    """Killed as soon as the outside hears that word of a booking; then another process goes on."""
-    world = World()
+    process = ChildProcess(path, observed, 1, late=late)
+    assert process.run_until(is_event_of_booking)
+    process.kill()
+    ChildProcess(path, observed, 2, entries=0).finish()
+    return observed, violations(observed, read_entries(path, list(observed.accepted)))
 
-    def wanted(line: str) -> bool:
-        what, name, *_ = line.split()
-        return what == word and world.taken.get(name) == "booking"
 
-    life = Life(path, world, 1, late=late)
-    assert life.until(wanted)
-    life.kill()
-    Life(path, world, 2, entries=0).finish()
-    return world, faults(world, read(path, list(world.taken)))
+@pytest.mark.parametrize("event", ["taken", "sent"])
+def test_a_kill_right_after_an_observable_event_violates_no_guarantee(tmp_path: Path, event: str) -> None:
+    path = tmp_path / "queue.db"
 
+    observed, violated = kill_after(path, event)
 
-@pytest.mark.parametrize("word", ["taken", "sent"])
-def test_killed_right_after_it_was_seen_outside(tmp_path: Path, word: str) -> None:
-    world, wrong = at_point(tmp_path / "queue.db", word)
-    assert not wrong
-    if word == "sent":
-        ends = [entry.outcome for entry in read(tmp_path / "queue.db", list(world.sent)).values() if entry]
-        assert EntryOutcome.UNKNOWN in ends
+    assert not violated
+    if event == "sent":
+        entries = read_entries(path, list(observed.sent)).values()
+        assert EntryOutcome.UNKNOWN in [entry.outcome for entry in entries if entry]
 
 
-def test_a_start_written_after_the_send_is_caught(tmp_path: Path) -> None:
-    """The mutant: the booking is on its way, and nothing of it is on the disk when its process dies."""
-    _, wrong = at_point(tmp_path / "queue.db", "sent", late=True)
-    assert any(each.startswith("twice: ") for each in wrong)
+def test_an_attempt_recorded_after_it_was_sent_is_detected(tmp_path: Path) -> None:
+    """The mutant's process is killed while the booking is in flight and not recorded on the disk."""
+    _, violated = kill_after(tmp_path / "queue.db", "sent", late=True)
+
+    assert any(violation.startswith("twice: ") for violation in violated)
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("corruption", "violation"),
     [
-        ("DELETE FROM entries WHERE name = ?", "lost: "),  # an end deleted before its client had it
+        ("DELETE FROM entries WHERE name = ?", "lost: "),  # an outcome deleted before its client had it
         ("UPDATE entries SET state = 1 WHERE name = ?", "no end: "),
     ],
 )
-def test_what_a_broken_store_would_do_is_caught(tmp_path: Path, change: str, told: str) -> None:
-    path, world = tmp_path / "queue.db", World()
-    Life(path, world, 1, entries=4).finish()
-    name = next(iter(world.taken))
+def test_a_lost_entry_and_a_lost_outcome_are_detected(
+    tmp_path: Path, corruption: str, violation: str
+) -> None:
+    path = tmp_path / "queue.db"
+    observed = Observed()
+    ChildProcess(path, observed, 1, entries=4).finish()
+    name = next(iter(observed.accepted))
     db = connect(path, 1.0)
-    db.execute(change, (name,))
-    if "state" in change:  # sealed, as a step that goes wrong would leave it
-        from ringledge.store.seal import COLUMNS, row_seal
-
+    db.execute(corruption, (name,))
+    if "state" in corruption:  # sealed, as a faulty transition would leave it
         row = db.execute(f"SELECT {COLUMNS} FROM entries WHERE name = ?", (name,)).fetchone()
         db.execute("UPDATE entries SET seal = ? WHERE name = ?", (row_seal(tuple(row)), name))
     db.close()
-    assert any(each.startswith(told) for each in faults(world, read(path, list(world.taken))))
+
+    found = violations(observed, read_entries(path, list(observed.accepted)))
+    assert any(each.startswith(violation) for each in found)
