--- a/tests/wire/clients/chat/queued.py
+++ b/tests/wire/clients/chat/queued.py
@@ -1,10 +1,11 @@
-"""One process of a cut-off site with its chat front, servers that a test plays, and its end of the queue."""
+"""A process of a partitioned site: its chat front, its queue, and servers whose answers a test determines."""
 
 from __future__ import annotations
 
 import json
 import socket
 from collections.abc import Callable, Coroutine, Mapping
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -58,8 +59,17 @@
 UP = Availability.UP
 
 
-class Port:
-    """The wires to the servers: what is sent waits for the test."""
+@dataclass(frozen=True)
+class Response:
+    """A response of the chat front."""
+
+    status: int
+    headers: dict[str, str]
+    body: Any  # decoded JSON
+
+
+class FakeServerPort:
+    """Attempts that were sent to the servers, for the test to answer."""
 
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
@@ -69,13 +79,13 @@
         self.sent.append(attempt)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Nothing to close."""
+        """No connection to close."""
 
     def release(self, request: str, known: set[str], unseen: Mapping[str, float], begun: bool) -> None:
-        """Nothing is held."""
+        """No cache to release."""
 
     def endpoints_changed(self) -> None:
-        """Nothing to do."""
+        """No connection depends on them."""
 
     def answered_since(self, server: str, at_ms: float) -> bool:
         return True
@@ -84,23 +94,23 @@
         return frozenset()
 
     def probe(self, server: str) -> None:
-        """None is sent."""
+        """No probe is sent."""
 
     def poll_endpoints(self) -> None:
-        """None are asked."""
+        """No discovery to poll."""
 
 
-class Process:
-    """One process of the site: its front and its end of the queue."""
+class SiteProcess:
+    """One process of the site with its chat front and its connection to the queue's file."""
 
-    def __init__(self, file: Path, **told: Any) -> None:
-        self.port, metrics, servers = Port(), Metrics(), ServerList(SETTINGS.kinds)
-        self.conductor = Conductor(SETTINGS, 1, Clock(), servers, metrics, self.port)
-        fleet = (ServerEntry("r", 0, 0, 0, UP), ServerEntry("w", 0, 1, 0, UP))
-        self.conductor.update_endpoints(
-            EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, fleet), {"r": "a:1", "w": "a:2"}
-        )
-        self.queue = Queue(QueueConfig(**{"path": str(file)} | told))
+    def __init__(self, file: Path, **queue_options: Any) -> None:
+        self.port = FakeServerPort()
+        servers = ServerList(SETTINGS.kinds)
+        self.conductor = Conductor(SETTINGS, 1, Clock(), servers, Metrics(), self.port)
+        endpoints = (ServerEntry("r", 0, 0, 0, UP), ServerEntry("w", 0, 1, 0, UP))
+        update = EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, endpoints)
+        self.conductor.update_endpoints(update, {"r": "a:1", "w": "a:2"})
+        self.queue = Queue(QueueConfig(**{"path": str(file)} | queue_options))
         self.queue.start()
         self.site_state = State.CUT_OFF
         self.metrics = QueueMetrics(CollectorRegistry())
@@ -109,17 +119,17 @@
         self.chat = Chat(CONFIG, SETTINGS, NAMES, self.conductor, 1e6, queued=queued)
         self.sender = ReplaySender(CONFIG, SETTINGS, NAMES, self.conductor)
 
-    async def ask(
+    async def request(
         self, method: str, path: str, body: Any = None, headers: Mapping[str, str] | None = None
-    ) -> tuple[int, dict[str, str], Any]:
-        """One request at the front; status, headers, JSON."""
-        ours, theirs = socket.socketpair()
-        theirs.setblocking(False)
-        text = b"" if body is None else json.dumps(body).encode()
-        told = {"Host": "x", "Content-Length": str(len(text))} | dict(headers or {})
-        lines = "".join(f"{name}: {value}\r\n" for name, value in told.items())
-        ours.sendall(f"{method} {path} HTTP/1.1\r\n{lines}\r\n".encode() + text)
-        conn = Connection(theirs, h11.SERVER)
+    ) -> Response:
+        """Send one request to the front."""
+        client, server = socket.socketpair()
+        server.setblocking(False)
+        content = b"" if body is None else json.dumps(body).encode()
+        fields = {"Host": "x", "Content-Length": str(len(content))} | dict(headers or {})
+        lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
+        client.sendall(f"{method} {path} HTTP/1.1\r\n{lines}\r\n".encode() + content)
+        conn = Connection(server, h11.SERVER)
         head = await conn.next_event()
         assert isinstance(head, h11.Request)
         try:
@@ -127,32 +137,26 @@
         except HttpError as error:
             await respond(conn, error.status, error_body(error), error.headers)
         conn.close()
-        answer = h11.Connection(h11.CLIENT)
-        answer.send(h11.Request(method=method, target=path, headers=[("Host", "x"), ("Content-Length", "0")]))
-        answer.send(h11.EndOfMessage())
-        ours.settimeout(10)
-        answer.receive_data(ours.recv(1_000_000))
-        response, data = answer.next_event(), b""
-        assert isinstance(response, h11.Response)
-        while isinstance(event := answer.next_event(), h11.Data):
-            data += event.data
-        ours.close()
-        named = {name.decode(): value.decode() for name, value in response.headers}
-        return response.status_code, named, json.loads(data)
-
-    async def post(self, model: str = "ask", **headers: str) -> tuple[int, dict[str, str], Any]:
+        client.settimeout(10)
+        received = client.recv(1_000_000)
+        client.close()
+        return parse_response(method, path, received)
+
+    async def post(self, model: str = "ask", **headers: str) -> Response:
+        """Post a chat request; underscores in the names of headers stand for hyphens."""
         body = {"model": model, "messages": [{"role": "user", "content": "is room 14 free?"}]}
         named = {key.replace("_", "-"): value for key, value in headers.items()}
-        return await self.ask("POST", "/v1/chat/completions", body, named)
+        return await self.request("POST", "/v1/chat/completions", body, named)
 
     async def replay(self, name: str, token: int) -> list[Result]:
-        """Send one entry through the conductor, as the holder does; its end goes into the list."""
-        entry, ends = await self.queue.begin_attempt(name, token), list[Result]()
-        self.sender(entry, ends.append)
-        return ends
+        """Send an entry through the conductor, as the lease holder does; the list receives its result."""
+        entry = await self.queue.begin_attempt(name, token)
+        results = list[Result]()
+        self.sender(entry, results.append)
+        return results
 
     async def serve(self, attempt: Attempt, *texts: str) -> None:
-        """The stand-ins: read at the reader, answered by the writer."""
+        """Answer an attempt as the prefill and the decode server do."""
         if attempt.is_prefill:
             self.conductor.outcome(attempt, AttemptStatus.PREFILLED)
             attempt = self.port.sent[-1]
@@ -163,15 +167,32 @@
         self.conductor.outcome(attempt, AttemptStatus.OK)
 
 
-Game = Callable[[Process], Coroutine[Any, Any, None]]
+def parse_response(method: str, path: str, received: bytes) -> Response:
+    """The response to that request."""
+    client = h11.Connection(h11.CLIENT)
+    client.send(h11.Request(method=method, target=path, headers=[("Host", "x"), ("Content-Length", "0")]))
+    client.send(h11.EndOfMessage())
+    client.receive_data(received)
+    head = client.next_event()
+    assert isinstance(head, h11.Response)
+    data = b""
+    while isinstance(event := client.next_event(), h11.Data):
+        data += event.data
+    headers = {name.decode(): value.decode() for name, value in head.headers}
+    return Response(head.status_code, headers, json.loads(data))
+
+
+Scenario = Callable[[SiteProcess], Coroutine[Any, Any, None]]
+
 
+def run_scenario(tmp_path: Path, scenario: Scenario, **queue_options: Any) -> None:
+    """Run a scenario with one process at a new file."""
 
-def play(tmp_path: Path, game: Game, **told: Any) -> None:
     async def run() -> None:
-        process = Process(tmp_path / "queue.db", **told)
+        process = SiteProcess(tmp_path / "queue.db", **queue_options)
         try:
             with anyio.fail_after(20):
-                await game(process)
+                await scenario(process)
         finally:
             process.queue.stop()
 
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -1,4 +1,4 @@
-"""The chat front while the site is cut off: who is queued, who is refused, and what is told at the place."""
+"""The chat front during a partition: requests that are queued or rejected, and polling of entries."""
 
 from __future__ import annotations
 
@@ -15,144 +15,155 @@
 from ringledge.store.entry import EntryOutcome
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
-from tests.wire.clients.chat.queued import ASYNC, Process, play
+from tests.wire.clients.chat.queued import ASYNC, SiteProcess, run_scenario
 
 
-def test_a_queued_request_from_its_202_to_its_answer_at_another_process(tmp_path: Path) -> None:
-    async def game(first: Process) -> None:
-        status, headers, told = await first.post(Prefer="wait=1, Respond-Async; x=1")
-        place = headers["location"]
-        assert status == 202 and headers["preference-applied"] == "respond-async"
-        assert place == f"/v1/queue/{told['id']}" and told["status"] == "queued"
-        second = Process(tmp_path / "queue.db")
-        assert (await second.ask("GET", place))[0] == 202
+def test_a_queued_request_is_polled_at_any_process_until_it_is_served(tmp_path: Path) -> None:
+    async def scenario(first: SiteProcess) -> None:
+        accepted = await first.post(Prefer="wait=1, Respond-Async; x=1")
+        location = accepted.headers["location"]
+        name = accepted.body["id"]
+        assert accepted.status == 202 and accepted.headers["preference-applied"] == "respond-async"
+        assert location == f"/v1/queue/{name}" and accepted.body["status"] == "queued"
+
+        second = SiteProcess(tmp_path / "queue.db")
+        assert (await second.request("GET", location)).status == 202
         await second.queue.adopt(1)
-        ends = await second.replay(told["id"], 1)
-        assert (await first.ask("GET", place))[2]["status"] == "in_progress"
+        results = await second.replay(name, 1)
+        assert (await first.request("GET", location)).body["status"] == "in_progress"
         assert second.port.sent[0].record.payload.body.count(b"is room 14 free?") == 1
+
         await second.serve(second.port.sent[0], "yes, ", "two slots")
-        await second.queue.complete(told["id"], 1, EntryOutcome.SERVED, ends[0].answer)
-        for process in (first, second):  # and it stays for its time
-            status, _, answer = await process.ask("GET", place)
-            assert status == 200 and answer["choices"][0]["message"]["content"] == "yes, two slots"
+        await second.queue.complete(name, 1, EntryOutcome.SERVED, results[0].answer)
+        for process in (first, second):  # each of them returns it for as long as it is retained
+            response = await process.request("GET", location)
+            assert response.status == 200
+            assert response.body["choices"][0]["message"]["content"] == "yes, two slots"
         second.queue.stop()
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(("prefer", "state"), [("", State.CUT_OFF), ("respond-async", State.OPEN)])
-def test_everybody_else_is_served_or_refused_as_without_a_queue(
+def test_a_request_is_run_at_once_without_the_preference_or_while_the_site_is_open(
     tmp_path: Path, prefer: str, state: State
 ) -> None:
-    async def game(process: Process) -> None:
+    async def scenario(process: SiteProcess) -> None:
         process.site_state = state
-        async with anyio.create_task_group() as tasks:
-            answers: list[int] = []
+        statuses: list[int] = []
 
-            async def client() -> None:
-                answers.append((await process.post(Prefer=prefer or "wait=5"))[0])
+        async def client() -> None:
+            response = await process.post(Prefer=prefer or "wait=5")
+            statuses.append(response.status)
 
+        async with anyio.create_task_group() as tasks:
             tasks.start_soon(client)
             while not process.port.sent:
                 await anyio.sleep(0)
             await process.serve(process.port.sent[0], "yes")
-        assert answers == [200] and not await process.queue.backlog_by_tenant()
-
-    play(tmp_path, game)
-
-
-def test_only_its_tenant_sees_it_and_takes_it_back_while_it_waits(tmp_path: Path) -> None:
-    async def game(process: Process) -> None:
-        _, headers, told = await process.post(**ASYNC)
-        place, other = headers["location"], {"X-Caller": "yard"}
-        assert (await process.ask("GET", place, headers=other))[0] == 404
-        assert (await process.ask("DELETE", place, headers=other))[0] == 404
-        assert (await process.ask("PUT", place))[0] == 405
-        assert (await process.ask("GET", "/v1/queue/none"))[0] == 404
-        status, _, gone = await process.ask("DELETE", place)
-        assert status == 200 and gone["status"] == "withdrawn"
-        assert (await process.ask("GET", place))[0] == 410
-        assert (await process.ask("DELETE", place))[0] == 409
-        _, headers, told = await process.post(**ASYNC)
+        assert statuses == [200] and not await process.queue.backlog_by_tenant()
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_only_its_tenant_may_poll_an_entry_and_withdraw_it_while_it_waits(tmp_path: Path) -> None:
+    async def scenario(process: SiteProcess) -> None:
+        location = (await process.post(**ASYNC)).headers["location"]
+        other_tenant = {"X-Caller": "yard"}
+        assert (await process.request("GET", location, headers=other_tenant)).status == 404
+        assert (await process.request("DELETE", location, headers=other_tenant)).status == 404
+        assert (await process.request("PUT", location)).status == 405
+        assert (await process.request("GET", "/v1/queue/none")).status == 404
+
+        withdrawn = await process.request("DELETE", location)
+        assert withdrawn.status == 200 and withdrawn.body["status"] == "withdrawn"
+        assert (await process.request("GET", location)).status == 410
+        assert (await process.request("DELETE", location)).status == 409
+
+        begun = await process.post(**ASYNC)
         await process.queue.adopt(1)
-        await process.queue.begin_attempt(told["id"], 1)
-        assert (await process.ask("DELETE", headers["location"]))[0] == 409
+        await process.queue.begin_attempt(begun.body["id"], 1)
+        assert (await process.request("DELETE", begun.headers["location"])).status == 409
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_each_end_is_told_apart(tmp_path: Path) -> None:
-    async def game(process: Process) -> None:
+def test_each_outcome_without_a_response_has_its_own_status_and_code(tmp_path: Path) -> None:
+    expected = (
+        (EntryOutcome.FAILED, 500, "failed"),
+        (EntryOutcome.UNKNOWN, 409, "may_have_run"),
+        (EntryOutcome.EXPIRED, 410, "expired"),
+    )
+
+    async def scenario(process: SiteProcess) -> None:
         await process.queue.adopt(1)
-        seen = {}
-        for end, status, kind in (
-            (EntryOutcome.FAILED, 500, "failed"),
-            (EntryOutcome.UNKNOWN, 409, "may_have_run"),
-            (EntryOutcome.EXPIRED, 410, "expired"),
-        ):
-            _, headers, told = await process.post("book", **ASYNC)
-            await process.queue.begin_attempt(told["id"], 1)
-            await process.queue.complete(told["id"], 1, end, b"")
-            got, _, body = await process.ask("GET", headers["location"])
-            seen[end] = (got, body["error"]["code"])
-            assert seen[end] == (status, kind)
-
-    play(tmp_path, game)
+        for outcome, status, code in expected:
+            accepted = await process.post("book", **ASYNC)
+            name = accepted.body["id"]
+            await process.queue.begin_attempt(name, 1)
+            await process.queue.complete(name, 1, outcome, b"")
+            response = await process.request("GET", accepted.headers["location"])
+            assert (response.status, response.body["error"]["code"]) == (status, code)
+
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
-    ("told", "status", "code"),
+    ("queue_options", "status", "code"),
     [
         ({"max_entries": 1, "tenant_quota": 1.0}, 503, "queue_full"),
         ({"max_entries": 2, "tenant_quota": 0.5}, 429, "queue_share_used"),
         ({"path": "/dev/null/queue.db"}, 503, "queue_closed"),
     ],
 )
-def test_what_can_not_be_queued_is_refused_at_once_and_says_why(
-    tmp_path: Path, told: dict[str, Any], status: int, code: str
+def test_a_request_that_the_queue_rejects_gets_the_reason_and_is_not_run(
+    tmp_path: Path, queue_options: dict[str, Any], status: int, code: str
 ) -> None:
-    async def game(process: Process) -> None:
-        if "path" not in told:
-            assert (await process.post(**ASYNC))[0] == 202
-        got, headers, body = await process.post(**ASYNC)
-        assert (got, body["error"]["code"]) == (status, code)
-        assert "retry-after" in headers and not process.port.sent
-
-    play(tmp_path, game, **told)
-
-
-def test_a_key_that_is_queued_never_runs_beside_the_queue(tmp_path: Path) -> None:
-    async def game(process: Process) -> None:
-        _, headers, told = await process.post("book", Idempotency_Key="k", **ASYNC)
-        again = await process.post("book", Idempotency_Key="k", **ASYNC)
-        assert again[0] == 202 and again[2]["id"] == told["id"]
-        process.site_state = State.OPEN  # the link is back, and its client tries it live
-        status, place, body = await process.post("book", Idempotency_Key="k")
-        assert (status, body["error"]["code"]) == (409, "queued") and place["location"] == headers["location"]
+    async def scenario(process: SiteProcess) -> None:
+        if "path" not in queue_options:
+            assert (await process.post(**ASYNC)).status == 202
+        rejected = await process.post(**ASYNC)
+        assert (rejected.status, rejected.body["error"]["code"]) == (status, code)
+        assert "retry-after" in rejected.headers and not process.port.sent
+
+    run_scenario(tmp_path, scenario, **queue_options)
+
+
+def test_a_request_whose_idempotency_key_is_queued_is_not_run(tmp_path: Path) -> None:
+    async def scenario(process: SiteProcess) -> None:
+        first = await process.post("book", Idempotency_Key="k", **ASYNC)
+        repeated = await process.post("book", Idempotency_Key="k", **ASYNC)
+        assert repeated.status == 202 and repeated.body["id"] == first.body["id"]
+
+        process.site_state = State.OPEN  # the partition is over, and the client retries synchronously
+        conflict = await process.post("book", Idempotency_Key="k")
+        assert (conflict.status, conflict.body["error"]["code"]) == (409, "queued")
+        assert conflict.headers["location"] == first.headers["location"]
         assert not process.port.sent
-        process.queue.stop()  # the file can't be asked: a booking that may be in it doesn't run
+
+        process.queue.stop()  # an unreadable file may have the key: a booking does not run
         process.queue = Queue(QueueConfig(path="/dev/null/queue.db"))
         process.queue.start()
         assert process.chat._queued is not None
         process.chat._queued._queue = process.queue
-        assert (await process.post("book", Idempotency_Key="k"))[0] == 503
+        assert (await process.post("book", Idempotency_Key="k")).status == 503
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_booking_that_may_have_run_is_told_so_and_one_that_was_refused_is_not(tmp_path: Path) -> None:
-    async def game(process: Process) -> None:
+def test_a_failed_attempt_reports_whether_a_booking_may_have_run(tmp_path: Path) -> None:
+    async def scenario(process: SiteProcess) -> None:
         await process.queue.adopt(1)
-        _, _, told = await process.post("book", **ASYNC)
-        ends = await process.replay(told["id"], 1)
+        accepted = await process.post("book", **ASYNC)
+        results = await process.replay(accepted.body["id"], 1)
         process.conductor.outcome(process.port.sent[0], AttemptStatus.PREFILLED)
-        process.conductor.outcome(
-            process.port.sent[1], AttemptStatus.RESET
-        )  # written to the writer, then nothing
-        assert [end.ran for end in ends] == [True]
-        _, _, told = await process.post("book", **ASYNC)
-        ends = await process.replay(told["id"], 1)
-        process.conductor.shut_down()  # given up before anything was read
-        assert [end.ran for end in ends] == [False]
-
-    play(tmp_path, game)
+        # The request was written to the decode server, which reset the connection.
+        process.conductor.outcome(process.port.sent[1], AttemptStatus.RESET)
+        assert [result.ran for result in results] == [True]
+
+        accepted = await process.post("book", **ASYNC)
+        results = await process.replay(accepted.body["id"], 1)
+        process.conductor.shut_down()  # before the prefill server has answered
+        assert [result.ran for result in results] == [False]
+
+    run_scenario(tmp_path, scenario)
--- a/tests/wire/clients/chat/test_queue_process.py
+++ b/tests/wire/clients/chat/test_queue_process.py
@@ -1,4 +1,4 @@
-"""The real program at a site that is cut off: queued over sockets, killed, and replayed by its successor."""
+"""The real program during a partition: requests are queued over sockets, and replayed after a kill."""
 
 from __future__ import annotations
 
@@ -31,61 +31,62 @@
         yield each
 
 
-def fetch(node: Node, place: str, method: str = "GET") -> Answer:
+def request_entry(node: Node, location: str, method: str = "GET") -> Answer:
     client = node.client("chat")
-    client.request(method, place, headers={"X-Caller": "farm"})
+    client.request(method, location, headers={"X-Caller": "farm"})
     return take(client)
 
 
-def answer(server: StandIn, how: Callable[[Call], object]) -> None:
-    """Answer all that comes, also what a process asked for that has ended since."""
+def answer_calls(server: StandIn, respond: Callable[[Call], object]) -> None:
+    """Answer all calls in a thread, also those of a process that has ended since."""
 
     def run() -> None:
         while True:
             call = server.calls.get()
             with contextlib.suppress(OSError):
-                how(call)
+                respond(call)
 
     threading.Thread(target=run, daemon=True).start()
 
 
-def state(node: Node, wanted: str) -> None:
-    while node.logged("site_state")["state"] != wanted:
+def wait_for_site_state(node: Node, state: str) -> None:
+    while node.logged("site_state")["state"] != state:
         continue
 
 
-def tell(node: Node, index: int, status: str) -> None:
-    """Discovery says how the writer is."""
+def publish_decode_server_status(node: Node, index: int, status: str) -> None:
+    """Send a watch event of discovery."""
     watch = node.watches.get(timeout=WAIT_S)
     watch.chunk(json.dumps(node.listing(index, w0=status)) + "\n")
     node.watches.put(watch)
 
 
-def test_queued_while_cut_off_and_replayed_by_the_next_process_once_it_is_back(node: Node) -> None:
-    tell(node, 8, "draining")  # no writer is left
-    state(node, "cut_off")
-    asked = [take(node.chat(each, Prefer="respond-async")) for each in (ASK, ASK | {"model": "book"})]
-    assert [each.status for each in asked] == [202, 202]
-    assert take(node.chat(ASK)).status == 503  # who doesn't ask for it is refused as ever
-    places = [each.headers["location"] for each in asked]
-    assert [fetch(node, place).status for place in places] == [202, 202]
+def test_requests_queued_during_a_partition_are_replayed_by_the_restarted_process(node: Node) -> None:
+    publish_decode_server_status(node, 8, "draining")  # the only one
+    wait_for_site_state(node, "cut_off")
+    requests = (ASK, ASK | {"model": "book"})
+    accepted = [take(node.chat(request, Prefer="respond-async")) for request in requests]
+    assert [response.status for response in accepted] == [202, 202]
+    assert take(node.chat(ASK)).status == 503  # without the preference it is rejected
+    locations = [response.headers["location"] for response in accepted]
+    assert [request_entry(node, location).status for location in locations] == [202, 202]
     node.kill()
     node.start(node.folder)
-    assert [fetch(node, place).status for place in places] == [202, 202]
-    answer(node.reader[0], Call.read)  # the list that it starts with has the writer
-    answer(node.writer[0], lambda call: call.serve("yes, ", "two slots"))
-    until = time.monotonic() + WAIT_S
-    answers = [fetch(node, place) for place in places]
-    while {each.status for each in answers} != {200} and time.monotonic() < until:
-        answers = [fetch(node, place) for place in places]
-    for each in answers:
-        assert each.json()["choices"][0]["message"]["content"] == "yes, two slots"
-    assert fetch(node, places[0], "DELETE").status == 409
+    assert [request_entry(node, location).status for location in locations] == [202, 202]
+    answer_calls(node.reader[0], Call.read)  # the persisted endpoints include the decode server
+    answer_calls(node.writer[0], lambda call: call.serve("yes, ", "two slots"))
+    deadline_s = time.monotonic() + WAIT_S
+    responses = [request_entry(node, location) for location in locations]
+    while {response.status for response in responses} != {200} and time.monotonic() < deadline_s:
+        responses = [request_entry(node, location) for location in locations]
+    for response in responses:
+        assert response.json()["choices"][0]["message"]["content"] == "yes, two slots"
+    assert request_entry(node, locations[0], "DELETE").status == 409
     ids = [call.id for call in node.writer[0].seen if call.method == "POST"]
-    assert len(ids) == len(set(ids)) >= 2  # nothing ran twice at the writer
+    assert len(ids) == len(set(ids)) >= 2  # no attempt reached it twice
 
 
-def test_the_queue_needs_the_chat_front(tmp_path: Path) -> None:
+def test_a_queue_without_the_chat_front_is_rejected_at_start(tmp_path: Path) -> None:
     queue = f'enabled = true\npath = "{tmp_path / "queue.db"}"\n'
     node = Node(tmp_path, files={"queue.toml": queue})
     with pytest.raises(AssertionError, match="chat.toml"), node:
