--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -89,51 +89,67 @@
         return True
 
 
+def scheduler(seed: int, now_s: float) -> Replay:
+    """A replay that sends at a high rate from its start."""
+    pace = Pace(random.Random(seed), jitter_s=0.0)
+    pace.allot(now_s, 1e6)
+    pace.opened(now_s)
+    pace.rate = 1e5
+    return Replay(pace, 16)
+
+
+def queued_request(number: int) -> QueuedRequest:
+    """One request; every other is a booking."""
+    idempotent = number % 2 == 0
+    now_s = time.time()
+    return QueuedRequest(
+        name=uuid4().hex,
+        tenant=f"t{number % 3}",
+        request_class="query" if idempotent else "booking",
+        idempotent=idempotent,
+        body=b"?" * 100,
+        estimated_tokens=10.0,
+        created_s=now_s,
+        expires_s=now_s + 600,
+    )
+
+
+async def enqueue_all(queue: Queue, entries: int, servers: RemoteServers) -> None:
+    """Enqueue requests at an interval, as clients would."""
+    for number in range(entries):
+        request = queued_request(number)
+        await queue.enqueue(request)
+        write_line("taken", request.name, request.request_class)
+        await anyio.sleep(ENQUEUE_INTERVAL_S)
+    servers.all_enqueued = True
+
+
+async def replay_all(queue: Queue, replayer: Replayer, servers: RemoteServers) -> int:
+    """Replay until no entry is left and no more come; the token that was used."""
+    token = await queue.highest_token() + 1
+    replayer.begin(token)
+    write_line("began", str(token))
+    await replayer.step(token, lambda: True)  # adopts what earlier holders had begun
+    while not servers.finished or replayer.under_way or replayer.owed or await queue.backlog_by_tenant():
+        await replayer.news(0.005)
+        await replayer.step(token, lambda: True)
+    return token
+
+
 async def run(path: str, entries: int, seed: int, late: bool) -> None:
     """Enqueue requests and replay all that the file holds."""
     queue = Queue(QueueConfig(path=path, lock_timeout_s=10.0))
     servers = RemoteServers()
     queue.start()
-
-    def scheduler(now_s: float, token: int) -> Replay:
-        pace = Pace(random.Random(seed), jitter_s=0.0)
-        pace.allot(now_s, 1e6)
-        pace.opened(now_s)
-        pace.rate = 1e5
-        return Replay(pace, 16)
-
-    async def enqueue() -> None:
-        for number in range(entries):
-            idempotent = number % 2 == 0
-            now_s = time.time()
-            request = QueuedRequest(
-                name=uuid4().hex,
-                tenant=f"t{number % 3}",
-                request_class="query" if idempotent else "booking",
-                idempotent=idempotent,
-                body=b"?" * 100,
-                estimated_tokens=10.0,
-                created_s=now_s,
-                expires_s=now_s + 600,
-            )
-            await queue.enqueue(request)
-            write_line("taken", request.name, request.request_class)
-            await anyio.sleep(ENQUEUE_INTERVAL_S)
-        servers.all_enqueued = True
-
     async with anyio.create_task_group() as tasks:
         replayer_type = LateRecordReplayer if late else Replayer
-        replayer = replayer_type(queue, servers, scheduler, lambda: State.OPEN, time.monotonic)
+        replayer = replayer_type(
+            queue, servers, lambda now_s, _: scheduler(seed, now_s), lambda: State.OPEN, time.monotonic
+        )
         replayer.tasks = tasks
         tasks.start_soon(servers.receive)
-        tasks.start_soon(enqueue)
-        token = await queue.highest_token() + 1
-        replayer.begin(token)
-        write_line("began", str(token))
-        await replayer.step(token, lambda: True)  # settles what earlier holders had begun
-        while not servers.finished or replayer.under_way or replayer.owed or await queue.backlog_by_tenant():
-            await replayer.news(0.005)
-            await replayer.step(token, lambda: True)
+        tasks.start_soon(enqueue_all, queue, entries, servers)
+        token = await replay_all(queue, replayer, servers)
         tasks.cancel_scope.cancel()
     queue.stop()
     write_line("done", str(token))
