--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -11,7 +11,7 @@
 from ringledge.lifecycle.context import ProgramContext
 from ringledge.store.component import QueueComponent
 from ringledge.store.settings import QueueConfig
-from ringledge.wire.clients.chat.queued import QueuedChat
+from ringledge.wire.clients.chat.queued import QueuedChat, QueuedChatOptions
 from ringledge.wire.clients.chat.replaying import ReplaySender
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.servers.observation import Sight
@@ -48,14 +48,7 @@
     if fleet is not None and is_leased:
         fleet.duties[queue.duty_name] = queue.replayer
     queue.sender = ReplaySender(chat_settings, settings, names, context.conductor)
-    chat = QueuedChat(
-        queue.queue,
-        queue.site_state,
-        names.classes,
-        settings,
-        chat_settings.tenant,
-        queue_settings.expiry_s,
-        queue.metrics,
-    )
+    options = QueuedChatOptions(names.classes, settings, chat_settings.tenant, queue_settings.expiry_s)
+    chat = QueuedChat(queue.queue, queue.site_state, queue.metrics, options)
     component = Component(start=lambda: queue.start(context.tasks), on_ready=queue.ready, stop=queue.stop)
     return QueuedRequests(component, chat)
