--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -14,7 +14,6 @@
 from ringledge.decide.replay.scheduler import Verdict
 from ringledge.members.replay_sender import Result, Sending
 from ringledge.memory.names import Names
-from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
 from ringledge.routing.interface import (
     Idempotency,
     Request,
@@ -24,6 +23,7 @@
 from ringledge.wire.clients.chat.answer import Answer
 from ringledge.wire.clients.chat.question import class_and_request
 from ringledge.wire.clients.chat.replies import whole_answer
+from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.http.errors import HttpError
 
@@ -109,7 +109,9 @@
         except HttpError:
             return None
         session_name = f"chatcmpl-{entry.name}"
-        session = StreamSession(session_name, question, class_index, request.max_output_tokens, len(queued.body))
+        session = StreamSession(
+            session_name, question, class_index, request.max_output_tokens, len(queued.body)
+        )
         idempotent = self._is_idempotent(class_index) and queued.idempotent
         attempt = _ReplayAttempt(session, self._conductor, ended, idempotent)
         try:
