--- a/benchmarks/wheel.py
+++ b/benchmarks/wheel.py
@@ -15,17 +15,17 @@
 import orjson
 from sortedcontainers import SortedList
 
-from ringledge.structures.timer_wheel import Wheel
+from ringledge.structures.timer_wheel import TimerWheel
 
-SPAN = 1500  # ticks over which timers fall due: 75 s of 50 ms
-BOUND = 500  # given out in a turn, where the structure can be asked for so many
+SPAN = 1500  # ticks over which timers expire: 75 s of 50 ms
+MAX_EXPIRED_PER_TURN = 500  # where the structure can bound it
 
 
 class WheelTimers:
-    """Ours."""
+    """The timer wheel."""
 
     def __init__(self) -> None:
-        self.wheel = Wheel()
+        self.wheel = TimerWheel()
 
     def schedule(self, due: int) -> int:
         return self.wheel.schedule(due)
@@ -35,11 +35,11 @@
 
     def expire(self, now: int) -> int:
         self.wheel.advance(now, 2000)
-        return len(self.wheel.expired(BOUND))
+        return len(self.wheel.pop_expired(MAX_EXPIRED_PER_TURN))
 
 
 class HeapTimers:
-    """heapq, cancelled entries marked and left."""
+    """heapq; cancelled entries are marked and stay in the heap."""
 
     def __init__(self) -> None:
         self.heap: list[list[int]] = []
@@ -54,7 +54,7 @@
 
     def expire(self, now: int) -> int:
         given = 0
-        while self.heap and self.heap[0][0] <= now and given < BOUND:
+        while self.heap and self.heap[0][0] <= now and given < MAX_EXPIRED_PER_TURN:
             given += heapq.heappop(self.heap)[1]
         return given
 
@@ -76,14 +76,14 @@
 
     def expire(self, now: int) -> int:
         given = 0
-        while self.sorted and self.sorted[0][0] <= now and given < BOUND:
+        while self.sorted and self.sorted[0][0] <= now and given < MAX_EXPIRED_PER_TURN:
             self.sorted.pop(0)
             given += 1
         return given
 
 
 class LoopTimers:
-    """asyncio's handles, one a timer; what falls due together runs in one turn."""
+    """asyncio's handles, one a timer; what expires together runs in one turn."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
--- a/ringledge/cli/serve.py
+++ b/ringledge/cli/serve.py
@@ -15,7 +15,7 @@
 from ringledge.lifecycle import serve as serving
 from ringledge.lifecycle import signals
 from ringledge.observe.logging import LEVELS, log
-from ringledge.structures.transient_errors import at_start, is_transient
+from ringledge.structures.transient_errors import is_transient, retry_while_transient
 
 
 @click.group(cls=Lazy, invoke_without_command=True)
@@ -59,13 +59,13 @@
 
 def _make_loop() -> asyncio.AbstractEventLoop:
     """The event loop; it needs descriptors, and there may be none for a moment."""
-    return at_start(asyncio.new_event_loop)
+    return retry_while_transient(asyncio.new_event_loop)
 
 
 def _load() -> configuration.Config:
     """The configuration; where the system refuses to read it for a moment, it is read again."""
     try:
-        return at_start(_read)
+        return retry_while_transient(_read)
     except (configuration.ConfigError, OSError) as error:
         _unusable(error)
 
--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -25,7 +25,7 @@
 from ringledge.memory.server_list import ServerList, some_of
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
-from ringledge.observe.stalls import stalls
+from ringledge.observe.stalls import stall_detector
 from ringledge.routing import snapshot
 from ringledge.routing.interface import (
     AttemptStatus,
@@ -228,10 +228,10 @@
                 try:
                     self._handle(event)
                 except Exception as error:  # a fault of ours costs what it met, not all that is open
-                    log.fault("event_failed", error, type=type(event).__name__)
+                    log.exception("event_failed", error, type=type(event).__name__)
                     self.context.invariants.violated(Invariant.HANDLING_FAILED, type=type(event).__name__)
-                if (ran_s := time.perf_counter() - began_s) > stalls.longest_s:
-                    stalls.longest_s, stalls.longest = ran_s, type(event).__name__
+                if (ran_s := time.perf_counter() - began_s) > stall_detector.longest_event_s:
+                    stall_detector.longest_event_s, stall_detector.longest_event = ran_s, type(event).__name__
         finally:
             self._busy = False
 
--- a/ringledge/core/gate.py
+++ b/ringledge/core/gate.py
@@ -126,7 +126,7 @@
         """Count a rejection."""
         self._sheds += 1
         self._metrics.shed.labels(self._names[class_index], reason.value).inc()
-        log.often("request_shed", **{"class": self._names[class_index]}, reason=reason.value)
+        log.rate_limited("request_shed", **{"class": self._names[class_index]}, reason=reason.value)
 
     def take(self, reading: ProcessReading) -> None:
         """Hand a reading on to the decisions, and act on what it says of memory."""
@@ -161,7 +161,7 @@
             "request_ms": round(self._overload.costs.estimate_ms(0.0), 2),
             "shed": self._sheds,
         }
-        log.often("overload", **told)
+        log.rate_limited("overload", **told)
         self._metrics.overload_changes.inc()
         self._sheds = 0
 
@@ -170,7 +170,7 @@
         if give_up:
             dropped = self._held.give_up(int(GIVE_UP_PART * self._memory))
             if dropped:
-                log.often("answers_dropped", bytes=dropped)
+                log.rate_limited("answers_dropped", bytes=dropped)
         now_ms = self._clock.now_ms()
         if now_ms - self._trimmed_ms >= TRIM_MS:
             self._trimmed_ms = now_ms
--- a/ringledge/decide/connections/admission.py
+++ b/ringledge/decide/connections/admission.py
@@ -12,7 +12,7 @@
 
 from ringledge.decide.connections.settings import DoorRule, DoorsConfig
 from ringledge.structures.space_saving import SpaceSaving
-from ringledge.structures.token_bucket import Bucket
+from ringledge.structures.token_bucket import TokenBucket
 
 WATCHED_BITS = {4: 24, 6: 56}  # of an address, by which clients are counted
 
@@ -48,7 +48,7 @@
                 self._tree.add(network).data["rule"] = number
         self._open = [0] * len(self._rules)
         self._each: Counter[str] = Counter()  # by address, where a rule bounds that
-        self._rates = [Bucket(max(1.0, rule.per_s or 0.0)) for rule in self._rules]
+        self._rates = [TokenBucket(max(1.0, rule.per_s or 0.0)) for rule in self._rules]
         self._silent: SpaceSaving[str] = SpaceSaving(config.networks_watched)
 
     def come(self, now_ms: float, address: str) -> Entry | Why:
@@ -63,9 +63,9 @@
             return Why.MOST_EACH
         if rule.per_s is not None:
             bucket = self._rates[number]
-            if bucket.fill(now_ms, rule.per_s / 1000, max(1.0, rule.per_s)) < 1:
+            if bucket.refill(now_ms, rule.per_s / 1000, max(1.0, rule.per_s)) < 1:
                 return Why.RATE
-            bucket.take(1)
+            bucket.consume(1)
         self._open[number] += 1
         if rule.most_each is not None:
             self._each[address] += 1
--- a/ringledge/decide/overload/cost_model.py
+++ b/ringledge/decide/overload/cost_model.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ringledge.structures.linear_model import Linear
+from ringledge.structures.linear_model import LinearModel
 
 REQUEST_MS, KB_MS = 3.0, 0.02  # CPU of a request and of each KB of it: the first guess
 KB_UNIT = 64.0  # KB that weigh about as much as a request: the model wants inputs of like size
@@ -13,7 +13,7 @@
     """A linear model in requests and KB."""
 
     def __init__(self) -> None:
-        self._model = Linear((REQUEST_MS, KB_MS * KB_UNIT), low=0.1, high=20.0, step=0.2)
+        self._model = LinearModel((REQUEST_MS, KB_MS * KB_UNIT), low=0.1, high=20.0, step=0.2)
         self._inputs = [0.0, 0.0]
         self._rejections = 0
 
@@ -35,7 +35,7 @@
         """Learn from the CPU time used since the last call; returns what rejections took of it, in ms."""
         rejections_ms = self._rejections * REJECTION_MS
         if not self._rejections:  # beside many, the few admitted would be taken for the cause of all
-            self._model.learn(self._inputs, cpu_ms)
+            self._model.update(self._inputs, cpu_ms)
         self._inputs = [0.0, 0.0]
         self._rejections = 0
         return rejections_ms
--- a/ringledge/decide/overload/cpu_budget.py
+++ b/ringledge/decide/overload/cpu_budget.py
@@ -4,7 +4,7 @@
 
 import math
 
-from ringledge.structures.token_bucket import Bucket
+from ringledge.structures.token_bucket import TokenBucket
 
 DEPTH_MS = 60.0  # CPU time that the budget holds: a burst that passes within one turn or two of the loop
 DECREASE_FACTOR, DECREASE_EVERY_MS = 0.8, 300.0  # for delays: what was admitted before has to pass first
@@ -19,7 +19,7 @@
     def __init__(self, lowest: float) -> None:
         """`lowest`: the deepest debt, as a part of the depth."""
         self._lowest_ms = lowest * DEPTH_MS
-        self._bucket = Bucket(DEPTH_MS)
+        self._bucket = TokenBucket(DEPTH_MS)
         self.correction = 1.0
         self._held_back = False  # it has rejected a request since the last sample
         self._decreased_at_ms = -math.inf
@@ -27,15 +27,15 @@
     def start(self, now_ms: float, rate: float) -> None:
         """Begin to enforce it: what was admitted up to now is still to be worked off, as far as known."""
         level_ms = self.refill(now_ms, rate)
-        self._bucket.level = max(self._lowest_ms, min(0.0, level_ms))
+        self._bucket.tokens = max(self._lowest_ms, min(0.0, level_ms))
 
     def refill(self, now_ms: float, rate: float) -> float:
         """Refill at a rate of CPU time per time; returns what is left, in ms."""
-        return self._bucket.fill(now_ms, rate, DEPTH_MS)
+        return self._bucket.refill(now_ms, rate, DEPTH_MS)
 
     def spend(self, cost_ms: float) -> None:
         """An admitted request is paid."""
-        self._bucket.take(cost_ms)
+        self._bucket.consume(cost_ms)
 
     def count_rejected(self) -> None:
         """The budget has held a request back."""
@@ -46,7 +46,7 @@
         if delayed and now_ms - self._decreased_at_ms >= DECREASE_EVERY_MS:
             self._decreased_at_ms = now_ms
             self.correction *= DECREASE_FACTOR
-            self._bucket.level = min(0.0, self._bucket.level)
+            self._bucket.tokens = min(0.0, self._bucket.tokens)
         elif used > 1.0 or (self._held_back and not delayed):
             step = GAIN * (1.0 - used)
             self.correction *= 1.0 + max(-MAX_STEP, min(MAX_STEP, step))
--- a/ringledge/decide/replay/rate_control.py
+++ b/ringledge/decide/replay/rate_control.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from ringledge.structures.token_bucket import Bucket
+from ringledge.structures.token_bucket import TokenBucket
 
 START_PART = 1 / 16  # of the ceiling where it begins: a sixteenth of what is spare is noise for live traffic
 START = 500.0  # tokens per s to begin with where no ceiling is known: one short request a second
@@ -60,7 +60,7 @@
         self._rng, self._jitter_s = rng, jitter_s
         self.ceiling: float | None = None  # tokens per s; None: not known
         self.rate = 0.0
-        self._bucket = Bucket(0.0)
+        self._bucket = TokenBucket(0.0)
         self._open, self._not_before_s = False, -inf
         self._fell_s = self._rose_s = self._probed_s = -inf
         # For how long what was sent has used the pace, as far as it has not raised it: one that has little to
@@ -73,7 +73,7 @@
         if not self._open:
             self._open, self.rate = True, self._start()
             self._not_before_s = now_s + self._rng.uniform(0.0, self._jitter_s)
-            self._bucket = Bucket(0.0, now_s * 1000)
+            self._bucket = TokenBucket(0.0, now_s * 1000)
             self._rose_s, self._used_s = now_s, 0.0
 
     def closed(self) -> None:
@@ -94,7 +94,7 @@
         """Whether one may be sent now. What is overdrawn is paid back first."""
         if not self._open or now_s < self._not_before_s or self.rate <= 0:
             return False
-        return self._bucket.fill(now_s * 1000, self.rate / 1000, self.rate * DEPTH_S) > 0
+        return self._bucket.refill(now_s * 1000, self.rate / 1000, self.rate * DEPTH_S) > 0
 
     def may_probe(self, now_s: float) -> bool:
         """Whether the link may be tried, while the site is cut off."""
@@ -103,7 +103,7 @@
     def sent(self, now_s: float, work: float) -> None:
         """So much work was sent."""
         self._probed_s = now_s
-        self._bucket.take(work)
+        self._bucket.consume(work)
         if self.rate > 0:
             self._used_s += work / self.rate
 
@@ -133,7 +133,7 @@
         """When one may be sent at the earliest, if nothing changes; inf: not before it does."""
         if not self._open or self.rate <= 0:
             return inf
-        level = self._bucket.fill(now_s * 1000, self.rate / 1000, self.rate * DEPTH_S)
+        level = self._bucket.refill(now_s * 1000, self.rate / 1000, self.rate * DEPTH_S)
         return max(self._not_before_s, now_s + max(0.0, -level) / self.rate)
 
     def _start(self) -> float:
--- a/ringledge/lifecycle/handover_channel.py
+++ b/ringledge/lifecycle/handover_channel.py
@@ -25,7 +25,7 @@
     settings_fingerprint,
 )
 from ringledge.observe.logging import log
-from ringledge.structures.transient_errors import AGAIN_S, at_start, is_transient
+from ringledge.structures.transient_errors import RETRY_INTERVAL_S, is_transient, retry_while_transient
 
 RESPONSE_TIMEOUT_S = 1.0  # a predecessor silent for so long hangs: its addresses are bound anew
 MAX_MESSAGE_BYTES = 64 * 1024
@@ -75,8 +75,8 @@
         except OSError as error:
             if not is_transient(error):
                 raise
-            log.often("successor_waits", error=str(error))
-            await anyio.sleep(AGAIN_S)
+            log.rate_limited("successor_waits", error=str(error))
+            await anyio.sleep(RETRY_INTERVAL_S)
             continue
         channel.setblocking(False)
         return channel
@@ -119,7 +119,7 @@
     """
     if not path.exists():
         return Predecessor()
-    channel = at_start(partial(socket.socket, socket.AF_UNIX, socket.SOCK_SEQPACKET))
+    channel = retry_while_transient(partial(socket.socket, socket.AF_UNIX, socket.SOCK_SEQPACKET))
     channel.setblocking(False)
     try:
         with anyio.fail_after(RESPONSE_TIMEOUT_S), _short_path(path) as address:
--- a/ringledge/members/duties.py
+++ b/ringledge/members/duties.py
@@ -118,7 +118,7 @@
                 try:
                     wait_s, failed = await duty.step(token, lambda: self._still(name, token)), 0
                 except Exception as error:
-                    log.fault("duty_step", error, duty=name, token=token)
+                    log.exception("duty_step", error, duty=name, token=token)
                     wait_s, failed = FAILED_WAIT_S, failed + 1
                     self.counts["step_failed"] += 1
             await self._sleep(wait_s)
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -99,7 +99,7 @@
         except StaleError as error:
             self._stale(token, error)
         except StoreError as error:
-            log.often("queue_step_failed", why=error.why.value, error=str(error))
+            log.rate_limited("queue_step_failed", why=error.why.value, error=str(error))
 
     async def news(self, timeout_s: float) -> None:
         """Wait until an entry has ended, so that the next step may come sooner."""
@@ -174,7 +174,7 @@
         try:
             sending = self._send(entry, ended)
         except Exception as error:  # a fault of ours: it may have been sent
-            log.fault("queue_send_crashed", error, entry=entry.name)
+            log.exception("queue_send_crashed", error, entry=entry.name)
             ended(Result(Verdict.FAILED, ran=True))
             return
         if sending is None:
@@ -205,7 +205,7 @@
             log.warning("queue_entry_moved", entry=entry.name, error=str(error))
             return
         except StoreError as error:
-            log.often("queue_step_failed", why=error.why.value, error=str(error))
+            log.rate_limited("queue_step_failed", why=error.why.value, error=str(error))
             self._unsettled.append(outcome)
             return
         if now.end is not None:
--- a/ringledge/members/service.py
+++ b/ringledge/members/service.py
@@ -142,7 +142,9 @@
             except MalformedError as error:
                 self._figures.dropped("heard", error.why)
                 if error.why not in ORDINARY:
-                    log.often("datagram_dropped", why=error.why.value, source=source[0], bytes=len(datagram))
+                    log.rate_limited(
+                        "datagram_dropped", why=error.why.value, source=source[0], bytes=len(datagram)
+                    )
         if (lost := self._socket.overflowed - before) > 0:
             self._figures.dropped("heard", Drop.FULL, lost)
         return bool(heard)
--- a/ringledge/memory/operator_overrides.py
+++ b/ringledge/memory/operator_overrides.py
@@ -14,7 +14,7 @@
 import orjson
 
 from ringledge.observe.logging import log
-from ringledge.structures.transient_errors import at_start
+from ringledge.structures.transient_errors import retry_while_transient
 
 LOOK_S = 0.05  # how often the file is looked at: another process may have changed it
 LOCK_S = 0.5  # a change that waits for others' for so long is given up
@@ -62,7 +62,7 @@
     def look_at_start(self) -> None:
         """Take the file in before anything is sent; what fails for a moment is tried again."""
         with suppress(OSError):  # told by `look`; a file that is missing is none that fails for a moment
-            at_start(self._path.read_bytes)
+            retry_while_transient(self._path.read_bytes)
         self.look()
 
     async def change(self, server: str, out: bool) -> None:
--- a/ringledge/observe/__init__.py
+++ b/ringledge/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Logging and metrics, which every floor uses."""
+"""Observability: logging, metrics and the detection of stalls."""
--- a/ringledge/observe/logging.py
+++ b/ringledge/observe/logging.py
@@ -1,4 +1,4 @@
-"""One JSON line an event, on standard error."""
+"""Structured logging: one JSON object a line, on standard error."""
 
 from __future__ import annotations
 
@@ -11,25 +11,28 @@
 
 import orjson
 
-OFTEN = 10  # lines a second of an event that a flood may bring
+MAX_LINES_PER_S = 10  # of an event that is rate limited
 LEVELS = ("debug", "info", "warning", "error")
 
 
-class _Room:
-    """Whether standard error takes a line now; a pipe that says so has room for 4 KB."""
+class _StandardError:
+    """Whether standard error accepts a line; a pipe that polls as writable has room for 4 KB."""
 
     def __init__(self) -> None:
-        self._fd = -1
-
-    def __call__(self) -> bool:
-        """Look, without waiting."""
-        if (fd := sys.stderr.fileno()) != self._fd:  # tests put another one in its place
-            self._fd, self._poll = fd, select.poll()
-            self._poll.register(fd, select.POLLOUT)
+        self._descriptor = -1
+        self._poll = select.poll()
+
+    def is_writable(self) -> bool:
+        """Poll without waiting."""
+        descriptor = sys.stderr.fileno()
+        if descriptor != self._descriptor:  # tests replace sys.stderr
+            self._descriptor = descriptor
+            self._poll = select.poll()
+            self._poll.register(descriptor, select.POLLOUT)
         return bool(self._poll.poll(0))
 
 
-_room = _Room()
+_standard_error = _StandardError()
 
 
 class Log:
@@ -38,51 +41,53 @@
     def __init__(self) -> None:
         self.level = LEVELS.index("info")
         self.name = ""
-        self.spent_s = 0.0  # in writes, since the start
-        self._lost = 0  # lines that the reader left no room for
-        self._often: dict[str, tuple[int, int]] = {}  # by event: the second, and lines in it
+        self.write_time_s = 0.0  # spent in writes, since the start
+        self._dropped_lines = 0  # since the last written line, because standard error was not writable
+        self._rate_limits: dict[str, tuple[int, int]] = {}  # by event: the second, and the lines in it
 
     def configure(self, level: str, name: str) -> None:
-        """Set the least level that is written, and the conductor's name."""
+        """Set the lowest level that is written, and the conductor's name."""
         self.level, self.name = LEVELS.index(level), name
 
     def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
-        if LEVELS.index(level) >= self.level:
-            line = {
-                "at": round(time.time(), 3),
-                "level": level,
-                "event": event,
-                "conductor": self.name,
-                **fields,
-            }
-            if self._lost:
-                line["lost"] = self._lost
-            if not _room():  # a reader that stands still must not hold up what is served
-                self._lost += 1
-                return
-            self._lost = 0
-            began_s = time.perf_counter()
-            with suppress(OSError):  # where nobody takes the log any more, requests are served all the same
-                sys.stderr.buffer.write(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
-                sys.stderr.buffer.flush()
-            self.spent_s += time.perf_counter() - began_s
+        """Write a line unless its level is too low; it is dropped where standard error is not writable."""
+        if LEVELS.index(level) < self.level:
+            return
+        line = {
+            "at": round(time.time(), 3),
+            "level": level,
+            "event": event,
+            "conductor": self.name,
+            **fields,
+        }
+        if self._dropped_lines:
+            line["lost"] = self._dropped_lines
+        if not _standard_error.is_writable():  # a reader that has stopped must not block requests
+            self._dropped_lines += 1
+            return
+        self._dropped_lines = 0
+        started_s = time.perf_counter()
+        with suppress(OSError):  # without a reader of the log, requests are served all the same
+            sys.stderr.buffer.write(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
+            sys.stderr.buffer.flush()
+        self.write_time_s += time.perf_counter() - started_s
 
     def debug(self, event: str, **fields: Any) -> None:
         """For tracing one request."""
         self._write("debug", event, fields)
 
     def info(self, event: str, **fields: Any) -> None:
-        """What happens in the ordinary run of things."""
+        """Normal operation."""
         self._write("info", event, fields)
 
-    def often(self, event: str, **fields: Any) -> None:
-        """What clients can bring about at will: a warning, of which each second brings a few lines only."""
-        second, lines = self._often.get(event, (0, 0))
+    def rate_limited(self, event: str, **fields: Any) -> None:
+        """A warning that clients can cause at will: MAX_LINES_PER_S for each event, the rest is counted."""
+        second, lines = self._rate_limits.get(event, (0, 0))
         now = int(time.monotonic())
-        left_out = max(0, lines - OFTEN) if second != now else 0
+        left_out = max(0, lines - MAX_LINES_PER_S) if second != now else 0
         lines = lines + 1 if second == now else 1
-        self._often[event] = (now, lines)
-        if lines <= OFTEN:
+        self._rate_limits[event] = (now, lines)
+        if lines <= MAX_LINES_PER_S:
             self._write("warning", event, fields | ({"left_out": left_out} if left_out else {}))
 
     def warning(self, event: str, **fields: Any) -> None:
@@ -90,11 +95,11 @@
         self._write("warning", event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """What they have to look at."""
+        """What on-call staff has to look at."""
         self._write("error", event, fields)
 
-    def fault(self, event: str, error: Exception, **fields: Any) -> None:
-        """A fault of the program's own, with its traceback."""
+    def exception(self, event: str, error: Exception, **fields: Any) -> None:
+        """An unexpected exception, with its traceback."""
         self._write("error", event, fields | {"traceback": traceback.format_exception(error)})
 
 
--- a/ringledge/observe/stalls.py
+++ b/ringledge/observe/stalls.py
@@ -1,7 +1,7 @@
-"""Tells when the event loop was away, and what that time went to: one log line for each time.
+"""Detects stalls of the event loop, and logs what the time went to: one line for each stall.
 
-It needs no thread, no signal and no timer of its own: whoever looks round every `BEAT_S` anyway beats here.
-A beat costs two system calls, some microseconds.
+It needs no thread, no signal and no timer of its own: a task that runs every `HEARTBEAT_INTERVAL_S` anyway
+records the heartbeats. A heartbeat costs two system calls, some microseconds.
 """
 
 from __future__ import annotations
@@ -13,91 +13,100 @@
 from collections.abc import Callable
 
 from ringledge.observe.logging import log
-from ringledge.structures.stall_attribution import Counters, account
+from ringledge.structures.stall_attribution import ProcessCounters, attribute_stall
 
-BEAT_S = 0.1  # between beats; a line may tell up to so much less than the loop was away
-STALL_S = 0.2  # late by more than this, a beat is told of: clients notice it, and a busy turn is far shorter
-SCHEDSTAT = "/proc/self/schedstat"  # of the main thread, where the loop runs: ns run, ns withheld, slices
-SCHEDSTAT_BYTES = 96  # three numbers of 64 bits in decimal, with what is between them
+HEARTBEAT_INTERVAL_S = 0.1  # a logged duration may be up to so much shorter than the stall
+STALL_THRESHOLD_S = 0.2  # a heartbeat that is later is logged: clients notice, and a busy turn is far shorter
+# Of the main thread, which runs the loop: ns running, ns runnable but not scheduled, number of time slices.
+SCHEDSTAT = "/proc/self/schedstat"
+SCHEDSTAT_BYTES = 96  # three numbers of 64 bits in decimal, with separators
 
 
-class Stalls:
-    """Compares each beat with the one before."""
+class StallDetector:
+    """Compares each heartbeat with the one before."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
+        """`clock`: monotonic, in seconds."""
         self._clock = clock
-        self.longest_s, self.longest = 0.0, ""  # what the core ran longest since the last beat
-        self._due_s: float | None = None  # by the monotonic clock; None: it has not begun
-        self._before = Counters()
-        self._collected_s = self._collecting_s = 0.0
+        self.longest_event_s = 0.0  # of the routing events handled since the last heartbeat
+        self.longest_event = ""  # its type
+        self._due_s: float | None = None  # when the next heartbeat is due; None before the first
+        self._counters = ProcessCounters()  # as of the last heartbeat
+        self._gc_s = 0.0
+        self._gc_started_s = 0.0
         self._schedstat: int | None = None
 
-    def beat(self) -> None:
-        """Look at the clock; called every `BEAT_S` from the loop, the first time as it begins."""
+    def record_heartbeat(self) -> None:
+        """Log a stall if this heartbeat is late.
+
+        To be called from the loop every `HEARTBEAT_INTERVAL_S`, and once as the loop starts.
+        """
         now_s = self._clock()
         if self._due_s is None:
-            self._begin()
-        now = self._read()
-        if self._due_s is not None and now_s - self._due_s > STALL_S:
-            self._tell(now_s - self._due_s, now)
-        self._before, self._due_s = now, now_s + BEAT_S
-        self.longest_s, self.longest = 0.0, ""
-
-    def _begin(self) -> None:
-        gc.callbacks.append(self._collect)
+            self._start()
+        counters = self._read_counters()
+        if self._due_s is not None and now_s - self._due_s > STALL_THRESHOLD_S:
+            self._log_stall(now_s - self._due_s, counters)
+        self._counters = counters
+        self._due_s = now_s + HEARTBEAT_INTERVAL_S
+        self.longest_event_s = 0.0
+        self.longest_event = ""
+
+    def _start(self) -> None:
+        gc.callbacks.append(self._on_gc)
         try:
             self._schedstat = os.open(SCHEDSTAT, os.O_RDONLY)
         except OSError:
-            self._schedstat = None  # not every system tells
+            self._schedstat = None  # not every system has it
 
-    def _collect(self, phase: str, _: dict[str, int]) -> None:
+    def _on_gc(self, phase: str, _: dict[str, int]) -> None:
         if phase == "start":
-            self._collecting_s = time.perf_counter()
+            self._gc_started_s = time.perf_counter()
         else:
-            self._collected_s += time.perf_counter() - self._collecting_s
-
-    def _read(self) -> Counters:
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        return Counters(
-            used.ru_utime,
-            used.ru_stime,
-            self._withheld(),
-            used.ru_nivcsw,
-            used.ru_minflt,
-            used.ru_majflt,
-            self._collected_s,
-            log.spent_s,
+            self._gc_s += time.perf_counter() - self._gc_started_s
+
+    def _read_counters(self) -> ProcessCounters:
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        return ProcessCounters(
+            user_s=usage.ru_utime,
+            system_s=usage.ru_stime,
+            not_scheduled_s=self._read_not_scheduled_s(),
+            involuntary_switches=usage.ru_nivcsw,
+            minor_faults=usage.ru_minflt,
+            major_faults=usage.ru_majflt,
+            gc_s=self._gc_s,
+            log_write_s=log.write_time_s,
         )
 
-    def _withheld(self) -> float | None:
+    def _read_not_scheduled_s(self) -> float | None:
         if self._schedstat is None:
             return None
-        ran_ns, withheld_ns = os.pread(self._schedstat, SCHEDSTAT_BYTES, 0).split()[:2]
-        return int(withheld_ns) / 1e9 if int(ran_ns) else None  # zeros: a kernel that keeps no count
+        running_ns, not_scheduled_ns = os.pread(self._schedstat, SCHEDSTAT_BYTES, 0).split()[:2]
+        return int(not_scheduled_ns) / 1e9 if int(running_ns) else None  # zeros: the kernel does not count
 
-    def _tell(self, away_s: float, now: Counters) -> None:
-        away = account(away_s, self._before, now)
-        spent = away.spent
+    def _log_stall(self, duration_s: float, counters: ProcessCounters) -> None:
+        stall = attribute_stall(duration_s, self._counters, counters)
+        deltas = stall.deltas
         log.warning(
             "stalled",
-            away_ms=_ms(away.away_s),
-            why=away.why,
-            cpu_ms=_ms(spent.user_s + spent.system_s),
-            system_ms=_ms(spent.system_s),
-            withheld_ms=None if spent.withheld_s is None else _ms(spent.withheld_s),
-            waited_ms=_ms(away.waited_s),
-            collected_ms=_ms(spent.collected_s),
-            logged_ms=_ms(spent.logged_s),
-            switches=spent.switches,
-            minor=spent.minor,
-            major=spent.major,
-            longest=self.longest,
-            longest_ms=_ms(self.longest_s),
+            away_ms=_to_ms(stall.duration_s),
+            why=stall.cause.value,
+            cpu_ms=_to_ms(deltas.user_s + deltas.system_s),
+            system_ms=_to_ms(deltas.system_s),
+            withheld_ms=None if deltas.not_scheduled_s is None else _to_ms(deltas.not_scheduled_s),
+            waited_ms=_to_ms(stall.blocked_s),
+            collected_ms=_to_ms(deltas.gc_s),
+            logged_ms=_to_ms(deltas.log_write_s),
+            switches=deltas.involuntary_switches,
+            minor=deltas.minor_faults,
+            major=deltas.major_faults,
+            longest=self.longest_event,
+            longest_ms=_to_ms(self.longest_event_s),
         )
 
 
-def _ms(seconds: float) -> float:
+def _to_ms(seconds: float) -> float:
     return round(seconds * 1000, 1)
 
 
-stalls = Stalls()
+stall_detector = StallDetector()
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -127,7 +127,7 @@
                 if self._holder is not None:
                     await self._holder.step()
             except StoreError as error:
-                log.often("queue_step_failed", why=error.why.value, error=str(error))
+                log.rate_limited("queue_step_failed", why=error.why.value, error=str(error))
             await self.replayer.news(STEP_S if self._waiting else IDLE_S)
 
     def _look(self, now_s: float) -> None:
--- a/ringledge/store/worker.py
+++ b/ringledge/store/worker.py
@@ -129,7 +129,7 @@
             raise
         except Exception as error:  # a fault of ours costs this step, not the thread
             db.execute("ROLLBACK TO step")
-            log.fault("queue_step_crashed", error)
+            log.exception("queue_step_crashed", error)
             return error
         finally:
             if db.in_transaction:
--- a/ringledge/structures/linear_model.py
+++ b/ringledge/structures/linear_model.py
@@ -5,28 +5,37 @@
 from collections.abc import Sequence
 
 
-class Linear:
-    """Weights, each kept within its bounds, that follow what samples say of them."""
+class LinearModel:
+    """Weights, each within its bounds, that are adapted to samples."""
 
-    __slots__ = ("_high", "_low", "step", "weights")
+    __slots__ = ("_lower_bounds", "_upper_bounds", "step_size", "weights")
 
     def __init__(self, weights: Sequence[float], low: float, high: float, step: float) -> None:
-        """Start from a guess; `low` and `high` are multiples of it that a weight stays between."""
+        """Start from an estimate of the weights.
+
+        `low`, `high`: bounds of each weight, as multiples of its estimate. `step`: the step size, 0 to 1: how
+        far one sample moves the weights towards those that would explain it.
+        """
         self.weights = list(weights)
-        self._low, self._high = [w * low for w in weights], [w * high for w in weights]
-        self.step = step  # 0 to 1: how far one sample moves the weights towards what would explain it
+        self._lower_bounds = [weight * low for weight in weights]
+        self._upper_bounds = [weight * high for weight in weights]
+        self.step_size = step
 
-    def value(self, inputs: Sequence[float]) -> float:
-        """What the model says of these inputs."""
+    def predict(self, inputs: Sequence[float]) -> float:
+        """The model's output for these inputs."""
         return sum(w * x for w, x in zip(self.weights, inputs, strict=True))
 
-    def learn(self, inputs: Sequence[float], seen: float) -> None:
-        """Take one sample in. Inputs should be of like size, for the error is divided by their squares."""
+    def update(self, inputs: Sequence[float], output: float) -> None:
+        """Adapt the weights to one sample.
+
+        Inputs should be of similar magnitude: the error is divided by the sum of their squares.
+        """
         power = sum(x * x for x in inputs)
         if power <= 0:
             return
-        part = self.step * (seen - self.value(inputs)) / (1.0 + power)
-        moved = [w + part * x for w, x in zip(self.weights, inputs, strict=True)]
+        gain = self.step_size * (output - self.predict(inputs)) / (1.0 + power)
+        moved = [w + gain * x for w, x in zip(self.weights, inputs, strict=True)]
         self.weights = [
-            min(high, max(low, w)) for w, low, high in zip(moved, self._low, self._high, strict=True)
+            min(high, max(low, w))
+            for w, low, high in zip(moved, self._lower_bounds, self._upper_bounds, strict=True)
         ]
--- a/ringledge/structures/setting_types.py
+++ b/ringledge/structures/setting_types.py
@@ -1,4 +1,4 @@
-"""Kinds of values that settings of several subsystems have."""
+"""Types of values that settings of several subsystems share."""
 
 from __future__ import annotations
 
@@ -7,6 +7,6 @@
 from msgspec import Meta
 
 Address = Annotated[str, Meta(pattern=r"^\S+:[0-9]{1,5}$")]
-MaybeAddress = Annotated[str, Meta(pattern=r"^(\S+:[0-9]{1,5})?$")]
+OptionalAddress = Annotated[str, Meta(pattern=r"^(\S+:[0-9]{1,5})?$")]
 Count = Annotated[int, Meta(ge=1)]
 Seconds = Annotated[float, Meta(gt=0)]
--- a/ringledge/structures/space_saving.py
+++ b/ringledge/structures/space_saving.py
@@ -9,20 +9,21 @@
 
 
 class SpaceSaving(Generic[K]):
-    """Counts at most `most` keys; a new one takes over the least count, so no count is ever too low.
+    """Counts at most `capacity` keys; a new key replaces one of the lowest count and inherits that count.
 
-    A count is too high by at most the total over `most`. The keys of the least count are collected in one
-    pass, which serves until they are used up: mostly constant time, a pass over `most` keys at worst.
+    No count is ever too low, and none is too high by more than the total over `capacity`. The keys of the
+    lowest count are collected in one pass, which serves until they are used up: mostly constant time, a pass
+    over all keys at worst.
     """
 
-    __slots__ = ("_counts", "_errors", "_least", "_low", "_most", "total")
+    __slots__ = ("_capacity", "_counts", "_errors", "_min_count", "_min_keys", "total")
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, capacity: int) -> None:
+        self._capacity = capacity
         self._counts: dict[K, int] = {}
         self._errors: dict[K, int] = {}  # how much of a count may be an earlier key's
-        self._least: list[K] = []  # keys that had the least count when they were collected
-        self._low = 0  # that count
+        self._min_keys: list[K] = []  # keys that had the lowest count when they were collected
+        self._min_count = 0  # that count
         self.total = 0
 
     def __len__(self) -> int:
@@ -35,24 +36,29 @@
         counts = self._counts
         if key in counts:
             counts[key] += times
-        elif len(counts) < self._most:
+        elif len(counts) < self._capacity:
             counts[key] = times
         else:
-            least, count = self._take_least()
-            del counts[least]
-            self._errors.pop(least, None)
-            counts[key], self._errors[key] = count + times, count
+            replaced, count = self._pop_min()
+            del counts[replaced]
+            self._errors.pop(replaced, None)
+            counts[key] = count + times
+            self._errors[key] = count
 
-    def _take_least(self) -> tuple[K, int]:
+    def _pop_min(self) -> tuple[K, int]:
+        """A key of the lowest count, with that count."""
         while True:
-            while self._least:
-                key = self._least.pop()
-                if self._counts.get(key) == self._low:  # else it was counted or dropped meanwhile
-                    return key, self._low
-            self._low = min(self._counts.values())
-            self._least = [key for key, count in self._counts.items() if count == self._low]
+            while self._min_keys:
+                key = self._min_keys.pop()
+                if self._counts.get(key) == self._min_count:  # else it was counted or replaced meanwhile
+                    return key, self._min_count
+            self._min_count = min(self._counts.values())
+            self._min_keys = [key for key, count in self._counts.items() if count == self._min_count]
 
     def top(self, number: int) -> list[tuple[K, int, int]]:
-        """The keys with the highest counts: key, count, and by how much it may be too high."""
-        ordered = sorted(self._counts.items(), key=lambda each: -each[1])[:number]
+        """The keys with the highest counts: key, count, and by how much it may be too high.
+
+        Plain tuples, for they are logged as JSON.
+        """
+        ordered = sorted(self._counts.items(), key=lambda item: -item[1])[:number]
         return [(key, count, self._errors.get(key, 0)) for key, count in ordered]
--- a/ringledge/structures/token_bucket.py
+++ b/ringledge/structures/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket that may go into debt, for time given by the caller."""
+"""A token bucket that may go into debt; the caller gives the time."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 
 @dataclass(slots=True)
-class Bucket:
-    """A level that fills at a rate up to a depth; what is taken may leave it below zero."""
+class TokenBucket:
+    """Tokens that are refilled at a rate up to a burst size; consuming may leave them below zero."""
 
-    level: float
-    at_ms: float = 0.0  # when the level was counted
+    tokens: float
+    updated_ms: float = 0.0  # when the tokens were last refilled
 
-    def fill(self, now_ms: float, per_ms: float, depth: float) -> float:
-        """Count the level as of now; a clock that went back fills nothing."""
-        gained = per_ms * max(0.0, now_ms - self.at_ms)
-        self.level, self.at_ms = min(depth, self.level + gained), max(now_ms, self.at_ms)
-        return self.level
+    def refill(self, now_ms: float, rate_per_ms: float, burst: float) -> float:
+        """Refill up to the given time, and return the tokens; a clock that went back refills nothing."""
+        gained = rate_per_ms * max(0.0, now_ms - self.updated_ms)
+        self.tokens = min(burst, self.tokens + gained)
+        self.updated_ms = max(now_ms, self.updated_ms)
+        return self.tokens
 
-    def take(self, amount: float) -> None:
-        """Take so much, whether or not it is there."""
-        self.level -= amount
+    def consume(self, amount: float) -> None:
+        """Consume tokens, whether or not there are as many."""
+        self.tokens -= amount
--- a/ringledge/structures/transient_errors.py
+++ b/ringledge/structures/transient_errors.py
@@ -1,7 +1,8 @@
-"""Errors of system calls that say nothing of the peer, and may be over in a moment.
+"""Transient errors of system calls: they say nothing of the peer, and the same call may soon succeed.
 
-accept(2), socket(2), connect(2) and bind(2) list them: the process or the whole system is out of descriptors,
-buffers, ports or memory, a route is missing while the network changes, a caller has gone before it was taken.
+The manual pages of accept(2), socket(2), connect(2) and bind(2) list them: the process or the system is out
+of descriptors, buffers, ports or memory, a route is missing while the network changes, or a client has closed
+its connection before it was accepted.
 """
 
 from __future__ import annotations
@@ -11,34 +12,34 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-# Of connect: our side has no port or no route just now. The peer was not asked.
-NO_PATH = frozenset({errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN})
-# Of accept: the one that waited has gone, or its connection had an error; whoever waits behind it is well.
-CALLER_GONE = frozenset({errno.ECONNABORTED, errno.EPROTO, errno.EINTR})
-TRANSIENT = EXHAUSTED | NO_PATH | CALLER_GONE | {errno.EIO, errno.EADDRINUSE}
+RESOURCE_EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+# Of connect: this host has no port or no route at the moment; nothing was sent to the peer.
+NO_LOCAL_PATH = frozenset({errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENETDOWN})
+# Of accept: the first connection in the backlog is closed or failed; those behind it are not affected.
+CLIENT_DISCONNECTED = frozenset({errno.ECONNABORTED, errno.EPROTO, errno.EINTR})
+TRANSIENT = RESOURCE_EXHAUSTED | NO_LOCAL_PATH | CLIENT_DISCONNECTED | {errno.EIO, errno.EADDRINUSE}
 
-AGAIN_S = 0.05  # between two tries
-START_S = 5.0  # that a start tries: it has to be over in some seconds
+RETRY_INTERVAL_S = 0.05
+START_TIMEOUT_S = 5.0  # of all retries at a start, which has to be complete within some seconds
 
 T = TypeVar("T")
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether the same call may do in a moment."""
+    """Whether the same call may soon succeed."""
     return error.errno in TRANSIENT
 
 
-def at_start(call: Callable[[], T]) -> T:
-    """Make a call that the start needs, again and again while it fails for a reason that may pass.
+def retry_while_transient(call: Callable[[], T]) -> T:
+    """Make a call that the start needs, and retry it after transient errors for START_TIMEOUT_S at most.
 
-    It blocks: nothing is served yet.
+    It blocks the thread: only for a start, when nothing is served yet.
     """
-    until_s = time.monotonic() + START_S
+    deadline_s = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             return call()
         except OSError as error:
-            if not is_transient(error) or time.monotonic() >= until_s:
+            if not is_transient(error) or time.monotonic() >= deadline_s:
                 raise
-        time.sleep(AGAIN_S)
+        time.sleep(RETRY_INTERVAL_S)
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -128,7 +128,7 @@
             entry = await self._queue.enqueue(asked)
         except StoreError as error:
             self._figures.refused.labels(error.why.value).inc()
-            log.often("queue_refused", why=error.why.value, error=str(error))
+            log.rate_limited("queue_refused", why=error.why.value, error=str(error))
             raise refusal(error, [(b"Location", PLACE + asked.name.encode())]) from error
         self._figures.queued.inc()
         log.info("queue_entry_taken", entry=entry.name, tenant=tenant, **{"class": asked.kind})
--- a/ringledge/wire/clients/front.py
+++ b/ringledge/wire/clients/front.py
@@ -16,7 +16,7 @@
 
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
-from ringledge.structures.transient_errors import CALLER_GONE
+from ringledge.structures.transient_errors import CLIENT_DISCONNECTED
 from ringledge.wire.clients.idle_connections import Parked, silent, speaks
 from ringledge.wire.clients.open_connections import IDLE_S, OpenConnections
 from ringledge.wire.clients.request_loop import REQUEST_S, Answering, ErrorBody, Handler, Refused, RequestLoop
@@ -98,7 +98,7 @@
             except OSError as error:  # whoever waits behind is owed an answer all the same
                 if anyio.current_time() >= until_s:
                     return log.error("accept_failed", front=self.name, error=str(error))
-                if error.errno not in CALLER_GONE:
+                if error.errno not in CLIENT_DISCONNECTED:
                     self._give_way()
                     await anyio.sleep(ACCEPT_AGAIN_S)
         return None
@@ -114,7 +114,7 @@
             except OSError as error:
                 # Out of descriptors: whoever rests gives way, or nobody new would ever be heard.
                 if error.errno in (errno.EMFILE, errno.ENFILE) and self._give_way():
-                    log.often("parked_gave_way", front=self.name, parked=len(self.connections.parked))
+                    log.rate_limited("parked_gave_way", front=self.name, parked=len(self.connections.parked))
                     continue
                 log.error("accept_failed", front=self.name, error=str(error))
                 await anyio.sleep(ACCEPT_AGAIN_S)
@@ -131,14 +131,14 @@
             told = self._doors.come(time.monotonic() * 1000, address[0])
             if isinstance(told, Enum):
                 self._doors_metric.labels(self.name, told.value).inc()
-                log.often("connection_not_let_in", front=self.name, address=address[0], why=told.value)
+                log.rate_limited("connection_not_let_in", front=self.name, address=address[0], why=told.value)
                 return sock.close()
             entry = told
         connections = self.connections
         if connections.open >= connections.limit:
             connections.make_room()
         if connections.open >= connections.limit + max(1, connections.limit // 8):
-            log.often("connection_turned_away", front=self.name, open=self.open)
+            log.rate_limited("connection_turned_away", front=self.name, open=self.open)
             connections.left(entry, False)
             return sock.close()  # at once: in the backlog it would wait for nothing
         sock.setblocking(False)
--- a/ringledge/wire/clients/idle_connections.py
+++ b/ringledge/wire/clients/idle_connections.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ringledge.structures.timer_wheel import Wheel
+from ringledge.structures.timer_wheel import TimerWheel
 
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import Entry
@@ -54,7 +54,7 @@
         self._wake, self._ended = wake, ended
         self._loop: asyncio.AbstractEventLoop | None = None
         self._epoll: select.epoll | None = None
-        self._wheel = Wheel(_tick())
+        self._wheel = TimerWheel(_tick())
         self._numbers = array("i")  # the descriptor of each timer
         self._silent: dict[int, Parked] = {}  # by descriptor, longest first: they never asked
         self._rested: dict[int, Parked] = {}  # they asked before
@@ -67,7 +67,7 @@
     @property
     def lag_s(self) -> float:
         """How long the wheel is behind the clock, or holds what has fallen due."""
-        return (_tick() - self._wheel.now) * TICK_S if self._wheel.ready else 0.0
+        return (_tick() - self._wheel.now) * TICK_S if self._wheel.expired_count else 0.0
 
     def park(self, parked: Parked, keep_s: float) -> None:
         """Let a connection rest for so long at most."""
@@ -148,12 +148,12 @@
         """Close those whose time is over; whether more of them wait for the next turn."""
         self._ready()
         there = self._wheel.advance(_tick(), MOVE_AT_ONCE)
-        for timer in self._wheel.expired(CLOSE_AT_ONCE):
+        for timer in self._wheel.pop_expired(CLOSE_AT_ONCE):
             number = self._numbers[timer]
             parked = self._silent.get(number) or self._rested[number]
             parked.timer = -1  # given out: its number may soon be another one's
             self.expired += self._end(number, now=False)
-        return self._wheel.ready > 0 or not there
+        return self._wheel.expired_count > 0 or not there
 
     def close(self, most: int, now: bool = True) -> int:
         """Close so many at most, first those that never asked, the longest resting first; how many were."""
--- a/ringledge/wire/clients/request_loop.py
+++ b/ringledge/wire/clients/request_loop.py
@@ -61,7 +61,7 @@
         except (OSError, anyio.ClosedResourceError, h11.LocalProtocolError) as error:
             log.debug("client_connection_lost", front=self._connections.name, error=str(error))
         except Exception as error:  # a fault of ours costs this connection, not all the others
-            log.fault("connection_crashed", error, front=self._connections.name)
+            log.exception("connection_crashed", error, front=self._connections.name)
         finally:
             if conn in self._connections.active:
                 self._connections.close_in_order(conn, CloseReason.ENDED)
@@ -120,7 +120,7 @@
         if (keeps is not None and keeps(head)) or not connections.full(conn):
             return
         await read_body(conn, head)  # half a request is none, and may have to make room itself
-        log.often("connections_exhausted", front=connections.name, open=connections.open)
+        log.rate_limited("connections_exhausted", front=connections.name, open=connections.open)
         raise HttpError(503, "too many connections", "overloaded", headers=[(b"Retry-After", b"1")])
 
     async def _head(self, conn: Connection) -> h11.Request | None:
@@ -185,7 +185,7 @@
         """Answer bad input, which costs nobody else anything; unread input ends the connection."""
         self._rejections.labels(self._connections.name, str(error.status)).inc()
         name, reason = self._connections.name, error.reason[:200]
-        log.often("request_rejected", front=name, status=error.status, reason=reason)
+        log.rate_limited("request_rejected", front=name, status=error.status, reason=reason)
         if conn.closed or conn.h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return conn.close()
         closing = closing or conn.h11.their_state is not h11.DONE
--- a/ringledge/wire/http/sockets.py
+++ b/ringledge/wire/http/sockets.py
@@ -9,7 +9,7 @@
 import anyio
 import h11
 
-from ringledge.structures.transient_errors import EXHAUSTED, NO_PATH, at_start
+from ringledge.structures.transient_errors import NO_LOCAL_PATH, RESOURCE_EXHAUSTED, retry_while_transient
 from ringledge.wire.http.connection import Connection
 
 LOCAL_AGAIN_S = 0.01  # between two tries of a connection that our own side had nothing for
@@ -29,7 +29,7 @@
             try:
                 return await _connect_once(address)
             except OSError as error:
-                if error.errno not in EXHAUSTED | NO_PATH:
+                if error.errno not in RESOURCE_EXHAUSTED | NO_LOCAL_PATH:
                     raise
                 failed = error
             await anyio.sleep(LOCAL_AGAIN_S)
@@ -58,7 +58,7 @@
 
 def listen(address: str) -> socket.socket:
     """A listening socket at that address only; what fails for a moment is tried again."""
-    return at_start(partial(_listen_once, address))
+    return retry_while_transient(partial(_listen_once, address))
 
 
 def _listen_once(address: str) -> socket.socket:
--- a/ringledge/wire/servers/connections.py
+++ b/ringledge/wire/servers/connections.py
@@ -18,7 +18,7 @@
     AttemptStatus,
     ProbeResult,
 )
-from ringledge.structures.transient_errors import NO_PATH
+from ringledge.structures.transient_errors import NO_LOCAL_PATH
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import PEER_ERRORS
 from ringledge.wire.http.headers import Headers, header
@@ -62,7 +62,7 @@
             if isinstance(error, ConnectionRefusedError):
                 self.reach.refused(server, self._clock.now_ms())
             elif isinstance(error, TimeoutError) or (
-                isinstance(error, LocalError) and error.errno in NO_PATH
+                isinstance(error, LocalError) and error.errno in NO_LOCAL_PATH
             ):  # no route to it for so long is as good as silence
                 self.reach.silent(server, self._clock.now_ms())
             raise
--- a/ringledge/wire/servers/silence.py
+++ b/ringledge/wire/servers/silence.py
@@ -13,13 +13,13 @@
 from ringledge.decide.servers.delivery import Arrivals
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
-from ringledge.observe.stalls import BEAT_S, stalls
+from ringledge.observe.stalls import HEARTBEAT_INTERVAL_S, stall_detector
 from ringledge.wire.servers.connections import Lines
 from ringledge.wire.servers.releases import Releaser
 from ringledge.wire.servers.stream_relay import Live
 
 NEW_SLACK_MS = 150.0  # of the 300 that an entry has beyond the settings: time for a queue at the server
-SILENCE_LOOK_S = BEAT_S  # how often it is looked for silent streams and servers
+SILENCE_LOOK_S = HEARTBEAT_INTERVAL_S  # how often it is looked for silent streams and servers
 
 
 class Silence:
@@ -42,10 +42,11 @@
 
     async def watch(self) -> None:
         """End streams whose server says nothing more, and try servers that owe an answer."""
-        stalls.beat()
+        stall_detector.record_heartbeat()
         while True:
             await anyio.sleep(SILENCE_LOOK_S)
-            stalls.beat()  # this loop runs as long as the process does: a second one would wake it twice
+            # This loop runs as long as the process does: a second one would wake it twice.
+            stall_detector.record_heartbeat()
             if not self._live:
                 continue
             now, waiting = time.monotonic(), list[tuple[str, float]]()
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -142,7 +142,7 @@
                     again = live.conn is not None and reusable(live.conn)
         except Exception as error:  # a fault of ours costs this attempt, not all the others
             end = End(AttemptStatus.RESET if attempt.written else AttemptStatus.CONNECT_FAILED)
-            log.fault("attempt_crashed", error, server=attempt.server, request=attempt.record.name)
+            log.exception("attempt_crashed", error, server=attempt.server, request=attempt.record.name)
         finally:
             self._live.pop(attempt, None)
             if live.conn is not None:
--- a/tests/structures/test_stall_attribution.py
+++ b/tests/structures/test_stall_attribution.py
@@ -1,4 +1,4 @@
-"""What most of the time went to, by given counters."""
+"""The attribution of a stall, by given counters."""
 
 from __future__ import annotations
 
@@ -6,57 +6,79 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringledge.structures.stall_attribution import CPU, WAITED, WITHHELD, Counters, account
+from ringledge.structures.stall_attribution import ProcessCounters, StallCause, attribute_stall
 
-START = Counters(40.0, 5.0, 2.0, 100, 9_000, 3, 0.5, 0.2)
+START = ProcessCounters(40.0, 5.0, 2.0, 100, 9_000, 3, 0.5, 0.2)
 
 
-def later(**gained: float | None) -> Counters:
-    told = {
-        name: (getattr(START, name) or 0) + (gained.get(name) or 0) for name in Counters.__dataclass_fields__
+def counters_after(**gained: float | None) -> ProcessCounters:
+    values = {
+        name: (getattr(START, name) or 0) + (gained.get(name) or 0)
+        for name in ProcessCounters.__dataclass_fields__
     }
-    return Counters(**told)  # type: ignore[arg-type]
+    return ProcessCounters(**values)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
-    ("gained", "why", "waited_s"),
+    ("gained", "cause", "blocked_s"),
     [
-        pytest.param({"user_s": 0.9}, CPU, 0.1, id="a decision that took long"),
-        pytest.param({"user_s": 0.2, "system_s": 0.5}, CPU, 0.3, id="the kernel, for us"),
-        pytest.param({"user_s": 0.8, "collected_s": 0.8}, CPU, 0.2, id="the collector's time is in the CPU"),
-        pytest.param({"withheld_s": 0.7, "user_s": 0.1}, WITHHELD, 0.2, id="no processor"),
-        pytest.param({"withheld_s": 0.4, "user_s": 0.3}, WITHHELD, 0.3, id="the largest of three"),
-        pytest.param({"major": 900, "user_s": 0.1}, WAITED, 0.9, id="pages read from the disk"),
-        pytest.param({"logged_s": 0.9}, WAITED, 1.0, id="the reader of the log"),
-        pytest.param({}, WAITED, 1.0, id="stopped"),
-        pytest.param({"user_s": 0.5, "withheld_s": 0.5}, CPU, 0.0, id="a tie goes to what is surer"),
+        pytest.param({"user_s": 0.9}, StallCause.CPU, 0.1, id="a long decision"),
+        pytest.param({"user_s": 0.2, "system_s": 0.5}, StallCause.CPU, 0.3, id="system time"),
         pytest.param(
-            {"user_s": 0.7, "withheld_s": 0.4}, CPU, 0.0, id="more than the time, for rest before it"
+            {"user_s": 0.8, "gc_s": 0.8}, StallCause.CPU, 0.2, id="the collector's time is CPU time"
+        ),
+        pytest.param(
+            {"not_scheduled_s": 0.7, "user_s": 0.1}, StallCause.NOT_SCHEDULED, 0.2, id="not scheduled"
+        ),
+        pytest.param(
+            {"not_scheduled_s": 0.4, "user_s": 0.3}, StallCause.NOT_SCHEDULED, 0.3, id="the largest of three"
+        ),
+        pytest.param({"major_faults": 900, "user_s": 0.1}, StallCause.BLOCKED, 0.9, id="page faults"),
+        pytest.param({"log_write_s": 0.9}, StallCause.BLOCKED, 1.0, id="a blocking log write"),
+        pytest.param({}, StallCause.BLOCKED, 1.0, id="stopped"),
+        pytest.param(
+            {"user_s": 0.5, "not_scheduled_s": 0.5}, StallCause.CPU, 0.0, id="a tie goes to the CPU"
+        ),
+        pytest.param(
+            {"user_s": 0.7, "not_scheduled_s": 0.4},
+            StallCause.CPU,
+            0.0,
+            id="more than the duration, by idle time before it",
         ),
     ],
 )
-def test_the_largest_share_is_named(gained: dict[str, float], why: str, waited_s: float) -> None:
-    away = account(1.0, START, later(**gained))
-    assert away.why == why
-    assert away.waited_s == pytest.approx(waited_s)
+def test_the_cause_is_the_largest_share(
+    gained: dict[str, float], cause: StallCause, blocked_s: float
+) -> None:
+    stall = attribute_stall(1.0, START, counters_after(**gained))
+    assert stall.cause == cause
+    assert stall.blocked_s == pytest.approx(blocked_s)
     for name, amount in gained.items():
-        assert getattr(away.spent, name) == pytest.approx(amount)
+        assert getattr(stall.deltas, name) == pytest.approx(amount)
 
 
-def test_where_the_system_does_not_tell_what_it_withheld_that_is_said() -> None:
-    away = account(1.0, Counters(withheld_s=None), Counters(user_s=0.2, withheld_s=None))
-    assert (away.why, away.spent.withheld_s) == (WAITED, None)
-    assert away.waited_s == pytest.approx(0.8)
+def test_time_not_scheduled_is_none_where_the_system_does_not_count_it() -> None:
+    stall = attribute_stall(
+        1.0, ProcessCounters(not_scheduled_s=None), ProcessCounters(user_s=0.2, not_scheduled_s=None)
+    )
+    assert (stall.cause, stall.deltas.not_scheduled_s) == (StallCause.BLOCKED, None)
+    assert stall.blocked_s == pytest.approx(0.8)
 
 
 seconds = st.floats(0, 100)
 
 
 @given(seconds, seconds, seconds, seconds)
-def test_the_shares_cover_the_time_and_none_is_larger(
-    away_s: float, user_s: float, system_s: float, withheld_s: float
+def test_the_shares_cover_the_stall_and_the_cause_is_the_largest(
+    duration_s: float, user_s: float, system_s: float, not_scheduled_s: float
 ) -> None:
-    away = account(away_s, Counters(withheld_s=0.0), Counters(user_s, system_s, withheld_s))
-    shares = {CPU: user_s + system_s, WITHHELD: withheld_s, WAITED: away.waited_s}
-    assert sum(shares.values()) >= away_s - 1e-9
-    assert shares[away.why] == max(shares.values())
+    stall = attribute_stall(
+        duration_s, ProcessCounters(not_scheduled_s=0.0), ProcessCounters(user_s, system_s, not_scheduled_s)
+    )
+    shares = {
+        StallCause.CPU: user_s + system_s,
+        StallCause.NOT_SCHEDULED: not_scheduled_s,
+        StallCause.BLOCKED: stall.blocked_s,
+    }
+    assert sum(shares.values()) >= duration_s - 1e-9
+    assert shares[stall.cause] == max(shares.values())
