--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -23,7 +23,7 @@
 
 from ringledge.lab import load
 from ringledge.lab.load_plan import LoadPlan, parse_shares
-from ringledge.lab.stage import stage
+from ringledge.lab.stage import start_stage
 
 DOORS = "enabled = true\nkeep_alive_s = 3600.0\njitter = 0.1\n"
 PROMETHEUS = 'enabled = true\nlisten = "127.0.0.1:0"\n'
@@ -58,7 +58,7 @@
 def measure(count: int, tree: Path | None, core: int, rate: float, seconds: float) -> dict[str, Any]:
     """One count of connections on a fresh conductor."""
     servers = ("--sockets", "400000", "--memory-mb", "192")
-    with stage(servers, {"doors.toml": DOORS, "prometheus.toml": PROMETHEUS}, tree, core) as on:
+    with start_stage(servers, {"doors.toml": DOORS, "prometheus.toml": PROMETHEUS}, tree, core) as on:
         limit = descriptors(on.pid, count + 2000)
         process = psutil.Process(on.pid)
         rss = process.memory_info().rss
@@ -84,7 +84,7 @@
         plan = LoadPlan(address, rate, seconds, 0.19, 2.0, 0.0, parse_shares(""))
         report = orjson.loads(load.run(plan))
         firsts = report["classes"]["yard-query"]["first_token_ms"]
-        figures = on.figures()
+        figures = on.metrics_text()
         parked = re.search(r'^ringledge_connections\{front="platform",state="parked"\} (\S+)', figures, re.M)
         told = {
             "connections": held,
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -21,7 +21,7 @@
 
 from ringledge.lab import load
 from ringledge.lab.load_plan import LoadPlan, parse_shares
-from ringledge.lab.stage import Stage, stage
+from ringledge.lab.stage import Stage, start_stage
 
 PROMETHEUS = 'enabled = true\nlisten = "127.0.0.1:0"\n'
 OVERLOAD = "enabled = true\n"
@@ -40,13 +40,13 @@
     """One run on a fresh conductor."""
     deploy = {"prometheus.toml": PROMETHEUS} | ({"overload.toml": OVERLOAD} if on else {})
     servers = ("--sockets", "4096", "--readers", "4", "--writers", "4")
-    with stage(servers, deploy, tree, core) as staged:
+    with start_stage(servers, deploy, tree, core) as staged:
         process = psutil.Process(staged.pid)
         before = sum(process.cpu_times()[:2])
         report: dict[str, Any] = orjson.loads(load.run(plan(staged, rate, seconds, kb, seed)))
         cpu_s = sum(process.cpu_times()[:2]) - before
         served = sum(each["ends"].get("served", 0) for each in report["classes"].values())
-        figures = staged.figures()
+        figures = staged.metrics_text()
         report |= {
             "rate": rate,
             "cpu_s": round(cpu_s, 2),
--- a/benchmarks/overload_alternatives.py
+++ b/benchmarks/overload_alternatives.py
@@ -10,7 +10,7 @@
 
 from benchmarks.overload_core import CAPACITY, Replay
 from benchmarks.overload_policies import ALTERNATIVES
-from ringledge.lab.load_plan import Burst, LoadPlan, arrivals, parse_shares
+from ringledge.lab.load_plan import Burst, LoadPlan, draw_arrivals, parse_shares
 
 
 @click.command()
@@ -31,7 +31,8 @@
         plan = LoadPlan("127.0.0.1:1", rate, seconds, 0.19, kb, 0.0, shares, bursts, seed=seed)
         slow = run == "slow servers"
         rows[run] = {
-            name: Replay(policy(), seconds, slow).run(arrivals(plan)) for name, policy in ALTERNATIVES.items()
+            name: Replay(policy(), seconds, slow).run(draw_arrivals(plan))
+            for name, policy in ALTERNATIVES.items()
         }
     told = {"capacity_per_s": round(CAPACITY, 1), "seconds": seconds, "seed": seed, "runs": rows}
     click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
--- a/benchmarks/overload_core.py
+++ b/benchmarks/overload_core.py
@@ -114,7 +114,7 @@
             self._policy.late_ms = max(0.0, core.now_ms - start_ms)
             self._policy.busy = self._busy(1.0)
         if self._policy.admits(core.now_ms, arrival, core.now_ms - start_ms):
-            cost_ms = ADMIT_MS + KB_MS * arrival.size / 1024
+            cost_ms = ADMIT_MS + KB_MS * arrival.body_bytes / 1024
             core.queue.append((core.now_ms, cost_ms, lambda: self._admitted(arrival)))
 
     def _admitted(self, arrival: Arrival) -> None:
--- a/benchmarks/overload_policies.py
+++ b/benchmarks/overload_policies.py
@@ -133,7 +133,7 @@
         self.late_ms, self.busy = 0.0, 0.0
 
     def admits(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
-        kb = arrival.size / 1024
+        kb = arrival.body_bytes / 1024
         return self.overload.decide(now_ms, arrival.class_index, 0, kb, self.late_ms, self.busy) is None
 
     def sample(self, now_ms: float, delay_ms: float, busy: float) -> None:
--- a/benchmarks/soak/instance.py
+++ b/benchmarks/soak/instance.py
@@ -12,14 +12,14 @@
 import orjson
 
 from benchmarks.soak.events import EventLog
-from ringledge.lab.http_peer import Peer, answer, chunk
+from ringledge.lab.http_peer import HttpConnection, encode_chunk, response
 
 REJECTED = b"X-Rejected: 1\r\n"
 FULL_PART, LOST_PART, ERROR_PART = 0.02, 0.02, 0.01  # of the attempts that are turned away, and how
 UNSEEN_PART = 0.5  # of the prefills whose caller left that end well all the same
 
 
-class Server(Peer):
+class Server(HttpConnection):
     """One connection."""
 
     log: EventLog
@@ -35,11 +35,11 @@
         """Answer as a server does."""
         if target.startswith(b"/internal/reservations/"):
             self.log.write("released", id=target.rpartition(b"/")[2].decode())
-            self.transport.write(answer(204))
+            self.transport.write(response(204))
         elif b"x-call-id" in self.headers:
             self._take(self.headers[b"x-call-id"].decode())
         else:
-            self.transport.write(answer(404))
+            self.transport.write(response(404))
 
     def _take(self, name: str) -> None:
         """A request has arrived whole."""
@@ -48,17 +48,17 @@
         port = self.transport.get_extra_info("peername")[1]
         self.log.write("arrived", id=name, kind=self.kind, told_ms=told_ms, port=port)
         if chance < FULL_PART:
-            self.transport.write(answer(503, b"", REJECTED))
+            self.transport.write(response(503, b"", REJECTED))
         elif self.kind == "prefill":
             self.reading = True
             self._later(self._prefilled)
         elif chance < FULL_PART + LOST_PART:
             self.log.write("state_gone", id=name)
-            self.transport.write(answer(410, b"", REJECTED))
+            self.transport.write(response(410, b"", REJECTED))
         else:
             self.log.write("ran", id=name)
             if chance < FULL_PART + LOST_PART + ERROR_PART:
-                self.transport.write(answer(500))
+                self.transport.write(response(500))
             else:
                 self._later(self._event, 0, self.rng.choice((4, 8, 8, 60)))
 
@@ -69,11 +69,11 @@
     def _prefilled(self) -> None:
         self.timer, self.reading = None, False
         self.log.write("prefilled", id=self.name)
-        self.transport.write(answer(202, b'{"cached_tokens":0}'))
+        self.transport.write(response(202, b'{"cached_tokens":0}'))
 
     def _event(self, number: int, events: int) -> None:
         text = orjson.dumps({"choices": [{"index": 0, "delta": {"content": repr(time.monotonic())}}]})
-        data = chunk(b"data: " + text + b"\n\n")
+        data = encode_chunk(b"data: " + text + b"\n\n")
         if not number:
             head = b"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
             data = b"HTTP/1.1 200 OK\r\n" + head + data
@@ -82,8 +82,10 @@
         if number + 1 < events:
             self.timer = asyncio.get_running_loop().call_later(0.03, self._event, number + 1, events)
         else:
-            data += chunk(b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":8}}\n\n')
-            data += chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
+            data += encode_chunk(
+                b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":8}}\n\n'
+            )
+            data += encode_chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n"
             self.log.write("done", id=self.name)
         self.transport.write(data)
 
--- a/ringledge/cli/lab.py
+++ b/ringledge/cli/lab.py
@@ -28,9 +28,16 @@
             event_bytes: int, memory_mb: float, sockets: int, operator: str) -> None:  # fmt: skip
     """Play readers, writers and discovery until SIGTERM; what ran is told at discovery's /audit."""
     from ringledge.lab import servers as stand_ins
-    from ringledge.lab.instances import ServersPlan
+    from ringledge.lab.instances import StandInPlan
 
-    plan = ServersPlan(readers, writers, read_ms, stream_ms, events, event_bytes)
+    plan = StandInPlan(
+        prefill_servers=readers,
+        decode_servers=writers,
+        prefill_ms=read_ms,
+        stream_ms=stream_ms,
+        events=events,
+        event_bytes=event_bytes,
+    )
     stand_ins.run(plan, folder, {"memory_mb": memory_mb, "sockets": sockets, "cores": 1.0}, operator)
 
 
@@ -54,12 +61,23 @@
     from ringledge.lab.load_plan import LoadPlan, parse_burst, parse_shares
 
     try:
-        shares = parse_shares(tenants)
-        shapes = tuple(map(parse_burst, bursts))
+        tenant_shares = parse_shares(tenants)
+        parsed_bursts = tuple(map(parse_burst, bursts))
     except ValueError as error:
         raise click.UsageError(str(error)) from error
-    plan = LoadPlan(target, rate, seconds, bookings, prompt_kb, prompt_sigma, shares, shapes, unread, watch,
-                    seed)  # fmt: skip
+    plan = LoadPlan(
+        target=target,
+        requests_per_s=rate,
+        duration_s=seconds,
+        booking_share=bookings,
+        prompt_kb=prompt_kb,
+        prompt_sigma=prompt_sigma,
+        tenant_shares=tenant_shares,
+        bursts=parsed_bursts,
+        unread_clients=unread,
+        health_address=watch,
+        seed=seed,
+    )
     click.echo(generator.run(plan))
 
 
--- a/ringledge/cli/members.py
+++ b/ringledge/cli/members.py
@@ -5,10 +5,14 @@
 import os
 import sys
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 import orjson
 
+if TYPE_CHECKING:
+    from ringledge.decide.membership.messages import News
+
 
 @click.command()
 @click.option("--at", "address", default="", metavar="IP:PORT",
@@ -28,8 +32,9 @@
         if settings is None:
             raise ValueError(f"{path}: absent or not enabled")
         if not address:
-            told = os.environ.get("RELAY_CONFIG")
-            address = with_told(settings, orjson.loads(Path(told).read_bytes()) if told else {}).listen
+            config_path = os.environ.get("RELAY_CONFIG")
+            config = orjson.loads(Path(config_path).read_bytes()) if config_path else {}
+            address = with_told(settings, config).listen
         rows = look(settings.cluster, settings.key(), address, wait_s)
     except (OSError, ValueError, settings_files.SettingsError) as error:
         click.echo(f"members: {error}", err=True)
@@ -37,17 +42,28 @@
     if not rows:
         click.echo(f"members: no answer from {address} in {wait_s:g} s", err=True)
         sys.exit(1)
-    for row in sorted(rows, key=lambda each: each.name):
-        if as_json:
-            told_of = {
-                "name": row.name,
-                "status": row.status.name.lower(),
-                "start": row.start,
-                "incarnation": row.incarnation,
-                "address": row.address,
-                "site": row.site,
-            }
-            click.echo(orjson.dumps(told_of).decode())
-        else:
-            words = (f"{row.name:24}", f"{row.status.name.lower():8}", str(row.start), row.address, row.site)
-            click.echo(" ".join(words).rstrip())
+    for member in sorted(rows, key=lambda each: each.name):
+        click.echo(_format_json(member) if as_json else _format_line(member))
+
+
+def _format_json(member: News) -> str:
+    fields = {
+        "name": member.name,
+        "status": member.status.name.lower(),
+        "start": member.start,
+        "incarnation": member.incarnation,
+        "address": member.address,
+        "site": member.site,
+    }
+    return orjson.dumps(fields).decode()
+
+
+def _format_line(member: News) -> str:
+    columns = (
+        f"{member.name:24}",
+        f"{member.status.name.lower():8}",
+        str(member.start),
+        member.address,
+        member.site,
+    )
+    return " ".join(columns).rstrip()
--- a/ringledge/cli/serve.py
+++ b/ringledge/cli/serve.py
@@ -1,4 +1,4 @@
-"""Serving, and what belongs to it."""
+"""The commands of a server process: serve, check its configuration, print the version."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 import click
 
 from ringledge import __version__
-from ringledge.cli.lazy import Lazy
+from ringledge.cli.lazy import LazyGroup
 from ringledge.lifecycle import config as configuration
-from ringledge.lifecycle import serve as serving
+from ringledge.lifecycle import serve as program
 from ringledge.lifecycle import signals
 from ringledge.observe.logging import LEVELS, log
 from ringledge.structures.transient_errors import is_transient, retry_while_transient
 
 
-@click.group(cls=Lazy, invoke_without_command=True)
+@click.group(cls=LazyGroup, invoke_without_command=True)
 @click.pass_context
 def main(context: click.Context) -> None:
     """A conductor between clients and the readers and writers of a language model."""
@@ -31,19 +31,19 @@
 def serve(log_level: str = "info") -> None:
     """Serve (the default), by RELAY_CONFIG and the files under deploy/."""
     signals.block_reload_signals()  # until the program handles them
-    config = _load()
+    config = _load_config()
     log.configure(log_level, config.name)
-    anyio.run(serving.serve, config, backend_options={"loop_factory": _make_loop})
+    anyio.run(program.serve, config, backend_options={"loop_factory": _make_loop})
 
 
 @main.command()
 def check_config() -> None:
     """Read the configuration, say what it holds, and exit."""
-    config = _load()
+    config = _load_config()
     try:
         configuration.load_deploy_settings(check_disabled=True)
     except configuration.ConfigError as error:
-        _unusable(error)
+        _exit_unusable(error)
     known = len(config.known_endpoints.endpoints)
     click.echo(f"{config.name}: listens at {config.listen}, discovery at {config.discovery}")
     click.echo(f"operators call at {config.operator or 'no address'}")
@@ -58,20 +58,20 @@
 
 
 def _make_loop() -> asyncio.AbstractEventLoop:
-    """The event loop; it needs descriptors, and there may be none for a moment."""
+    """The event loop; it needs descriptors, of which there may be none for a moment."""
     return retry_while_transient(asyncio.new_event_loop)
 
 
-def _load() -> configuration.Config:
-    """The configuration; where the system refuses to read it for a moment, it is read again."""
+def _load_config() -> configuration.Config:
+    """The configuration, read again after transient errors; exits where it can't be used."""
     try:
-        return retry_while_transient(_read)
+        return retry_while_transient(_load_once)
     except (configuration.ConfigError, OSError) as error:
-        _unusable(error)
+        _exit_unusable(error)
 
 
-def _read() -> configuration.Config:
-    """Read it once; OSError where that may do in a moment."""
+def _load_once() -> configuration.Config:
+    """Read the configuration once; OSError where a retry may succeed."""
     try:
         return configuration.load()
     except configuration.ConfigError as error:
@@ -80,6 +80,7 @@
         raise
 
 
-def _unusable(error: Exception) -> NoReturn:
+def _exit_unusable(error: Exception) -> NoReturn:
+    """Report that the configuration can't be used, and exit with status 2."""
     click.echo(f"configuration: {error}", err=True)
     sys.exit(2)
--- a/ringledge/lab/audit.py
+++ b/ringledge/lab/audit.py
@@ -1,4 +1,4 @@
-"""What all stand-in servers saw together."""
+"""What all stand-in servers together have counted."""
 
 from __future__ import annotations
 
@@ -10,18 +10,27 @@
 
 @dataclass(slots=True)
 class Audit:
-    """What all stand-ins saw together."""
+    """Counts over all stand-in servers, and the requests that they work on."""
 
-    reads: int = 0
-    answers: int = 0  # streams that were written to their end
-    cut: int = 0  # streams whose taker left
-    released: int = 0
-    twice: int = 0  # requests that a decode server began more than once
-    together: int = 0  # attempts that came while another one of their request was out
-    began: Counter[str] = field(default_factory=Counter)
-    out: set[str] = field(default_factory=set)
+    prefills: int = 0
+    completed_streams: int = 0  # written to their end
+    cancelled_streams: int = 0  # whose client closed the connection
+    releases: int = 0
+    repeated_decodes: int = 0  # requests that decode servers began more than once
+    concurrent_attempts: int = 0  # attempts that came while another one of their request was in flight
+    decode_starts: Counter[str] = field(default_factory=Counter)  # by request id
+    in_flight: set[str] = field(default_factory=set)  # request ids
 
     def as_json(self) -> bytes:
-        """The counts as JSON."""
-        names = ("reads", "answers", "cut", "released", "twice", "together")
-        return orjson.dumps({name: getattr(self, name) for name in names} | {"out": len(self.out)})
+        """The counts as JSON; its keys are part of the lab's interface."""
+        return orjson.dumps(
+            {
+                "reads": self.prefills,
+                "answers": self.completed_streams,
+                "cut": self.cancelled_streams,
+                "released": self.releases,
+                "twice": self.repeated_decodes,
+                "together": self.concurrent_attempts,
+                "out": len(self.in_flight),
+            }
+        )
--- a/ringledge/lab/http_peer.py
+++ b/ringledge/lab/http_peer.py
@@ -1,4 +1,4 @@
-"""One HTTP connection of a stand-in, and the answers that it writes."""
+"""A stand-in server's side of an HTTP connection, and the responses that it writes."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import httptools
 
 
-def answer(status: int, body: bytes = b"", head: bytes = b"") -> bytes:
-    """One whole answer."""
-    return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s" % (status, len(body), head, body)
+def response(status: int, body: bytes = b"", headers: bytes = b"") -> bytes:
+    """A complete response; `headers`: further header lines, each with its CRLF."""
+    return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s" % (status, len(body), headers, body)
 
 
-def chunk(data: bytes) -> bytes:
-    """A piece of a chunked body."""
+def encode_chunk(data: bytes) -> bytes:
+    """A chunk of a body in chunked transfer coding."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Peer(asyncio.Protocol):
-    """One connection: requests parsed one after another, each handed to `handle`."""
+class HttpConnection(asyncio.Protocol):
+    """One connection: requests are parsed one after another, and each is passed to `handle`."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
@@ -40,7 +40,8 @@
 
     def on_message_begin(self) -> None:
         """Called by the parser."""
-        self.headers, self.target = {}, b""
+        self.headers = {}
+        self.target = b""
 
     def on_url(self, url: bytes) -> None:
         """Called by the parser."""
@@ -55,5 +56,5 @@
         self.handle(self.parser.get_method(), self.target)
 
     def handle(self, method: bytes, target: bytes) -> None:
-        """Answer one request."""
+        """Respond to one request."""
         raise NotImplementedError
--- a/ringledge/lab/load.py
+++ b/ringledge/lab/load.py
@@ -1,7 +1,7 @@
-"""Open-loop load: arrivals are drawn ahead and wait for no answer; latency counts from the intended time.
+"""Open-loop load: arrivals are drawn ahead and wait for no response; latency counts from the intended time.
 
-A request that its client could only send late (for want of a socket, say) is late by that much too, so the
-delays that a closed loop hides show here. The generator's own lateness is in its report.
+A request that its client could only send late (for lack of a socket, say) is late by that much too, so the
+delays that a closed loop hides show here (coordinated omission). The generator's own delay is in its report.
 """
 
 from __future__ import annotations
@@ -15,164 +15,184 @@
 import orjson
 
 from ringledge.lab.deployment import SETTINGS
-from ringledge.lab.health_watch import HealthWatch
-from ringledge.lab.load_client import Client
-from ringledge.lab.load_plan import MAX_BODY_BYTES, Arrival, LoadPlan, arrivals
-from ringledge.lab.load_report import Tally, histogram, quantiles
+from ringledge.lab.health_watch import HealthMonitor
+from ringledge.lab.load_client import ClientConnection
+from ringledge.lab.load_plan import MAX_BODY_BYTES, Arrival, LoadPlan, draw_arrivals
+from ringledge.lab.load_report import ClassReport, latency_histogram_us, quantiles_ms
 
 CLASSES = SETTINGS["classes"]
-UNREAD_S = 0.02  # between two clients that read nothing: they are to fill memory, not the core
-LATE_S = 0.05  # a generator that is itself later than this says so
-SMALL = socket.SO_RCVBUF, 4096  # a client that reads nothing takes as little as the system allows
+UNREAD_CLIENT_INTERVAL_S = 0.02  # between two clients that read nothing: they are to use memory, not CPU time
+MAX_SEND_DELAY_S = 0.05  # with a higher 99th percentile the report says that the generator did not keep up
+SMALL_RECEIVE_BUFFER = socket.SO_RCVBUF, 4096  # of a client that reads nothing: the system's minimum
+POLL_INTERVAL_S = 0.02
+GRACE_S = 5.0  # after the longest deadline
 
 
-class Run:
+class LoadGenerator:
     """One run of a plan."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self.plan = plan
-        self.started = monotonic()
-        self.tallies = [Tally() for _ in CLASSES]
-        self.by_tenant: defaultdict[str, Counter[str]] = defaultdict(Counter)
-        self.idle: deque[Client] = deque()
-        self.open = 0
-        self.opened = 0
-        self.numbers = 0
-        self.late_us = histogram()
-        self.health = HealthWatch(plan.watch) if plan.watch else None
-        self.filler = b"x" * MAX_BODY_BYTES
+        self.started_s = monotonic()
+        self.class_reports = [ClassReport() for _ in CLASSES]
+        self.outcomes_by_tenant: defaultdict[str, Counter[str]] = defaultdict(Counter)
+        self.idle_connections: deque[ClientConnection] = deque()
+        self.open_requests = 0
+        self.opened_connections = 0
+        self.sent_requests = 0
+        self.send_delays_us = latency_histogram_us()
+        self.health_monitor = HealthMonitor(plan.health_address) if plan.health_address else None
+        self.prompt_filler = b"x" * MAX_BODY_BYTES
         host, _, port = plan.target.rpartition(":")
-        self.address = (host, int(port))
-
-    def end(self, arrival: Arrival, how: str, first_s: float) -> None:
-        """A request is over."""
-        self.open -= 1
-        tally = self.tallies[arrival.class_index]
-        tally.ends[how] += 1
-        self.by_tenant[arrival.tenant][how] += 1
-        waited_s = (first_s or monotonic()) - self.started - arrival.at_s
-        if how == "served":
-            more_us = SETTINGS["specifics"]["aim_us_per_1000_prompt_tokens"][arrival.class_index]
-            aim_ms = CLASSES[arrival.class_index]["goal_time_ms"] + more_us * arrival.size / 4e6
-            tally.in_time += waited_s * 1000 <= aim_ms
-            tally.served_us.record_value(max(1, int(waited_s * 1e6)))
-        elif how in ("429", "503"):
-            tally.refused_us.record_value(max(1, int(waited_s * 1e6)))
-
-    def keep(self, client: Client) -> None:
+        self.target = (host, int(port))
+
+    def on_finished(self, arrival: Arrival, outcome: str, first_token_s: float) -> None:
+        """A request has ended; `first_token_s`: when its first token came, 0 for never."""
+        self.open_requests -= 1
+        report = self.class_reports[arrival.class_index]
+        report.outcomes[outcome] += 1
+        self.outcomes_by_tenant[arrival.tenant][outcome] += 1
+        latency_s = (first_token_s or monotonic()) - self.started_s - arrival.at_s
+        if outcome == "served":
+            report.within_objective += latency_s * 1000 <= _latency_objective_ms(arrival)
+            report.first_token_us.record_value(max(1, int(latency_s * 1e6)))
+        elif outcome in ("429", "503"):
+            report.rejected_us.record_value(max(1, int(latency_s * 1e6)))
+
+    def on_idle(self, client: ClientConnection) -> None:
         """An idle connection may carry the next request."""
-        self.idle.append(client)
+        self.idle_connections.append(client)
 
-    def forget(self, client: Client) -> None:
-        """A connection is lost."""
-        if client in self.idle:
-            self.idle.remove(client)
+    def on_connection_lost(self, client: ClientConnection) -> None:
+        """A connection is closed."""
+        if client in self.idle_connections:
+            self.idle_connections.remove(client)
 
-    def send(self, arrival: Arrival, new: bool = False) -> None:
+    def send(self, arrival: Arrival, on_new_connection: bool = False) -> None:
         """Send a request on an idle connection, or on a new one."""
-        told = CLASSES[arrival.class_index]
-        remaining_s = told["deadline_ms"] / 1000 - (monotonic() - self.started - arrival.at_s)
+        deadline_s = CLASSES[arrival.class_index]["deadline_ms"] / 1000
+        remaining_s = deadline_s - (monotonic() - self.started_s - arrival.at_s)
         if remaining_s <= 0:
-            self.end(arrival, "no answer", 0.0)
+            self.on_finished(arrival, "no answer", 0.0)
             return
-        self.numbers += 1
-        data = self._request(arrival, remaining_s)
-        client = None if new else (self.idle.pop() if self.idle else None)
-        if client is None:
-            client = Client(self)
-            self.opened += 1
-            connecting = asyncio.ensure_future(self._connect(client))
-            connecting.add_done_callback(lambda done: done.exception())
+        self.sent_requests += 1
+        data = self._encode_request(arrival, remaining_s)
+        if self.idle_connections and not on_new_connection:
+            client = self.idle_connections.pop()
+        else:
+            client = self._open_connection()
         client.send(arrival, data, remaining_s)
 
-    def _request(self, arrival: Arrival, remaining_s: float) -> bytes:
-        told = CLASSES[arrival.class_index]
-        body = b'{"model":"%s","stream":true,"messages":[{"role":"user","content":"' % told["name"].encode()
-        body += self.filler[: max(0, arrival.size - len(body) - 4)] + b'"}]}'
-        head = (
+    def _open_connection(self) -> ClientConnection:
+        client = ClientConnection(self)
+        self.opened_connections += 1
+        connecting = asyncio.ensure_future(self._connect(client))
+        connecting.add_done_callback(lambda done: done.exception())
+        return client
+
+    def _encode_request(self, arrival: Arrival, remaining_s: float) -> bytes:
+        class_name = CLASSES[arrival.class_index]["name"].encode()
+        body = b'{"model":"%s","stream":true,"messages":[{"role":"user","content":"' % class_name
+        body += self.prompt_filler[: max(0, arrival.body_bytes - len(body) - 4)] + b'"}]}'
+        headers = (
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: lab\r\n"
             b"X-Call-Id: l%d-%d\r\nX-Call-Class: %s\r\nX-Caller: %s\r\n"
             b"X-Route-Hash: %x\r\nX-Budget-Ms: %d\r\nX-Call-Info: prompt_len=%d,max_out=80\r\n"
             b"Content-Type: application/json\r\nContent-Length: %d\r\n\r\n"
             % (
-                self.plan.seed, self.numbers, told["name"].encode(), arrival.tenant.encode(),
-                self.numbers, max(1, int(remaining_s * 1000)), arrival.size // 4, len(body),
+                self.plan.seed, self.sent_requests, class_name, arrival.tenant.encode(),
+                self.sent_requests, max(1, int(remaining_s * 1000)), arrival.body_bytes // 4, len(body),
             )
         )  # fmt: skip
-        return head + body
+        return headers + body
 
-    async def _connect(self, client: Client) -> None:
+    async def _connect(self, client: ClientConnection) -> None:
         loop = asyncio.get_running_loop()
         try:
-            await loop.create_connection(lambda: client, *self.address)
+            await loop.create_connection(lambda: client, *self.target)
         except OSError:
-            client.end("not connected")
+            client.finish("not connected")
 
-    async def _arrive(self) -> None:
-        for arrival in arrivals(self.plan):
-            wait_s = self.started + arrival.at_s - monotonic()
+    async def _send_arrivals(self) -> None:
+        for arrival in draw_arrivals(self.plan):
+            wait_s = self.started_s + arrival.at_s - monotonic()
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
-            self.late_us.record_value(max(1, int(1e6 * max(0.0, monotonic() - self.started - arrival.at_s))))
-            self.open += 1
-            self.tallies[arrival.class_index].asked += 1
-            self.by_tenant[arrival.tenant]["asked"] += 1
+            delay_s = max(0.0, monotonic() - self.started_s - arrival.at_s)
+            self.send_delays_us.record_value(max(1, int(1e6 * delay_s)))
+            self.open_requests += 1
+            self.class_reports[arrival.class_index].requests += 1
+            self.outcomes_by_tenant[arrival.tenant]["asked"] += 1
             self.send(arrival)
 
-    def unread(self) -> list[socket.socket]:
-        """Clients that ask and then read nothing."""
-        held = []
-        for number in range(self.plan.unread):
+    def open_unread_clients(self) -> list[socket.socket]:
+        """Connections of clients that send a request and read nothing of the response."""
+        sockets = []
+        for number in range(self.plan.unread_clients):
             sock = socket.socket()
-            sock.setsockopt(socket.SOL_SOCKET, *SMALL)
-            sock.connect(self.address)
-            told = CLASSES[0]["name"].encode()
+            sock.setsockopt(socket.SOL_SOCKET, *SMALL_RECEIVE_BUFFER)
+            sock.connect(self.target)
+            class_name = CLASSES[0]["name"].encode()
             sock.sendall(
                 b"POST /v1/chat/completions HTTP/1.1\r\nHost: lab\r\n"
                 b"X-Call-Id: u%d-%d\r\nX-Call-Class: %s\r\nX-Caller: %s\r\n"
                 b"X-Budget-Ms: 5000\r\nContent-Length: 2\r\n\r\n{}"
-                % (self.plan.seed, number, told, next(iter(self.plan.tenants)).encode())
+                % (self.plan.seed, number, class_name, next(iter(self.plan.tenant_shares)).encode())
             )
-            held.append(sock)
-            sleep(UNREAD_S)
-        return held
-
-    async def go(self) -> dict[str, Any]:
-        """Send all, wait for what is open, and report."""
-        held = self.unread()
-        self.started = monotonic()
-        watching = asyncio.ensure_future(self.health.run(self.started)) if self.health else None
-        await self._arrive()
-        until = monotonic() + max(each["deadline_ms"] for each in CLASSES) / 1000 + 5
-        while self.open and monotonic() < until:
-            await asyncio.sleep(0.02)
-        if watching is not None:
-            watching.cancel()
-        for sock in held:
+            sockets.append(sock)
+            sleep(UNREAD_CLIENT_INTERVAL_S)
+        return sockets
+
+    async def run(self) -> dict[str, Any]:
+        """Send all requests, wait until those that are open have ended, and report."""
+        unread_clients = self.open_unread_clients()
+        self.started_s = monotonic()
+        monitor = self.health_monitor
+        monitoring = asyncio.ensure_future(monitor.run(self.started_s)) if monitor else None
+        await self._send_arrivals()
+        wait_until_s = monotonic() + max(each["deadline_ms"] for each in CLASSES) / 1000 + GRACE_S
+        while self.open_requests and monotonic() < wait_until_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
+        if monitoring is not None:
+            monitoring.cancel()
+        for sock in unread_clients:
             sock.close()
         return self._report()
 
     def _report(self) -> dict[str, Any]:
-        late, both = quantiles(self.late_us), list(zip(CLASSES, self.tallies, strict=True))
-        worth = sum(tally.in_time * told["worth"] for told, tally in both)
+        """The report; its keys are part of the lab's interface."""
+        send_delays_ms = quantiles_ms(self.send_delays_us)
+        by_class = list(zip(CLASSES, self.class_reports, strict=True))
+        worth = sum(report.within_objective * each["worth"] for each, report in by_class)
+        within_objective = sum(report.within_objective for report in self.class_reports)
+        monitor = self.health_monitor
         return {
-            "classes": {told["name"]: tally.as_json() for told, tally in both},
-            "goodput_per_s": round(sum(tally.in_time for tally in self.tallies) / self.plan.seconds, 1),
-            "worth_per_s": round(worth / self.plan.seconds, 1),
-            "tenants": {name: dict(counts) for name, counts in sorted(self.by_tenant.items())},
-            "unanswered": self.open,
-            "opened": self.opened,
-            "healthcheck_ms": quantiles(self.health.latency_us) if self.health else {},
-            "healthcheck_failed": self.health.failed if self.health else 0,
-            "generator_late_ms": late,
-            "generator_kept_up": not late or late["p99"] < LATE_S * 1000,
-        }  # fmt: skip
+            "classes": {each["name"]: report.as_json() for each, report in by_class},
+            "goodput_per_s": round(within_objective / self.plan.duration_s, 1),
+            "worth_per_s": round(worth / self.plan.duration_s, 1),
+            "tenants": {name: dict(counts) for name, counts in sorted(self.outcomes_by_tenant.items())},
+            "unanswered": self.open_requests,
+            "opened": self.opened_connections,
+            "healthcheck_ms": quantiles_ms(monitor.latency_us) if monitor else {},
+            "healthcheck_failed": monitor.failures if monitor else 0,
+            "generator_late_ms": send_delays_ms,
+            "generator_kept_up": not send_delays_ms or send_delays_ms["p99"] < MAX_SEND_DELAY_S * 1000,
+        }
+
+
+def _latency_objective_ms(arrival: Arrival) -> float:
+    """The latency objective of the first token; a token of the prompt is four bytes."""
+    us_per_1000_tokens = SETTINGS["specifics"]["aim_us_per_1000_prompt_tokens"][arrival.class_index]
+    objective_ms: float = (
+        CLASSES[arrival.class_index]["goal_time_ms"] + us_per_1000_tokens * arrival.body_bytes / 4e6
+    )
+    return objective_ms
 
 
 def run(plan: LoadPlan) -> str:
     """Run a plan; its report as JSON."""
 
-    async def started() -> dict[str, Any]:
-        return await Run(plan).go()
+    async def generate() -> dict[str, Any]:
+        return await LoadGenerator(plan).run()
 
-    return orjson.dumps(asyncio.run(started()), option=orjson.OPT_INDENT_2).decode()
+    return orjson.dumps(asyncio.run(generate()), option=orjson.OPT_INDENT_2).decode()
--- a/ringledge/lab/load_client.py
+++ b/ringledge/lab/load_client.py
@@ -11,101 +11,106 @@
 from ringledge.lab.load_plan import Arrival
 
 
-class Load(Protocol):
-    """The run that a connection belongs to."""
+class ClientListener(Protocol):
+    """What a connection notifies of its requests: the load generator that it belongs to."""
 
-    def end(self, arrival: Arrival, how: str, first_s: float) -> None:
-        """A request has ended; `first_s`: when its first token came, 0 for never."""
+    def on_finished(self, arrival: Arrival, outcome: str, first_token_s: float) -> None:
+        """A request has ended; `first_token_s`: when its first token came, 0 for never."""
 
-    def send(self, arrival: Arrival, new: bool = False) -> None:
-        """Send a request, on a new connection if `new`."""
+    def send(self, arrival: Arrival, on_new_connection: bool = False) -> None:
+        """Send a request, on a new connection if `on_new_connection`."""
 
-    def keep(self, client: Client) -> None:
+    def on_idle(self, client: ClientConnection) -> None:
         """The connection is idle and may carry another request."""
 
-    def forget(self, client: Client) -> None:
-        """The connection is lost."""
+    def on_connection_lost(self, client: ClientConnection) -> None:
+        """The connection is closed."""
 
 
-class Client(asyncio.Protocol):
-    """One connection of the load's clients; it carries one request at a time and is kept between them."""
+class ClientConnection(asyncio.Protocol):
+    """One persistent connection of the load's clients; it carries one request at a time."""
 
-    def __init__(self, load: Load) -> None:
-        self.load = load
+    def __init__(self, listener: ClientListener) -> None:
+        self.listener = listener
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
         self.arrival: Arrival | None = None
-        self.first_s = 0.0
-        self.last = False  # the answer said that its connection ends
-        self.fresh = True
+        self.first_token_s = 0.0
+        self.closes_after_response = False  # the response has `Connection: close`
+        self.is_unused = True  # no response has been received yet
         self.deadline: asyncio.TimerHandle | None = None
-        self.waiting = b""
+        self.unsent = b""  # the request, until the connection is established
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by asyncio."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self.waiting:
-            transport.write(self.waiting)
-            self.waiting = b""
+        if self.unsent:
+            transport.write(self.unsent)
+            self.unsent = b""
 
     def send(self, arrival: Arrival, data: bytes, remaining_s: float) -> None:
-        """Begin a request; it is given up after `remaining_s` without a first token."""
-        self.arrival, self.first_s, self.last = arrival, 0.0, False
-        self.deadline = asyncio.get_running_loop().call_later(remaining_s, self.give_up)
+        """Send a request; it is abandoned after `remaining_s` without a first token."""
+        self.arrival = arrival
+        self.first_token_s = 0.0
+        self.closes_after_response = False
+        self.deadline = asyncio.get_running_loop().call_later(remaining_s, self.time_out)
         if self.transport is None:
-            self.waiting = data
+            self.unsent = data
         else:
             self.transport.write(data)
 
-    def give_up(self) -> None:
-        """No first token in time."""
-        if not self.first_s:
-            self.end("no answer" if self.transport else "not connected")
+    def time_out(self) -> None:
+        """The deadline has passed: abandon the request unless its first token came."""
+        if not self.first_token_s:
+            self.finish("no answer" if self.transport else "not connected")
             if self.transport is not None:
                 self.transport.abort()
 
-    def end(self, how: str) -> None:
-        """Record how the request ended."""
+    def finish(self, outcome: str) -> None:
+        """The request, if there is one, has ended."""
         if self.arrival is not None:
-            arrival, self.arrival = self.arrival, None
+            arrival = self.arrival
+            self.arrival = None
             if self.deadline is not None:
                 self.deadline.cancel()
-            self.load.end(arrival, how, self.first_s)
+            self.listener.on_finished(arrival, outcome, self.first_token_s)
 
     def data_received(self, data: bytes) -> None:
         """Called by asyncio."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.end("garbled")
+            self.finish("garbled")
             if self.transport is not None:
                 self.transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Called by the parser."""
-        self.last = self.last or (name.lower() == b"connection" and value.lower() == b"close")
+        is_close = name.lower() == b"connection" and value.lower() == b"close"
+        self.closes_after_response = self.closes_after_response or is_close
 
     def on_body(self, _: bytes) -> None:
         """Called by the parser."""
-        self.first_s = self.first_s or monotonic()
+        self.first_token_s = self.first_token_s or monotonic()
 
     def on_message_complete(self) -> None:
         """Called by the parser."""
         status = self.parser.get_status_code()
-        self.end("served" if status == 200 else str(status))
-        self.fresh = False
-        if not self.last and self.transport is not None:
-            self.load.keep(self)
+        self.finish("served" if status == 200 else str(status))
+        self.is_unused = False
+        if not self.closes_after_response and self.transport is not None:
+            self.listener.on_idle(self)
 
     def connection_lost(self, _: Exception | None) -> None:
         """Called by asyncio."""
-        arrival, self.transport = self.arrival, None
-        if arrival is not None and not self.first_s and not self.fresh:
-            # Closed between requests: the closing crossed this one, which may go out once more.
+        arrival = self.arrival
+        self.transport = None
+        if arrival is not None and not self.first_token_s and not self.is_unused:
+            # The server closed the idle connection while this request was on its way: it may be retried.
             if self.deadline is not None:
                 self.deadline.cancel()
             self.arrival = None
-            self.load.send(arrival, new=True)
-        self.end("broken" if self.first_s else "closed")
-        self.load.forget(self)
+            self.listener.send(arrival, on_new_connection=True)
+        self.finish("broken" if self.first_token_s else "closed")
+        self.listener.on_connection_lost(self)
--- a/ringledge/lab/load_plan.py
+++ b/ringledge/lab/load_plan.py
@@ -10,29 +10,30 @@
 
 from ringledge.lab.deployment import SETTINGS
 
+MIN_BODY_BYTES = 100
 MAX_BODY_BYTES = 250_000  # of a request: the protocol's limit is 256 KiB
 
 
 @dataclass(slots=True, frozen=True)
 class Burst:
-    """A stretch with more requests, and larger ones if `kb` says so."""
+    """An interval with a higher rate, and with larger requests if `prompt_kb` is given."""
 
     at_s: float
-    for_s: float
-    times: float
-    kb: float | None
+    duration_s: float
+    rate_factor: float
+    prompt_kb: float | None
 
 
 def parse_burst(text: str) -> Burst:
-    """Read AT,FOR,TIMES[,KB]; ValueError where it is none."""
-    at_s, for_s, times, *kb = map(float, text.split(","))
-    if len(kb) > 1:
+    """Read AT,FOR,TIMES[,KB]; ValueError where the text is of another form."""
+    at_s, duration_s, rate_factor, *prompt_kb = map(float, text.split(","))
+    if len(prompt_kb) > 1:
         raise ValueError(f"a burst is AT,FOR,TIMES[,KB], not {text}")
-    return Burst(at_s, for_s, times, kb[0] if kb else None)
+    return Burst(at_s, duration_s, rate_factor, prompt_kb[0] if prompt_kb else None)
 
 
 def parse_shares(text: str) -> dict[str, float]:
-    """Read NAME=SHARE,...; all tenants with their fractions where it is empty."""
+    """Read NAME=SHARE,...; an empty text means all tenants with the fractions of the settings."""
     if not text:
         return {each["name"]: each["fraction"] for each in SETTINGS["tenants"]}
     return {name: float(share) for name, share in (each.split("=") for each in text.split(","))}
@@ -40,18 +41,18 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadPlan:
-    """What is sent; rates a second, sizes in KB."""
-
-    target: str
-    rate: float
-    seconds: float
-    bookings: float
-    prompt_kb: float
-    prompt_sigma: float
-    tenants: dict[str, float]
+    """What is sent."""
+
+    target: str  # the address of the conductor's platform front
+    requests_per_s: float
+    duration_s: float
+    booking_share: float  # of the requests
+    prompt_kb: float  # the median of the body sizes, which are lognormal
+    prompt_sigma: float  # their sigma
+    tenant_shares: dict[str, float]  # of the requests, by tenant; they need not sum to 1
     bursts: tuple[Burst, ...] = ()
-    unread: int = 0
-    watch: str = ""
+    unread_clients: int = 0  # clients that read nothing of their responses
+    health_address: str = ""  # whose /healthcheck is called; empty: none
     seed: int = 1
 
 
@@ -59,24 +60,25 @@
 class Arrival:
     """One request as it was drawn."""
 
-    at_s: float
+    at_s: float  # the intended time, from the start of the load
     class_index: int
     tenant: str
-    size: int
+    body_bytes: int
 
 
-def arrivals(plan: LoadPlan) -> Iterator[Arrival]:
-    """A Poisson process with the plan's stretches, the same for the same seed."""
+def draw_arrivals(plan: LoadPlan) -> Iterator[Arrival]:
+    """Draw a Poisson process whose rate the bursts raise; the same for the same seed."""
     rng = numpy.random.default_rng(plan.seed)
-    names, parts = list(plan.tenants), numpy.array(list(plan.tenants.values()))
+    tenants = list(plan.tenant_shares)
+    shares = numpy.array(list(plan.tenant_shares.values()))
     at_s = 0.0
     while True:
-        burst = next((b for b in plan.bursts if b.at_s <= at_s < b.at_s + b.for_s), None)
-        at_s += rng.exponential(1 / (plan.rate * (burst.times if burst else 1.0)))
-        if at_s >= plan.seconds:
+        burst = next((each for each in plan.bursts if each.at_s <= at_s < each.at_s + each.duration_s), None)
+        at_s += rng.exponential(1 / (plan.requests_per_s * (burst.rate_factor if burst else 1.0)))
+        if at_s >= plan.duration_s:
             return
-        kb = burst.kb if burst and burst.kb else plan.prompt_kb
-        size = int(1024 * kb * math.exp(plan.prompt_sigma * rng.standard_normal()))
-        booking = int(rng.random() < plan.bookings)
-        tenant = str(rng.choice(names, p=parts / parts.sum()))
-        yield Arrival(at_s, booking, tenant, max(100, min(size, MAX_BODY_BYTES)))
+        prompt_kb = burst.prompt_kb if burst and burst.prompt_kb else plan.prompt_kb
+        body_bytes = int(1024 * prompt_kb * math.exp(plan.prompt_sigma * rng.standard_normal()))
+        class_index = int(rng.random() < plan.booking_share)
+        tenant = str(rng.choice(tenants, p=shares / shares.sum()))
+        yield Arrival(at_s, class_index, tenant, max(MIN_BODY_BYTES, min(body_bytes, MAX_BODY_BYTES)))
--- a/ringledge/lab/load_report.py
+++ b/ringledge/lab/load_report.py
@@ -1,4 +1,4 @@
-"""What became of the load: counts and latency histograms of each class."""
+"""The results of a load: counts and latency histograms of each class."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 from hdrh.histogram import HdrHistogram
 
 QUANTILES = (50, 90, 99, 99.9, 100)
-MAX_US = 120_000_000  # the longest latency that is told apart
+MAX_US = 120_000_000  # the highest latency that a histogram resolves
 
 
-def histogram() -> Any:
-    """Microseconds, to three digits."""
+def latency_histogram_us() -> Any:
+    """A histogram of latencies in microseconds, to three significant digits."""
     return HdrHistogram(1, MAX_US, 3)
 
 
 @dataclass(slots=True)
-class Tally:
-    """What became of one class's requests."""
+class ClassReport:
+    """The results of one class's requests."""
 
-    asked: int = 0
-    in_time: int = 0  # served whole, its first token inside the aim
-    ends: Counter[str] = field(default_factory=Counter)
-    served_us: Any = field(default_factory=histogram)  # to the first token
-    refused_us: Any = field(default_factory=histogram)
+    requests: int = 0
+    within_objective: int = 0  # served, the first token within the latency objective
+    outcomes: Counter[str] = field(default_factory=Counter)
+    first_token_us: Any = field(default_factory=latency_histogram_us)
+    rejected_us: Any = field(default_factory=latency_histogram_us)
 
     def as_json(self) -> dict[str, Any]:
-        """As JSON."""
+        """As JSON; its keys are part of the lab's interface."""
         return {
-            "asked": self.asked,
-            "served_share": round(self.ends["served"] / max(1, self.asked), 4),
-            "in_time_share": round(self.in_time / max(1, self.asked), 4),
-            "ends": dict(self.ends),
-            "first_token_ms": quantiles(self.served_us),
-            "refused_ms": quantiles(self.refused_us),
+            "asked": self.requests,
+            "served_share": round(self.outcomes["served"] / max(1, self.requests), 4),
+            "in_time_share": round(self.within_objective / max(1, self.requests), 4),
+            "ends": dict(self.outcomes),
+            "first_token_ms": quantiles_ms(self.first_token_us),
+            "refused_ms": quantiles_ms(self.rejected_us),
         }
 
 
-def quantiles(values: Any) -> dict[str, float]:
-    """Some quantiles, in milliseconds."""
-    if not values.get_total_count():
+def quantiles_ms(histogram_us: Any) -> dict[str, float]:
+    """The QUANTILES of a histogram in microseconds, by name; empty for an empty histogram."""
+    if not histogram_us.get_total_count():
         return {}
-    return {f"p{q:g}": values.get_value_at_percentile(q) / 1000 for q in QUANTILES}
+    return {f"p{q:g}": histogram_us.get_value_at_percentile(q) / 1000 for q in QUANTILES}
--- a/ringledge/lab/servers.py
+++ b/ringledge/lab/servers.py
@@ -1,51 +1,52 @@
 """Stand-in servers and discovery on loopback, as one process.
 
-Each request's runs are counted, so that a booking that ran twice, or two attempts that were out together,
-show in the audit whatever the conductor says.
+The attempts of each request are counted: a booking that was decoded twice, or two attempts that were in
+flight at once, show in the audit whatever the conductor reports.
 """
 
 from __future__ import annotations
 
 import asyncio
 import signal
-from dataclasses import asdict
 from functools import partial
 from pathlib import Path
+from typing import Any
 
 import orjson
 
 from ringledge.lab.audit import Audit
 from ringledge.lab.deployment import SETTINGS
-from ringledge.lab.http_peer import Peer, answer, chunk
-from ringledge.lab.instances import Instance, ServersPlan
+from ringledge.lab.http_peer import HttpConnection, encode_chunk, response
+from ringledge.lab.instances import ServerConnection, StandInPlan
 
 HOST = "127.0.0.1"
-EMPTY_LINE_S = 2.0  # an open watch says so often that nothing has changed
+KEEP_ALIVE_INTERVAL_S = 2.0  # between the empty lines of a watch
 
 
-class Discovery(Peer):
-    """A connection to discovery: the list, a watch that stays quiet, and the audit."""
+class DiscoveryConnection(HttpConnection):
+    """A connection to discovery: the endpoint list, a watch without changes, and the audit."""
 
-    def __init__(self, audit: Audit, listing: bytes) -> None:
+    def __init__(self, audit: Audit, endpoint_list: bytes) -> None:
         super().__init__()
         self.audit = audit
-        self.listing = listing
+        self.endpoint_list = endpoint_list
         self.timer: asyncio.TimerHandle | None = None
 
     def handle(self, method: bytes, target: bytes) -> None:
-        """Answer as discovery does."""
+        """Respond as discovery does."""
         if target == b"/audit":
-            self.transport.write(answer(200, self.audit.as_json()))
+            self.transport.write(response(200, self.audit.as_json()))
         elif b"watch=1" in target:
             self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.transport.write(chunk(self.listing + b"\n"))
-            self._quiet()
+            self.transport.write(encode_chunk(self.endpoint_list + b"\n"))
+            self._send_keep_alive()
         else:
-            self.transport.write(answer(200, self.listing))
+            self.transport.write(response(200, self.endpoint_list))
 
-    def _quiet(self) -> None:
-        self.transport.write(chunk(b"\n"))
-        self.timer = asyncio.get_running_loop().call_later(EMPTY_LINE_S, self._quiet)
+    def _send_keep_alive(self) -> None:
+        self.transport.write(encode_chunk(b"\n"))
+        loop = asyncio.get_running_loop()
+        self.timer = loop.call_later(KEEP_ALIVE_INTERVAL_S, self._send_keep_alive)
 
     def connection_lost(self, _: Exception | None) -> None:
         """Called by asyncio."""
@@ -53,34 +54,47 @@
             self.timer.cancel()
 
 
-async def _serve(plan: ServersPlan, folder: Path, limits: dict[str, float], operator: str) -> None:
-    loop, audit = asyncio.get_running_loop(), Audit()
+async def _start_servers(plan: StandInPlan, audit: Audit) -> list[dict[str, Any]]:
+    """Start the prefill and decode servers; their entries of the endpoint list."""
+    loop = asyncio.get_running_loop()
     entries = []
-    for number in range(plan.readers + plan.writers):
-        prefills = number < plan.readers
-        server = await loop.create_server(partial(Instance, audit, plan, prefills), HOST, 0, backlog=1024)
+    for number in range(plan.prefill_servers + plan.decode_servers):
+        prefills = number < plan.prefill_servers
+        server = await loop.create_server(
+            partial(ServerConnection, audit, plan, prefills), HOST, 0, backlog=1024
+        )
         entries.append({
             "name": f"{'r' if prefills else 'w'}{number}", "zone": "hall-east", "group": 1, "weight": 1.0,
             "address": f"{HOST}:{server.sockets[0].getsockname()[1]}", "status": "active", "since_ms": 0,
             "type": "prefill" if prefills else "decode",
         })  # fmt: skip
-    listing = {"index": 1, "snapshot": True, "endpoints": entries}
-    discovery = await loop.create_server(lambda: Discovery(audit, orjson.dumps(listing)), HOST, 0)
+    return entries
+
+
+async def _serve(plan: StandInPlan, folder: Path, limits: dict[str, float], operator: str) -> None:
+    loop, audit = asyncio.get_running_loop(), Audit()
+    endpoint_list = {"index": 1, "snapshot": True, "endpoints": await _start_servers(plan, audit)}
+    encoded_list = orjson.dumps(endpoint_list)
+    discovery = await loop.create_server(lambda: DiscoveryConnection(audit, encoded_list), HOST, 0)
     address = f"{HOST}:{discovery.sockets[0].getsockname()[1]}"
-    told = {
+    config = {
         "name": "lab", "listen": f"{HOST}:0", "operator": operator, "discovery": address, "seed": "1",
-        "limits": limits, "known": listing, "settings": SETTINGS,
+        "limits": limits, "known": endpoint_list, "settings": SETTINGS,
     }  # fmt: skip
-    (folder / "config.json").write_bytes(orjson.dumps(told))
-    print(orjson.dumps({"event": "ready", "discovery": address, "plan": asdict(plan)}).decode(), flush=True)
-    ended = asyncio.Event()
+    (folder / "config.json").write_bytes(orjson.dumps(config))
+    ready = {"event": "ready", "discovery": address, "plan": plan.as_json()}
+    print(orjson.dumps(ready).decode(), flush=True)
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
-    await ended.wait()
+        loop.add_signal_handler(number, stop_requested.set)
+    await stop_requested.wait()
     print(audit.as_json().decode(), flush=True)
 
 
-def run(plan: ServersPlan, folder: Path, limits: dict[str, float], operator: str) -> None:
-    """Serve until a signal."""
+def run(plan: StandInPlan, folder: Path, limits: dict[str, float], operator: str) -> None:
+    """Write a conductor's config.json to the folder, and serve until a signal.
+
+    `limits`: of config.json. `operator`: the operators' address in it.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     asyncio.run(_serve(plan, folder, limits, operator))
--- a/ringledge/lab/stage.py
+++ b/ringledge/lab/stage.py
@@ -1,4 +1,4 @@
-"""A stage for demonstrations and measurements: stand-in servers and one conductor, as processes."""
+"""Stand-in servers and one conductor as processes, for demonstrations and measurements."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 @dataclass(slots=True)
 class Stage:
-    """What is on: addresses, and the conductor's process."""
+    """The running processes: their addresses, and the conductor's process id."""
 
-    discovery: str
-    listening: dict[str, str]
+    discovery: str  # address
+    listening: dict[str, str]  # addresses by the conductor's fronts
     pid: int
 
     def audit(self) -> dict[str, int]:
-        """What the servers saw."""
-        told: dict[str, int] = orjson.loads(_get(self.discovery, "/audit"))
-        return told
+        """The counts of the stand-in servers."""
+        counts: dict[str, int] = orjson.loads(_get(self.discovery, "/audit"))
+        return counts
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """The conductor's /metrics; empty where it serves none."""
         address = self.listening.get("prometheus")
         return _get(address, "/metrics").decode() if address else ""
@@ -44,42 +44,52 @@
     return client.getresponse().read()
 
 
-def _until(stream: IO[bytes], event: str) -> dict[str, Any]:
-    """The next JSON line of that event; the lines behind it are read and left."""
+def _read_event(stream: IO[bytes], event: str) -> dict[str, Any]:
+    """The next JSON line of that event; the lines after it are read and discarded."""
     for line in stream:
-        told: dict[str, Any] = orjson.loads(line)
-        if told.get("event") == event:
+        fields: dict[str, Any] = orjson.loads(line)
+        if fields.get("event") == event:
             threading.Thread(target=stream.read, daemon=True).start()
-            return told
+            return fields
     raise RuntimeError(f"it ended without a line {event}")
 
 
 @contextmanager
-def stage(
+def start_stage(
     servers: tuple[str, ...] = (),
     deploy: dict[str, str] | None = None,
     tree: Path | None = None,
     core: int | None = None,
 ) -> Iterator[Stage]:
-    """Start both, the conductor from `tree` and on `core` alone; the rest gets the other cores."""
+    """Start stand-in servers and a conductor; both are stopped when the context ends.
+
+    `servers`: options of `ringledge lab servers`. `deploy`: settings files by name. `tree`: the checkout that
+    the conductor runs from. `core`: the one CPU that the conductor runs on; the servers get the others.
+    """
     processes = list[subprocess.Popen[bytes]]()
-    others = os.sched_getaffinity(0) - ({core} if core is not None else set())
+    other_cores = os.sched_getaffinity(0) - ({core} if core is not None else set())
     with tempfile.TemporaryDirectory() as folder:
         try:
             command = [*COMMAND, "lab", "servers", "--folder", folder, *servers]
             processes.append(subprocess.Popen(command, stdout=subprocess.PIPE))
-            os.sched_setaffinity(processes[0].pid, others)
+            os.sched_setaffinity(processes[0].pid, other_cores)
             assert processes[0].stdout
-            discovery = _until(processes[0].stdout, "ready")["discovery"]
+            discovery = _read_event(processes[0].stdout, "ready")["discovery"]
             for name, text in (deploy or {}).items():
                 (Path(folder) / name).write_text(text)
-            told = {"RELAY_CONFIG": f"{folder}/config.json", "RINGLEDGE_DEPLOY": folder, "TMPDIR": folder}
+            variables = {
+                "RELAY_CONFIG": f"{folder}/config.json",
+                "RINGLEDGE_DEPLOY": folder,
+                "TMPDIR": folder,
+            }
             environ = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "RINGLEDGE_"))}
-            processes.append(subprocess.Popen(COMMAND, cwd=tree, env=environ | told, stderr=subprocess.PIPE))
+            processes.append(
+                subprocess.Popen(COMMAND, cwd=tree, env=environ | variables, stderr=subprocess.PIPE)
+            )
             if core is not None:
                 os.sched_setaffinity(processes[1].pid, {core})
             assert processes[1].stderr
-            listening = _until(processes[1].stderr, "ready")["listening"]
+            listening = _read_event(processes[1].stderr, "ready")["listening"]
             yield Stage(discovery, listening, processes[1].pid)
         finally:
             for process in reversed(processes):
--- a/tests/core/test_gate.py
+++ b/tests/core/test_gate.py
@@ -17,7 +17,7 @@
 
 from ringledge.lab import load
 from ringledge.lab.load_plan import Burst, LoadPlan, parse_shares
-from ringledge.lab.stage import stage
+from ringledge.lab.stage import start_stage
 from tests.loopback import WAIT_S, Node, take
 
 # Memory closes the queries' band from the start, whatever machine this is; bookings go on.
@@ -164,7 +164,7 @@
 
 
 def test_a_caller_over_its_share_is_told_429_beside_a_quiet_one() -> None:
-    with stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": QUERIES_OUT}) as on:
+    with start_stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": QUERIES_OUT}) as on:
         callers = {"memuro-bean-growers": 0.95, "tokachi-farm-coop": 0.05}
         plan = LoadPlan(on.listening["platform"], 60.0, 2.0, 0.2, 2.0, 0.0, callers, seed=2)
         tenants = json.loads(load.run(plan))["tenants"]
@@ -174,7 +174,7 @@
 
 
 def test_a_process_that_stood_still_for_a_second_does_not_shed_for_long() -> None:
-    with stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": "enabled = true\n"}) as on:
+    with start_stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": "enabled = true\n"}) as on:
         plan = LoadPlan(on.listening["platform"], 30.0, 2.0, 0.2, 2.0, 0.0, parse_shares(""), seed=4)
 
         def stop() -> None:
@@ -195,17 +195,19 @@
     settings = "enabled = true\nheld_part = 0.05\nmemory_from = 0.25\nmemory_to = 1.0\n"
     servers = ("--stream-ms", "200", "--events", "50", "--event-bytes", "16384", "--read-ms", "1")
     files = {"overload.toml": settings, "prometheus.toml": METRICS}
-    with stage((*servers, "--memory-mb", "256"), files) as on:
+    with start_stage((*servers, "--memory-mb", "256"), files) as on:
         address, shares = on.listening["platform"], parse_shares("")
-        held = load.Run(LoadPlan(address, 1, 1, 0, 2, 0, shares, unread=90)).unread()
-        until(lambda: figure(on.figures(), "held_bytes") > 0.25 * 0.05 * 256 * 2**20)
+        held = load.LoadGenerator(
+            LoadPlan(address, 1, 1, 0, 2, 0, shares, unread_clients=90)
+        ).open_unread_clients()
+        until(lambda: figure(on.metrics_text(), "held_bytes") > 0.25 * 0.05 * 256 * 2**20)
         plan = LoadPlan(address, 20.0, 1.0, 0.5, 2.0, 0.0, shares, seed=5)
         query, booking = json.loads(load.run(plan))["classes"].values()
         assert query["ends"].get("429", 0) + query["ends"].get("503", 0) > 0
         assert booking["ends"] == {"served": booking["asked"]}
         for sock in held:
             sock.close()
-        until(lambda: figure(on.figures(), "held_bytes") == 0)
+        until(lambda: figure(on.metrics_text(), "held_bytes") == 0)
         until(lambda: set(json.loads(load.run(plan))["classes"]["yard-query"]["ends"]) == {"served"})
 
 
@@ -218,7 +220,7 @@
 
 def test_a_burst_of_large_prompts_gives_each_request_one_answer_and_bookings_first() -> None:
     settings = "enabled = true\ntarget = 0.05\n"  # so that any machine is over its target
-    with stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": settings}) as on:
+    with start_stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": settings}) as on:
         bursts = (Burst(0.5, 1.5, 5.0, 200.0),)
         plan = LoadPlan(on.listening["platform"], 40.0, 3.0, 0.2, 2.0, 0.0, parse_shares(""), bursts, seed=6)
         report = orjson.loads(load.run(plan))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -4,23 +4,23 @@
 import pytest
 
 from ringledge.lab import load
-from ringledge.lab.load_plan import MAX_BODY_BYTES, Burst, LoadPlan, arrivals, parse_burst, parse_shares
-from ringledge.lab.stage import stage
+from ringledge.lab.load_plan import MAX_BODY_BYTES, Burst, LoadPlan, draw_arrivals, parse_burst, parse_shares
+from ringledge.lab.stage import start_stage
 
 BURSTS, TENANTS = (Burst(10, 5, 4, 200),), {"a": 3.0, "b": 1.0}
 PLAN = LoadPlan("127.0.0.1:1", 200.0, 50.0, 0.19, 2.0, 0.5, TENANTS, BURSTS)
 
 
 def test_arrivals_are_the_same_for_a_seed_and_as_the_plan_says() -> None:
-    drawn = list(arrivals(PLAN))
-    assert drawn == list(arrivals(PLAN))
+    drawn = list(draw_arrivals(PLAN))
+    assert drawn == list(draw_arrivals(PLAN))
     calm = [each for each in drawn if not 10 <= each.at_s < 15]
     burst = [each for each in drawn if 10 <= each.at_s < 15]
     assert len(calm) / 45 == pytest.approx(200, rel=0.05) and len(burst) / 5 == pytest.approx(800, rel=0.05)
     assert sum(each.class_index for each in drawn) / len(drawn) == pytest.approx(0.19, rel=0.1)
     assert sum(each.tenant == "a" for each in drawn) / len(drawn) == pytest.approx(0.75, rel=0.05)
-    assert sorted(each.size for each in calm)[len(calm) // 2] == pytest.approx(2048, rel=0.1)
-    assert max(each.size for each in burst) == MAX_BODY_BYTES
+    assert sorted(each.body_bytes for each in calm)[len(calm) // 2] == pytest.approx(2048, rel=0.1)
+    assert max(each.body_bytes for each in burst) == MAX_BODY_BYTES
 
 
 def test_a_malformed_burst_is_named() -> None:
@@ -31,7 +31,7 @@
 
 
 def test_a_conductor_serves_the_load_and_the_servers_saw_each_request_once() -> None:
-    with stage(("--read-ms", "1", "--stream-ms", "5")) as on:
+    with start_stage(("--read-ms", "1", "--stream-ms", "5")) as on:
         plan = LoadPlan(on.listening["platform"], 40.0, 1.0, 0.3, 2.0, 0.0, parse_shares(""), seed=3)
         report, audit = orjson.loads(load.run(plan)), on.audit()
     asked = sum(each["asked"] for each in report["classes"].values())
