--- a/ringledge/lifecycle/composition.py
+++ b/ringledge/lifecycle/composition.py
@@ -145,12 +145,9 @@
     return lease_holder_duties.create(composition.context, composition.fleet)
 
 
-def _is_always_enabled(config: Config) -> bool:
-    return True
-
-
-def _has_operator_address(config: Config) -> bool:
-    return bool(config.operator)
+def _required(name: str, create: Callable[[Composition], Component]) -> ComponentSpec:
+    """A component that every program has."""
+    return ComponentSpec(name, lambda config: True, create)
 
 
 def _optional(name: str, create: Callable[[Composition], Component]) -> ComponentSpec:
@@ -160,11 +157,11 @@
 
 # Created and started in this order: a component stands behind those whose results it is given.
 COMPONENTS: tuple[ComponentSpec, ...] = (
-    ComponentSpec("servers", _is_always_enabled, _create_servers),
+    _required("servers", _create_servers),
     _optional("overload", _create_overload),
     _optional("doors", _create_connection_admission),
-    ComponentSpec("platform", _is_always_enabled, _create_platform),
-    ComponentSpec("operators", _has_operator_address, _create_operator),
+    _required("platform", _create_platform),
+    ComponentSpec("operators", lambda config: bool(config.operator), _create_operator),
     _optional("members", _create_members),
     _optional("queue", _create_queue),
     _optional("chat", _create_chat),
--- a/tests/compatibility/settings_files.py
+++ b/tests/compatibility/settings_files.py
@@ -253,7 +253,7 @@
         + "\n"
         for name in FILES
     }
-    told = [
+    values = [
         read.settings,
         read.names,
         read.known_endpoints,
@@ -262,10 +262,10 @@
         read.operator,
         read.discovery,
     ]
-    told += [read.seed, read.sockets, read.memory_mb, read.cores, str(read.folder), read.peers]
-    told += [overridden.name, overridden.listen, overridden.operator, overridden.discovery]
-    told += [overridden.configured_discovery]
-    texts["settings-platform.txt"] = "\n".join(map(render, told)) + "\n"
+    values += [read.seed, read.sockets, read.memory_mb, read.cores, str(read.folder), read.peers]
+    values += [overridden.name, overridden.listen, overridden.operator, overridden.discovery]
+    values += [overridden.configured_discovery]
+    texts["settings-platform.txt"] = "\n".join(map(render, values)) + "\n"
     texts["fingerprint.txt"] = fingerprint(read.settings, read.names) + "\n"
     return texts
 
--- a/tests/lifecycle/test_components.py
+++ b/tests/lifecycle/test_components.py
@@ -62,8 +62,8 @@
 
 @pytest.fixture
 def config(tmp_path: Path) -> configuration.Config:
-    told = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-    (tmp_path / "config.json").write_text(json.dumps(told))
+    document = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
+    (tmp_path / "config.json").write_text(json.dumps(document))
     (tmp_path / "xds.toml").write_text("enabled = true\n" + LISTEN)
     return configuration.load(
         {"RELAY_CONFIG": str(tmp_path / "config.json"), "RINGLEDGE_DEPLOY": str(tmp_path)}
--- a/tests/lifecycle/test_failing_calls.py
+++ b/tests/lifecycle/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment: the start comes about, and the process goes on."""
+"""Transient errors of system calls: the start succeeds, and the process goes on."""
 
 from __future__ import annotations
 
@@ -25,42 +25,42 @@
 from ringledge.wire.http.messages import respond
 from ringledge.wire.http.socket_reader import has_ended
 
-FOR_A_MOMENT = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED]
+TRANSIENT_ERRORS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED]
 
 
 def failing_once(call: Callable[..., Any], number: int) -> Callable[..., Any]:
-    """That call, but its first go fails."""
-    left = [OSError(number, os.strerror(number))]
+    """That call, but the first time it fails with the error number."""
+    errors = [OSError(number, os.strerror(number))]
 
     def failing(*args: Any, **named: Any) -> Any:
-        if left:
-            raise left.pop()
+        if errors:
+            raise errors.pop()
         return call(*args, **named)
 
     return failing
 
 
-@pytest.mark.parametrize("number", FOR_A_MOMENT, ids=errno.errorcode.get)
-def test_a_successor_is_accepted_though_the_system_could_not_at_first(
+@pytest.mark.parametrize("number", TRANSIENT_ERRORS, ids=errno.errorcode.get)
+def test_a_successor_is_accepted_after_a_transient_error(
     number: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is a task of the main group: an error that it raises ends the process."""
 
     async def run() -> None:
-        door = channel.listen(tmp_path / "door.sock")
+        listener = channel.listen(tmp_path / "handover.sock")
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as caller:
-            caller.connect(str(tmp_path / "door.sock"))
+            caller.connect(str(tmp_path / "handover.sock"))
             monkeypatch.setattr(socket.socket, "accept", failing_once(socket.socket.accept, number))
             with anyio.fail_after(10):
-                (await channel.accept(door)).close()
-        door.close()
+                (await channel.accept(listener)).close()
+        listener.close()
 
     anyio.run(run)
 
 
 @pytest.mark.parametrize("number", [errno.ENFILE, errno.ENOBUFS, errno.EADDRINUSE], ids=errno.errorcode.get)
 @pytest.mark.parametrize("call", ["__init__", "bind", "listen"])
-def test_a_start_has_its_address_though_the_system_refused_at_first(
+def test_a_start_listens_after_a_transient_error(
     number: int, call: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(socket.socket, call, failing_once(getattr(socket.socket, call), number))
@@ -71,9 +71,7 @@
 @pytest.mark.parametrize(
     "number", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS], ids=errno.errorcode.get
 )
-def test_a_connection_comes_up_though_our_side_had_nothing_for_it_at_first(
-    number: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_connect_succeeds_after_a_transient_local_error(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """It says nothing of the server, and a request would use up its attempts within a millisecond."""
 
     async def run() -> None:
@@ -85,7 +83,7 @@
     anyio.run(run)
 
 
-def test_a_connection_that_is_interrupted_comes_up_by_itself(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connect_succeeds_after_an_interrupted_call(monkeypatch: pytest.MonkeyPatch) -> None:
     connect = socket.socket.connect
 
     def interrupted(sock: socket.socket, address: Any) -> None:
@@ -103,15 +101,15 @@
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE], ids=errno.errorcode.get)
-def test_a_client_that_has_sent_ahead_is_there_though_no_descriptor_is_left(
+def test_a_client_that_has_pipelined_is_connected_while_no_descriptor_is_left(
     number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Taken for gone, its request was dropped, and it waited for its answer in vain."""
+    """Treated as disconnected, it would wait for its response in vain."""
 
-    def none_left(*_: object) -> None:
+    def no_descriptor(*_: object) -> None:
         raise OSError(number, os.strerror(number))
 
-    monkeypatch.setattr(select, "epoll", none_left)
+    monkeypatch.setattr(select, "epoll", no_descriptor)
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.setblocking(False)
@@ -122,7 +120,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.ECONNABORTED, errno.EPROTO, errno.ENFILE], ids=errno.errorcode.get)
-def test_what_waits_in_the_backlog_at_a_stop_is_taken_though_one_accept_fails(
+def test_the_backlog_is_accepted_at_a_shutdown_after_a_transient_error(
     number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With the listening socket it would be reset, its requests unanswered."""
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -22,9 +22,9 @@
 
 
 def run(*words: str, config: Path | None = None, **environ: str) -> subprocess.CompletedProcess[str]:
-    told = os.environ | environ | ({"RELAY_CONFIG": str(config)} if config else {})
+    variables = os.environ | environ | ({"RELAY_CONFIG": str(config)} if config else {})
     command = [sys.executable, "-m", "ringledge", *words]
-    return subprocess.run(command, cwd=ROOT, env=told, capture_output=True, text=True, timeout=30)
+    return subprocess.run(command, cwd=ROOT, env=variables, capture_output=True, text=True, timeout=30)
 
 
 def test_version() -> None:
@@ -34,10 +34,10 @@
 def test_check_config_prints_the_configuration(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
-    told = run("check-config", config=path, RELAY_NAME="n7", RELAY_OPERATOR="127.0.0.1:9100")
-    assert told.returncode == 0 and told.stdout.startswith("n7: listens at 127.0.0.1:0")
-    assert "operators call at 127.0.0.1:9100" in told.stdout
-    assert "classes query, booking" in told.stdout
+    result = run("check-config", config=path, RELAY_NAME="n7", RELAY_OPERATOR="127.0.0.1:9100")
+    assert result.returncode == 0 and result.stdout.startswith("n7: listens at 127.0.0.1:0")
+    assert "operators call at 127.0.0.1:9100" in result.stdout
+    assert "classes query, booking" in result.stdout
 
 
 @pytest.mark.parametrize(
@@ -59,8 +59,8 @@
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
-    told = run(command, config=path)
-    assert told.returncode == 2 and told.stderr.count("\n") == 1 and reason in told.stderr
+    result = run(command, config=path)
+    assert result.returncode == 2 and result.stderr.count("\n") == 1 and reason in result.stderr
 
 
 @pytest.mark.parametrize("text", ["enabled = true\nlisten = ", "enabled = true\nport = 1\n"])
@@ -68,8 +68,8 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     (tmp_path / "chat.toml").write_text(text)
-    told = run("check-config", config=path, RINGLEDGE_DEPLOY=str(tmp_path))
-    assert told.returncode == 2 and "chat.toml" in told.stderr
+    result = run("check-config", config=path, RINGLEDGE_DEPLOY=str(tmp_path))
+    assert result.returncode == 2 and "chat.toml" in result.stderr
 
 
 @pytest.mark.parametrize(
@@ -93,9 +93,9 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
     (tmp_path / file).write_text(text)
-    told = run("check-config", config=path, RINGLEDGE_DEPLOY=str(tmp_path))
-    assert told.returncode == 2 and told.stderr.count("\n") == 1
-    assert all(word in told.stderr for word in (file, *words)), told.stderr
+    result = run("check-config", config=path, RINGLEDGE_DEPLOY=str(tmp_path))
+    assert result.returncode == 2 and result.stderr.count("\n") == 1
+    assert all(word in result.stderr for word in (file, *words)), result.stderr
 
 
 def test_the_shipped_settings_files_are_valid_and_disabled() -> None:
@@ -120,8 +120,8 @@
             line = json.loads(process.stderr.readline())
         host, port = line["listening"]["platform"].split(":")
         client = http.client.HTTPConnection(host, int(port), timeout=10)
-        told = {"X-Call-Class": "query", "X-Caller": "farm", "X-Budget-Ms": "4800"}
-        for number in range(1000):  # each is refused at once, for there are no servers, and logged
-            client.request("POST", "/v1/chat/completions", b"{}", told | {"X-Call-Id": f"a{number}"})
-            answer = client.getresponse()
-            assert (answer.status, bool(answer.read())) == (503, True)
+        headers = {"X-Call-Class": "query", "X-Caller": "farm", "X-Budget-Ms": "4800"}
+        for number in range(1000):  # each is rejected at once, for there are no servers, and logged
+            client.request("POST", "/v1/chat/completions", b"{}", headers | {"X-Call-Id": f"a{number}"})
+            response = client.getresponse()
+            assert (response.status, bool(response.read())) == (503, True)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Replacing the process: the door is handed over, and both processes keep the rules as one."""
+"""Replacing the process: the listening sockets are handed over, and both processes act as one conductor."""
 
 import contextlib
 import http.client
@@ -24,57 +24,57 @@
         yield node
 
 
-def upgrade(node: Node) -> Process:
-    """Start a successor and wait until the old process knows that it serves."""
+def start_successor(node: Node) -> Process:
+    """Start a successor, and wait until its predecessor is notified that it serves."""
     new = node.successor()
     node.logged("successor_serves")
     return new
 
 
-def serve(node: Node, name: str) -> int:
-    """One request from a new connection; give its status."""
+def serve_request(node: Node, name: str) -> int:
+    """Send one request on a new connection and serve it; its status."""
     client = node.post(name)
     node.reader[0].next().read()
     node.writer[0].next().serve("x")
     return take(client).status
 
 
-def again(client: http.client.HTTPConnection, name: str) -> None:
-    """Another request on the same connection."""
-    told = {"X-Call-Id": name, "X-Call-Class": "query", "X-Caller": "farm", "X-Budget-Ms": "4800"}
-    client.request("POST", "/v1/chat/completions", BODY, told)
+def send_request(client: http.client.HTTPConnection, name: str) -> None:
+    """Send a request on an open connection."""
+    headers = {"X-Call-Id": name, "X-Call-Class": "query", "X-Caller": "farm", "X-Budget-Ms": "4800"}
+    client.request("POST", "/v1/chat/completions", BODY, headers)
 
 
-def test_the_successor_gets_new_connections_and_the_old_one_finishes(node: Node) -> None:
-    running = node.post("a1", X_Call_Class="booking", X_Budget_Ms="60000")  # it waits at its writer
+def test_the_successor_accepts_connections_and_the_predecessor_completes_its_requests(node: Node) -> None:
+    running = node.post("a1", X_Call_Class="booking", X_Budget_Ms="60000")  # it waits at its decode server
     node.reader[0].next().read()
     call = node.writer[0].next()
-    new = upgrade(node)
+    new = start_successor(node)
     assert new.listening["platform"] == node.listening["platform"]
-    assert serve(node, "b1") == 200
+    assert serve_request(node, "b1") == 200
     assert new.figures()["relay.answered.query"] == "1|c" and node.figures()["relay.current"] == "1|g"
     node.process.send_signal(signal.SIGTERM)
     call.serve("x")
     answer = take(running)
     assert answer.status == 200 and answer.headers["connection"] == "close"
     assert node.process.wait(WAIT_S) == 0
-    assert new.logged("predecessor_gone") and serve(node, "b2") == 200
+    assert new.logged("predecessor_gone") and serve_request(node, "b2") == 200
 
 
-def test_a_kept_connection_ends_with_its_next_answer(node: Node) -> None:
+def test_a_persistent_connection_closes_after_its_next_response(node: Node) -> None:
     client = node.client()
     client.request("GET", "/ready")
     assert "connection" not in take(client).headers
-    upgrade(node)
-    again(client, "a1")
+    start_successor(node)
+    send_request(client, "a1")
     node.reader[0].next().read()
     node.writer[0].next().serve("x")
     answer = take(client)
     assert answer.status == 200 and answer.headers["connection"] == "close"
 
 
-def test_what_waits_at_the_door_is_not_lost(node: Node) -> None:
-    """The old process stands still with a connection in its queue; the successor takes it from there."""
+def test_connections_in_the_backlog_are_accepted_by_the_successor(node: Node) -> None:
+    """The predecessor is stopped by SIGSTOP with connections in its backlog."""
     new = node.successor()
     node.process.send_signal(signal.SIGSTOP)
     clients = [node.post(f"a{number}") for number in range(3)]
@@ -86,19 +86,19 @@
 
 
 @pytest.mark.parametrize("at", ["old", "new"])
-def test_a_request_open_at_one_process_is_a_duplicate_at_the_other(node: Node, at: str) -> None:
-    kept = node.client()
-    kept.request("GET", "/ready")
-    take(kept)
-    upgrade(node)
+def test_a_request_open_in_one_process_is_a_duplicate_in_the_other(node: Node, at: str) -> None:
+    persistent = node.client()
+    persistent.request("GET", "/ready")
+    take(persistent)
+    start_successor(node)
     if at == "old":
-        again(kept, "a1")
-        call = node.reader[0].next()  # it was taken, and the other process told
-        first, second = kept, node.post("a1")
+        send_request(persistent, "a1")
+        call = node.reader[0].next()  # it was accepted, and the other process notified
+        first, second = persistent, node.post("a1")
     else:
-        first, second = node.post("a1"), kept
+        first, second = node.post("a1"), persistent
         call = node.reader[0].next()
-        again(second, "a1")
+        send_request(second, "a1")
     answer = take(second)
     assert answer.status == 400 and b"open already" in answer.body
     call.read()
@@ -106,16 +106,17 @@
     assert take(first).status == 200
 
 
-def test_a_successor_that_dies_gives_the_door_back(node: Node) -> None:
-    new = upgrade(node)
+def test_the_predecessor_accepts_again_after_its_successor_was_killed(node: Node) -> None:
+    new = start_successor(node)
     new.kill()
     assert node.logged("successor_gone")["served"] is True
-    assert serve(node, "a1") == 200
-    assert upgrade(node).listening["platform"] == node.listening["platform"]  # and another may come
+    assert serve_request(node, "a1") == 200
+    second_successor = start_successor(node)
+    assert second_successor.listening["platform"] == node.listening["platform"]
 
 
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGSTOP])
-def test_a_missing_or_hung_predecessor_stops_no_start(node: Node, how: signal.Signals) -> None:
+def test_a_start_succeeds_with_a_missing_or_hung_predecessor(node: Node, how: signal.Signals) -> None:
     node.configure(listen=node.listening["platform"])
     node.process.send_signal(how)
     if how == signal.SIGKILL:
@@ -125,8 +126,8 @@
 
 
 @pytest.mark.parametrize("called", ["old", "new"])
-def test_a_call_to_either_process_binds_both(node: Node, called: str) -> None:
-    new = upgrade(node)
+def test_an_operator_override_at_one_process_applies_to_both(node: Node, called: str) -> None:
+    new = start_successor(node)
     one, other = (node, new) if called == "old" else (new, node)
     assert one.call("POST", "/instances/r0/maint").status == 200
     assert other.logged("by_hand")["out"] is True
@@ -135,36 +136,36 @@
     assert one.logged("by_hand")["out"] is True and one.logged("by_hand")["out"] is False
 
 
-def test_the_two_divide_the_limits_between_them(node: Node) -> None:
-    new = upgrade(node)
-    held = f"/proc/{new.process.pid}/fd"
-    before, most, closed = len(os.listdir(held)), 0, 0
+def test_two_processes_divide_the_limits(node: Node) -> None:
+    new = start_successor(node)
+    descriptors = f"/proc/{new.process.pid}/fd"
+    before, max_opened, closed = len(os.listdir(descriptors)), 0, 0
     host, port = new.listening["platform"].split(":")
     with contextlib.ExitStack() as stack:
         clients = [stack.enter_context(socket.create_connection((host, int(port)))) for _ in range(90)]
         end = time.monotonic() + WAIT_S
         while closed < len(clients) - 45 and time.monotonic() < end:  # of 256 descriptors 37 a process
             closed = len(select.select(clients, [], [], 0)[0])
-            most = max(most, len(os.listdir(held)) - before)
-    assert 20 < most < 45
+            max_opened = max(max_opened, len(os.listdir(descriptors)) - before)
+    assert 20 < max_opened < 45
 
 
-def test_an_ended_watch_of_the_old_list_does_not_delay_the_successor(node: Node) -> None:
-    """It accepts once the list is received or timed out; until then the old one does."""
+def test_an_ended_watch_does_not_delay_the_successor(node: Node) -> None:
+    """It accepts once the list is received or timed out; until then its predecessor does."""
     begun = time.monotonic()
     new = node.successor()
     assert new.figures()["relay.cluster_size"] == "2|g" and time.monotonic() - begun < WAIT_S
-    node.told = lambda node: json.dumps(node.listing(8))  # to each watch that is asked for from here on
-    while not node.watches.empty():  # a watch that told nothing yet was perhaps given up for the next
+    node.told = lambda node: json.dumps(node.listing(8))  # to each watch that begins from here on
+    while not node.watches.empty():  # one without an event may have been given up for the next
         with contextlib.suppress(OSError):
             node.watches.get().chunk(json.dumps(node.listing(8)) + "\n")
     assert new.logged("list")["form"] == "full"
 
 
-def test_the_successor_knows_what_the_old_one_has_learned(node: Node) -> None:
+def test_the_successor_loads_the_snapshot_of_its_predecessor(node: Node) -> None:
     clients = [node.post(name, X_Budget_Ms="60000") for name in ("a1", "a2")]
-    for _ in range(4):  # a request tries one server twice
+    for _ in range(4):  # a request is attempted twice at one server
         node.reader[0].next().drop()
     assert [take(client).status for client in clients] == [503, 503]
     assert node.figures()["relay.cluster_unhealthy"] == "1|g"
-    assert upgrade(node).figures()["relay.cluster_unhealthy"] == "1|g"
+    assert start_successor(node).figures()["relay.cluster_unhealthy"] == "1|g"
--- a/tests/test_handover_clock.py
+++ b/tests/test_handover_clock.py
@@ -1,4 +1,4 @@
-"""A successor on a machine whose wall clock was stepped since goes by its predecessor's time."""
+"""A successor uses its predecessor's clock offset, also where the wall clock was stepped meanwhile."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 @pytest.mark.parametrize("step_s", [-HOURS_S, HOURS_S])
-def test_what_was_learned_before_a_step_of_the_clock_is_of_use_after_it(
+def test_a_handed_over_snapshot_is_valid_after_a_step_of_the_wall_clock(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_s: float
 ) -> None:
-    """Learned times of the future made delays of 10^300 ms of the smallest, and every request was refused."""
+    """Learned times in the future once made tiny delays 10^300 ms, and every request was rejected."""
     step = {"kind": "wall_step", "target": "n1", "at_s": 0.0, "until_s": 0.0, "detail": {"step_s": step_s}}
     faults = tmp_path / "faults.json"
     faults.write_text(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: what it draws, and the program between its servers and its load."""
+"""The lab: the drawn load, and the program between stand-in servers and load."""
 
 import orjson
 import pytest
@@ -11,7 +11,7 @@
 PLAN = LoadPlan("127.0.0.1:1", 200.0, 50.0, 0.19, 2.0, 0.5, TENANTS, BURSTS)
 
 
-def test_arrivals_are_the_same_for_a_seed_and_as_the_plan_says() -> None:
+def test_arrivals_follow_the_plan_and_are_reproducible_by_seed() -> None:
     drawn = list(draw_arrivals(PLAN))
     assert drawn == list(draw_arrivals(PLAN))
     calm = [each for each in drawn if not 10 <= each.at_s < 15]
@@ -23,17 +23,17 @@
     assert max(each.body_bytes for each in burst) == MAX_BODY_BYTES
 
 
-def test_a_malformed_burst_is_named() -> None:
+def test_a_malformed_burst_raises_value_error() -> None:
     with pytest.raises(ValueError, match="not enough values"):
         parse_burst("1,2")
     with pytest.raises(ValueError, match="a burst is AT,FOR,TIMES"):
         parse_burst("1,2,3,4,5")
 
 
-def test_a_conductor_serves_the_load_and_the_servers_saw_each_request_once() -> None:
-    with start_stage(("--read-ms", "1", "--stream-ms", "5")) as on:
-        plan = LoadPlan(on.listening["platform"], 40.0, 1.0, 0.3, 2.0, 0.0, parse_shares(""), seed=3)
-        report, audit = orjson.loads(load.run(plan)), on.audit()
+def test_a_conductor_serves_each_request_of_the_load_once() -> None:
+    with start_stage(("--read-ms", "1", "--stream-ms", "5")) as stage:
+        plan = LoadPlan(stage.listening["platform"], 40.0, 1.0, 0.3, 2.0, 0.0, parse_shares(""), seed=3)
+        report, audit = orjson.loads(load.run(plan)), stage.audit()
     asked = sum(each["asked"] for each in report["classes"].values())
     assert asked > 10 and report["unanswered"] == 0
     assert all(each["ends"] == {"served": each["asked"]} for each in report["classes"].values())
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Small parts by themselves."""
+"""Unit tests of small modules: the receive buffer, settings, the clock and the connection pool."""
 
 import pytest
 
@@ -16,20 +16,20 @@
 
 
 @pytest.mark.parametrize("sizes", [[1], [4, 4, 4], [100], [3, 50, 3], [16] * 9])
-def test_a_buffer_gives_out_what_was_filled_in_and_grows(sizes: list[int]) -> None:
+def test_the_receive_buffer_returns_what_was_received_and_grows(sizes: list[int]) -> None:
     buffer = Buffer(8)
     for _ in range(2):
-        whole = b""
+        received = b""
         for number, size in enumerate(sizes):
             fill(buffer, bytes([number]) * size)
-            whole += bytes([number]) * size
-        assert len(buffer) == len(whole) and buffer.take() == whole and len(buffer) == 0
+            received += bytes([number]) * size
+        assert len(buffer) == len(received) and buffer.take() == received and len(buffer) == 0
 
 
 def test_settings_are_flattened_to_paths() -> None:
     classes = [{"name": "x y"}, {"name": "z"}]
-    told = {"a": {"b": True, "c": [1, 2]}, "classes": classes, "none": None, "empty": []}
-    assert dict(flatten_settings(told)) == {
+    settings = {"a": {"b": True, "c": [1, 2]}, "classes": classes, "none": None, "empty": []}
+    assert dict(flatten_settings(settings)) == {
         "a.b": "true", "a.c": "1,2", "classes.count": "2", "classes.0.name": "x_y", "classes.1.name": "z",
         "empty": "",
     }  # fmt: skip
@@ -57,7 +57,9 @@
         self.closed = True
 
 
-def test_a_pool_gives_the_youngest_and_drops_stale_and_old_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_pool_returns_the_youngest_connection_and_closes_stale_and_old_ones(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     now = [100.0]
     monkeypatch.setattr("time.monotonic", lambda: now[0])
     pool: Pool[Idle] = Pool(3, 15.0, Metrics())
--- a/tests/test_prometheus.py
+++ b/tests/test_prometheus.py
@@ -20,7 +20,7 @@
     return take(client).body.decode()
 
 
-def test_every_alert_asks_for_figures_that_are_exported(tmp_path: Path) -> None:
+def test_every_alert_uses_exported_metrics(tmp_path: Path) -> None:
     with Node(tmp_path, files={"prometheus.toml": PROMETHEUS}) as node:
         text = scrape(node)
     exported = set(re.findall(r"^# TYPE (\w+)", text, re.MULTILINE))
@@ -29,11 +29,11 @@
              group["rules"]]  # fmt: skip
     assert len(rules) >= 10
     for rule in rules:
-        asked = set(re.findall(r"ringledge_\w+", rule["expr"]))
-        assert asked and asked <= exported, rule["alert"]
+        used = set(re.findall(r"ringledge_\w+", rule["expr"]))
+        assert used and used <= exported, rule["alert"]
 
 
-def test_figures_follow_what_happens(tmp_path: Path) -> None:
+def test_metrics_count_a_served_request(tmp_path: Path) -> None:
     with Node(tmp_path, files={"prometheus.toml": PROMETHEUS}) as node:
         client = node.post("a1")
         node.reader[0].next().read()
@@ -45,8 +45,8 @@
     assert "ringledge_first_token_seconds_count 1.0" in text
 
 
-def series(call: Call) -> dict[str, float]:
-    """Check a delivery's form; give its values by name."""
+def metric_values(call: Call) -> dict[str, float]:
+    """Check the format of a remote write; its values by metric name."""
     assert call.headers["Content-Encoding"] == "snappy"
     assert call.headers["Content-Type"] == "application/x-protobuf"
     assert call.headers["X-Prometheus-Remote-Write-Version"] == "0.1.0"
@@ -61,34 +61,34 @@
     return found
 
 
-@pytest.mark.parametrize(("status", "again"), [(500, True), (429, True), (400, False), (404, False)])
-def test_a_receiver_that_fails_is_tried_again_and_one_that_refuses_is_not(
-    tmp_path: Path, status: int, again: bool
+@pytest.mark.parametrize(("status", "is_retried"), [(500, True), (429, True), (400, False), (404, False)])
+def test_remote_write_retries_server_errors_and_drops_rejected_collections(
+    tmp_path: Path, status: int, is_retried: bool
 ) -> None:
     receiver = StandIn()
-    told = PROMETHEUS + f'remote_write = "http://{receiver.address}/api/v1/write"\n'
-    with Node(tmp_path, files={"prometheus.toml": told}) as node:
+    settings = PROMETHEUS + f'remote_write = "http://{receiver.address}/api/v1/write"\n'
+    with Node(tmp_path, files={"prometheus.toml": settings}) as node:
         first = receiver.next()
-        assert first.path == "/api/v1/write" and "ringledge_open_requests" in series(first)
+        assert first.path == "/api/v1/write" and "ringledge_open_requests" in metric_values(first)
         first.answer(status)
         second = receiver.next()
-        assert (second.body == first.body) is again
+        assert (second.body == first.body) is is_retried
         second.answer(204)
         third = receiver.next()
-        assert series(third)["ringledge_open_requests"] == 0
+        assert metric_values(third)["ringledge_open_requests"] == 0
         third.answer(204)
-        event = node.logged("remote_write_failed" if again else "remote_write_dropped")
+        event = node.logged("remote_write_failed" if is_retried else "remote_write_dropped")
         assert event["status"] == status
     receiver.close()
 
 
-def test_a_full_queue_loses_its_oldest(tmp_path: Path) -> None:
+def test_a_full_queue_drops_its_oldest_collection(tmp_path: Path) -> None:
     receiver = StandIn()
-    told = PROMETHEUS + f'remote_write = "http://{receiver.address}/"\n'
-    with Node(tmp_path, files={"prometheus.toml": told}) as node:
-        held = receiver.next()
+    settings = PROMETHEUS + f'remote_write = "http://{receiver.address}/"\n'
+    with Node(tmp_path, files={"prometheus.toml": settings}) as node:
+        unanswered = receiver.next()
         while 'ringledge_remote_write_total{how="overflowed"}' not in scrape(node):
             pass  # collections go on while the receiver is silent
-        held.answer(204)
+        unanswered.answer(204)
         receiver.next().answer(204)
     receiver.close()
