--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -22,7 +22,7 @@
 from ringledge.memory.server_list import ServerList, summarize_changes
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
-from ringledge.observe.stalls import stalls
+from ringledge.observe.stalls import stall_detector
 from ringledge.routing import snapshot
 from ringledge.routing.interface import (
     AttemptStatus,
@@ -234,10 +234,10 @@
         try:
             self._handle(event)
         except Exception as error:
-            log.fault("event_failed", error, type=event_type)
+            log.exception("event_failed", error, type=event_type)
             self.context.invariants.record_violation(Invariant.EVENT_HANDLING_FAILED, type=event_type)
-        if (duration_s := time.perf_counter() - started_s) > stalls.longest_s:
-            stalls.longest_s, stalls.longest = duration_s, event_type
+        if (duration_s := time.perf_counter() - started_s) > stall_detector.longest_event_s:
+            stall_detector.longest_event_s, stall_detector.longest_event = duration_s, event_type
 
     def _handle(self, event: RoutingEvent) -> None:
         """Feed one event to the policy and execute the actions it returns."""
--- a/ringledge/core/gate.py
+++ b/ringledge/core/gate.py
@@ -138,7 +138,7 @@
         self._rejections += 1
         class_name = self._class_names[class_index]
         self._metrics.shed.labels(class_name, reason.value).inc()
-        log.often("request_shed", **{"class": class_name}, reason=reason.value)
+        log.rate_limited("request_shed", **{"class": class_name}, reason=reason.value)
 
     def on_reading(self, reading: ProcessReading) -> None:
         """Feed a reading to the decisions, and free memory if it is short."""
@@ -172,7 +172,7 @@
         )
 
     def _log_pressure_change(self, reading: ProcessReading) -> None:
-        log.often(
+        log.rate_limited(
             "overload",
             pressed=self._overload.under_pressure,
             cpu=round(reading.cpu_ms / max(1.0, reading.span_ms), 2),
@@ -188,7 +188,7 @@
         """Evict retained responses, oldest first."""
         evicted = self._buffered_bytes.evict(int(EVICTION_FRACTION * self._memory_bytes))
         if evicted:
-            log.often("answers_dropped", bytes=evicted)
+            log.rate_limited("answers_dropped", bytes=evicted)
 
     def _trim_memory(self) -> None:
         """Return free memory to the system, at most once an interval."""
--- a/ringledge/decide/connections/admission.py
+++ b/ringledge/decide/connections/admission.py
@@ -12,7 +12,7 @@
 
 from ringledge.decide.connections.settings import AdmissionRule, AdmissionSettings
 from ringledge.structures.space_saving import SpaceSaving
-from ringledge.structures.token_bucket import Bucket
+from ringledge.structures.token_bucket import TokenBucket
 
 # Prefix length by IP version by which clients are counted: about what one customer has of addresses.
 COUNTED_PREFIX_BITS = {4: 24, 6: 56}
@@ -51,7 +51,7 @@
                 self._rule_by_prefix.add(network).data["rule"] = number
         self._open = [0] * len(self._rules)
         self._open_by_address: Counter[str] = Counter()  # where a rule limits them
-        self._buckets = [Bucket(max(1.0, rule.max_rate_per_s or 0.0)) for rule in self._rules]
+        self._buckets = [TokenBucket(max(1.0, rule.max_rate_per_s or 0.0)) for rule in self._rules]
         self._without_request: SpaceSaving[str] = SpaceSaving(settings.max_networks_counted)
 
     def admit(self, now_ms: float, address: str) -> AdmittedConnection | RejectionReason:
@@ -103,9 +103,9 @@
             return RejectionReason.MAX_PER_ADDRESS
         if rule.max_rate_per_s is not None:
             bucket = self._buckets[number]
-            if bucket.fill(now_ms, rule.max_rate_per_s / 1000, max(1.0, rule.max_rate_per_s)) < 1:
+            if bucket.refill(now_ms, rule.max_rate_per_s / 1000, max(1.0, rule.max_rate_per_s)) < 1:
                 return RejectionReason.RATE
-            bucket.take(1)
+            bucket.consume(1)
         return None
 
 
--- a/ringledge/decide/overload/cost_model.py
+++ b/ringledge/decide/overload/cost_model.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ringledge.structures.linear_model import Linear
+from ringledge.structures.linear_model import LinearModel
 
 INITIAL_REQUEST_MS, INITIAL_KB_MS = 3.0, 0.02  # CPU of a request and of each KB of it
 KB_UNIT = 64.0  # KB that weigh about as much as a request: the model wants inputs of like size
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         initial = (INITIAL_REQUEST_MS, INITIAL_KB_MS * KB_UNIT)
-        self._model = Linear(initial, low=0.1, high=20.0, step=0.2)
+        self._model = LinearModel(initial, low=0.1, high=20.0, step=0.2)
         self._inputs = [0.0, 0.0]  # since the last update: requests, and their size in units of KB_UNIT
         self._rejections = 0
 
@@ -36,7 +36,7 @@
         """Learn from the CPU time used since the last call; returns the rejections' part of it, in ms."""
         rejections_ms = self._rejections * REJECTION_MS
         if not self._rejections:  # beside many, the few admitted would be taken for the cause of all
-            self._model.learn(self._inputs, cpu_ms)
+            self._model.update(self._inputs, cpu_ms)
         self._inputs = [0.0, 0.0]
         self._rejections = 0
         return rejections_ms
--- a/ringledge/decide/overload/cpu_budget.py
+++ b/ringledge/decide/overload/cpu_budget.py
@@ -4,7 +4,7 @@
 
 import math
 
-from ringledge.structures.token_bucket import Bucket
+from ringledge.structures.token_bucket import TokenBucket
 
 DEPTH_MS = 60.0  # CPU time that the budget holds: a burst that is worked off in a turn or two of the loop
 DECREASE_FACTOR, DECREASE_INTERVAL_MS = 0.8, 300.0  # for delays: what is in progress has to finish first
@@ -19,7 +19,7 @@
     def __init__(self, min_level: float) -> None:
         """`min_level`: the deepest debt, as a fraction of the depth (below 0)."""
         self._min_level_ms = min_level * DEPTH_MS
-        self._bucket = Bucket(DEPTH_MS)
+        self._bucket = TokenBucket(DEPTH_MS)
         self.rate_correction = 1.0
         self._has_rejected = False  # since the last sample
         self._decreased_at_ms = -math.inf
@@ -27,15 +27,15 @@
     def start_enforcing(self, now_ms: float, rate: float) -> None:
         """Start with an empty budget, less the known debt of requests in progress."""
         level_ms = self.refill(now_ms, rate)
-        self._bucket.level = max(self._min_level_ms, min(0.0, level_ms))
+        self._bucket.tokens = max(self._min_level_ms, min(0.0, level_ms))
 
     def refill(self, now_ms: float, rate: float) -> float:
         """Refill at a rate of CPU time per time; returns the level in ms."""
-        return self._bucket.fill(now_ms, rate, DEPTH_MS)
+        return self._bucket.refill(now_ms, rate, DEPTH_MS)
 
     def spend(self, cost_ms: float) -> None:
         """Draw an admitted request's cost."""
-        self._bucket.take(cost_ms)
+        self._bucket.consume(cost_ms)
 
     def record_rejection(self) -> None:
         """A request was rejected for the budget."""
@@ -50,7 +50,7 @@
         if is_delayed and now_ms - self._decreased_at_ms >= DECREASE_INTERVAL_MS:
             self._decreased_at_ms = now_ms
             self.rate_correction *= DECREASE_FACTOR
-            self._bucket.level = min(0.0, self._bucket.level)
+            self._bucket.tokens = min(0.0, self._bucket.tokens)
         elif utilization > 1.0 or (self._has_rejected and not is_delayed):
             step = INTEGRAL_GAIN * (1.0 - utilization)
             self.rate_correction *= 1.0 + max(-MAX_STEP, min(MAX_STEP, step))
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -105,7 +105,7 @@
         except StaleTokenError as error:
             self._stale(token, error)
         except QueueError as error:
-            log.often("queue_step_failed", why=error.reason.value, error=str(error))
+            log.rate_limited("queue_step_failed", why=error.reason.value, error=str(error))
 
     async def news(self, timeout_s: float) -> None:
         """Wait until an entry has ended, so that the next step may come sooner."""
@@ -180,7 +180,7 @@
         try:
             sending = self._send(entry, ended)
         except Exception as error:  # a fault of ours: it may have been sent
-            log.fault("queue_send_crashed", error, entry=entry.name)
+            log.exception("queue_send_crashed", error, entry=entry.name)
             ended(Result(Verdict.FAILED, ran=True))
             return
         if sending is None:
@@ -211,7 +211,7 @@
             log.warning("queue_entry_moved", entry=entry.name, error=str(error))
             return
         except QueueError as error:
-            log.often("queue_step_failed", why=error.reason.value, error=str(error))
+            log.rate_limited("queue_step_failed", why=error.reason.value, error=str(error))
             self._unsettled.append(outcome)
             return
         if now.outcome is not None:
--- a/ringledge/members/service.py
+++ b/ringledge/members/service.py
@@ -151,7 +151,7 @@
     def _record_drop(self, reason: DropReason, datagram: bytes, source: Endpoint) -> None:
         self._metrics.record_dropped(Direction.RECEIVED, reason)
         if reason not in UNLOGGED_REASONS:
-            log.often("datagram_dropped", why=reason.value, source=source[0], bytes=len(datagram))
+            log.rate_limited("datagram_dropped", why=reason.value, source=source[0], bytes=len(datagram))
 
     def _receive(self, datagram: bytes, source: Endpoint) -> None:
         """Pass a datagram to its decider; DatagramError with the reason where it is rejected."""
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -112,7 +112,7 @@
             try:
                 await self._step(now_s)
             except QueueError as error:
-                log.often("queue_step_failed", why=error.reason.value, error=str(error))
+                log.rate_limited("queue_step_failed", why=error.reason.value, error=str(error))
             await self.replayer.news(BUSY_INTERVAL_S if self._backlog else IDLE_INTERVAL_S)
 
     async def _step(self, now_s: float) -> None:
--- a/ringledge/store/worker.py
+++ b/ringledge/store/worker.py
@@ -154,7 +154,7 @@
             raise
         except Exception as error:  # a defect of the program fails this step, not the thread
             db.execute("ROLLBACK TO step")
-            log.fault("queue_step_crashed", error)
+            log.exception("queue_step_crashed", error)
             return error
         finally:
             if db.in_transaction:
--- a/ringledge/wire/clients/idle_connections.py
+++ b/ringledge/wire/clients/idle_connections.py
@@ -19,7 +19,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from ringledge.structures.timer_wheel import Wheel
+from ringledge.structures.timer_wheel import TimerWheel
 
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import AdmittedConnection
@@ -60,7 +60,7 @@
         self._on_readable, self._on_expired = wake, ended
         self._loop: asyncio.AbstractEventLoop | None = None
         self._epoll: select.epoll | None = None
-        self._wheel = Wheel(_tick())
+        self._wheel = TimerWheel(_tick())
         self._numbers = array("i")  # the descriptor of each timer
         self._without_request: dict[int, IdleConnection] = {}  # by descriptor, longest idle first
         self._with_request: dict[int, IdleConnection] = {}
@@ -73,7 +73,7 @@
     @property
     def lag_s(self) -> float:
         """How long the timer wheel lags behind the clock, s."""
-        return (_tick() - self._wheel.now) * TICK_S if self._wheel.ready else 0.0
+        return (_tick() - self._wheel.now) * TICK_S if self._wheel.expired_count else 0.0
 
     def add(self, connection: IdleConnection, keep_s: float) -> None:
         """Watch a connection for input, and close it after `keep_s` seconds without any."""
@@ -154,12 +154,12 @@
         """Close connections whose timeout has expired; whether more of them are left for the next call."""
         self._ready()
         there = self._wheel.advance(_tick(), MAX_TIMERS_MOVED_PER_TURN)
-        for timer in self._wheel.expired(MAX_CLOSED_PER_TURN):
+        for timer in self._wheel.pop_expired(MAX_CLOSED_PER_TURN):
             number = self._numbers[timer]
             connection = self._without_request.get(number) or self._with_request[number]
             connection.timer = -1  # given out: its number may soon be another one's
             self.expired += self._close(number, now=False)
-        return self._wheel.ready > 0 or not there
+        return self._wheel.expired_count > 0 or not there
 
     def evict_oldest(self, limit: int, now: bool = True) -> int:
         """Close at most `limit`, first those without a request, the longest idle first; how many were."""
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -33,7 +33,7 @@
     TopologicalSorter(graph).prepare()  # a circle is a CycleError that names it; imports for types count, too
 
 
-LOG_CALL = re.compile(r"(?:log\.(?:debug|info|often|warning|error|fault)|tell)\(\s*\"(\w+)\"")
+LOG_CALL = re.compile(r"(?:log\.(?:debug|info|rate_limited|warning|error|exception)|tell)\(\s*\"(\w+)\"")
 ON_CALL = (ROOT / "docs/oncall.md").read_text()
 
 
@@ -57,7 +57,7 @@
 
 def exported_metrics() -> set[str]:
     """Every metric that the code registers, by the name that is scraped."""
-    call = re.compile(r"\b(_counter|_gauge|Counter|Gauge|Histogram)\(\s*\"(\w+)\"")
+    call = re.compile(r"\b(_counter|_gauge|_histogram|Counter|Gauge|Histogram)\(\s*\"(\w+)\"")
     found = set()
     for path in SOURCES:
         for kind, name in call.findall(path.read_text()):
