--- a/ringledge/memory/endpoint_list.py
+++ b/ringledge/memory/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of servers as discovery writes it: typed, and checked before anything of it is believed."""
+"""The list of servers in discovery's format: typed, and validated before any of it is used."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import msgspec
 
-REMOVED_STATUS = "left"  # the status of a server that is gone; only among changes, and it needs no address
+REMOVED_STATUS = "left"  # of a server that was removed; only in updates, and without an address
 MAX_PORT = 65535
 
 
 class ListError(ValueError):
-    """What discovery wrote can't be used; the message says where and why."""
+    """Discovery's list is invalid; the message says where and why."""
 
 
 class Endpoint(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
 
 
 class EndpointListing(msgspec.Struct, frozen=True):
-    """The whole list, or what has changed of it."""
+    """The complete list (`snapshot`), or the changes to it."""
 
     index: int
     snapshot: bool
@@ -36,26 +36,26 @@
 
 
 def decode(text: bytes) -> EndpointListing:
-    """Read one object of the list; ListError where it is none."""
+    """Parse one JSON object of the list; raises ListError if it is invalid."""
     try:
-        return _checked(msgspec.json.decode(text, type=EndpointListing))
+        return _validated(msgspec.json.decode(text, type=EndpointListing))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ListError(str(error)) from error
 
 
-def convert(told: Any) -> EndpointListing:
-    """Read a list that was parsed with what stands round it; ListError where it is none."""
+def convert(content: Any) -> EndpointListing:
+    """Read a list that was parsed as part of a larger document; raises ListError if it is invalid."""
     try:
-        return _checked(msgspec.convert(told, EndpointListing))
+        return _validated(msgspec.convert(content, EndpointListing))
     except msgspec.ValidationError as error:
         raise ListError(str(error)) from error
 
 
-def _checked(told: EndpointListing) -> EndpointListing:
-    for each in told.endpoints:
-        if each.status != REMOVED_STATUS and not _is_address(each.address):
-            raise ListError(f"the address of {each.name!r} is {each.address!r}, not host:port")
-    return told
+def _validated(listing: EndpointListing) -> EndpointListing:
+    for endpoint in listing.endpoints:
+        if endpoint.status != REMOVED_STATUS and not _is_address(endpoint.address):
+            raise ListError(f"the address of {endpoint.name!r} is {endpoint.address!r}, not host:port")
+    return listing
 
 
 def _is_address(text: str) -> bool:
--- a/ringledge/memory/names.py
+++ b/ringledge/memory/names.py
@@ -1,4 +1,4 @@
-"""The names on the wires behind the indices of the decisions."""
+"""The names that the wire protocols use for the indices of the policy's settings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Names:
-    """The names on the wires behind the indices of the decisions, and the wire's own settings."""
+    """The names behind the policy's indices, each at its index, and the wire's own settings."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -15,9 +15,9 @@
     tenants: tuple[str, ...]
     keepalive_s: float
     connect_timeout_s: float
-    max_retry_after_ms: float
+    max_retry_after_ms: float  # 0: not set
 
     @staticmethod
     def index(names: tuple[str, ...], name: str) -> int:
-        """The index of a name; one past the last for a name that is not known."""
+        """The index of a name; one past the last index for an unknown name."""
         return names.index(name) if name in names else len(names)
--- a/ringledge/memory/operator_overrides.py
+++ b/ringledge/memory/operator_overrides.py
@@ -1,4 +1,4 @@
-"""Which servers operators have left out by hand: one file, which all processes of this conductor follow."""
+"""Servers that operators exclude: one file, which all processes of this conductor follow."""
 
 from __future__ import annotations
 
@@ -16,75 +16,86 @@
 from ringledge.observe.logging import log
 from ringledge.structures.transient_errors import at_start
 
-POLL_INTERVAL_S = 0.05  # how often the file is looked at: another process may have changed it
-LOCK_TIMEOUT_S = 0.5  # a change that waits for others' for so long is given up
+POLL_INTERVAL_S = 0.05  # of the file: another process may have changed it
+LOCK_TIMEOUT_S = 0.5  # a change that waits longer for others' raises TimeoutError
 LOCK_RETRY_INTERVAL_S = 0.005
 
 
 class OperatorOverrides:
-    """The servers that are out, as the file has them."""
+    """The excluded servers, as the file has them; a file that can't be read leaves them as they are."""
 
-    def __init__(self, folder: Path, name: str, settings: str, tell: Callable[[str, bool], None]) -> None:
-        """`settings`: the fingerprint of ours; a file written under others is not used."""
+    def __init__(
+        self, folder: Path, name: str, settings: str, on_change: Callable[[str, bool], None]
+    ) -> None:
+        """Names the file after the conductor; reads nothing yet.
+
+        `settings`: the fingerprint of ours; a file written under others is not used. `on_change` is called
+        with each server that is now excluded (True) or included again (False).
+        """
         self.excluded: frozenset[str] = frozenset()
         self._settings = settings
         self._path = folder / f"ringledge-{quote(name, safe='')}.out.json"
-        self._on_change = tell  # told of each server that goes out (True) or comes back
-        self._last_text: bytes | None = None  # what was read last
+        self._on_change = on_change
+        self._last_text: bytes | None = None  # as last read, valid or not
 
     def reload(self) -> None:
-        """Take in what the file says, where it has changed."""
+        """Apply the file if it has changed; an unreadable one is logged."""
         try:
-            text = self._path.read_bytes()  # a line: no shorter way is surer to see each change
+            text = self._path.read_bytes()  # a line: no cheaper way is surer to see each change
             if text == self._last_text:
                 return
             self._last_text = text
-            out = frozenset(each for each in self._server_names(orjson.loads(text)) if isinstance(each, str))
-        except FileNotFoundError:  # nobody was ever left out
+            names = self._server_names(orjson.loads(text))
+            excluded = frozenset(name for name in names if isinstance(name, str))
+        except FileNotFoundError:  # nothing was ever excluded
             return
         except (OSError, ValueError, TypeError, KeyError) as error:
             log.error("by_hand_unreadable", file=str(self._path), error=str(error))
             return
-        before, self.excluded = self.excluded, out
-        for server in sorted(before ^ out):
-            log.info("by_hand", server=server, out=server in out)
-            self._on_change(server, server in out)
-
-    def _server_names(self, told: Any) -> list[Any]:
-        """The servers that a file tells; a bare list is the form that had no fingerprint yet."""
-        if isinstance(told, list):
-            return told
-        if told["settings"] != self._settings:
+        changed = self.excluded ^ excluded
+        self.excluded = excluded
+        for server in sorted(changed):
+            log.info("by_hand", server=server, out=server in excluded)
+            self._on_change(server, server in excluded)
+
+    def _server_names(self, content: Any) -> list[Any]:
+        """The servers that a file lists; a bare list is the older form without a fingerprint."""
+        if isinstance(content, list):
+            return content
+        if content["settings"] != self._settings:
             raise ValueError("it was written under other settings")
-        names: list[Any] = told["out"]
+        names: list[Any] = content["out"]
         return names
 
     def load(self) -> None:
-        """Take the file in before anything is sent; what fails for a moment is tried again."""
-        with suppress(OSError):  # told by `look`; a file that is missing is none that fails for a moment
+        """Read the file before anything is sent; a transient error is retried."""
+        with suppress(OSError):  # logged by `reload`; a missing file is no transient error
             at_start(self._path.read_bytes)
         self.reload()
 
-    async def set_excluded(self, server: str, out: bool) -> None:
-        """Leave a server out or call it back; on disk when this returns, OSError where it could not be."""
+    async def set_excluded(self, server: str, excluded: bool) -> None:
+        """Exclude a server or include it again; on disk when this returns.
+
+        Raises OSError where it could not be written, and TimeoutError where another process holds the lock.
+        """
         with self._path.with_suffix(".lock").open("ab") as lock:
             with anyio.fail_after(LOCK_TIMEOUT_S):
                 while not _try_lock(lock.fileno()):
                     await anyio.sleep(LOCK_RETRY_INTERVAL_S)
             self.reload()  # another process may have been first
-            changed = self.excluded | {server} if out else self.excluded - {server}
-            if changed != self.excluded:
-                self._write(orjson.dumps({"settings": self._settings, "out": sorted(changed)}))
+            servers = self.excluded | {server} if excluded else self.excluded - {server}
+            if servers != self.excluded:
+                self._write(orjson.dumps({"settings": self._settings, "out": sorted(servers)}))
                 self.reload()
 
     def _write(self, text: bytes) -> None:
-        """Whole or not at all: a process that starts meanwhile reads the old text or the new one."""
-        new = self._path.with_suffix(".new")
-        with new.open("wb") as file:
+        """Replace the file atomically: a process that starts meanwhile reads the old text or the new one."""
+        new_path = self._path.with_suffix(".new")
+        with new_path.open("wb") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        new.replace(self._path)
+        new_path.replace(self._path)
         folder = os.open(self._path.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -92,14 +103,14 @@
             os.close(folder)
 
     async def watch(self) -> None:
-        """Keep up with the file."""
+        """Poll the file until cancelled."""
         while True:
             await anyio.sleep(POLL_INTERVAL_S)
             self.reload()
 
 
 def _try_lock(descriptor: int) -> bool:
-    """Take the lock if it is free; closing the file lets it go."""
+    """Take the lock if it is free; closing the file releases it."""
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
--- a/ringledge/memory/stream_sessions.py
+++ b/ringledge/memory/stream_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of resumable streams: what an answer has said so far, for a client that comes back."""
+"""Sessions of resumable streams: the events of each response so far, for a client that reconnects."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class SessionEnd(Enum):
-    """How a session's answer ended."""
+    """How a session's response ended; the values are fields of the log."""
 
     SERVED = "served"
-    BROKEN = "broken"  # mid-answer: it may go on from its last token
+    BROKEN = "broken"  # after its first token: it may continue from its last one
     REJECTED = "refused"
     FAILED = "failed"
-    CLIENT_DISCONNECTED = "gone"  # its client left before the first token
+    CLIENT_DISCONNECTED = "gone"  # before the first token
 
 
 class SessionFollower(Protocol):
@@ -32,81 +32,85 @@
 
 @dataclass(slots=True, eq=False)
 class StreamSession:
-    """One answer. Its events are kept by number, so that any of them can be sent again, none twice."""
+    """One response. Its events are retained by number, so that each can be resent, and none is sent twice."""
 
     name: str
-    question: dict[str, Any]  # the client's request as it was understood
+    question: dict[str, Any]  # the client's request as parsed
     class_index: int
-    max_tokens: float  # tokens that the answer may have in all
-    size_bytes: int = 0  # bytes of the question and the answer so far
-    resume_count: int = 0  # how often the answer has gone on after a break
+    max_tokens: float  # of the whole response
+    size_bytes: int = 0  # of the request and the response so far
+    resume_count: int = 0  # how often the response was continued after a break
     record: Record | None = None  # the request that the core runs for it now
-    events: list[str] = field(default_factory=list)  # the text of each event; its number is its place + 1
+    events: list[str] = field(default_factory=list)  # the text of each event; event numbers start at 1
     finish_reason: str | None = None
     usage: dict[str, Any] | None = None
     end: SessionEnd | None = None
     retry_after_ms: float | None = None
-    created_s: int = field(default_factory=lambda: int(time.time()))
+    created_s: int = field(default_factory=lambda: int(time.time()))  # Unix time
     last_used_s: float = field(default_factory=time.monotonic)
     followers: set[SessionFollower] = field(default_factory=set)  # connections that follow it now
-    updated: anyio.Event = field(default_factory=anyio.Event)
+    updated: anyio.Event = field(default_factory=anyio.Event)  # set, and replaced, with each change
 
     @property
     def abandoned(self) -> bool:
-        """Whether it has not begun and all that followed it have left: it is given up."""
-        begun = self.record is not None and self.record.streaming
-        return self.end is None and not begun and all(each.peer_gone() for each in self.followers)
+        """Whether it has not started streaming and all its followers have disconnected."""
+        is_streaming = self.record is not None and self.record.streaming
+        if self.end is not None or is_streaming:
+            return False
+        return all(follower.peer_gone() for follower in self.followers)
 
     @property
     def text(self) -> str:
-        """The answer so far."""
+        """The response so far."""
         return "".join(self.events)
 
     def notify_followers(self) -> None:
-        """Wake those that follow it."""
+        """Wake the followers."""
         self.last_used_s = time.monotonic()
         self.updated.set()
         self.updated = anyio.Event()
 
 
 class StreamSessionStore:
-    """The sessions by name, bounded in number and age; a running one is never dropped."""
+    """The sessions by name, bounded in number, bytes and age; a running one is never evicted."""
 
-    def __init__(self, most: int, most_bytes: float, keep_s: float) -> None:
-        self.max_sessions, self.max_bytes, self.retention_s = most, most_bytes, keep_s
+    def __init__(self, max_sessions: int, max_bytes: float, retention_s: float) -> None:
+        self.max_sessions = max_sessions
+        self.max_bytes = max_bytes
+        self.retention_s = retention_s
         self._sessions: dict[str, StreamSession] = {}
-        self._names_by_key: dict[str, str] = {}  # idempotency keys: the session that each has begun
+        self._names_by_key: dict[str, str] = {}  # the session that each idempotency key has started
 
     def __len__(self) -> int:
-        """How many are kept."""
+        """How many sessions are retained."""
         return len(self._sessions)
 
     def make_room(self) -> bool:
-        """Make room for one more at the cost of the oldest that has ended; False if all still run."""
+        """Make room for one more session by evicting ended ones, oldest first; False if none is left."""
         self.evict_expired()
         while len(self._sessions) >= self.max_sessions or self.size_bytes() > self.max_bytes:
-            ended = list(self._ended())
-            if not ended:
+            evictable = list(self._evictable())
+            if not evictable:
                 return False
-            self._delete(min(ended, key=lambda each: each.last_used_s))
+            self._delete(min(evictable, key=lambda session: session.last_used_s))
         return True
 
     def size_bytes(self) -> int:
-        """How many bytes are kept, of answers that run and of those that ended."""
-        return sum(each.size_bytes for each in self._sessions.values())
-
-    def evict(self, size: int) -> int:
-        """Drop answers that have ended, those longest untouched first, until so many bytes are free."""
-        dropped = 0
-        for each in sorted(self._ended(), key=lambda each: each.last_used_s):
-            if dropped >= size:
+        """The size of all sessions, running and ended."""
+        return sum(session.size_bytes for session in self._sessions.values())
+
+    def evict(self, size_bytes: int) -> int:
+        """Evict ended sessions, least recently used first, until so many bytes are free; returns how many."""
+        evicted_bytes = 0
+        for session in sorted(self._evictable(), key=lambda session: session.last_used_s):
+            if evicted_bytes >= size_bytes:
                 break
-            dropped += each.size_bytes
-            self._delete(each)
-        return dropped
+            evicted_bytes += session.size_bytes
+            self._delete(session)
+        return evicted_bytes
 
     def add(self, session: StreamSession, key: str | None) -> None:
-        """Keep a new session, and the idempotency key that it answers to."""
+        """Add a new session, and the idempotency key that started it."""
         self._sessions[session.name] = session
         if key:
             self._names_by_key[key] = session.name
@@ -116,18 +120,18 @@
         return self._sessions.get(name)
 
     def get_by_idempotency_key(self, key: str) -> StreamSession | None:
-        """The session that was begun with that idempotency key."""
+        """The session that was started with that idempotency key."""
         return self._sessions.get(self._names_by_key.get(key, ""))
 
     def evict_expired(self) -> None:
-        """Drop those that ended and that nobody has asked for in a while."""
-        old = time.monotonic() - self.retention_s
-        for each in list(self._ended()):
-            if each.last_used_s < old:
-                self._delete(each)
-
-    def _ended(self) -> Iterator[StreamSession]:
-        return (each for each in self._sessions.values() if each.end and not each.followers)
+        """Evict ended sessions that were not used within the retention time."""
+        oldest_s = time.monotonic() - self.retention_s
+        for session in list(self._evictable()):
+            if session.last_used_s < oldest_s:
+                self._delete(session)
+
+    def _evictable(self) -> Iterator[StreamSession]:
+        return (session for session in self._sessions.values() if session.end and not session.followers)
 
     def _delete(self, session: StreamSession) -> None:
         del self._sessions[session.name]
--- a/tests/memory/test_connection_pool.py
+++ b/tests/memory/test_connection_pool.py
@@ -51,11 +51,11 @@
     pool, conn = ConnectionPool[Idle](8, 30.0, Metrics()), Idle()
     pool.release(ADDRESS, conn)
     clock.now_s += MIN_SAFE_IDLE_S / 2
-    assert pool.acquire(ADDRESS, once=True) is None
+    assert pool.acquire(ADDRESS, at_most_once=True) is None
     assert pool.acquire(ADDRESS) is conn
     pool.release(ADDRESS, conn)
     clock.now_s += MIN_SAFE_IDLE_S * 1.01
-    assert pool.acquire(ADDRESS, once=True) is conn
+    assert pool.acquire(ADDRESS, at_most_once=True) is conn
     assert pool.acquire(ADDRESS) is None
 
 
@@ -64,7 +64,7 @@
     for conn in (first, second, third):
         pool.release(ADDRESS, conn)
         clock.now_s += MIN_SAFE_IDLE_S * 0.7
-    assert pool.acquire(ADDRESS, once=True) is second
+    assert pool.acquire(ADDRESS, at_most_once=True) is second
     assert pool.acquire(ADDRESS) is third
     assert pool.acquire(ADDRESS) is first
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -73,7 +73,7 @@
     assert pool.acquire("a") is conns[1] and conns[2].closed
     pool.release("a", conns[1])
     pool.on_reused_broken("b")
-    assert pool.acquire("a", once=True) is None and pool.acquire("a") is conns[1] and conns[1].reused
+    assert pool.acquire("a", at_most_once=True) is None and pool.acquire("a") is conns[1] and conns[1].reused
     pool.release("a", conns[1])
     now[0] += 15
     assert pool.acquire("a") is None and conns[1].closed and pool.open_count == 0
