--- a/tests/core/test_admit.py
+++ b/tests/core/test_admit.py
@@ -1,4 +1,4 @@
-"""A refusal promises that a retry does no harm: it is given only where the record says so, too."""
+"""A rejection promises that a retry is safe: it is given only if the record agrees."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
     ("class_index", "written", "answer"),
     [(0, True, "refused"), (1, False, "refused"), (1, True, "failed")],
 )
-def test_a_refusal_that_is_not_true_is_given_as_a_failure(
+def test_rejection_becomes_failure_when_a_retry_is_unsafe(
     class_index: int, written: bool, answer: str
 ) -> None:
-    given, metrics = list[str](), Metrics()
+    answers, metrics = list[str](), Metrics()
     clock: Any = SimpleNamespace(now_ms=lambda: 10.0)
     settings = RouterSettings(CLASSES, ())
-    caller: Any = SimpleNamespace(
-        reject=lambda _: given.append("refused"), fail=lambda: given.append("failed")
+    sink: Any = SimpleNamespace(
+        reject=lambda _: answers.append("refused"), fail=lambda: answers.append("failed")
     )
-    at: Any = SimpleNamespace(
+    context: Any = SimpleNamespace(
         settings=settings,
         metrics=metrics,
         registry=RequestRegistry(),
@@ -50,13 +50,11 @@
         transport=SimpleNamespace(release=lambda *_: None),
         invariants=InvariantChecker(settings, clock, ServerList(()), metrics),
     )
-    record = Record(
-        Request("a", class_index=class_index, expires_in_ms=5000), Payload(b"/", b""), caller, 0.0
-    )
+    record = Record(Request("a", class_index=class_index, expires_in_ms=5000), Payload(b"/", b""), sink, 0.0)
     attempt = Attempt(record, 0, "w0", False, True, 0.0, 5000.0)
     attempt.written, attempt.outcome = written, AttemptStatus.RESET
     record.attempts.append(attempt)
-    at.registry.add(record)
-    admit.reject(at, RejectRequest("a"))
-    assert given == [answer]
+    context.registry.add(record)
+    admit.reject(context, RejectRequest("a"))
+    assert answers == [answer]
     assert not sum(Metrics.read(metrics.violations).values())
--- a/tests/core/test_client_gone.py
+++ b/tests/core/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""What becomes of a request's attempts when its client leaves."""
+"""What happens to a request's attempts when its client disconnects."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
     RoutingEvent,
 )
 
-# How far the attempt is: whether its request is written whole, whether its answer has begun.
-WAITS, WRITTEN, BEGUN = (False, False), (True, False), (True, True)
+# The stage of the attempt: whether it is written completely, whether its response is streaming.
+UNWRITTEN, WRITTEN, STREAMING = (False, False), (True, False), (True, True)
 
 
-@pytest.mark.parametrize(("stage", "dropped"), [(WAITS, True), (WRITTEN, False), (BEGUN, True)])
-def test_without_cancelling_an_attempt_is_dropped_unless_it_may_be_running_unseen(
-    stage: tuple[bool, bool], dropped: bool
+@pytest.mark.parametrize(("stage", "is_abandoned"), [(UNWRITTEN, True), (WRITTEN, False), (STREAMING, True)])
+def test_client_disconnect_without_cancelling_abandons_only_unwritten_or_streaming_attempts(
+    stage: tuple[bool, bool], is_abandoned: bool
 ) -> None:
-    """One that waited for its connection was written after its client had gone."""
-    abandoned, told = list[Attempt](), list[RoutingEvent]()
+    """An attempt that waited for its connection used to be written after its client had disconnected."""
+    abandoned, events = list[Attempt](), list[RoutingEvent]()
     port = SimpleNamespace(abandon=abandoned.append, release=lambda *_: None, answered_since=lambda *_: True)
     clock = SimpleNamespace(now_ms=lambda: 10.0)
-    at: Any = SimpleNamespace(
+    context: Any = SimpleNamespace(
         transport=port,
         clock=clock,
         metrics=Metrics(),
         registry=RequestRegistry(),
-        dispatch=told.append,
+        dispatch=events.append,
         observer=None,
     )
     record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), SimpleNamespace(), 0.0)
     attempt = Attempt(record, 0, "r0", True, False, 0.0, 5000.0)
     attempt.written, attempt.streaming = stage
     record.attempts.append(attempt)
-    at.registry.add(record)
-    on_client_disconnected(at, record)
-    assert abandoned == [attempt] * dropped
-    assert (attempt.outcome is AttemptStatus.CANCELLED) == dropped
-    assert ("a" in at.registry.records) != dropped
+    context.registry.add(record)
+    on_client_disconnected(context, record)
+    assert abandoned == [attempt] * is_abandoned
+    assert (attempt.outcome is AttemptStatus.CANCELLED) == is_abandoned
+    assert ("a" in context.registry.records) != is_abandoned
--- a/tests/core/test_contained_faults.py
+++ b/tests/core/test_contained_faults.py
@@ -1,4 +1,4 @@
-"""An exception in the decisions costs at most the request it met: it is counted, and that one is answered."""
+"""An exception in the policy costs at most one request: it is counted, and that request is answered."""
 
 from __future__ import annotations
 
@@ -30,20 +30,25 @@
 WAIT_S = 10.0
 
 
-class Rig:
-    """A conductor whose decisions raise at requests of one name."""
+class FaultyPolicyFixture:
+    """A conductor whose policy raises an exception for requests with one id."""
 
     def __init__(self) -> None:
         self.answers = list[str]()
-        port: Any = SimpleNamespace(
+        transport: Any = SimpleNamespace(
             endpoints_changed=lambda: None, unreachable_servers=frozenset, abandon=lambda _: None
         )
-        port.send = lambda attempt: None
-        port.release = lambda *_: None
-        port.answered_since = lambda *_: True
+        transport.send = lambda attempt: None
+        transport.release = lambda *_: None
+        transport.answered_since = lambda *_: True
         self.metrics = Metrics()
         self.conductor = Conductor(
-            RouterSettings((SAFE,), KINDS, may_cancel=True), 1, Clock(), ServerList(KINDS), self.metrics, port
+            RouterSettings((SAFE,), KINDS, may_cancel=True),
+            1,
+            Clock(),
+            ServerList(KINDS),
+            self.metrics,
+            transport,
         )
         decide = self.conductor.policy.handle
 
@@ -57,40 +62,40 @@
         self.conductor.policy.handle = handle  # type: ignore[method-assign]
 
     def accept(self, name: str, expires_in_ms: float) -> None:
-        caller: Any = SimpleNamespace(
+        sink: Any = SimpleNamespace(
             is_disconnected=lambda: False,
             fail=lambda: self.answers.append(f"{name} failed"),
             reject=lambda _: self.answers.append(f"{name} refused"),
         )
         request = Request(name, expires_in_ms=expires_in_ms)
-        self.conductor.accept(request, Payload(b"/", b""), caller)
+        self.conductor.accept(request, Payload(b"/", b""), sink)
 
-    def found(self, invariant: Invariant) -> float:
+    def violation_count(self, invariant: Invariant) -> float:
         return Metrics.read(self.metrics.violations)[invariant.value,]
 
 
-def test_an_exception_is_counted_and_what_waits_behind_it_is_handled() -> None:
+def test_exception_in_policy_is_counted_and_later_events_are_handled() -> None:
     async def run() -> None:
-        rig = Rig()
-        rig.accept("bad", 50.0)
-        rig.accept("good", 50.0)
-        assert rig.answers == ["good refused"]
-        assert rig.found(Invariant.EVENT_HANDLING_FAILED) == 1
+        fixture = FaultyPolicyFixture()
+        fixture.accept("bad", 50.0)
+        fixture.accept("good", 50.0)
+        assert fixture.answers == ["good refused"]
+        assert fixture.violation_count(Invariant.EVENT_HANDLING_FAILED) == 1
 
     anyio.run(run)
 
 
-def test_the_request_that_it_met_is_failed_in_time_all_the_same() -> None:
+def test_request_hit_by_an_exception_still_fails_in_time() -> None:
     async def run() -> None:
-        rig = Rig()
+        fixture = FaultyPolicyFixture()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(rig.conductor.run_timers)
-            rig.accept("bad", 50.0)
+            tasks.start_soon(fixture.conductor.run_timers)
+            fixture.accept("bad", 50.0)
             with anyio.fail_after(WAIT_S):
-                while not rig.answers:
+                while not fixture.answers:
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
-        assert rig.answers == ["bad failed"] and not rig.conductor.registry.records
-        assert rig.found(Invariant.RESPONSE_OVERDUE) == 1
+        assert fixture.answers == ["bad failed"] and not fixture.conductor.registry.records
+        assert fixture.violation_count(Invariant.RESPONSE_OVERDUE) == 1
 
     anyio.run(run)
--- a/tests/core/test_gate.py
+++ b/tests/core/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate in the real program: who is turned away, how it is told, and what it leaves alone."""
+"""The admission gate in the real program: which requests it rejects, with what response, and which not."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.loopback import WAIT_S, Node, take
 
 # Memory closes the queries' band from the start, whatever machine this is; bookings go on.
-QUERIES_OUT = "enabled = true\nmemory_from = 0.05\nmemory_to = 1.0\n"
+REJECT_QUERIES = "enabled = true\nmemory_from = 0.05\nmemory_to = 1.0\n"
 CHAT = """enabled = true
 listen = "127.0.0.1:0"
 tenant = "farm"
@@ -34,20 +34,20 @@
 
 @pytest.fixture
 def node(tmp_path: Path) -> Iterator[Node]:
-    files = {"overload.toml": QUERIES_OUT, "chat.toml": CHAT}
+    files = {"overload.toml": REJECT_QUERIES, "chat.toml": CHAT}
     with Node(tmp_path, files=files, operator=True) as each:
         yield each
 
 
-def until(holds: Callable[[], object]) -> None:
-    """Wait until it holds."""
+def wait_until(holds: Callable[[], object]) -> None:
+    """Wait until the condition holds."""
     give_up = time.monotonic() + WAIT_S
     while not holds():
         assert time.monotonic() < give_up
         time.sleep(0.02)
 
 
-def test_a_query_is_turned_away_by_its_head_and_its_connection_goes_on(node: Node) -> None:
+def test_query_is_rejected_by_its_head_and_the_connection_stays_open(node: Node) -> None:
     host, port = node.listening["platform"].split(":")
     head = (
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: {}\r\nX-Call-Class: {}\r\n"
@@ -71,13 +71,13 @@
 @pytest.mark.parametrize(
     "told",
     [
-        "X-Caller: farm\r\nContent-Length: 2\r\n",  # plain: turned away without a parser
+        "X-Caller: farm\r\nContent-Length: 2\r\n",  # plain: rejected without a parser
         "X-Caller: farm\r\nContent-Length: 2\r\nContent-Length: 2\r\n",
         "X-Caller: farm\r\nContent-Length: 2\r\nExpect: 100-continue\r\n",
         "X-Caller: nobody\r\ncontent-length:2\r\n",
     ],
 )
-def test_a_query_that_came_whole_is_turned_away_and_what_follows_is_not(node: Node, told: str) -> None:
+def test_complete_query_is_rejected_and_the_next_booking_is_served(node: Node, told: str) -> None:
     host, port = node.listening["platform"].split(":")
     head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: {}\r\nX-Call-Class: {}\r\n{}"
     head += "X-Budget-Ms: 4800\r\n{}\r\n"
@@ -98,7 +98,7 @@
             assert answer.index(b"HTTP/1.1 503") < answer.index(b"HTTP/1.1 200")
 
 
-def test_two_lengths_that_differ_are_no_plain_head(node: Node) -> None:
+def test_differing_content_lengths_are_a_bad_request(node: Node) -> None:
     host, port = node.listening["platform"].split(":")
     with socket.create_connection((host, int(port)), WAIT_S) as sock:
         head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: a\r\nX-Call-Class: query\r\n"
@@ -106,7 +106,7 @@
         assert sock.recv(4096).startswith(b"HTTP/1.1 400")
 
 
-def test_a_body_without_bounds_ends_its_connection(node: Node) -> None:
+def test_rejected_request_with_an_unbounded_body_closes_its_connection(node: Node) -> None:
     host, port = node.listening["platform"].split(":")
     for framing in ("Content-Length: 60000000", "Transfer-Encoding: chunked"):
         with socket.create_connection((host, int(port)), WAIT_S) as sock:
@@ -118,7 +118,7 @@
             assert answer.startswith(b"HTTP/1.1 503") and b"connection: close" in answer.lower()
 
 
-def test_what_is_turned_away_reaches_no_server_and_is_counted_as_deferred(node: Node) -> None:
+def test_rejected_request_reaches_no_server_and_is_counted_as_deferred(node: Node) -> None:
     before = int(node.figures()["relay.deferred.query"].split("|")[0])
     seen = len(node.reader[0].seen)
     for number in range(20):
@@ -129,7 +129,7 @@
     assert node.logged("request_shed")["reason"] == "memory"
 
 
-def test_the_chat_front_asks_the_same_gate(node: Node) -> None:
+def test_chat_listener_uses_the_same_gate(node: Node) -> None:
     said = {"messages": [{"role": "user", "content": "free slots?"}]}
     for headers in ({}, {"X_Call_Class": "query"}):
         answer = take(node.chat(said | {"model": "ask"}, **headers))
@@ -141,7 +141,7 @@
     assert take(client).status == 200
 
 
-def test_a_stop_while_requests_are_turned_away_ends_in_good_order(node: Node) -> None:
+def test_graceful_shutdown_while_rejecting_finishes_open_requests(node: Node) -> None:
     booking = node.post("b1", X_Call_Class="booking")
     read = node.reader[0].next()
     node.process.send_signal(signal.SIGTERM)
@@ -153,7 +153,7 @@
     assert node.process.wait(WAIT_S) == 0
 
 
-def test_an_upgrade_while_requests_are_turned_away_loses_none(node: Node) -> None:
+def test_upgrade_while_rejecting_loses_no_request(node: Node) -> None:
     booking = node.post("b1", X_Call_Class="booking")
     node.reader[0].next().read()
     write = node.writer[0].next()
@@ -163,8 +163,8 @@
     assert take(booking).status == 200
 
 
-def test_a_caller_over_its_share_is_told_429_beside_a_quiet_one() -> None:
-    with stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": QUERIES_OUT}) as on:
+def test_tenant_over_its_quota_gets_429_and_a_quiet_one_is_served() -> None:
+    with stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": REJECT_QUERIES}) as on:
         callers = {"memuro-bean-growers": 0.95, "tokachi-farm-coop": 0.05}
         plan = LoadPlan(on.listening["platform"], 60.0, 2.0, 0.2, 2.0, 0.0, callers, seed=2)
         tenants = json.loads(load.run(plan))["tenants"]
@@ -173,7 +173,7 @@
     assert loud["429"] > 0 and loud["429"] + loud["served"] == loud["asked"]
 
 
-def test_a_process_that_stood_still_for_a_second_does_not_shed_for_long() -> None:
+def test_process_stopped_for_a_second_sheds_only_briefly() -> None:
     with stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": "enabled = true\n"}) as on:
         plan = LoadPlan(on.listening["platform"], 30.0, 2.0, 0.2, 2.0, 0.0, parse_shares(""), seed=4)
 
@@ -191,32 +191,32 @@
     assert all(each["ends"] == {"served": each["asked"]} for each in again)
 
 
-def test_streams_that_nobody_reads_close_the_gate_to_queries_until_they_end() -> None:
+def test_unread_streams_reject_queries_until_they_end() -> None:
     settings = "enabled = true\nheld_part = 0.05\nmemory_from = 0.25\nmemory_to = 1.0\n"
     servers = ("--stream-ms", "200", "--events", "50", "--event-bytes", "16384", "--read-ms", "1")
     files = {"overload.toml": settings, "prometheus.toml": METRICS}
     with stage((*servers, "--memory-mb", "256"), files) as on:
         address, shares = on.listening["platform"], parse_shares("")
         held = load.Run(LoadPlan(address, 1, 1, 0, 2, 0, shares, unread=90)).unread()
-        until(lambda: figure(on.figures(), "held_bytes") > 0.25 * 0.05 * 256 * 2**20)
+        wait_until(lambda: read_metric(on.figures(), "held_bytes") > 0.25 * 0.05 * 256 * 2**20)
         plan = LoadPlan(address, 20.0, 1.0, 0.5, 2.0, 0.0, shares, seed=5)
         query, booking = json.loads(load.run(plan))["classes"].values()
         assert query["ends"].get("429", 0) + query["ends"].get("503", 0) > 0
         assert booking["ends"] == {"served": booking["asked"]}
         for sock in held:
             sock.close()
-        until(lambda: figure(on.figures(), "held_bytes") == 0)
-        until(lambda: set(json.loads(load.run(plan))["classes"]["yard-query"]["ends"]) == {"served"})
+        wait_until(lambda: read_metric(on.figures(), "held_bytes") == 0)
+        wait_until(lambda: set(json.loads(load.run(plan))["classes"]["yard-query"]["ends"]) == {"served"})
 
 
-def figure(text: str, name: str) -> float:
-    """One of /metrics' figures."""
+def read_metric(text: str, name: str) -> float:
+    """The value of one metric of /metrics."""
     told = re.search(rf"^ringledge_{name} (\S+)$", text, re.MULTILINE)
     assert told
     return float(told[1])
 
 
-def test_a_burst_of_large_prompts_gives_each_request_one_answer_and_bookings_first() -> None:
+def test_burst_of_large_prompts_answers_each_request_once_and_bookings_first() -> None:
     settings = "enabled = true\ntarget = 0.05\n"  # so that any machine is over its target
     with stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": settings}) as on:
         bursts = (Burst(0.5, 1.5, 5.0, 200.0),)
--- a/tests/core/test_hung_prefill.py
+++ b/tests/core/test_hung_prefill.py
@@ -27,11 +27,11 @@
 SENT_MS, CANCELLED_MS, GOES_ON_MS, ENDED_MS = 0.0, 500.0, 700.0, 800.0
 
 
-@pytest.mark.parametrize(("answered", "unseen_ms"), [(True, CANCELLED_MS), (False, inf)])
-def test_one_that_answered_nobody_since_it_was_sent_the_prefill_is_never_taken_for_heard(
-    answered: bool, unseen_ms: float
+@pytest.mark.parametrize(("answered", "unobserved_ms"), [(True, CANCELLED_MS), (False, inf)])
+def test_cancelled_prefill_on_a_silent_server_stays_unobserved_for_ever(
+    answered: bool, unobserved_ms: float
 ) -> None:
-    at: Any = SimpleNamespace(
+    context: Any = SimpleNamespace(
         transport=SimpleNamespace(answered_since=lambda server, at_ms: answered),
         clock=SimpleNamespace(now_ms=lambda: CANCELLED_MS),
         metrics=Metrics(),
@@ -39,24 +39,24 @@
         dispatch=lambda _: None,
         observer=None,
     )
-    caller: Any = SimpleNamespace()
-    record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), caller, SENT_MS)
+    sink: Any = SimpleNamespace()
+    record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, SENT_MS)
     attempt = Attempt(record, 0, "p0", True, False, SENT_MS, 5000.0)
     attempt.written = True
     record.attempts.append(attempt)
-    record_outcome(at, attempt, AttemptStatus.CANCELLED)
-    assert record.unobserved == {"p0": unseen_ms}
+    record_outcome(context, attempt, AttemptStatus.CANCELLED)
+    assert record.unobserved == {"p0": unobserved_ms}
 
 
-@pytest.mark.parametrize(("unseen_ms", "released"), [(inf, 1), (CANCELLED_MS, 0)])
-def test_what_it_may_leave_is_released_at_the_end_though_it_was_heard_before(
-    unseen_ms: float, released: int
+@pytest.mark.parametrize(("unobserved_ms", "released"), [(inf, 1), (CANCELLED_MS, 0)])
+def test_unobserved_cache_is_released_at_the_end_though_the_server_answered_before(
+    unobserved_ms: float, released: int
 ) -> None:
     reach = Reachability()
     reach.listed([("p0", 0)])
     reach.heard("p0", GOES_ON_MS)
     releases = Releases(500.0, reach, lambda: {"p0": True})
-    releases.add(ENDED_MS, "a", set(), {"p0": unseen_ms}, begun=True)
+    releases.add(ENDED_MS, "a", set(), {"p0": unobserved_ms}, begun=True)
     assert [ask.server for ask in releases.step(ENDED_MS)] == ["p0"] * released
 
 
--- a/tests/core/test_route.py
+++ b/tests/core/test_route.py
@@ -1,4 +1,4 @@
-"""Which attempts may go out beside another, whatever the policy said."""
+"""Which attempts may be in flight beside another, whatever the policy decided."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 )
 
 
-def context(effect: Idempotency, second_copies: bool) -> Any:
-    kind = RequestClass(target_ms=1200, deadline_ms=5000, idempotency=effect)
+def make_context(idempotency: Idempotency, hedging_allowed: bool) -> Any:
+    request_class = RequestClass(target_ms=1200, deadline_ms=5000, idempotency=idempotency)
     settings = RouterSettings(
-        classes=(kind,),
+        classes=(request_class,),
         kinds=(ServerKind(Role.PREFILL),),
         max_attempts=4,
         may_cancel=True,
-        hedging_allowed=second_copies,
+        hedging_allowed=hedging_allowed,
     )
     servers = SimpleNamespace(
         role=lambda _: Role.PREFILL, address=lambda _: "127.0.0.1:1", started_ms=lambda _: 0.0
     )
     registry = RequestRegistry()
-    told = list[RoutingEvent]()
+    events = list[RoutingEvent]()
     clock = SimpleNamespace(now_ms=lambda: 10.0)
     return SimpleNamespace(
         settings=settings,
@@ -46,22 +46,22 @@
         registry=registry,
         clock=clock,
         metrics=Metrics(),
-        dispatch=told.append,
+        dispatch=events.append,
     )
 
 
-@pytest.mark.parametrize("effect", list(Idempotency))
-@pytest.mark.parametrize("second_copies", [False, True])
-def test_a_second_copy_goes_out_only_where_settings_and_class_allow_it(
-    effect: Idempotency, second_copies: bool
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+@pytest.mark.parametrize("hedging_allowed", [False, True])
+def test_hedged_attempt_is_sent_only_if_settings_and_class_allow_it(
+    idempotency: Idempotency, hedging_allowed: bool
 ) -> None:
-    """Where the settings allowed copies, one went out for any class, also for what must not run twice."""
-    at = context(effect, second_copies)
+    """Settings that allow hedging used to allow it for any class, also for one that must not run twice."""
+    context = make_context(idempotency, hedging_allowed)
     record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), SimpleNamespace(), 0.0)
     record.attempts.append(Attempt(record, 0, "r0", True, False, 0.0, 5000.0))
-    at.registry.add(record)
-    gone = route(at, SendAttempt("a", "r1"))
-    assert (gone is not None) == (second_copies and effect is Idempotency.IDEMPOTENT)
-    assert len(record.attempts) == 2 and (gone is None) == (
+    context.registry.add(record)
+    attempt = route(context, SendAttempt("a", "r1"))
+    assert (attempt is not None) == (hedging_allowed and idempotency is Idempotency.IDEMPOTENT)
+    assert len(record.attempts) == 2 and (attempt is None) == (
         record.attempts[1].outcome is AttemptStatus.NOT_SENT
     )
--- a/tests/core/test_send_guard.py
+++ b/tests/core/test_send_guard.py
@@ -1,4 +1,4 @@
-"""Whether an attempt may begin, asked in the turn in which its first byte would be written."""
+"""Whether an attempt may be sent, checked in the loop turn that would write its first byte."""
 
 from __future__ import annotations
 
@@ -32,111 +32,114 @@
 KEYED = replace(SAFE, idempotency=Idempotency.KEYED, dedup_window_ms=300.0)
 
 
-class Asked:
-    """A request whose decode attempt has a connection now; in a policy's world."""
+class PendingSend:
+    """A request whose decode attempt has just got its connection, with a simulated policy."""
 
     def __init__(self, request_class: RequestClass = SAFE) -> None:
         self.world = World(classes=(request_class,))
         self.world.read("a")
-        self.gone = False
-        caller: Any = SimpleNamespace(is_disconnected=lambda: self.gone)
-        self.record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), caller, self.now_ms)
-        self.attempt = self.next()
+        self.client_disconnected = False
+        sink: Any = SimpleNamespace(is_disconnected=lambda: self.client_disconnected)
+        self.record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, self.now_ms)
+        self.attempt = self.add_attempt()
 
     @property
     def now_ms(self) -> float:
         return self.world.now_ms
 
-    def next(self) -> Attempt:
-        """The attempt that the policy has chosen last."""
+    def add_attempt(self) -> Attempt:
+        """Add the attempt that the policy has chosen last."""
         server, number = self.world.at["a"], len(self.record.attempts)
         attempt = Attempt(self.record, number, server, False, True, self.now_ms, self.record.deadline_ms)
         self.record.attempts.append(attempt)
         return attempt
 
-    def refusal(self) -> SendRejectionReason | None:
+    def rejection_reason(self) -> SendRejectionReason | None:
         clock, settings = SimpleNamespace(now_ms=lambda: self.world.now_ms), self.world.policy.settings
         context: Any = SimpleNamespace(clock=clock, settings=settings)
         return send_rejection_reason(context, self.world.policy, self.attempt)
 
-    def list_says(self, **changed: Any) -> None:
-        """News of the server that the attempt goes to."""
-        told = next(each for each in FLEET if each.server == self.attempt.server)
-        self.world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (replace(told, **changed),)))
+    def update_endpoint(self, **changed: Any) -> None:
+        """Apply an update of the attempt's server."""
+        entry = next(each for each in FLEET if each.server == self.attempt.server)
+        self.world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (replace(entry, **changed),)))
 
 
-def test_one_that_nothing_speaks_against_may_begin() -> None:
-    assert Asked().refusal() is None
+def test_attempt_without_obstacles_may_be_sent() -> None:
+    assert PendingSend().rejection_reason() is None
 
 
-def test_one_whose_client_has_left_may_not() -> None:
-    asked = Asked()
-    asked.gone = True
-    assert asked.refusal() is SendRejectionReason.CLIENT_DISCONNECTED
+def test_attempt_of_a_disconnected_client_may_not_be_sent() -> None:
+    pending = PendingSend()
+    pending.client_disconnected = True
+    assert pending.rejection_reason() is SendRejectionReason.CLIENT_DISCONNECTED
 
 
-@pytest.mark.parametrize("how", ["request over", "attempt given up"])
-def test_one_that_has_ended_may_not(how: str) -> None:
-    asked = Asked()
-    if how == "request over":
-        asked.record.closed = True
+@pytest.mark.parametrize("cause", ["request over", "attempt given up"])
+def test_ended_attempt_may_not_be_sent(cause: str) -> None:
+    pending = PendingSend()
+    if cause == "request over":
+        pending.record.closed = True
     else:
-        asked.attempt.outcome = AttemptStatus.CANCELLED
-    assert asked.refusal() is SendRejectionReason.ATTEMPT_ENDED
+        pending.attempt.outcome = AttemptStatus.CANCELLED
+    assert pending.rejection_reason() is SendRejectionReason.ATTEMPT_ENDED
 
 
 @pytest.mark.parametrize(
-    ("left_ms", "may"), [(MIN_REMAINING_MS, True), (MIN_REMAINING_MS / 2, False), (0, False), (-9, False)]
+    ("left_ms", "is_allowed"),
+    [(MIN_REMAINING_MS, True), (MIN_REMAINING_MS / 2, False), (0, False), (-9, False)],
 )
-def test_one_whose_time_ended_during_a_slow_handshake_may_not(left_ms: float, may: bool) -> None:
-    asked = Asked()
-    asked.world.now_ms = asked.attempt.expires_ms - left_ms
-    assert asked.refusal() is (None if may else SendRejectionReason.DEADLINE_EXCEEDED)
+def test_attempt_past_its_deadline_after_a_slow_handshake_may_not_be_sent(
+    left_ms: float, is_allowed: bool
+) -> None:
+    pending = PendingSend()
+    pending.world.now_ms = pending.attempt.expires_ms - left_ms
+    assert pending.rejection_reason() is (None if is_allowed else SendRejectionReason.DEADLINE_EXCEEDED)
 
 
 @pytest.mark.parametrize("state", [Availability.DRAINING, Availability.REMOVED])
-def test_one_to_a_server_that_drains_or_is_gone_may_not(state: Availability) -> None:
-    asked = Asked()
-    asked.list_says(availability=state)
-    assert asked.refusal() is SendRejectionReason.SERVER_UNAVAILABLE
+def test_attempt_to_a_draining_or_removed_server_may_not_be_sent(state: Availability) -> None:
+    pending = PendingSend()
+    pending.update_endpoint(availability=state)
+    assert pending.rejection_reason() is SendRejectionReason.SERVER_UNAVAILABLE
 
 
-def test_one_to_a_server_that_the_list_never_named_may_not() -> None:
-    asked = Asked()
-    asked.attempt.server = "nobody"
-    assert asked.refusal() is SendRejectionReason.SERVER_UNAVAILABLE
+def test_attempt_to_an_unlisted_server_may_not_be_sent() -> None:
+    pending = PendingSend()
+    pending.attempt.server = "nobody"
+    assert pending.rejection_reason() is SendRejectionReason.SERVER_UNAVAILABLE
 
 
-def test_one_to_a_server_that_operators_excluded_may_not_until_it_is_back() -> None:
-    asked = Asked()
-    asked.world.give(OperatorOverride(asked.attempt.server, True))
-    assert asked.refusal() is SendRejectionReason.SERVER_UNAVAILABLE
-    asked.world.give(OperatorOverride(asked.attempt.server, False))
-    assert asked.refusal() is None
+def test_attempt_to_an_excluded_server_may_be_sent_only_once_it_is_included_again() -> None:
+    pending = PendingSend()
+    pending.world.give(OperatorOverride(pending.attempt.server, True))
+    assert pending.rejection_reason() is SendRejectionReason.SERVER_UNAVAILABLE
+    pending.world.give(OperatorOverride(pending.attempt.server, False))
+    assert pending.rejection_reason() is None
 
 
-def test_one_to_a_server_that_was_restarted_meanwhile_may_not() -> None:
-    """It was chosen as a warm one: what it is sent now is no part of what a cold one may get."""
-    asked = Asked()
-    asked.list_says(started_ms=asked.now_ms - 5.0)
-    assert asked.refusal() is SendRejectionReason.SERVER_RESTARTED
+def test_attempt_to_a_restarted_server_may_not_be_sent() -> None:
+    """It was chosen as warm; its slow start does not cover this attempt."""
+    pending = PendingSend()
+    pending.update_endpoint(started_ms=pending.now_ms - 5.0)
+    assert pending.rejection_reason() is SendRejectionReason.SERVER_RESTARTED
 
 
-def repeat(
+def rejection_reason_of_retry(
     request_class: RequestClass, outcome: AttemptStatus, after_ms: float
 ) -> SendRejectionReason | None:
-    """A second decode attempt behind a first one that ended so; `after_ms`: when its connection is there."""
-    asked = Asked(request_class)
-    sent_ms = asked.now_ms
-    asked.attempt.outcome = outcome
-    asked.world.outcome("a", outcome)
-    asked.attempt = asked.next()
-    asked.world.now_ms = sent_ms + after_ms
-    return asked.refusal()
+    """Check a second decode attempt `after_ms` after a first one with that outcome was sent."""
+    pending = PendingSend(request_class)
+    sent_ms = pending.now_ms
+    pending.attempt.outcome = outcome
+    pending.world.outcome("a", outcome)
+    pending.attempt = pending.add_attempt()
+    pending.world.now_ms = sent_ms + after_ms
+    return pending.rejection_reason()
 
 
 @pytest.mark.parametrize(
-    ("after_ms", "may"),
+    ("after_ms", "is_allowed"),
     [
         (KEYED.dedup_window_ms / 2, True),
         (KEYED.dedup_window_ms - MAX_TRANSIT_MS - 1, True),
@@ -144,51 +147,55 @@
         (KEYED.dedup_window_ms, False),
     ],
 )
-def test_a_repeat_has_to_arrive_within_the_window(after_ms: float, may: bool) -> None:
-    assert repeat(KEYED, AttemptStatus.RESET, after_ms) is (
-        None if may else SendRejectionReason.DEDUP_WINDOW_EXPIRED
+def test_retry_must_arrive_within_the_dedup_window(after_ms: float, is_allowed: bool) -> None:
+    assert rejection_reason_of_retry(KEYED, AttemptStatus.RESET, after_ms) is (
+        None if is_allowed else SendRejectionReason.DEDUP_WINDOW_EXPIRED
     )
 
 
 @pytest.mark.parametrize("outcome", [AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT])
 @pytest.mark.parametrize("request_class", [KEYED, UNSAFE])
-def test_what_never_ran_is_no_repeat(request_class: RequestClass, outcome: AttemptStatus) -> None:
-    assert repeat(request_class, outcome, 2 * KEYED.dedup_window_ms) is None
+def test_attempt_after_one_that_never_ran_is_no_retry(
+    request_class: RequestClass, outcome: AttemptStatus
+) -> None:
+    assert rejection_reason_of_retry(request_class, outcome, 2 * KEYED.dedup_window_ms) is None
 
 
-def test_what_may_run_twice_has_no_window() -> None:
-    assert repeat(SAFE, AttemptStatus.RESET, 2 * KEYED.dedup_window_ms) is None
+def test_idempotent_request_has_no_dedup_window() -> None:
+    assert rejection_reason_of_retry(SAFE, AttemptStatus.RESET, 2 * KEYED.dedup_window_ms) is None
 
 
-def test_what_must_not_run_twice_may_not_begin_again_whoever_chose_it() -> None:
-    asked = Asked(UNSAFE)
-    asked.world.outcome("a", AttemptStatus.CONNECT_FAILED)
-    asked.attempt = asked.next()
-    policy = asked.world.policy
-    policy.jobs["a"].possible_runs.append(PossibleRun(policy.servers["w0"], asked.now_ms))
-    assert asked.refusal() is SendRejectionReason.DEDUP_WINDOW_EXPIRED
+def test_non_idempotent_request_may_not_be_resent_after_a_possible_run_known_to_the_policy() -> None:
+    pending = PendingSend(UNSAFE)
+    pending.world.outcome("a", AttemptStatus.CONNECT_FAILED)
+    pending.attempt = pending.add_attempt()
+    policy = pending.world.policy
+    policy.jobs["a"].possible_runs.append(PossibleRun(policy.servers["w0"], pending.now_ms))
+    assert pending.rejection_reason() is SendRejectionReason.DEDUP_WINDOW_EXPIRED
 
 
-def test_one_beside_another_that_is_out_may_not() -> None:
-    asked = Asked()
-    asked.attempt.written = True
-    asked.attempt = asked.next()
-    assert asked.refusal() is SendRejectionReason.CONCURRENT_ATTEMPT
+def test_attempt_beside_one_in_flight_may_not_be_sent() -> None:
+    pending = PendingSend()
+    pending.attempt.written = True
+    pending.attempt = pending.add_attempt()
+    assert pending.rejection_reason() is SendRejectionReason.CONCURRENT_ATTEMPT
 
 
 @pytest.mark.parametrize(
     "outcome", [AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.ERROR]
 )
-def test_one_behind_what_may_have_run_may_not_whatever_the_decisions_say(outcome: AttemptStatus) -> None:
-    asked = Asked(UNSAFE)
-    asked.attempt.written, asked.attempt.outcome = True, outcome
-    asked.attempt = asked.next()
-    assert asked.refusal() is SendRejectionReason.MAY_HAVE_RUN
+def test_attempt_after_a_possible_run_may_not_be_sent_whatever_the_policy_decides(
+    outcome: AttemptStatus,
+) -> None:
+    pending = PendingSend(UNSAFE)
+    pending.attempt.written, pending.attempt.outcome = True, outcome
+    pending.attempt = pending.add_attempt()
+    assert pending.rejection_reason() is SendRejectionReason.MAY_HAVE_RUN
 
 
 @pytest.mark.parametrize("outcome", [AttemptStatus.CONNECT_FAILED, AttemptStatus.FULL])
-def test_one_behind_what_never_ran_may(outcome: AttemptStatus) -> None:
-    asked = Asked(UNSAFE)
-    asked.attempt.written, asked.attempt.outcome = outcome is AttemptStatus.FULL, outcome
-    asked.attempt = asked.next()
-    assert asked.refusal() is None
+def test_attempt_after_one_that_never_ran_may_be_sent(outcome: AttemptStatus) -> None:
+    pending = PendingSend(UNSAFE)
+    pending.attempt.written, pending.attempt.outcome = outcome is AttemptStatus.FULL, outcome
+    pending.attempt = pending.add_attempt()
+    assert pending.rejection_reason() is None
--- a/tests/memory/test_connection_pool.py
+++ b/tests/memory/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which idle connections a request gets."""
+"""Which idle connections the pool lets a request reuse."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @dataclass(eq=False)
-class Idle:
+class FakeConnection:
     """A connection as the pool sees it."""
 
     idle_since: float = 0.0
@@ -46,9 +46,9 @@
     return clock
 
 
-def test_what_must_not_run_twice_gets_no_connection_on_which_a_second_answer_may_be_due(clock: Clock) -> None:
-    """A second answer "turned away" came under a booking, which was then sent to another server as well."""
-    pool, conn = ConnectionPool[Idle](8, 30.0, Metrics()), Idle()
+def test_at_most_once_request_gets_no_connection_with_a_duplicate_response_pending(clock: Clock) -> None:
+    """A duplicate rejection used to be read as a booking's, which was then sent to another server as well."""
+    pool, conn = ConnectionPool[FakeConnection](8, 30.0, Metrics()), FakeConnection()
     pool.release(ADDRESS, conn)
     clock.now_s += MIN_SAFE_IDLE_S / 2
     assert pool.acquire(ADDRESS, at_most_once=True) is None
@@ -59,8 +59,9 @@
     assert pool.acquire(ADDRESS) is None
 
 
-def test_of_several_the_youngest_settled_one_is_taken(clock: Clock) -> None:
-    pool, first, second, third = ConnectionPool[Idle](8, 30.0, Metrics()), Idle(), Idle(), Idle()
+def test_acquire_prefers_the_last_used_safe_connection(clock: Clock) -> None:
+    pool = ConnectionPool[FakeConnection](8, 30.0, Metrics())
+    first, second, third = FakeConnection(), FakeConnection(), FakeConnection()
     for conn in (first, second, third):
         pool.release(ADDRESS, conn)
         clock.now_s += MIN_SAFE_IDLE_S * 0.7
@@ -69,9 +70,9 @@
     assert pool.acquire(ADDRESS) is first
 
 
-def test_a_connection_that_carried_a_stream_rests_before_any_request_gets_it(clock: Clock) -> None:
-    """A second answer behind a stream came under a query, whose client was given it."""
-    pool, conn = ConnectionPool[Idle](8, 30.0, Metrics()), Idle(streamed=True)
+def test_connection_that_carried_a_stream_is_reused_only_after_a_safe_idle_time(clock: Clock) -> None:
+    """A duplicate response after a stream used to be relayed to the next query's client."""
+    pool, conn = ConnectionPool[FakeConnection](8, 30.0, Metrics()), FakeConnection(streamed=True)
     pool.release(ADDRESS, conn)
     clock.now_s += MIN_SAFE_IDLE_S / 2
     assert pool.acquire(ADDRESS) is None
