--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,9 +1,8 @@
 """One core under 1 to 3 times what it can do: bookings in time, loop delay, goodput. JSON on standard output.
 
 The conductor runs on a core of its own; capacity is the highest rate at which 97 of 100 requests of each
-class are served in time, found with the shedding off. Rates follow the speed of the core, measured right
-before each run. `--tree` measures another checkout of this repository,
-the version before say.
+class are served in time, found with overload control off. Rates follow the speed of the core, measured right
+before each run. `--tree` measures another checkout of this repository, for example an older version.
 """
 
 from __future__ import annotations
@@ -11,6 +10,7 @@
 import re
 import subprocess
 import sys
+from dataclasses import dataclass
 from itertools import product
 from pathlib import Path
 from typing import Any
@@ -25,7 +25,7 @@
 
 PROMETHEUS = 'enabled = true\nlisten = "127.0.0.1:0"\n'
 OVERLOAD = "enabled = true\n"
-KEPT = 0.97  # of the requests served in time: the core keeps up
+MIN_IN_TIME_SHARE = 0.97  # of the requests served in time, from which on the core keeps up
 
 
 def plan(on: Stage, rate: float, seconds: float, kb: float, seed: int) -> LoadPlan:
@@ -34,16 +34,24 @@
     return LoadPlan(to, rate, seconds, 0.19, kb, 0.0, parse_shares(""), (), 0, watch, seed)
 
 
-def once(
-    rate: float, seconds: float, kb: float, seed: int, tree: Path | None, core: int, on: bool
-) -> dict[str, Any]:
-    """One run on a fresh conductor."""
-    deploy = {"prometheus.toml": PROMETHEUS} | ({"overload.toml": OVERLOAD} if on else {})
+@dataclass(slots=True, frozen=True)
+class RunOptions:
+    """What several runs have in common."""
+
+    seconds: float
+    kb: float  # size of a prompt
+    tree: Path | None  # another checkout to measure
+    core: int  # the conductor's
+
+
+def once(rate: float, seed: int, options: RunOptions, sheds: bool) -> dict[str, Any]:
+    """One run on a fresh conductor, with overload control if `sheds`."""
+    deploy = {"prometheus.toml": PROMETHEUS} | ({"overload.toml": OVERLOAD} if sheds else {})
     servers = ("--sockets", "4096", "--readers", "4", "--writers", "4")
-    with stage(servers, deploy, tree, core) as staged:
+    with stage(servers, deploy, options.tree, options.core) as staged:
         process = psutil.Process(staged.pid)
         before = sum(process.cpu_times()[:2])
-        report: dict[str, Any] = orjson.loads(load.run(plan(staged, rate, seconds, kb, seed)))
+        report: dict[str, Any] = orjson.loads(load.run(plan(staged, rate, options.seconds, options.kb, seed)))
         cpu_s = sum(process.cpu_times()[:2]) - before
         served = sum(each["ends"].get("served", 0) for each in report["classes"].values())
         figures = staged.figures()
@@ -77,15 +85,13 @@
     return float(subprocess.run([sys.executable, "-c", code], capture_output=True, check=True).stdout)
 
 
-def capacity(
-    seconds: float, kb: float, seed: int, tree: Path | None, core: int, low: float, high: float
-) -> float:
+def capacity(options: RunOptions, seed: int, low: float, high: float) -> float:
     """The highest rate that the core keeps up with, to within 5%."""
     while high / low > 1.05:
         rate = (low * high) ** 0.5
-        report = once(rate, seconds, kb, seed, tree, core, False)
-        kept = min(each["in_time_share"] for each in report["classes"].values()) >= KEPT
-        low, high = (rate, high) if kept else (low, rate)
+        report = once(rate, seed, options, False)
+        keeps_up = min(each["in_time_share"] for each in report["classes"].values()) >= MIN_IN_TIME_SHARE
+        low, high = (rate, high) if keeps_up else (low, rate)
     return low
 
 
@@ -105,33 +111,56 @@
 )
 @click.option("--low", default=20.0, show_default=True, help="Where the search for the capacity begins.")
 @click.option("--high", default=1500.0, show_default=True, help="Where it ends.")
-def main(tree: Path | None, known: float | None, kb: float, seconds: float, times: str, runs: int, core: int,
-         off: bool, against: Path | None, low: float, high: float) -> None:  # fmt: skip
+def main(
+    tree: Path | None,
+    known: float | None,
+    kb: float,
+    seconds: float,
+    times: str,
+    runs: int,
+    core: int,
+    off: bool,
+    against: Path | None,
+    low: float,
+    high: float,
+) -> None:
     """Measure, and print one JSON object with a run a line."""
-    base = known or capacity(5.0, kb, 1, against or tree, core, low, high)
-    then, rows = speed(core), []
+    base_rate = known or capacity(RunOptions(5.0, kb, against or tree, core), 1, low, high)
+    initial_speed = speed(core)
+    rows = []
     versions = [("this", tree, not off)] + ([("against", against, False)] if against else [])
     for multiple in map(float, times.split(",")):
-        for seed, (version, place, gate) in product(range(1, runs + 1), versions):
-            now = speed(core)
-            report = once(base * multiple * now / then, seconds, kb, seed, place, core, gate)
-            query, booking = report["classes"].values()
-            row = {
-                "version": version, "times": multiple, "rate": round(report["rate"]), "seed": seed,
-                "speed": round(now / then, 2),
-                "bookings_in_time": booking["in_time_share"], "queries_in_time": query["in_time_share"],
-                "goodput_per_s": report["goodput_per_s"], "booking_ms": booking["first_token_ms"],
-                "refused_ms": query["refused_ms"], "loop_delay_ms": report["loop_delay_ms"],
-                "healthcheck_p99_ms": report["healthcheck_ms"].get("p99"), "cpu_s": report["cpu_s"],
-                "cpu_ms_per_served": report["cpu_ms_per_served"], "rss_mb": report["rss_mb"],
-                "ends": {name: each["ends"] for name, each in report["classes"].items()},
-                "unanswered": report["unanswered"], "audit": report["audit"],
-                "generator_kept_up": report["generator_kept_up"],
-            }  # fmt: skip
+        for seed, (version, checkout, sheds) in product(range(1, runs + 1), versions):
+            current_speed = speed(core)
+            rate = base_rate * multiple * current_speed / initial_speed
+            report = once(rate, seed, RunOptions(seconds, kb, checkout, core), sheds)
+            labels = {"version": version, "times": multiple, "rate": round(report["rate"]), "seed": seed}
+            row = labels | {"speed": round(current_speed / initial_speed, 2)} | summary(report)
             click.echo(orjson.dumps(row).decode(), err=True)
             rows.append(row)
-    told = {"capacity_per_s": round(base, 1), "kb": kb, "overload": not off, "rows": rows}
-    click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
+    result = {"capacity_per_s": round(base_rate, 1), "kb": kb, "overload": not off, "rows": rows}
+    click.echo(orjson.dumps(result, option=orjson.OPT_INDENT_2).decode())
+
+
+def summary(report: dict[str, Any]) -> dict[str, Any]:
+    """The figures of one run's report."""
+    query, booking = report["classes"].values()
+    return {
+        "bookings_in_time": booking["in_time_share"],
+        "queries_in_time": query["in_time_share"],
+        "goodput_per_s": report["goodput_per_s"],
+        "booking_ms": booking["first_token_ms"],
+        "refused_ms": query["refused_ms"],
+        "loop_delay_ms": report["loop_delay_ms"],
+        "healthcheck_p99_ms": report["healthcheck_ms"].get("p99"),
+        "cpu_s": report["cpu_s"],
+        "cpu_ms_per_served": report["cpu_ms_per_served"],
+        "rss_mb": report["rss_mb"],
+        "ends": {name: each["ends"] for name, each in report["classes"].items()},
+        "unanswered": report["unanswered"],
+        "audit": report["audit"],
+        "generator_kept_up": report["generator_kept_up"],
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload_alternatives.py
+++ b/benchmarks/overload_alternatives.py
@@ -1,4 +1,4 @@
-"""Alternatives to decide which requests are admitted, on the same arrivals: what each keeps in time.
+"""Alternative admission policies on the same arrivals: how many requests each serves in time.
 
 The arrivals are the load tool's own, replayed through a model of one core. JSON on standard output.
 """
@@ -17,7 +17,7 @@
 @click.option("--seconds", default=20.0, show_default=True, help="Length of each run.")
 @click.option("--seed", default=1, show_default=True, help="Of the arrivals.")
 def main(seconds: float, seed: int) -> None:
-    """Play every alternative on every run."""
+    """Replay every run under every policy."""
     shares = parse_shares("")
     runs = {
         "steady 1x": (CAPACITY, 2.0, ()),
@@ -26,15 +26,16 @@
         "rushes to 5x": (0.8 * CAPACITY, 2.0, (Burst(3, 2, 6, None), Burst(10, 2, 6, None))),
         "rush of 200 KB": (0.8 * CAPACITY, 2.0, (Burst(5, 6, 2, 200.0),)),
     }
-    rows = {}
+    results = {}
     for run, (rate, kb, bursts) in runs.items():
         plan = LoadPlan("127.0.0.1:1", rate, seconds, 0.19, kb, 0.0, shares, bursts, seed=seed)
-        slow = run == "slow servers"
-        rows[run] = {
-            name: Replay(policy(), seconds, slow).run(arrivals(plan)) for name, policy in ALTERNATIVES.items()
+        has_slow_servers = run == "slow servers"
+        results[run] = {
+            name: Replay(policy(), seconds, has_slow_servers).run(arrivals(plan))
+            for name, policy in ALTERNATIVES.items()
         }
-    told = {"capacity_per_s": round(CAPACITY, 1), "seconds": seconds, "seed": seed, "runs": rows}
-    click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
+    report = {"capacity_per_s": round(CAPACITY, 1), "seconds": seconds, "seed": seed, "runs": results}
+    click.echo(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload_policies.py
+++ b/benchmarks/overload_policies.py
@@ -1,4 +1,4 @@
-"""Alternatives to decide which requests are admitted under overload."""
+"""Alternative policies that decide which requests are admitted under overload."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from ringledge.decide.overload.tenant_quotas import TenantQuota
 from ringledge.lab.load_plan import Arrival
 
-WORTHS = (2.0, 6.0)  # of the classes
+PRIORITY_WEIGHTS = (2.0, 6.0)  # of the classes
 
 
 class AdmitAll:
     """Admits every request; the other alternatives decide."""
 
-    def admits(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
+    def admit(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
         """Whether a request that has waited so long unread is admitted."""
         return True
 
-    def first_token(self, now_ms: float, took_ms: float) -> None:
-        """An answer has had its first token."""
+    def on_first_token(self, now_ms: float, latency_ms: float) -> None:
+        """A response has had its first token."""
 
-    def sample(self, now_ms: float, delay_ms: float, busy: float) -> None:
-        """What the loop's delay and the core's use were lately."""
+    def on_sample(self, now_ms: float, loop_lag_ms: float, cpu_rate: float) -> None:
+        """Update by the event loop's lag and the CPU time per time since the last sample."""
 
 
 class CoDel(AdmitAll):
@@ -34,9 +34,12 @@
     target_ms, interval_ms = 20.0, 100.0
 
     def __init__(self) -> None:
-        self.above_ms, self.drop_ms, self.count, self.dropping = 0.0, 0.0, 0, False
+        self.above_ms = 0.0
+        self.drop_ms = 0.0
+        self.count = 0
+        self.dropping = False
 
-    def admits(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
+    def admit(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
         if arrival.class_index:
             return age_ms < 10 * self.target_ms
         if age_ms < self.target_ms:
@@ -55,92 +58,118 @@
 
 
 class Aimd(AdmitAll):
-    """A limit of requests under way, up by one a round, down by a tenth past twice the usual time."""
+    """AIMD limit of requests in flight: up by one a round, down by a tenth past twice the minimal latency."""
 
     def __init__(self) -> None:
-        self.limit, self.under_way, self.least_ms, self.cut_ms = 50.0, 0, 1e9, 0.0
+        self.limit = 50.0
+        self.in_flight = 0
+        self.min_latency_ms = 1e9
+        self.decrease_allowed_ms = 0.0
 
-    def admits(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
-        if self.under_way >= self.limit * (1.0 if arrival.class_index else 0.7):
+    def admit(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
+        if self.in_flight >= self.limit * (1.0 if arrival.class_index else 0.7):
             return False
-        self.under_way += 1
+        self.in_flight += 1
         return True
 
-    def first_token(self, now_ms: float, took_ms: float) -> None:
-        self.under_way -= 1
-        self.least_ms = min(self.least_ms, took_ms)
-        if took_ms > 2 * self.least_ms and now_ms >= self.cut_ms:
-            self.limit, self.cut_ms = max(4.0, 0.9 * self.limit), now_ms + 100
-        elif took_ms <= 2 * self.least_ms:
+    def on_first_token(self, now_ms: float, latency_ms: float) -> None:
+        self.in_flight -= 1
+        self.min_latency_ms = min(self.min_latency_ms, latency_ms)
+        if latency_ms > 2 * self.min_latency_ms and now_ms >= self.decrease_allowed_ms:
+            self.limit = max(4.0, 0.9 * self.limit)
+            self.decrease_allowed_ms = now_ms + 100
+        elif latency_ms <= 2 * self.min_latency_ms:
             self.limit += 1 / self.limit
 
 
 class Dagor(AdmitAll):
-    """Levels of worth and chance, moved by the mean wait in windows (Zhou and others, SoCC 2018)."""
+    """DAGOR: levels of priority and a random part, moved by the mean queueing time (Zhou et al., 2018)."""
 
-    levels, alpha, beta, target_ms = 64, 0.05, 0.01, 20.0
+    level_count, alpha, beta, target_ms = 64, 0.05, 0.01, 20.0
 
     def __init__(self) -> None:
-        self.rng, self.cursor = random.Random(1), 0
-        self.seen, self.let_in, self.ages = Counter[int](), 0, list[float]()
-
-    def admits(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
-        level = arrival.class_index * self.levels + self.rng.randrange(self.levels)
-        self.seen[level] += 1
-        self.ages.append(age_ms)
-        self.let_in += level >= self.cursor
+        self.rng = random.Random(1)
+        self.cursor = 0
+        self.arrivals_by_level = Counter[int]()
+        self.admitted_count = 0
+        self.ages_ms: list[float] = []
+
+    def admit(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
+        level = arrival.class_index * self.level_count + self.rng.randrange(self.level_count)
+        self.arrivals_by_level[level] += 1
+        self.ages_ms.append(age_ms)
+        self.admitted_count += level >= self.cursor
         return level >= self.cursor
 
-    def sample(self, now_ms: float, delay_ms: float, busy: float) -> None:
-        if not self.ages:
+    def on_sample(self, now_ms: float, loop_lag_ms: float, cpu_rate: float) -> None:
+        if not self.ages_ms:
             return
-        late = sum(self.ages) / len(self.ages) > self.target_ms
-        wanted = self.let_in * (1 - self.alpha if late else 1 + self.beta) + (0 if late else 1)
-        kept, cursor = 0, 2 * self.levels
-        while cursor > 0 and kept + self.seen[cursor - 1] <= wanted:
+        is_late = sum(self.ages_ms) / len(self.ages_ms) > self.target_ms
+        if is_late:
+            target_count = self.admitted_count * (1 - self.alpha)
+        else:
+            target_count = self.admitted_count * (1 + self.beta) + 1
+        expected_count = 0
+        cursor = 2 * self.level_count
+        while cursor > 0 and expected_count + self.arrivals_by_level[cursor - 1] <= target_count:
             cursor -= 1
-            kept += self.seen[cursor]
-        self.cursor, self.let_in = cursor, 0
-        self.seen.clear()
-        self.ages.clear()
+            expected_count += self.arrivals_by_level[cursor]
+        self.cursor = cursor
+        self.admitted_count = 0
+        self.arrivals_by_level.clear()
+        self.ages_ms.clear()
 
 
 class Pid(AdmitAll):
-    """A PID controller of the loop's delay; its output sheds queries by chance, then bookings."""
+    """A PID controller of the loop's lag; its output is the probability to shed queries, then bookings."""
 
     target_ms, kp, ki, kd = 15.0, 0.01, 0.002, 0.005
 
     def __init__(self) -> None:
-        self.rng, self.sum, self.last, self.shed = random.Random(1), 0.0, 0.0, 0.0
+        self.rng = random.Random(1)
+        self.integral = 0.0
+        self.last_error_ms = 0.0
+        self.shed_probability = 0.0
 
-    def admits(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
-        return self.rng.random() >= self.shed - (1.0 if arrival.class_index else 0.0)
+    def admit(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
+        return self.rng.random() >= self.shed_probability - (1.0 if arrival.class_index else 0.0)
 
-    def sample(self, now_ms: float, delay_ms: float, busy: float) -> None:
-        error = delay_ms - self.target_ms
-        self.sum = max(0.0, min(2.0 / self.ki, self.sum + error))
-        self.shed = self.kp * error + self.ki * self.sum + self.kd * (error - self.last)
-        self.last = error
+    def on_sample(self, now_ms: float, loop_lag_ms: float, cpu_rate: float) -> None:
+        error_ms = loop_lag_ms - self.target_ms
+        self.integral = max(0.0, min(2.0 / self.ki, self.integral + error_ms))
+        self.shed_probability = (
+            self.kp * error_ms + self.ki * self.integral + self.kd * (error_ms - self.last_error_ms)
+        )
+        self.last_error_ms = error_ms
 
 
-class Budget(AdmitAll):
+class CpuBudgetPolicy(AdmitAll):
     """What this program does (`ringledge/decide/overload/admission.py`)."""
 
     def __init__(self) -> None:
-        shares = [TenantQuota(1.0)]
-        self.overload = OverloadController(OverloadLimits(), WORTHS, shares, 1.0, 1000.0, random.Random(1))
-        self.at_ms = 0.0
-        self.late_ms, self.busy = 0.0, 0.0
-
-    def admits(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
+        self.controller = OverloadController(
+            OverloadLimits(), PRIORITY_WEIGHTS, [TenantQuota(1.0)], 1.0, 1000.0, random.Random(1)
+        )
+        self.sampled_at_ms = 0.0
+        self.loop_lag_ms = 0.0
+        self.cpu_rate = 0.0
+
+    def admit(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
         kb = arrival.size / 1024
-        return self.overload.admit(now_ms, arrival.class_index, 0, kb, self.late_ms, self.busy) is None
+        rejection = self.controller.admit(now_ms, arrival.class_index, 0, kb, self.loop_lag_ms, self.cpu_rate)
+        return rejection is None
 
-    def sample(self, now_ms: float, delay_ms: float, busy: float) -> None:
-        span_ms, self.at_ms = now_ms - self.at_ms, now_ms
-        self.overload.on_sample(ResourceSample(now_ms, span_ms, busy * span_ms, delay_ms))
+    def on_sample(self, now_ms: float, loop_lag_ms: float, cpu_rate: float) -> None:
+        span_ms = now_ms - self.sampled_at_ms
+        self.sampled_at_ms = now_ms
+        self.controller.on_sample(ResourceSample(now_ms, span_ms, cpu_rate * span_ms, loop_lag_ms))
 
 
 ALTERNATIVES: dict[str, Callable[[], AdmitAll]] = {
-    "none": AdmitAll, "codel": CoDel, "aimd": Aimd, "dagor": Dagor, "pid": Pid, "budget": Budget,
-}  # fmt: skip
+    "none": AdmitAll,
+    "codel": CoDel,
+    "aimd": Aimd,
+    "dagor": Dagor,
+    "pid": Pid,
+    "budget": CpuBudgetPolicy,
+}
