--- a/ringledge/core/__init__.py
+++ b/ringledge/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes; no wire is known here."""
+"""Requests, attempts and outcomes, independent of any wire protocol."""
--- a/ringledge/core/records.py
+++ b/ringledge/core/records.py
@@ -63,7 +63,7 @@
     arrived_ms: float
     attempts: list[Attempt] = field(default_factory=list)
     cache_holders: set[str] = field(default_factory=set)  # servers that hold a KV cache entry
-    # Servers on which a prefill may have ended unobserved, and when it was given up (inf: it may yet run).
+    # Servers on which a prefill may have ended unobserved, and when it was cancelled (inf: it may yet run).
     unobserved: dict[str, float] = field(default_factory=dict)
     idle_since_ms: float = 0.0  # since when no delivered attempt has been in flight
     released: bool = False  # the KV cache was released while the policy still counts on it
--- a/ringledge/memory/__init__.py
+++ b/ringledge/memory/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in memory while the program runs."""
+"""The state that the program holds in memory while it runs."""
--- a/ringledge/memory/stream_sessions.py
+++ b/ringledge/memory/stream_sessions.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class StreamSession:
-    """One response. Its events are retained by number, so that each can be resent, and none is sent twice."""
+    """One response. Its events are retained by number, so that each can be resent."""
 
     name: str
     question: dict[str, Any]  # the client's request as parsed
--- a/tests/compatibility/gate_trace.py
+++ b/tests/compatibility/gate_trace.py
@@ -70,49 +70,55 @@
         return evicted
 
 
-def _steps(seed: int) -> Iterator[str]:
-    rng = Random(seed)
-    clock, vitals, held = _ScriptedClock(), _ScriptedProcessStatistics(), BufferedBytes()
-    cache = _ScriptedCache()
-    held.register(cache)
+def _settings(rng: Random) -> RouterSettings:
     classes = tuple(
-        RequestClass(1000.0, 5000.0, Idempotency.IDEMPOTENT, worth)
-        for worth in (2.0, 6.0, rng.choice([0.5, 6.0]))
+        RequestClass(1000.0, 5000.0, Idempotency.IDEMPOTENT, weight)
+        for weight in (2.0, 6.0, rng.choice([0.5, 6.0]))
     )
     tenants = (Tenant(0.7, rng.choice([None, 30.0])), Tenant(0.3, 6.0))
-    settings = RouterSettings(
+    return RouterSettings(
         classes, (ServerKind(Role.MIXED),), tenants, routers=rng.choice([1, 3]), over_quota_weight=0.1
     )
+
+
+def _reading(rng: Random) -> ProcessReading:
+    span_ms = rng.uniform(50, 110)
+    return ProcessReading(
+        span_ms,
+        span_ms * rng.choice([0.1, 0.7, 1.0, 1.3]),
+        rng.choice([0.5, 4.0, 70.0]),
+        rng.choice([0.0, 1.0, 50.0]),
+        int(MEMORY_BYTES * rng.choice([0.3, 0.6, 0.85, 0.94])),
+        rng.choice([50, 200, 499]),
+    )
+
+
+def _steps(seed: int) -> Iterator[str]:
+    rng = Random(seed)
+    clock = _ScriptedClock()
+    statistics = _ScriptedProcessStatistics()
+    cache = _ScriptedCache()
+    buffered = BufferedBytes()
+    buffered.register(cache)
+    limits = ResourceLimits(1.0, MEMORY_BYTES, 500)
     gate = AdmissionGate(
-        GateOptions(
-            OverloadConfig(),
-            ResourceLimits(1.0, MEMORY_BYTES, 500),
-            settings,
-            ("query", "booking", "report"),
-            seed,
-        ),
+        GateOptions(OverloadConfig(), limits, _settings(rng), ("query", "booking", "report"), seed),
         cast(Clock, clock),
-        cast(ProcessStatistics, vitals),
-        held,
+        cast(ProcessStatistics, statistics),
+        buffered,
         Metrics(),
     )
     for _ in range(STEPS):
         clock.reading_ms += rng.uniform(0, 12)
-        vitals.lag_ms, vitals.cpu = rng.choice([0.0, 0.0, 3.0, 90.0]), rng.choice([0.1, 0.6, 1.2])
+        statistics.lag_ms = rng.choice([0.0, 0.0, 3.0, 90.0])
+        statistics.cpu = rng.choice([0.1, 0.6, 1.2])
         cache.retained_bytes += rng.choice([0, 0, 3 * 1024 * 1024])
         match rng.randrange(10):
             case 0 | 1 | 2:
-                span_ms = rng.uniform(50, 110)
-                reading = ProcessReading(
-                    span_ms,
-                    span_ms * rng.choice([0.1, 0.7, 1.0, 1.3]),
-                    rng.choice([0.5, 4.0, 70.0]),
-                    rng.choice([0.0, 1.0, 50.0]),
-                    int(MEMORY_BYTES * rng.choice([0.3, 0.6, 0.85, 0.94])),
-                    rng.choice([50, 200, 499]),
-                )
+                reading = _reading(rng)
                 gate.on_reading(reading)
-                yield f"reading {render(reading)} -> {gate.may_reject()} {held.total_bytes} {vitals.trims}"
+                state = f"{gate.may_reject()} {buffered.total_bytes} {statistics.trims}"
+                yield f"reading {render(reading)} -> {state}"
             case 3:
                 told = (gate.rejects_all(), gate.has_max_priority("booking"), gate.has_max_priority("report"))
                 yield f"asked -> {render(told)}"
