--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -11,7 +11,7 @@
 from ringledge.wire.clients.chat.queued import QueuedChat
 from ringledge.wire.clients.chat.replaying import ReplaySender
 from ringledge.wire.clients.chat_settings import ChatConfig
-from ringledge.wire.servers.observation import Sight
+from ringledge.wire.servers.observation import ServerObserver
 
 
 def part(shared: Shared) -> Part:
@@ -21,7 +21,7 @@
     if "chat" not in config.extras:
         raise ConfigError("queue.toml: chat.toml has to be enabled, too; its clients are queued")
     chat, settings, names = config.extra(ChatConfig), config.settings, config.names
-    sight = Sight(shared.conductor, shared.upstream.reach, shared.metrics)
+    sight = ServerObserver(shared.conductor, shared.upstream.reachability, shared.metrics)
     fleet, leased = shared.fleet, "duties" in config.extras
     facts = None if fleet is None else fleet.members.facts
     queue = QueuePart(told, sight, shared.metrics.registry, Random(), facts, leased)
--- a/ringledge/lifecycle/components/servers.py
+++ b/ringledge/lifecycle/components/servers.py
@@ -12,9 +12,9 @@
     def start() -> None:
         tasks.start_soon(shared.conductor.run_timers)
         tasks.start_soon(discovery.watch)
-        tasks.start_soon(discovery.fetch_when_asked, upstream)
-        tasks.start_soon(upstream.retire_idle)
-        tasks.start_soon(upstream.watch_silence)
+        tasks.start_soon(discovery.fetch_on_request, upstream)
+        tasks.start_soon(upstream.close_expired_connections)
+        tasks.start_soon(upstream.detect_unresponsive_peers)
         tasks.start_soon(shared.by_hand.follow)
 
     def share(processes: int) -> None:
--- a/ringledge/lifecycle/drain.py
+++ b/ringledge/lifecycle/drain.py
@@ -26,7 +26,9 @@
     else:
         shared.fronts.drain()
         await anyio.sleep(LOOK_S)  # the fronts take who waits in the backlog
-    while shared.fronts.open_count() or shared.conductor.registry.records or shared.upstream.releases:
+    while (
+        shared.fronts.open_count() or shared.conductor.registry.records or shared.upstream.unanswered_releases
+    ):
         shared.fronts.drain()
         if anyio.current_time() >= last_call:
             shared.conductor.shut_down()
--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -31,15 +31,16 @@
     Availability,
     EndpointUpdateKind,
 )
-from ringledge.wire.discovery.watcher import ANSWER_S, Discovery
+from ringledge.wire.discovery.watcher import RESPONSE_TIMEOUT_S, DiscoveryClient
+from ringledge.wire.servers.context import UpstreamContext
 from ringledge.wire.servers.upstream import Upstream
 
 RELOAD_AGAIN_S = 0.05  # between two tries of a file that could not be used
 RELOAD_S = 3.0  # in all: what discovery has counts as told 4 s behind SIGHUP
 TAKEN_AT_ONCE = ("discovery", "discovery_in_file", "seed", "known")  # on SIGHUP; seed and list start a run
 # Discovery may be silent: after so long the last list known has to do. A first call that is accepted in vain
-# is given up after ANSWER_S; the answer to the next has to come before a stale list is gone by.
-LIST_S = ANSWER_S + 0.5
+# is given up after RESPONSE_TIMEOUT_S; the answer to the next has to come before a stale list is gone by.
+LIST_S = RESPONSE_TIMEOUT_S + 0.5
 
 
 class Program:
@@ -68,12 +69,14 @@
         clock = Clock(predecessor.clock_offset_ms)
         fronts = Fronts(config, metrics, predecessor.listeners)
         let_go_ms, zone = settings.release_within_ms, settings.zone
-        upstream = Upstream(tasks, servers, names, fronts.sockets, let_go_ms, zone, clock, metrics)
+        upstream = Upstream(
+            UpstreamContext(tasks, servers, names, fronts.sockets, let_go_ms, zone, clock, metrics)
+        )
         conductor = Conductor(settings, config.seed, clock, servers, metrics, upstream)
         upstream.conductor = conductor
         by_hand = OperatorOverrides(config.folder, config.name, config.fingerprint, conductor.override_server)
         by_hand.look_at_start()  # before the first send
-        discovery = Discovery(config.discovery, names, conductor, random.Random(config.seed))
+        discovery = DiscoveryClient(config.discovery, names, conductor, random.Random(config.seed))
         discovery.apply(config.known, EndpointUpdateKind.PERSISTED)
         return Shared(
             config, tasks, metrics, servers, upstream, conductor, by_hand, discovery, fronts, self.can_serve
@@ -82,7 +85,7 @@
     def _set_figures(self) -> None:
         shared = self.shared
         metrics, discovery = shared.metrics, shared.discovery
-        metrics.list_age.set_function(lambda: time.monotonic() - discovery.last_heard)
+        metrics.list_age.set_function(lambda: time.monotonic() - discovery.last_received_s)
         metrics.open_requests.set_function(shared.conductor.registry.unanswered)
         metrics.avoided.set_function(shared.conductor.avoided)
         for state in (Availability.UP, Availability.DRAINING):
@@ -90,12 +93,12 @@
 
     def listed(self) -> bool:
         """Whether the list is as discovery has it, or as good as it gets while discovery is silent."""
-        return self.shared.discovery.heard.is_set() or time.monotonic() - self.started >= LIST_S
+        return self.shared.discovery.synchronized.is_set() or time.monotonic() - self.started >= LIST_S
 
     def can_serve(self) -> bool:
         """Whether all that serving takes is at work."""
         shared = self.shared
-        listed = self.listed() and (shared.discovery.heard.is_set() or bool(shared.servers.entries))
+        listed = self.listed() and (shared.discovery.synchronized.is_set() or bool(shared.servers.entries))
         at_work = shared.fronts.accepting() and shared.conductor.timers_run()
         return listed and at_work and not shared.stopping.is_set()
 
@@ -133,7 +136,7 @@
         waits = waiting(self.config, new)
         discovery = self.shared.discovery
         if new.discovery_in_file != self._latest.discovery_in_file:  # newer than what RELAY_DISCOVERY said
-            discovery.move(new.discovery_in_file)
+            discovery.change_address(new.discovery_in_file)
         self._latest = new
         log.info("reloaded", discovery=discovery.address, waits_for_restart=waits)
 
@@ -187,7 +190,7 @@
         shared = self.shared
         with anyio.move_on_after(max(0.0, self.started + LIST_S - time.monotonic())) as late:
             async with anyio.create_task_group() as waits:
-                for event in (shared.discovery.heard, shared.stopping):
+                for event in (shared.discovery.synchronized, shared.stopping):
                     waits.start_soon(_wait_then_end, event, waits.cancel_scope)
         if late.cancelled_caught:
             log.warning("list_late", seconds=LIST_S, entries=len(shared.servers.entries))
--- a/ringledge/lifecycle/shared.py
+++ b/ringledge/lifecycle/shared.py
@@ -16,7 +16,7 @@
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.clients.platform import Platform
-from ringledge.wire.discovery.watcher import Discovery
+from ringledge.wire.discovery.watcher import DiscoveryClient
 from ringledge.wire.servers.upstream import Upstream
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
     upstream: Upstream
     conductor: Conductor
     by_hand: OperatorOverrides
-    discovery: Discovery
+    discovery: DiscoveryClient
     fronts: Fronts
     can_serve: Callable[[], bool]  # whether all that serving takes is at work
     stopping: anyio.Event = field(default_factory=anyio.Event)
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -1,6 +1,7 @@
 """The queue of a site as one part of the program: the file, how the site stands, the duty of its replay.
 
-    part = QueuePart(config, Sight(conductor, upstream.reach, metrics), metrics.registry, random, facts)
+    observer = ServerObserver(conductor, upstream.reachability, metrics)
+    part = QueuePart(config, observer, metrics.registry, random, facts)
     queued = QueuedChat(part.queue, part.state, classes, settings, tenant, config.expire_s, part.figures)
     chats = Chat(..., queued=queued)
     part.sender = ReplaySender(chat_config, settings, names, conductor)
--- a/ringledge/wire/discovery/json_stream.py
+++ b/ringledge/wire/discovery/json_stream.py
@@ -13,11 +13,11 @@
 from ringledge.memory.endpoint_list import ListError
 
 # What decides where an object ends: brackets, and what begins, ends or is escaped in a string.
-MARKS = re.compile(rb'[{}\[\]"]|\\')
+STRUCTURAL = re.compile(rb'[{}\[\]"]|\\')
 OPENING, CLOSING = (b"{", b"["), (b"}", b"]")
 
 
-class Objects:
+class JsonStreamSplitter:
     """Splits a stream into the texts of its objects; sizes in bytes."""
 
     def __init__(self, most: int) -> None:
@@ -31,10 +31,10 @@
 
     def feed(self, data: bytes) -> Iterator[bytes]:
         """Take a piece in, give each object that is whole by now; ListError where none can come of it."""
-        self.line_ended = self.between and b"\n" in data.partition(b"{")[0]
+        self.line_ended = self.is_between_objects and b"\n" in data.partition(b"{")[0]
         self._text += data
         begun = 0
-        while mark := MARKS.search(self._text, self._seen):
+        while mark := STRUCTURAL.search(self._text, self._seen):
             at, sign = mark.start(), mark[0]
             if sign == b"\\":  # what it escapes may not have come yet
                 if at + 1 >= len(self._text):
@@ -66,6 +66,6 @@
             raise ListError("an object without end")
 
     @property
-    def between(self) -> bool:
+    def is_between_objects(self) -> bool:
         """Whether all that has come is whole."""
         return not self._text
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -23,7 +23,7 @@
     MembershipMode,
     ServerEntry,
 )
-from ringledge.wire.discovery.json_stream import Objects
+from ringledge.wire.discovery.json_stream import JsonStreamSplitter
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import PEER_ERRORS
 from ringledge.wire.http.messages import read_body
@@ -31,47 +31,56 @@
 from ringledge.wire.servers.upstream import Upstream
 
 AVAILABILITY = {"active": Availability.UP, "leaving": Availability.DRAINING, "left": Availability.REMOVED}
-SILENCE_S = 3.0  # an empty line comes every 2 s: a watch without a whole line for so long is made anew
-MOST_LIST = 4 * 1024 * 1024  # bytes of a list, or of one object of changes
+IDLE_TIMEOUT_S = 3.0  # an empty line comes every 2 s: a watch without a whole line for so long is made anew
+MAX_LIST_BYTES = 4 * 1024 * 1024  # bytes of a list, or of one object of changes
 # Bounds of the wait before a watch that failed is asked for again, in s for each conductor of the tier: one
 # discovery of fixed capacity serves them all, takes seconds over a call while it is overbooked, and works
 # off calls that nobody waits for any more. So the tier asks twenty times a second at first, then ever less.
 # A watch may also break for itself: news count as told after 6 s, so the first wait is never long.
-FIRST_RETRY_S = 0.1
-FIRST_AT_MOST_S = 2.0
-MOST_RETRY_S = 1.0
+INITIAL_BACKOFF_PER_ROUTER_S = 0.1
+MAX_INITIAL_BACKOFF_S = 2.0
+MAX_BACKOFF_PER_ROUTER_S = 1.0
 # Where lists are pushed an agent on the conductor's own machine has them. It answers at once and at no cost,
 # says nothing while discovery is down, and what it gets at the return counts as told at once. Who sleeps then
 # hears it late, who hangs on a watch hears it in time. So a watch is never long away.
-PUSHED_FIRST_S, PUSHED_MOST_S = 0.02, 0.1
+PUSH_INITIAL_BACKOFF_S, PUSH_MAX_BACKOFF_S = 0.02, 0.1
 # A change counts as told 6 s after the agent had it, whatever became of the watches meanwhile. So where lists
 # are pushed one clock runs over all watches in a row; a little is left for the last one to be read. A new
 # watch costs the agent nothing.
-PUSHED_SILENCE_S = 2.5
-PUSHED_TOLD_S = 5.6
-MOVED_TOLD_S = 3.6  # the same behind a new configuration: from then on what discovery has counts after 4 s
-START_TOLD_S = 1.0  # and at a start, where what the agent has counts at once: the first watch gets half of it
+PUSH_IDLE_TIMEOUT_S = 2.5
+PUSH_STALENESS_LIMIT_S = 5.6
+RECONFIGURED_STALENESS_LIMIT_S = (
+    3.6  # the same behind a new configuration: from then on what discovery has counts after 4 s
+)
+START_STALENESS_LIMIT_S = (
+    1.0  # and at a start, where what the agent has counts at once: the first watch gets half of it
+)
 # A watch that doesn't begin to speak within this, its connection included, was accepted in vain.
-ANSWER_S = 1.0
+RESPONSE_TIMEOUT_S = 1.0
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps one watch open, and hands each change to the conductor as it comes."""
 
     def __init__(self, address: str, names: Names, conductor: Conductor, rng: random.Random) -> None:
         self.address, self._names, self._conductor = address, names, conductor
         settings = conductor.context.settings
         self._pushed = settings.membership == MembershipMode.PUSH
-        first_s, most_s = PUSHED_FIRST_S, PUSHED_MOST_S
+        first_s, most_s = PUSH_INITIAL_BACKOFF_S, PUSH_MAX_BACKOFF_S
         if not self._pushed:
             tier = max(1, settings.routers)
-            first_s, most_s = min(FIRST_AT_MOST_S, FIRST_RETRY_S * tier), MOST_RETRY_S * tier
+            first_s, most_s = (
+                min(MAX_INITIAL_BACKOFF_S, INITIAL_BACKOFF_PER_ROUTER_S * tier),
+                MAX_BACKOFF_PER_ROUTER_S * tier,
+            )
         self._backoff = Backoff(first_s, most_s, rng)
-        self._clock = WatchTimeout(SILENCE_S)
+        self._clock = WatchTimeout(IDLE_TIMEOUT_S)
         if self._pushed:
-            self._clock = WatchTimeout(PUSHED_SILENCE_S, PUSHED_TOLD_S, known_ago(START_TOLD_S))
-        self.last_heard = time.monotonic()
-        self.heard = anyio.Event()  # what it has to tell is known
+            self._clock = WatchTimeout(
+                PUSH_IDLE_TIMEOUT_S, PUSH_STALENESS_LIMIT_S, known_ago(START_STALENESS_LIMIT_S)
+            )
+        self.last_received_s = time.monotonic()
+        self.synchronized = anyio.Event()  # what it has to tell is known
         self._watching = anyio.CancelScope()
         self._starts = StartTimes()
         self._known_ms: float | None = None  # when the list was known whole last, on the decisions' clock
@@ -108,11 +117,11 @@
             started_here_ms,
         )
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Discovery is at another address: the watch goes on there at once."""
         self.address = address
         self._backoff.reset()
-        self._clock.address_changed(known_ago(MOVED_TOLD_S))
+        self._clock.address_changed(known_ago(RECONFIGURED_STALENESS_LIMIT_S))
         self._watching.cancel()
 
     async def watch(self) -> None:
@@ -138,7 +147,7 @@
     @property
     def _answer_s(self) -> float:
         """How long discovery may take to begin an answer; the agent of a pushed list takes no time."""
-        return ANSWER_S if self._pushed else SILENCE_S
+        return RESPONSE_TIMEOUT_S if self._pushed else IDLE_TIMEOUT_S
 
     async def _ask(self, path: str, by_s: float = math.inf) -> tuple[Connection, h11.Response]:
         """The connection and the head of an answer; TimeoutError where none begins in time, or by then."""
@@ -164,13 +173,13 @@
         self._clock.watch_requested(anyio.current_time())
         conn, _ = await self._ask(f"/v1/endpoints?watch=1&after={version}", self._clock.first_line_deadline_s)
         try:
-            objects = Objects(MOST_LIST)
+            objects = JsonStreamSplitter(MAX_LIST_BYTES)
             self._clock.watch_started(anyio.current_time())
             while True:
                 event = await self._next_on_watch(conn)
-                self.last_heard = time.monotonic()
+                self.last_received_s = time.monotonic()
                 if not isinstance(event, h11.Data):
-                    if not objects.between:
+                    if not objects.is_between_objects:
                         raise ListError("the watch ended within an object")
                     return
                 self._take(objects, bytes(event.data))
@@ -185,7 +194,7 @@
         slow = self._clock.watch_timed_out(anyio.current_time())
         raise TimeoutError("a line came too slowly" if slow else "no line came")
 
-    def _take(self, objects: Objects, piece: bytes) -> None:
+    def _take(self, objects: JsonStreamSplitter, piece: bytes) -> None:
         """Apply what a piece of a watch made whole."""
         told = False
         for text in objects.feed(piece):
@@ -195,23 +204,23 @@
             anyio.current_time(),
             has_update=told,
             line_ended=objects.line_ended,
-            line_incomplete=not objects.between,
+            line_incomplete=not objects.is_between_objects,
         )
         if objects.line_ended:
             self._known_ms = self._conductor.clock.now_ms()
             self._backoff.reset()
-            self.heard.set()
+            self.synchronized.set()
 
-    async def fetch_when_asked(self, upstream: Upstream) -> None:
+    async def fetch_on_request(self, upstream: Upstream) -> None:
         """Fetch the whole list whenever the policy asks for it."""
         while True:
-            await upstream.members_wanted.wait()
-            upstream.members_wanted = anyio.Event()
+            await upstream.endpoints_wanted.wait()
+            upstream.endpoints_wanted = anyio.Event()
             try:
-                with anyio.fail_after(SILENCE_S):
+                with anyio.fail_after(IDLE_TIMEOUT_S):
                     conn, head = await self._ask("/v1/endpoints")
                     try:
-                        told = decode(await read_body(conn, head, limit=MOST_LIST))
+                        told = decode(await read_body(conn, head, limit=MAX_LIST_BYTES))
                     finally:
                         conn.close()
                 self.apply(told)
@@ -221,5 +230,5 @@
 
 
 def known_ago(left_s: float) -> float:
-    """When the list would have been known whole, for so long to be left of `PUSHED_TOLD_S` now."""
-    return time.monotonic() - PUSHED_TOLD_S + left_s
+    """When the list would have been known whole, for so long to be left of `PUSH_STALENESS_LIMIT_S` now."""
+    return time.monotonic() - PUSH_STALENESS_LIMIT_S + left_s
--- a/ringledge/wire/servers/connections.py
+++ b/ringledge/wire/servers/connections.py
@@ -1,4 +1,4 @@
-"""Lines to servers: kept connections and new ones, and small exchanges without a body over them."""
+"""Connections to servers, idle and new ones, and small exchanges without a body over them."""
 
 from __future__ import annotations
 
@@ -7,15 +7,13 @@
 import anyio
 import h11
 
-from ringledge.core.clock import Clock
 from ringledge.decide.servers.connect_timeout import ConnectTimeout
 from ringledge.decide.servers.reachability import Reachability
-from ringledge.lifecycle.config import Names
 from ringledge.memory.connection_pool import Pool
 from ringledge.observe.logging import log
-from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
     AttemptStatus,
+    LoadReport,
     ProbeResult,
 )
 from ringledge.structures.transient_errors import NO_PATH
@@ -24,87 +22,101 @@
 from ringledge.wire.http.headers import Headers, header
 from ringledge.wire.http.messages import read_body
 from ringledge.wire.http.sockets import LocalError, connect
-from ringledge.wire.servers.responses import answer_head, load_report, reusable
+from ringledge.wire.servers.context import UpstreamContext
+from ringledge.wire.servers.responses import is_reusable, parse_load_report, read_response_head
 
-PROBE_S = 1.0  # a probe that takes longer tells no more than that
+PROBE_TIMEOUT_S = 1.0  # a slower answer says no more than a time-out
+EXPIRY_INTERVAL_S = 1.0
 
 
-class Lines:
-    """Connections to servers, one exchange at a time on each; what comes up tells who can be reached."""
+class ServerConnections:
+    """Connections to servers, each with one exchange at a time; records which servers can be reached."""
 
-    def __init__(
-        self, names: Names, sockets: int, clock: Clock, reach: Reachability, metrics: Metrics
-    ) -> None:
-        # Idle connections go well before the server would close them (half its time).
-        self.pool: Pool[Connection] = Pool(sockets, names.keepalive_s / 2, metrics)
+    def __init__(self, context: UpstreamContext, reachability: Reachability) -> None:
+        names = context.names
+        # Idle connections are closed well before the server closes them, after half its timeout.
+        self.pool: Pool[Connection] = Pool(context.max_connections, names.keepalive_s / 2, context.metrics)
+        self.reachability = reachability
         self._connect_timeout = ConnectTimeout(names.connect_timeout_s)
-        self._clock, self.reach = clock, reach
+        self._clock = context.clock
 
-    def connect_s(self) -> float:
-        """How long a connection may take to come up."""
+    def connect_timeout_s(self) -> float:
+        """How long a new connection may take to be established."""
         return self._connect_timeout.timeout_s()
 
-    async def take(self, server: str, address: str, connect_s: float, once: bool = False) -> Connection:
-        """An idle connection or a new one; OSError or TimeoutError where none comes up."""
-        conn = self.pool.take(address, once)
-        return conn or await self.open(server, address, connect_s)
+    async def acquire(
+        self, server: str, address: str, timeout_s: float, at_most_once: bool = False
+    ) -> Connection:
+        """An idle connection or a new one; OSError or TimeoutError if none can be established.
 
-    async def open(self, server: str, address: str, connect_s: float) -> Connection:
-        """A new connection; OSError or TimeoutError where none comes up."""
+        `at_most_once`: for a request that must not run twice, so that only trusted idle connections will do.
+        """
+        conn = self.pool.take(address, at_most_once)
+        return conn or await self.open(server, address, timeout_s)
+
+    async def open(self, server: str, address: str, timeout_s: float) -> Connection:
+        """A new connection; OSError or TimeoutError if it can't be established."""
         if not self.pool.reserve():
             log.error("server_sockets_exhausted", limit=self.pool.limit)
             raise OSError("no socket left")
-        began = time.monotonic()
+        started_s = time.monotonic()
         try:
-            conn = await connect(address, connect_s)
+            conn = await connect(address, timeout_s)
         except BaseException as error:
             self.pool.unreserve()
-            if isinstance(error, ConnectionRefusedError):
-                self.reach.record_refusal(server, self._clock.now_ms())
-            elif isinstance(error, TimeoutError) or (
-                isinstance(error, LocalError) and error.errno in NO_PATH
-            ):  # no route to it for so long is as good as silence
-                self.reach.record_timeout(server, self._clock.now_ms())
+            self._record_connect_error(server, error)
             raise
-        self._connect_timeout.record_connection(time.monotonic() - began)
-        self.reach.record_connection(server, self._clock.now_ms())
+        self._connect_timeout.record_connection(time.monotonic() - started_s)
+        self.reachability.record_connection(server, self._clock.now_ms())
         return conn
 
     async def call(self, server: str, address: str, method: bytes, path: bytes) -> tuple[h11.Response, bytes]:
-        """One small exchange without a body."""
-        conn = await self.take(server, address, self.connect_s())
-        again = False
+        """One small exchange without a request body: the head and the body of the response."""
+        conn = await self.acquire(server, address, self.connect_timeout_s())
+        reuse = False
         try:
-            told: Headers = [(b"Host", address.encode())]
-            await conn.send(h11.Request(method=method, target=path, headers=told), h11.EndOfMessage())
-            head = await answer_head(conn)
+            headers: Headers = [(b"Host", address.encode())]
+            await conn.send(h11.Request(method=method, target=path, headers=headers), h11.EndOfMessage())
+            head = await read_response_head(conn)
             body = await read_body(conn, head)
-            again = reusable(conn)
+            reuse = is_reusable(conn)
             return head, body
         finally:
-            if again:
-                self.pool.put(address, conn)
-            else:
-                self.pool.drop(conn)
+            self.give_back(address, conn, reuse)
+
+    def give_back(self, address: str, conn: Connection, reuse: bool) -> None:
+        """Put an acquired connection into the pool, or close it."""
+        if reuse:
+            self.pool.put(address, conn)
+        else:
+            self.pool.drop(conn)
 
     async def probe(self, server: str, address: str | None) -> ProbeResult:
-        """Ask for the load report."""
-        sent = time.monotonic()
-        status, load = AttemptStatus.CONNECT_FAILED, None
+        """Request the load report."""
+        started_s = time.monotonic()
+        status = AttemptStatus.CONNECT_FAILED
+        load: LoadReport | None = None
         if address is not None:
             try:
-                with anyio.fail_after(PROBE_S):
+                with anyio.fail_after(PROBE_TIMEOUT_S):
                     head, body = await self.call(server, address, b"GET", b"/status/load")
                 status = AttemptStatus.OK if head.status_code == 200 else AttemptStatus.ERROR
-                load = load_report(body) or load_report(header(head, b"x-load-report"))
+                load = parse_load_report(body) or parse_load_report(header(head, b"x-load-report"))
             except TimeoutError:
                 status = AttemptStatus.TIMEOUT
             except PEER_ERRORS as error:
                 log.info("probe_failed", server=server, error=str(error))
-        return ProbeResult(server, status, (time.monotonic() - sent) * 1000, load)
+        return ProbeResult(server, status, (time.monotonic() - started_s) * 1000, load)
 
-    async def retire_idle(self) -> None:
-        """Close idle connections in time."""
+    async def close_expired(self) -> None:
+        """Close idle connections whose time is over, for ever."""
         while True:
-            await anyio.sleep(1.0)
+            await anyio.sleep(EXPIRY_INTERVAL_S)
             self.pool.retire()
+
+    def _record_connect_error(self, server: str, error: BaseException) -> None:
+        if isinstance(error, ConnectionRefusedError):
+            self.reachability.record_refusal(server, self._clock.now_ms())
+        elif isinstance(error, TimeoutError) or (isinstance(error, LocalError) and error.errno in NO_PATH):
+            # Without a route for the whole timeout the server is as unreachable as after a time-out.
+            self.reachability.record_timeout(server, self._clock.now_ms())
--- a/ringledge/wire/servers/event_buffer.py
+++ b/ringledge/wire/servers/event_buffer.py
@@ -1,55 +1,65 @@
-"""Whole events of a stream, put together of the pieces in which they come; free of I/O and clocks.
+"""Joins the pieces in which events of a stream arrive; free of I/O and clocks.
 
-A server may write an event in many small chunks. Passed on as they come, each becomes a chunk and a segment
-of its own, and a stream that a slow path carries segment by segment falls ever further behind. So an event
-goes out in one piece once it is whole, and its parts wait for a bounded time only.
+A server may write an event in many small chunks. Relayed as they arrive, each becomes a chunk and a segment
+of its own, and a stream that a slow path carries segment by segment falls ever further behind. So an event is
+relayed in one piece once it is complete, and its parts are delayed for a bounded time only.
 """
 
 from __future__ import annotations
 
-HOLD_S = 0.1  # that a part of an event waits for the rest: a third of what an event may be late
-ENDS = (b"\n\n", b"\r\n\r\n")  # of an event
+MAX_DELAY_S = 0.1  # of an incomplete event: a third of the delay that an event may have
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
+MAX_TERMINATOR_BYTES = max(map(len, EVENT_TERMINATORS))
 
 
 class EventBuffer:
-    """What has come of a stream and was not passed on."""
+    """What has arrived of a stream and was not relayed yet."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
-        self._since_s = 0.0  # when the oldest of it came
-        self._searched = 0  # bytes at the front that hold no end of an event
+        self._buffered = bytearray()
+        self._oldest_s = 0.0  # when the oldest buffered byte arrived
+        self._searched_bytes = 0  # at the front, without a terminator
 
     def __len__(self) -> int:
-        """How many bytes wait."""
-        return len(self._held)
+        """How many bytes are buffered."""
+        return len(self._buffered)
 
     @property
-    def due_s(self) -> float:
-        """When what waits has to be passed on, whole or not."""
-        return self._since_s + HOLD_S
+    def deadline_s(self) -> float:
+        """When the buffered bytes must be relayed, complete or not."""
+        return self._oldest_s + MAX_DELAY_S
 
     def feed(self, piece: bytes, now_s: float) -> None:
-        """A piece has come."""
-        if not self._held:
-            self._since_s = now_s
-        self._held += piece
-
-    def whole(self, now_s: float) -> bytes:
-        """The whole events, or all that waits where the oldest part has waited for its time."""
-        if now_s >= self.due_s:
-            return self.rest()
-        start = max(0, self._searched - max(map(len, ENDS)))
-        size = max(place + len(end) if (place := self._held.rfind(end, start)) >= 0 else 0 for end in ENDS)
-        ready = bytes(self._held[:size])
-        del self._held[:size]
-        self._searched = len(self._held)
-        if ready:
-            self._since_s = now_s  # what is left came with the end of the event before it, or later
-        return ready
-
-    def rest(self) -> bytes:
-        """All that waits."""
-        ready = bytes(self._held)
-        self._held.clear()
-        self._searched = 0
-        return ready
+        """A piece has arrived."""
+        if not self._buffered:
+            self._oldest_s = now_s
+        self._buffered += piece
+
+    def take_complete(self, now_s: float) -> bytes:
+        """Remove and return the complete events, or all bytes at the deadline."""
+        if now_s >= self.deadline_s:
+            return self.take_all()
+        size = self._complete_bytes()
+        complete = bytes(self._buffered[:size])
+        del self._buffered[:size]
+        self._searched_bytes = len(self._buffered)
+        if complete:
+            self._oldest_s = now_s  # the rest arrived together with the terminator before it, or later
+        return complete
+
+    def take_all(self) -> bytes:
+        """Remove and return all bytes."""
+        buffered = bytes(self._buffered)
+        self._buffered.clear()
+        self._searched_bytes = 0
+        return buffered
+
+    def _complete_bytes(self) -> int:
+        """Length of the complete events."""
+        start = max(0, self._searched_bytes - MAX_TERMINATOR_BYTES)
+        size = 0
+        for terminator in EVENT_TERMINATORS:
+            position = self._buffered.rfind(terminator, start)
+            if position >= 0:
+                size = max(size, position + len(terminator))
+        return size
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -1,21 +1,17 @@
-"""One exchange with a server: a request goes out, what comes back is an outcome by the protocol's table."""
+"""One exchange with a server: the request, and the response as an outcome by the protocol's table."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
-from typing import NamedTuple
 
 import anyio
 import h11
 
-from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
 from ringledge.core.records import Attempt, Record
-from ringledge.decide.servers import connect_timeout
-from ringledge.decide.servers.reachability import Reachability
+from ringledge.decide.servers.connect_timeout import hold_remaining_s
 from ringledge.observe.logging import log
-from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
     AttemptStatus,
     LoadReport,
@@ -25,23 +21,26 @@
 from ringledge.wire.http.headers import header
 from ringledge.wire.http.messages import read_body
 from ringledge.wire.http.sockets import LocalError
-from ringledge.wire.servers.connections import Lines
-from ringledge.wire.servers.releases import Releaser
+from ringledge.wire.servers.connections import ServerConnections
+from ringledge.wire.servers.context import UpstreamContext
+from ringledge.wire.servers.in_flight import InFlightAttempt
+from ringledge.wire.servers.releases import ReleaseSender
 from ringledge.wire.servers.responses import (
-    answer_head,
-    as_object,
     cached_tokens,
-    load_report,
-    opening_event,
-    read_tail,
+    parse_json_object,
+    parse_load_report,
+    parse_stream_tail,
+    read_first_event,
+    read_response_head,
 )
-from ringledge.wire.servers.stream_relay import Live, StreamRelay
+from ringledge.wire.servers.stream_relay import StreamRelay
 
-SEND_S = 1.0  # in which a connection takes a whole request: it buffers most, and servers read at once
+SEND_TIMEOUT_S = 1.0  # for a whole request: sockets buffer most of it, and servers read at once
 
 
-class End(NamedTuple):
-    """How an exchange ended."""
+@dataclass(frozen=True, slots=True)
+class ExchangeResult:
+    """How an exchange ended; the meaning of `note` depends on the status, as in `Conductor.outcome`."""
 
     status: AttemptStatus
     note: int = 0
@@ -49,159 +48,169 @@
 
 
 @dataclass(slots=True)
-class Exchanges:
-    """Carries one attempt's exchange out."""
-
-    lines: Lines
-    releaser: Releaser
-    reach: Reachability
-    clock: Clock
-    metrics: Metrics
-    let_go_ms: float  # that a state may be held
+class ServerExchanges:
+    """Carries out the exchanges of attempts."""
+
+    context: UpstreamContext
+    connections: ServerConnections
+    release_sender: ReleaseSender
     conductor: Conductor
 
-    async def run(self, attempt: Attempt, live: Live, address: str) -> End:
-        """Send the request and take the answer, by the protocol's table of outcomes."""
-        ended = await self._connect(attempt, live, address)
-        if ended is None and live.conn is not None:
-            ended = await self._send(attempt, live, live.conn, address)
-            if ended is None:
-                return await self._answer(attempt, live, live.conn, address)
-        return ended or End(AttemptStatus.CONNECT_FAILED)
-
-    async def _connect(self, attempt: Attempt, live: Live, address: str) -> End | None:
-        """Get a connection to the server, in time for what is held; an end where nothing will be sent."""
-        record, connect_s = attempt.record, self.lines.connect_s()
+    async def run(self, attempt: Attempt, state: InFlightAttempt, address: str) -> ExchangeResult:
+        """Connect, send the request and receive the response."""
+        connected = await self._connect(attempt, state, address)
+        if isinstance(connected, ExchangeResult):
+            return connected
+        failed = await self._send(attempt, state, connected, address)
+        if failed is not None:
+            return failed
+        return await self._receive(attempt, state, connected, address)
+
+    async def _connect(
+        self, attempt: Attempt, state: InFlightAttempt, address: str
+    ) -> Connection | ExchangeResult:
+        """A connection within the hold limit of the request's entry, or the result if there is none."""
+        record = attempt.record
+        timeout_s = self.connections.connect_timeout_s()
         if record.released and not attempt.is_prefill:
-            return await self._prefill_again(record)
+            return await self._await_release(record)
         if record.cache_holders and not attempt.is_prefill:
-            held_s = connect_timeout.hold_remaining_s(
-                self.clock.now_ms(), record.idle_since_ms, self.let_go_ms
-            )
-            if held_s <= 0:
-                return await self._let_go(record)
-            connect_s = min(connect_s, held_s)
+            remaining_s = self._hold_remaining_s(record)
+            if remaining_s <= 0:
+                return await self._release_expired_entry(record)
+            timeout_s = min(timeout_s, remaining_s)
         try:
-            live.conn = await self.lines.take(attempt.server, address, connect_s, attempt.at_most_once)
+            conn = await self.connections.acquire(attempt.server, address, timeout_s, attempt.at_most_once)
         except OSError as error:
             log.info("connect_failed", server=attempt.server, request=record.name, error=str(error))
-            return End(
-                AttemptStatus.CONNECT_FAILED, int(isinstance(error, LocalError))
-            )  # ours, not its server's
-        if live.scope.cancel_called:  # only the next wait would tell, and to write may take none
-            return End(AttemptStatus.CONNECT_FAILED)
-        return None
-
-    async def _send(self, attempt: Attempt, live: Live, conn: Connection, address: str) -> End | None:
-        """Write the request, to its last byte; an end where it was not."""
+            is_local = isinstance(error, LocalError)  # the server is not to blame
+            return ExchangeResult(AttemptStatus.CONNECT_FAILED, int(is_local))
+        state.conn = conn
+        if state.scope.cancel_called:  # it is only raised at the next wait, and writing may need none
+            return ExchangeResult(AttemptStatus.CONNECT_FAILED)
+        return conn
+
+    async def _send(
+        self, attempt: Attempt, state: InFlightAttempt, conn: Connection, address: str
+    ) -> ExchangeResult | None:
+        """Write the request to its last byte; the result if that failed."""
         if not self.conductor.may_begin(attempt):
-            return End(AttemptStatus.NOT_SENT)  # a send counts from its first byte, and none is out
+            return ExchangeResult(AttemptStatus.NOT_SENT)  # a send counts from its first byte
         record = attempt.record
-        told_ms = int(attempt.expires_ms - self.clock.now_ms())
-        self.conductor.attempt_sent(attempt, told_ms)
-        facts = {"attempt": attempt.number, "kept": conn.kept, "told_ms": told_ms}
-        log.debug("attempt_sent", request=record.name, server=attempt.server, **facts)
+        budget_ms = int(attempt.expires_ms - self.context.clock.now_ms())
+        self.conductor.attempt_sent(attempt, budget_ms)
+        fields = {"attempt": attempt.number, "kept": conn.kept, "told_ms": budget_ms}
+        log.debug("attempt_sent", request=record.name, server=attempt.server, **fields)
         attempt.fetches_cache = bool(record.cache_holders) and not attempt.is_prefill
         try:
-            with anyio.fail_after(self._send_s(attempt)):
-                await conn.send_first(*self._message(record, address, told_ms))
-        except OSError as error:
+            with anyio.fail_after(self._send_timeout_s(attempt)):
+                await conn.send_first(*_request_events(record, address, budget_ms))
+        except OSError as error:  # without its last byte the request can't have run
             log.info("send_failed", server=attempt.server, request=record.name, error=str(error))
-            note = self._kept_broke(conn, address)
-            return End(
-                AttemptStatus.CONNECT_FAILED, note
-            )  # the last byte was never written: it can't have run
+            return ExchangeResult(AttemptStatus.CONNECT_FAILED, self._note_broken(conn, address))
         attempt.written = True
-        attempt.delivered, live.written_ms = not conn.kept, self.clock.now_ms()
-        self.metrics.sends.inc()
+        attempt.delivered = not conn.kept
+        state.written_ms = self.context.clock.now_ms()
+        self.context.metrics.sends.inc()
         return None
 
-    @staticmethod
-    def _message(record: Record, address: str, told_ms: int) -> tuple[h11.Event, ...]:
-        """The client's request as a server is sent it, with the time that its client has left."""
-        payload = record.payload
-        request = h11.Request(
-            method=b"POST",
-            target=payload.target,
-            headers=[
-                (b"Host", address.encode()),
-                (b"X-Call-Id", record.name.encode()),
-                (b"X-Budget-Ms", b"%d" % told_ms),
-                (b"Content-Type", payload.content_type),
-                (b"Content-Length", b"%d" % len(payload.body)),
-            ],
-        )
-        return request, h11.Data(data=payload.body), h11.EndOfMessage()
-
-    async def _answer(self, attempt: Attempt, live: Live, conn: Connection, address: str) -> End:
-        """Take what comes back."""
-        heard = False
+    async def _receive(
+        self, attempt: Attempt, state: InFlightAttempt, conn: Connection, address: str
+    ) -> ExchangeResult:
+        """Receive the response."""
+        has_head = False
         try:
-            head = await answer_head(conn)
-            heard = attempt.delivered = True
-            self.reach.record_answer(attempt.server, self.clock.now_ms())
+            head = await read_response_head(conn)
+            has_head = True
+            attempt.delivered = True
+            self.connections.reachability.record_answer(attempt.server, self.context.clock.now_ms())
             conn.streamed = head.status_code == 200
             if conn.streamed:
-                return await self._stream(attempt, live, conn, head)
+                return await self._relay_stream(attempt, state, conn, head)
             body = await read_body(conn, head)
         except PEER_ERRORS as error:
-            facts = {"began": attempt.streaming, "error": str(error)}
-            log.info("attempt_reset", server=attempt.server, request=attempt.record.name, **facts)
-            lost = isinstance(error, OSError) or conn.ended
-            return End(AttemptStatus.RESET, self._kept_broke(conn, address) if lost and not heard else 0)
-        return self._outcome(attempt, head, body)
-
-    @staticmethod
-    def _outcome(attempt: Attempt, head: h11.Response, body: bytes) -> End:
-        """What an answer that is no stream means."""
-        load = load_report(header(head, b"x-load-report"))
-        rejected = header(head, b"x-rejected") == b"1"
-        if (
-            head.status_code == 202 and not attempt.fetches_cache
-        ):  # to a decode it proves nothing: it may have run
-            return End(AttemptStatus.PREFILLED, cached_tokens(as_object(body)), load)
-        if rejected and head.status_code == 410:
-            return End(AttemptStatus.FULL, 1, load)
-        if rejected and head.status_code in (503, 504):
-            return End(AttemptStatus.FULL, 0, load)
-        log.info("attempt_error", server=attempt.server, request=attempt.record.name, status=head.status_code)
-        return End(AttemptStatus.ERROR, 0, load)
-
-    def _kept_broke(self, conn: Connection, address: str) -> int:
-        """The outcome's note: whether a kept connection broke unheard, which says little of its server."""
-        if conn.kept:
-            self.lines.pool.broke(address)
-        return int(conn.kept)
-
-    async def _stream(self, attempt: Attempt, live: Live, conn: Connection, head: h11.Response) -> End:
-        """Pass a stream on as it comes, to its last chunk."""
+            fields = {"began": attempt.streaming, "error": str(error)}
+            log.info("attempt_reset", server=attempt.server, request=attempt.record.name, **fields)
+            disconnected = isinstance(error, OSError) or conn.ended
+            note = self._note_broken(conn, address) if disconnected and not has_head else 0
+            return ExchangeResult(AttemptStatus.RESET, note)
+        return _classify_response(attempt, head, body)
+
+    async def _relay_stream(
+        self, attempt: Attempt, state: InFlightAttempt, conn: Connection, head: h11.Response
+    ) -> ExchangeResult:
+        """Relay a stream to its last chunk."""
         chunked = header(head, b"transfer-encoding") is not None
-        opening = await opening_event(conn, chunked)
-        if live.scope.cancel_called:  # its time ended in this turn: begun, it would be cut at the next wait
-            return End(AttemptStatus.TIMEOUT)
-        live.scope.deadline = math.inf
+        opening = await read_first_event(conn, chunked)
+        if state.scope.cancel_called:  # timed out in this turn: a stream begun now would be cut at once
+            return ExchangeResult(AttemptStatus.TIMEOUT)
+        state.scope.deadline = math.inf
         if not self.conductor.begin_stream(attempt):
-            return End(AttemptStatus.CANCELLED)
-        tail = await StreamRelay(self.conductor, attempt, live, conn, chunked).run(opening)
-        note, attempt.answer_tokens, load = read_tail(tail)
-        return End(AttemptStatus.OK, note, load or load_report(header(head, b"x-load-report")))
+            return ExchangeResult(AttemptStatus.CANCELLED)
+        relay = StreamRelay(self.conductor, attempt, state, conn, chunked)
+        tail = parse_stream_tail(await relay.run(opening))
+        attempt.answer_tokens = tail.answer_tokens
+        load = tail.load or parse_load_report(header(head, b"x-load-report"))
+        return ExchangeResult(AttemptStatus.OK, tail.cached_tokens, load)
+
+    def _note_broken(self, conn: Connection, address: str) -> int:
+        """The result's note for a broken connection: 1 if it was reused, which says little of its server."""
+        if conn.kept:
+            self.connections.pool.broke(address)
+        return int(conn.kept)
 
-    def _send_s(self, attempt: Attempt) -> float:
-        """How long the request may take to be written: a connection that takes nothing more may be dead."""
+    def _send_timeout_s(self, attempt: Attempt) -> float:
+        """How long writing the request may take: a connection that accepts no more bytes may be dead."""
         if not attempt.fetches_cache:
-            return SEND_S
-        now_ms, free_ms = self.clock.now_ms(), attempt.record.idle_since_ms
-        return min(SEND_S, connect_timeout.hold_remaining_s(now_ms, free_ms, self.let_go_ms))
+            return SEND_TIMEOUT_S
+        return min(SEND_TIMEOUT_S, self._hold_remaining_s(attempt.record))
+
+    def _hold_remaining_s(self, record: Record) -> float:
+        now_ms = self.context.clock.now_ms()
+        return hold_remaining_s(now_ms, record.idle_since_ms, self.context.hold_limit_ms)
 
-    async def _prefill_again(self, record: Record) -> End:
-        """What was held is released already: once no call of that is under way, the prompt is read anew."""
-        await self.releaser.settle(record.name)
+    async def _await_release(self, record: Record) -> ExchangeResult:
+        """The entry was released already: a new prefill may start once no release call is in flight."""
+        await self.release_sender.wait_until_finished(record.name)
         record.released = False
-        return End(AttemptStatus.FULL, 1)
-
-    async def _let_go(self, record: Record) -> End:
-        """No writer was reached while the read state may be held: it goes, and the prompt is read anew."""
-        known, record.cache_holders = record.cache_holders, set()
-        log.info("state_let_go", request=record.name, servers=sorted(known))
-        await self.releaser.let_go(record.name, known)
-        return End(AttemptStatus.FULL, 1)
+        return ExchangeResult(AttemptStatus.FULL, 1)
+
+    async def _release_expired_entry(self, record: Record) -> ExchangeResult:
+        """No decode server was reached within the hold limit: release the entry, and prefill anew."""
+        holders = record.cache_holders
+        record.cache_holders = set()
+        log.info("state_let_go", request=record.name, servers=sorted(holders))
+        await self.release_sender.release_and_wait(record.name, holders)
+        return ExchangeResult(AttemptStatus.FULL, 1)
+
+
+def _request_events(record: Record, address: str, budget_ms: int) -> tuple[h11.Event, ...]:
+    """The client's request as it is sent to a server, with the time that the client has left."""
+    payload = record.payload
+    request = h11.Request(
+        method=b"POST",
+        target=payload.target,
+        headers=[
+            (b"Host", address.encode()),
+            (b"X-Call-Id", record.name.encode()),
+            (b"X-Budget-Ms", b"%d" % budget_ms),
+            (b"Content-Type", payload.content_type),
+            (b"Content-Length", b"%d" % len(payload.body)),
+        ],
+    )
+    return request, h11.Data(data=payload.body), h11.EndOfMessage()
+
+
+def _classify_response(attempt: Attempt, head: h11.Response, body: bytes) -> ExchangeResult:
+    """The result of a response that is no stream."""
+    load = parse_load_report(header(head, b"x-load-report"))
+    rejected = header(head, b"x-rejected") == b"1"
+    status_code = head.status_code
+    if status_code == 202 and not attempt.fetches_cache:  # to a decode it proves nothing: it may have run
+        return ExchangeResult(AttemptStatus.PREFILLED, cached_tokens(parse_json_object(body)), load)
+    if rejected and status_code == 410:
+        return ExchangeResult(AttemptStatus.FULL, 1, load)
+    if rejected and status_code in (503, 504):
+        return ExchangeResult(AttemptStatus.FULL, 0, load)
+    log.info("attempt_error", server=attempt.server, request=attempt.record.name, status=status_code)
+    return ExchangeResult(AttemptStatus.ERROR, 0, load)
--- a/ringledge/wire/servers/observation.py
+++ b/ringledge/wire/servers/observation.py
@@ -1,4 +1,4 @@
-"""What one conductor sees of its servers, for the decision whether its site is cut off."""
+"""What one router process observes of its servers, for the detection of a partition of its site."""
 
 from __future__ import annotations
 
@@ -12,33 +12,39 @@
 )
 from ringledge.routing.server_views import server_views
 
-SERVED, NOT = ("served", "broken"), ("refused", "failed")
+SUCCESS_RESULTS = ("served", "broken")  # the request got an answer, complete or not
+FAILURE_RESULTS = ("refused", "failed")
 
 
-class Sight:
-    """Looks through the policy's view and at what connections have met."""
+class ServerObserver:
+    """Observes servers through the policy's view and the results of connections."""
 
-    def __init__(self, conductor: Conductor, reach: Reachability, metrics: Metrics) -> None:
-        self._conductor, self._reach, self._metrics = conductor, reach, metrics
+    def __init__(self, conductor: Conductor, reachability: Reachability, metrics: Metrics) -> None:
+        self._conductor = conductor
+        self._reachability = reachability
+        self._metrics = metrics
 
     def servers(self, now_s: float) -> list[Seen]:
-        """Every server of the list, with times on the clock that reads `now_s`."""
+        """Every listed server, with times on the clock that reads `now_s`."""
         now_ms = self._conductor.clock.now_ms()
         offset_s = now_s - now_ms / 1000
-        silent, up = self._reach.unreachable_servers(now_ms), Availability.UP
+        unreachable = self._reachability.unreachable_servers(now_ms)
         return [
             Seen(
-                each.role is not Role.DECODE,
-                each.role is not Role.PREFILL,
-                each.availability is up and each.server not in silent,
-                not each.avoided,
-                self._reach.last_contact_ms(each.server) / 1000 + offset_s,
+                view.role is not Role.DECODE,
+                view.role is not Role.PREFILL,
+                view.availability is Availability.UP and view.server not in unreachable,
+                not view.avoided,
+                self._reachability.last_contact_ms(view.server) / 1000 + offset_s,
             )
-            for each in server_views(self._conductor.policy, now_ms)
+            for view in server_views(self._conductor.policy, now_ms)
         ]
 
     def answers(self) -> tuple[float, float]:
-        """Requests that have got an answer, and that were refused or failed, since the start."""
-        told = self._metrics.read(self._metrics.answers)
-        sums = [sum(count for (how, *_), count in told.items() if how in hows) for hows in (SERVED, NOT)]
-        return sums[0], sums[1]
+        """Requests that got an answer, and those that were rejected or failed, since the start."""
+        counts = self._metrics.read(self._metrics.answers)
+
+        def total(results: tuple[str, ...]) -> float:
+            return sum(count for (result, *_), count in counts.items() if result in results)
+
+        return total(SUCCESS_RESULTS), total(FAILURE_RESULTS)
--- a/ringledge/wire/servers/releases.py
+++ b/ringledge/wire/servers/releases.py
@@ -1,119 +1,133 @@
-"""Carries releases out: one task asks whom `decide/servers/releases.py` names, each call bounded in time."""
+"""Sends the release calls that `decide/servers/releases.py` schedules, each with a timeout."""
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Mapping
+from typing import Protocol
 
 import anyio
-import anyio.abc
 
-from ringledge.core.clock import Clock
 from ringledge.decide.servers.reachability import Reachability
-from ringledge.decide.servers.release_state import ReleaseCall, ReleaseOutcome
+from ringledge.decide.servers.release_state import ReleaseCall, ReleaseOutcome, ReleaseResult
 from ringledge.decide.servers.releases import ReleaseScheduler
-from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
-from ringledge.observe.metrics import Metrics
 from ringledge.wire.http.errors import PEER_ERRORS
+from ringledge.wire.servers.context import UpstreamContext
 
-TRY_S = 0.3  # one call; meanwhile others are asked too
-WAIT_S = 0.7  # a release that the next step of its request waits for: the time it has, and a call behind it
+CALL_TIMEOUT_S = 0.3  # of one call; hedged calls to other servers start before
+FINISH_TIMEOUT_S = 0.7  # for a release that its request waits for: the hold limit, and one call more
 
-Call = Callable[[str, str, bytes, bytes], Awaitable[object]]
 
+class ServerCaller(Protocol):
+    """Makes small exchanges with servers."""
 
-class Releaser:
-    """The releases of one conductor; `call` makes one exchange: server, address, method, path."""
+    @property
+    def reachability(self) -> Reachability:
+        """The results of all calls."""
 
-    def __init__(
-        self,
-        tasks: anyio.abc.TaskGroup,
-        servers: ServerList,
-        let_go_ms: float,
-        clock: Clock,
-        reach: Reachability,
-        metrics: Metrics,
-        call: Call,
-    ) -> None:
-        self._tasks, self._servers, self._reach, self._metrics = tasks, servers, reach, metrics
-        self._call, self._clock, self._asleep = call, clock, anyio.Event()
-        self.plan = ReleaseScheduler(let_go_ms, reach, servers.may_be_asked)
+    async def call(self, server: str, address: str, method: bytes, path: bytes) -> object:
+        """One exchange without a request body; OSError, TimeoutError or a protocol error if it fails."""
+
+
+class ReleaseSender:
+    """The releases of one router process; its task runs only while a release is in progress."""
+
+    def __init__(self, context: UpstreamContext, caller: ServerCaller) -> None:
+        self._tasks = context.tasks
+        self._servers = context.servers
+        self._clock = context.clock
+        self._metrics = context.metrics
+        self._caller = caller
+        self.scheduler = ReleaseScheduler(
+            context.hold_limit_ms, caller.reachability, context.servers.may_be_asked
+        )
         self._running = False
-        self._waits: dict[str, anyio.Event] = {}  # set once the release is done with
+        self._call_ended = anyio.Event()
+        self._finished: dict[str, anyio.Event] = {}  # by request that waits for its release
 
     def release(
-        self, request: str, known: set[str], unseen: Mapping[str, float], begun: bool = False
+        self, request: str, holders: set[str], abandoned: Mapping[str, float], stream_began: bool = False
     ) -> None:
-        """Let go of what is held for a request."""
-        self.plan.add(self._clock.now_ms(), request, known, unseen, begun)
-        self._step()
-        if not self._running:  # it runs only while there is something to wait for
+        """Release what servers hold for a request; the arguments are those of `ReleaseScheduler.add`."""
+        self.scheduler.add(self._clock.now_ms(), request, holders, abandoned, stream_began)
+        self._send_due_calls()
+        if not self._running:
             self._running = True
             self._tasks.start_soon(self._run)
 
-    async def let_go(self, request: str, known: set[str]) -> None:
-        """Release, and wait until no call of it is under way: what is read after this stays."""
-        self.release(request, known, {})
-        await self.settle(request)
+    async def release_and_wait(self, request: str, holders: set[str]) -> None:
+        """Release, and wait until no call of it is in flight: entries reserved after this stay."""
+        self.release(request, holders, {})
+        await self.wait_until_finished(request)
 
-    async def settle(self, request: str) -> None:
-        """Wait until no release of a request is under way, for a bounded time."""
-        if self.plan.is_finished(request):
+    async def wait_until_finished(self, request: str) -> None:
+        """Wait until no release of a request is in progress, for `FINISH_TIMEOUT_S` at most."""
+        if self.scheduler.is_finished(request):
             return
-        waits = self._waits[request] = anyio.Event()
+        finished = self._finished[request] = anyio.Event()
         try:
-            with anyio.move_on_after(WAIT_S):
-                await waits.wait()
-        finally:  # also where its request is given up meanwhile
-            del self._waits[request]
+            with anyio.move_on_after(FINISH_TIMEOUT_S):
+                await finished.wait()
+        finally:  # also when the request is cancelled meanwhile
+            del self._finished[request]
 
     async def _run(self) -> None:
-        """Ask again when it is time, until none is left."""
-        while len(self.plan):
-            self._asleep = anyio.Event()
-            wait_s = (self.plan.next_wake_ms() - self._clock.now_ms()) / 1000
+        """Send calls when they are due, until no release is in progress."""
+        while len(self.scheduler):
+            self._call_ended = anyio.Event()
+            wait_s = (self.scheduler.next_wake_ms() - self._clock.now_ms()) / 1000
             with anyio.move_on_after(max(0.0, wait_s)):
-                await self._asleep.wait()
-            self._step()
+                await self._call_ended.wait()
+            self._send_due_calls()
         self._running = False
 
-    def _step(self) -> None:
-        for ask in self.plan.take_due_calls(self._clock.now_ms()):
+    def _send_due_calls(self) -> None:
+        for call in self.scheduler.take_due_calls(self._clock.now_ms()):
             self._metrics.releases.labels("asked").inc()
-            self._tasks.start_soon(self._ask, ask)
-        for ended in self.plan.take_results():
-            self._metrics.releases.labels(ended.outcome.value).inc()
-            self._metrics.release_ms.observe(ended.duration_ms / 1000)
-            tell = log.info if ended.outcome is not ReleaseOutcome.GAVE_UP else log.warning
-            tell(
-                "release_ended",
-                request=ended.request,
-                how=ended.outcome.value,
-                asked=ended.calls,
-                ms=round(ended.duration_ms, 1),
-                where=ended.server,
-                holder=ended.by_holder,
-            )
-
-    async def _ask(self, ask: ReleaseCall) -> None:
-        address, heard = self._servers.address(ask.server), False
-        if address is not None:
-            try:
-                path = b"/internal/reservations/" + ask.request.encode()
-                with anyio.fail_after(TRY_S):
-                    await self._call(ask.server, address, b"DELETE", path)
-                heard = True
-            except TimeoutError:
-                self._reach.record_timeout(ask.server, self._clock.now_ms())
-            except PEER_ERRORS:
-                pass
+            self._tasks.start_soon(self._send, call)
+        for result in self.scheduler.take_results():
+            self._report(result)
+
+    def _report(self, result: ReleaseResult) -> None:
+        """Count and log a finished release."""
+        self._metrics.releases.labels(result.outcome.value).inc()
+        self._metrics.release_ms.observe(result.duration_ms / 1000)
+        write_log = log.warning if result.outcome is ReleaseOutcome.GAVE_UP else log.info
+        write_log(
+            "release_ended",
+            request=result.request,
+            how=result.outcome.value,
+            asked=result.calls,
+            ms=round(result.duration_ms, 1),
+            where=result.server,
+            holder=result.by_holder,
+        )
+
+    async def _send(self, call: ReleaseCall) -> None:
+        answered = await self._is_answered(call)
         now_ms = self._clock.now_ms()
-        if heard:
-            self._reach.record_answer(ask.server, now_ms)
-            self.plan.call_answered(now_ms, ask)
+        if answered:
+            self._caller.reachability.record_answer(call.server, now_ms)
+            self.scheduler.call_answered(now_ms, call)
         else:
-            self.plan.call_failed(now_ms, ask)
-        self._step()
-        self._asleep.set()
-        if ask.request in self._waits and self.plan.is_finished(ask.request):
-            self._waits[ask.request].set()
+            self.scheduler.call_failed(now_ms, call)
+        self._send_due_calls()
+        self._call_ended.set()
+        if call.request in self._finished and self.scheduler.is_finished(call.request):
+            self._finished[call.request].set()
+
+    async def _is_answered(self, call: ReleaseCall) -> bool:
+        """Make the call; returns whether the server answered it in time."""
+        address = self._servers.address(call.server)
+        if address is None:
+            return False
+        path = b"/internal/reservations/" + call.request.encode()
+        try:
+            with anyio.fail_after(CALL_TIMEOUT_S):
+                await self._caller.call(call.server, address, b"DELETE", path)
+        except TimeoutError:
+            self._caller.reachability.record_timeout(call.server, self._clock.now_ms())
+            return False
+        except PEER_ERRORS:
+            return False
+        return True
--- a/ringledge/wire/servers/responses.py
+++ b/ringledge/wire/servers/responses.py
@@ -1,8 +1,9 @@
-"""What servers say: heads, a stream's opening and tail, load reports. Nothing here decides anything."""
+"""Parses what servers send: response heads, the first event and the tail of a stream, load reports."""
 
 from __future__ import annotations
 
 import re
+from dataclasses import dataclass
 from typing import Any
 
 import h11
@@ -14,15 +15,25 @@
 from ringledge.routing.simulator_adapter import LOAD
 from ringledge.wire.http.connection import Connection
 
-MAX_CHUNK = 64 * 1024  # bytes of a chunk, and of an opening without an event: events are far shorter
-MAX_INTERIM = 8  # answers of 1xx taken before the real one
-MAX_FIGURE = 1e9  # what a report or a count of tokens stays under, if it is to be believed
-EVENT = re.compile(rb"^data:(.*?)\r?\n\r?\n", re.MULTILINE | re.DOTALL)
+MAX_CHUNK_BYTES = 64 * 1024  # of a chunk, and of a stream before its first event: events are far shorter
+MAX_INTERIM_RESPONSES = 8  # 1xx responses accepted before the final one
+MAX_PLAUSIBLE_VALUE = 1e9  # load values and token counts from here on are ignored
+DATA_EVENT = re.compile(rb"^data:(.*?)\r?\n\r?\n", re.MULTILINE | re.DOTALL)
+EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
 
-async def answer_head(conn: Connection) -> h11.Response:
-    """The head of the answer, behind what the server says in the meantime."""
-    for _ in range(MAX_INTERIM):
+@dataclass(frozen=True, slots=True)
+class StreamTail:
+    """What the last lines of a stream report."""
+
+    cached_tokens: int = 0  # of the prompt
+    answer_tokens: int = 0
+    load: LoadReport | None = None
+
+
+async def read_response_head(conn: Connection) -> h11.Response:
+    """The head of the final response; h11.RemoteProtocolError if there is none."""
+    for _ in range(MAX_INTERIM_RESPONSES):
         head = await conn.next_event()
         if isinstance(head, h11.Response):
             return head
@@ -31,49 +42,57 @@
     raise h11.RemoteProtocolError("interim answers without end")
 
 
-async def opening_event(conn: Connection, chunked: bool) -> bytes:
-    """A stream's first event, in whole chunks: what is spoilt before costs its attempt, not its client."""
-    opening, searched = bytearray(), 0
-    while len(opening) <= MAX_CHUNK:
+async def read_first_event(conn: Connection, chunked: bool) -> bytes:
+    """A stream's beginning up to its first data event, in complete chunks.
+
+    Raises h11.RemoteProtocolError if the event is malformed: until then the attempt may fail without the
+    client noticing.
+    """
+    opening = bytearray()
+    searched_bytes = 0
+    while len(opening) <= MAX_CHUNK_BYTES:
         event = await conn.next_event()
         if not isinstance(event, h11.Data):
             raise h11.RemoteProtocolError("the stream ended before its first event")
         opening += event.data
-        if not opening.endswith((b"\n\n", b"\r\n\r\n")) or not (event.chunk_end or not chunked):
+        if not opening.endswith(EVENT_ENDS) or not (event.chunk_end or not chunked):
             continue
-        if first := EVENT.search(opening, searched):
-            if not as_object(first[1]):
+        if first := DATA_EVENT.search(opening, searched_bytes):
+            if not parse_json_object(first[1]):
                 raise h11.RemoteProtocolError("the first event can't be read")
             return bytes(opening)
-        searched = len(opening)  # a data line before this blank line would have matched
+        searched_bytes = len(opening)  # a data line before this blank line would have matched
     raise h11.RemoteProtocolError("the opening holds no event")
 
 
-def read_tail(tail: bytes) -> tuple[int, int, LoadReport | None]:
-    """Cached and answer tokens and the load report, which stand in a stream's last lines."""
-    note, written, load = 0, 0, None
+def parse_stream_tail(tail: bytes) -> StreamTail:
+    """Usage and load report from the last lines of a stream; zeros and None where they are missing."""
+    cached = 0
+    answer = 0
+    load: LoadReport | None = None
     for line in tail.splitlines():
         if line.startswith(b"data: {") and b'"usage"' in line:
-            told = as_object(line[6:]).get("usage")
-            note, written = cached_tokens(told), answer_tokens(told)
+            usage = parse_json_object(line[6:]).get("usage")
+            cached = cached_tokens(usage)
+            answer = answer_tokens(usage)
         elif line.lower().startswith(b": x-load-report:"):
-            load = load_report(line.split(b":", 2)[2])
-    return note, written, load
+            load = parse_load_report(line.split(b":", 2)[2])
+    return StreamTail(cached, answer, load)
 
 
-def load_report(text: bytes | None) -> LoadReport | None:
-    """A load report in the names that the settings give."""
-    report = as_object(text) if text else {}
-    known = {
+def parse_load_report(text: bytes | None) -> LoadReport | None:
+    """A load report, whose keys are those of the settings; None if it has no known plausible value."""
+    report = parse_json_object(text) if text else {}
+    values = {
         LOAD[name]: float(value)
         for name, value in report.items()
-        if name in LOAD and isinstance(value, int | float) and 0 <= value < MAX_FIGURE
+        if name in LOAD and isinstance(value, int | float) and 0 <= value < MAX_PLAUSIBLE_VALUE
     }
-    return LoadReport(**known) if known else None
+    return LoadReport(**values) if values else None
 
 
-def as_object(text: bytes) -> dict[str, Any]:
-    """An object in JSON; anything else counts as empty, for a report is only advice."""
+def parse_json_object(text: bytes) -> dict[str, Any]:
+    """A JSON object; empty for anything else, since reports are only advisory."""
     try:
         value = orjson.loads(text)
     except orjson.JSONDecodeError:
@@ -81,21 +100,25 @@
     return value if isinstance(value, dict) else {}
 
 
-def cached_tokens(told: Any) -> int:
-    """Prompt tokens found kept, from a 202's body or a stream's usage."""
-    if not isinstance(told, dict):
+def cached_tokens(usage: Any) -> int:
+    """Prompt tokens found in the cache, from the body of a 202 or a stream's usage."""
+    if not isinstance(usage, dict):
         return 0
-    details = told.get("prompt_tokens_details")
-    value = told.get("cached_tokens", details.get("cached_tokens", 0) if isinstance(details, dict) else 0)
-    return int(value) if isinstance(value, int | float) and 0 <= value < MAX_FIGURE else 0
+    details = usage.get("prompt_tokens_details")
+    in_details = details.get("cached_tokens", 0) if isinstance(details, dict) else 0
+    return _token_count(usage.get("cached_tokens", in_details))
 
 
-def answer_tokens(told: Any) -> int:
+def answer_tokens(usage: Any) -> int:
     """Tokens of the answer, from a stream's usage."""
-    value = told.get("completion_tokens", 0) if isinstance(told, dict) else 0
-    return int(value) if isinstance(value, int | float) and 0 <= value < MAX_FIGURE else 0
+    return _token_count(usage.get("completion_tokens", 0)) if isinstance(usage, dict) else 0
+
+
+def _token_count(value: Any) -> int:
+    """A plausible count, 0 for anything else."""
+    return int(value) if isinstance(value, int | float) and 0 <= value < MAX_PLAUSIBLE_VALUE else 0
 
 
-def reusable(conn: Connection) -> bool:
-    """Whether the exchange is over on both sides, and no byte of a further answer would spoil the next."""
+def is_reusable(conn: Connection) -> bool:
+    """Whether the exchange is over on both sides, and no byte of a further response corrupts the next."""
     return not conn.pending() and conn.next_cycle()
--- a/ringledge/wire/servers/stream_relay.py
+++ b/ringledge/wire/servers/stream_relay.py
@@ -1,8 +1,7 @@
-"""One begun stream, passed on event by event to its last chunk."""
+"""Relays one stream, event by event, to its last chunk."""
 
 from __future__ import annotations
 
-import math
 import time
 from dataclasses import dataclass, field
 
@@ -13,84 +12,74 @@
 from ringledge.core.records import Attempt
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.servers.event_buffer import EventBuffer
-from ringledge.wire.servers.responses import MAX_CHUNK
+from ringledge.wire.servers.in_flight import InFlightAttempt
+from ringledge.wire.servers.responses import MAX_CHUNK_BYTES
 
-STREAM_SILENCE_S = 3.0  # a begun stream without a further whole chunk for so long is broken off: it vanished
-TAIL = 2048  # bytes at a stream's end in which usage and the load report stand
-
-
-@dataclass(slots=True)
-class Live:
-    """An attempt under way."""
-
-    scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-    conn: Connection | None = None
-    written_ms: float = math.inf  # when its request was written whole
-    silent_at: float = math.inf  # when a begun stream counts as silent, unless a whole chunk comes before
-    passing_on: bool = False  # it waits for its client: the server's silence is ours
+CHUNK_TIMEOUT_S = 3.0  # without a further complete chunk: the server is down, and the stream is broken off
+TAIL_BYTES = 2048  # at a stream's end, with usage and the load report
 
 
 @dataclass(slots=True)
 class StreamRelay:
-    """Passes a stream on to the attempt's client."""
+    """Relays a stream to the attempt's client."""
 
     conductor: Conductor
     attempt: Attempt
-    live: Live
+    state: InFlightAttempt
     conn: Connection
     chunked: bool
     _events: EventBuffer = field(default_factory=EventBuffer)
-    _in_chunk: int = 0  # bytes of the chunk that is being read
+    _chunk_bytes: int = 0  # received of the current chunk
 
     async def run(self, opening: bytes) -> bytes:
-        """Pass on the opening and all that follows; the stream's last bytes. Errors are h11's."""
-        await self._pass_on(opening)
-        self._heard()
+        """Relay the opening and all that follows; returns the stream's last bytes. Raises h11's errors."""
+        await self._relay(opening)
+        self._extend_chunk_deadline()
         try:
-            return await self._follow(opening)
+            return await self._relay_rest(opening)
         except h11.RemoteProtocolError:
-            await self._pass_on(self._events.whole(time.monotonic()))  # what came before the fault is good
+            await self._relay(self._events.take_complete(time.monotonic()))  # received before the error
             raise
 
-    async def _follow(self, tail: bytes) -> bytes:
+    async def _relay_rest(self, tail: bytes) -> bytes:
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
-                tail = (tail + self._take(event))[-TAIL:]
+                tail = (tail + self._buffer(event))[-TAIL_BYTES:]
             elif isinstance(event, h11.EndOfMessage):
-                await self._pass_on(self._events.rest())
+                await self._relay(self._events.take_all())
                 return tail
             else:
                 raise h11.RemoteProtocolError("the stream ended early")
 
     async def _next_event(self) -> h11.Event | type[h11.PAUSED]:
-        """The next thing that the server says; before it is awaited, whole events are passed on."""
+        """The server's next h11 event; while it is awaited, complete stream events are relayed."""
         while (event := self.conn.event_now()) is None:
-            await self._pass_on(self._events.whole(time.monotonic()))
+            await self._relay(self._events.take_complete(time.monotonic()))
             if not len(self._events):
                 return await self.conn.next_event()
-            with anyio.move_on_after(max(0.0, self._events.due_s - time.monotonic())):
+            with anyio.move_on_after(max(0.0, self._events.deadline_s - time.monotonic())):
                 return await self.conn.next_event()
         return event
 
-    def _take(self, event: h11.Data) -> bytes:
-        """Keep a piece of the stream until its event is whole."""
+    def _buffer(self, event: h11.Data) -> bytes:
+        """Buffer a piece of the stream until its event is complete; returns the piece."""
         piece = bytes(event.data)
-        self._in_chunk = len(piece) + (0 if event.chunk_start else self._in_chunk)
-        if self._in_chunk > MAX_CHUNK:
+        self._chunk_bytes = len(piece) + (0 if event.chunk_start else self._chunk_bytes)
+        if self._chunk_bytes > MAX_CHUNK_BYTES:
             raise h11.RemoteProtocolError("a chunk is too long for events")
         self._events.feed(piece, time.monotonic())
         if event.chunk_end or not self.chunked:
-            self._heard()
+            self._extend_chunk_deadline()
         return piece
 
-    def _heard(self) -> None:
-        """A whole chunk has come: the stream is alive."""
-        self.live.silent_at = time.monotonic() + STREAM_SILENCE_S
+    def _extend_chunk_deadline(self) -> None:
+        """A complete chunk has arrived: the stream is alive."""
+        self.state.chunk_deadline_s = time.monotonic() + CHUNK_TIMEOUT_S
 
-    async def _pass_on(self, data: bytes) -> None:
-        """Hand a part of the stream to the client's side; while it takes none, nobody else is silent."""
+    async def _relay(self, data: bytes) -> None:
+        """Hand data to the client's side; until the client takes it, the server isn't unresponsive."""
         if data:
-            self.live.passing_on = True
+            self.state.relaying = True
             await self.conductor.relay_chunk(self.attempt, data)
-            self.live.passing_on = False
+            self.state.relaying = False
--- /dev/null
+++ b/ringledge/wire/servers/unresponsive_peers.py
@@ -0,0 +1,118 @@
+"""Detection of unresponsive servers: streams without chunks, and requests that were never delivered."""
+
+from __future__ import annotations
+
+import math
+import time
+
+import anyio
+
+from ringledge.core.records import Attempt, Record
+from ringledge.decide.servers.delivery import DeliveryChecks, UnansweredRequest
+from ringledge.observe.logging import log
+from ringledge.observe.stalls import BEAT_S, stalls
+from ringledge.wire.servers.connections import ServerConnections
+from ringledge.wire.servers.context import UpstreamContext
+from ringledge.wire.servers.in_flight import InFlightAttempt
+from ringledge.wire.servers.releases import ReleaseSender
+
+# Of the 300 ms that an entry may be held beyond the configured limit: time for a queue at the server.
+NEW_CONNECTION_SLACK_MS = 150.0
+CHECK_INTERVAL_S = BEAT_S
+
+
+class UnresponsivePeerDetector:
+    """Walks over all attempts in flight at an interval, which costs less than a timer for each chunk."""
+
+    def __init__(
+        self,
+        context: UpstreamContext,
+        in_flight: dict[Attempt, InFlightAttempt],
+        connections: ServerConnections,
+        release_sender: ReleaseSender,
+    ) -> None:
+        """`in_flight`: all attempts in flight, kept up to date by its owner."""
+        self._tasks = context.tasks
+        self._servers = context.servers
+        self._clock = context.clock
+        self._hold_limit_ms = context.hold_limit_ms
+        self._in_flight = in_flight
+        self._connections = connections
+        self._release_sender = release_sender
+        self._delivery_checks = DeliveryChecks(connections.reachability)
+
+    async def run(self) -> None:
+        """Cancel unresponsive streams, and check servers that owe answers, for ever."""
+        stalls.beat()
+        while True:
+            await anyio.sleep(CHECK_INTERVAL_S)
+            stalls.beat()  # also here, so that the process needn't wake for a second loop
+            if self._in_flight:
+                self._check_attempts()
+
+    def _check_attempts(self) -> None:
+        now_s = time.monotonic()
+        unanswered = list[UnansweredRequest]()
+        for attempt, state in list(self._in_flight.items()):
+            if state.chunk_deadline_s < now_s and not state.relaying:
+                state.scope.cancel()
+            elif _is_unanswered(attempt, state) and attempt.in_flight:
+                unanswered.append(UnansweredRequest(attempt.server, state.written_ms))
+                self._release_expired_entry(attempt)
+        for server in self._delivery_checks.take_due_servers(self._clock.now_ms(), unanswered):
+            self._tasks.start_soon(self._check_server, server)
+
+    async def _check_server(self, server: str) -> None:
+        """Open a connection to a server, to learn whether it can still be reached."""
+        address = self._servers.address(server) or ""
+        try:
+            if address:
+                timeout_s = self._connections.connect_timeout_s()
+                conn = await self._connections.open(server, address, timeout_s)
+                self._connections.pool.put(address, conn)
+        except TimeoutError:
+            self._abandon_lost_attempts(server)
+        except OSError:  # no process listens, or no socket is left: its exchanges end by themselves
+            pass
+        finally:
+            self._delivery_checks.check_finished(self._clock.now_ms(), server)
+
+    def _abandon_lost_attempts(self, server: str) -> None:
+        """Cancel the attempts that are lost at an unreachable server, unless they must not run twice."""
+        for attempt, state in list(self._in_flight.items()):
+            if attempt.server != server or not _is_unanswered(attempt, state):
+                continue
+            if not self._delivery_checks.is_lost(server, state.written_ms):
+                continue
+            record = attempt.record
+            log.info("attempt_cut_off", server=server, request=record.name)
+            if attempt.at_most_once:  # it may still be answered
+                self._release_entry(record)
+            else:
+                state.scope.cancel()
+
+    def _release_expired_entry(self, attempt: Attempt) -> None:
+        """Release the entry for a decode attempt that may not have been delivered, at its hold limit.
+
+        A reused connection may be dead without notice while its server is well and accepts new ones; a new
+        connection rarely is, but may be dead or slow too. A server that has received the request keeps the
+        entry it waits for, whoever releases it.
+        """
+        record = attempt.record
+        limit_ms = self._hold_limit_ms + (NEW_CONNECTION_SLACK_MS if attempt.delivered else 0.0)
+        if attempt.fetches_cache and self._clock.now_ms() - record.idle_since_ms >= limit_ms:
+            self._release_entry(record)
+
+    def _release_entry(self, record: Record) -> None:
+        if not record.cache_holders:
+            return
+        holders = record.cache_holders
+        record.cache_holders = set()
+        record.released = True
+        log.info("state_let_go", request=record.name, servers=sorted(holders))
+        self._release_sender.release(record.name, holders, {})
+
+
+def _is_unanswered(attempt: Attempt, state: InFlightAttempt) -> bool:
+    """Whether the attempt's request was written completely, and no stream has begun."""
+    return not attempt.streaming and state.written_ms < math.inf
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -1,162 +1,156 @@
-"""Conductors to servers: attempts, releases of held state, probes."""
+"""The server side of a router process: attempts, releases and probes; implements the core's port."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
 import anyio
-import anyio.abc
 
-from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
 from ringledge.core.records import Attempt
 from ringledge.decide.servers.reachability import Reachability
-from ringledge.lifecycle.config import Names
 from ringledge.memory.connection_pool import Pool
-from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
-from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
     AttemptStatus,
 )
 from ringledge.wire.http.connection import Connection
-from ringledge.wire.servers.connections import Lines
-from ringledge.wire.servers.exchange import End, Exchanges
-from ringledge.wire.servers.releases import Releaser
-from ringledge.wire.servers.responses import reusable
-from ringledge.wire.servers.silence import Silence
-from ringledge.wire.servers.stream_relay import Live
-
-LET_GO_MS = 500.0  # that a state may be held, where the settings don't tell
+from ringledge.wire.servers.connections import ServerConnections
+from ringledge.wire.servers.context import UpstreamContext
+from ringledge.wire.servers.exchange import ExchangeResult, ServerExchanges
+from ringledge.wire.servers.in_flight import InFlightAttempt
+from ringledge.wire.servers.releases import ReleaseSender
+from ringledge.wire.servers.responses import is_reusable
+from ringledge.wire.servers.unresponsive_peers import UnresponsivePeerDetector
 
 
 class Upstream:
-    """Carries out what the core wants of servers; implements its port."""
-
-    def __init__(
-        self,
-        tasks: anyio.abc.TaskGroup,
-        servers: ServerList,
-        names: Names,
-        sockets: int,
-        let_go_ms: float,
-        zone: int,
-        clock: Clock,
-        metrics: Metrics,
-    ) -> None:
-        self._tasks, self._servers, self._clock, self._metrics = tasks, servers, clock, metrics
-        self._let_go_ms = let_go_ms or LET_GO_MS
-        self._live: dict[Attempt, Live] = {}
-        self.reach = Reachability(zone)
-        self._lines = Lines(names, sockets, clock, self.reach, metrics)
-        self._releaser = Releaser(
-            tasks, servers, self._let_go_ms, clock, self.reach, metrics, self._lines.call
-        )
-        self._silence = Silence(
-            tasks, self._live, servers, self._lines, self._releaser, self._let_go_ms, clock
+    """Carries out the core's actions on servers (`core.server_port.ServerTransport`)."""
+
+    def __init__(self, context: UpstreamContext) -> None:
+        self._context = context
+        self._in_flight: dict[Attempt, InFlightAttempt] = {}
+        self.reachability = Reachability(context.zone)
+        self._connections = ServerConnections(context, self.reachability)
+        self._release_sender = ReleaseSender(context, self._connections)
+        self._peer_detector = UnresponsivePeerDetector(
+            context, self._in_flight, self._connections, self._release_sender
         )
-        self.watch_silence, self.retire_idle = self._silence.watch, self._lines.retire_idle
-        self.members_wanted = anyio.Event()
+        self._exchanges: ServerExchanges | None = None  # until the conductor is set
+        self.endpoints_wanted = anyio.Event()  # the whole endpoint list is to be fetched
 
     @property
     def conductor(self) -> Conductor:
-        """Whose attempts these are; set right after both are made."""
-        return self._exchanges.conductor
+        """The owner of the attempts; it is set right after both are constructed."""
+        return self._attached_exchanges.conductor
 
     @conductor.setter
     def conductor(self, conductor: Conductor) -> None:
-        self._exchanges = Exchanges(
-            self._lines,
-            self._releaser,
-            self.reach,
-            self._clock,
-            self._metrics,
-            self._let_go_ms,
-            conductor,
-        )
+        self._exchanges = ServerExchanges(self._context, self._connections, self._release_sender, conductor)
 
     @property
     def pool(self) -> Pool[Connection]:
         """The connections to servers."""
-        return self._lines.pool
+        return self._connections.pool
+
+    @property
+    def unanswered_releases(self) -> int:
+        """How many releases no server has answered yet."""
+        return self._release_sender.scheduler.unanswered_releases()
+
+    @property
+    def _attached_exchanges(self) -> ServerExchanges:
+        if self._exchanges is None:
+            raise RuntimeError("the conductor is not set")
+        return self._exchanges
+
+    # Background tasks.
+
+    async def detect_unresponsive_peers(self) -> None:
+        """End unresponsive streams, and check servers that owe answers, for ever."""
+        await self._peer_detector.run()
+
+    async def close_expired_connections(self) -> None:
+        """Close idle connections whose time is over, for ever."""
+        await self._connections.close_expired()
 
     # The core's port.
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
-        live = self._live[attempt] = Live()
-        live.scope.deadline = (
-            anyio.current_time() + (attempt.expires_ms - self.conductor.clock.now_ms()) / 1000
-        )
-        self._tasks.start_soon(self._attempt, attempt, live)
+        state = self._in_flight[attempt] = InFlightAttempt()
+        now_s = anyio.current_time()
+        state.scope.deadline = now_s + (attempt.expires_ms - self.conductor.clock.now_ms()) / 1000
+        self._context.tasks.start_soon(self._run_attempt, attempt, state)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Close the attempt's connection at once: what goes out next is no second copy then."""
-        live = self._live.pop(attempt, None)
-        if live is not None:
-            live.scope.cancel()  # first: closing wakes the task, which must not take that for a reset
-            if live.conn is not None:
-                live.conn.close()
+        """Close the attempt's connection at once, so that the next attempt is no hedged request."""
+        state = self._in_flight.pop(attempt, None)
+        if state is not None:
+            state.scope.cancel()  # first: closing wakes the task, which must not take that for a reset
+            if state.conn is not None:
+                state.conn.close()
 
     def release(self, request: str, known: set[str], unseen: Mapping[str, float], begun: bool) -> None:
-        """Let go of what servers hold for a request."""
-        self._releaser.release(request, known, unseen, begun)
-
-    @property
-    def releases(self) -> int:
-        """How many releases no server has heard yet."""
-        return self._releaser.plan.unanswered_releases()
+        """Release what servers hold for a request; see `ReleaseScheduler.add`."""
+        self._release_sender.release(request, known, unseen, begun)
 
     def endpoints_changed(self) -> None:
-        """The list has changed."""
-        self.reach.update_servers((name, entry.zone) for name, entry in self._servers.entries.items())
+        """The endpoint list has changed."""
+        entries = self._context.servers.entries
+        self.reachability.update_servers((name, entry.zone) for name, entry in entries.items())
 
     def answered_since(self, server: str, at_ms: float) -> bool:
         """Whether the server's process has answered anything since then."""
-        return self.reach.last_answer_ms(server) > at_ms
+        return self.reachability.last_answer_ms(server) > at_ms
 
     def unreachable_servers(self) -> frozenset[str]:
-        """The servers that no connection reaches just now."""
-        return self.reach.unreachable_servers(self._clock.now_ms())
+        """The servers to which connections are likely to fail now."""
+        return self.reachability.unreachable_servers(self._context.clock.now_ms())
 
     def probe(self, server: str) -> None:
-        """Ask a server for its load."""
-        self._tasks.start_soon(self._probe, server)
+        """Request a server's load report."""
+        self._context.tasks.start_soon(self._probe, server)
 
     def poll_endpoints(self) -> None:
-        """Ask discovery for the whole list once."""
-        self.members_wanted.set()
+        """Have the whole endpoint list fetched once."""
+        self.endpoints_wanted.set()
 
     # Attempts.
 
-    async def _attempt(self, attempt: Attempt, live: Live) -> None:
-        end: End | None = None
-        address = self._servers.address(attempt.server)
-        again = False
+    async def _run_attempt(self, attempt: Attempt, state: InFlightAttempt) -> None:
+        """Run an attempt to its end, and report exactly one outcome."""
+        result = await self._run_exchange(attempt, state)
+        if result is None and attempt.streaming and attempt.in_flight:
+            log.warning("stream_silent", server=attempt.server, request=attempt.record.name)
+            result = ExchangeResult(AttemptStatus.RESET)
+        if result is None:  # timed out; a request that was never written completely can't have run
+            status = AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.CONNECT_FAILED
+            result = ExchangeResult(status)
+        self.conductor.outcome(attempt, result.status, result.note, result.load)
+
+    async def _run_exchange(self, attempt: Attempt, state: InFlightAttempt) -> ExchangeResult | None:
+        """The result of the attempt's exchange; None if its scope was cancelled."""
+        result: ExchangeResult | None = None
+        address = self._context.servers.address(attempt.server)
+        reuse = False
         try:
-            with live.scope:
+            with state.scope:
                 if address is None:
-                    end = End(AttemptStatus.NOT_SENT)
+                    result = ExchangeResult(AttemptStatus.NOT_SENT)
                 else:
-                    end = await self._exchanges.run(attempt, live, address)
-                    again = live.conn is not None and reusable(live.conn)
-        except Exception as error:  # a fault of ours costs this attempt, not all the others
-            end = End(AttemptStatus.RESET if attempt.written else AttemptStatus.CONNECT_FAILED)
+                    result = await self._attached_exchanges.run(attempt, state, address)
+                    reuse = state.conn is not None and is_reusable(state.conn)
+        except Exception as error:  # an internal error must end this attempt alone
+            result = ExchangeResult(AttemptStatus.RESET if attempt.written else AttemptStatus.CONNECT_FAILED)
             log.fault("attempt_crashed", error, server=attempt.server, request=attempt.record.name)
         finally:
-            self._live.pop(attempt, None)
-            if live.conn is not None:
-                if again and not live.conn.closed and address is not None:
-                    self.pool.put(address, live.conn)
-                else:
-                    self.pool.drop(live.conn)
-        if end is None and attempt.streaming and attempt.in_flight:
-            log.warning("stream_silent", server=attempt.server, request=attempt.record.name)
-            end = End(AttemptStatus.RESET)
-        if end is None:  # out of time; what was never written whole can't have run
-            end = End(AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.CONNECT_FAILED)
-        self.conductor.outcome(attempt, *end)
+            self._in_flight.pop(attempt, None)
+            if state.conn is not None:
+                self._connections.give_back(address or "", state.conn, reuse and not state.conn.closed)
+        return result
 
     async def _probe(self, server: str) -> None:
-        """Ask a server for its load; the answer goes to the policy."""
-        self.conductor.probed(await self._lines.probe(server, self._servers.address(server)))
+        """Request a server's load report, and pass the result to the policy."""
+        address = self._context.servers.address(server)
+        self.conductor.probed(await self._connections.probe(server, address))
--- a/tests/decide/discovery/test_watch_timeout.py
+++ b/tests/decide/discovery/test_watch_timeout.py
@@ -92,14 +92,14 @@
     second_failure: Callable[[WatchTimeout, float], float],
 ) -> None:
     """The table of docs/design/recovery.md: the third watch is requested in less than 6 s."""
-    timeout = WatchTimeout(discovery.PUSHED_SILENCE_S)
-    at_s = first_failure(timeout, 0.0) + discovery.PUSHED_FIRST_S
-    at_s = second_failure(timeout, at_s) + 2 * discovery.PUSHED_FIRST_S
+    timeout = WatchTimeout(discovery.PUSH_IDLE_TIMEOUT_S)
+    at_s = first_failure(timeout, 0.0) + discovery.PUSH_INITIAL_BACKOFF_S
+    at_s = second_failure(timeout, at_s) + 2 * discovery.PUSH_INITIAL_BACKOFF_S
     assert at_s < STALENESS_LIMIT_S
 
 
 def make_push_timeout(complete_s: float = 0.0) -> WatchTimeout:
-    return WatchTimeout(discovery.PUSHED_SILENCE_S, discovery.PUSHED_TOLD_S, complete_s)
+    return WatchTimeout(discovery.PUSH_IDLE_TIMEOUT_S, discovery.PUSH_STALENESS_LIMIT_S, complete_s)
 
 
 def next_request_s(
@@ -107,7 +107,7 @@
 ) -> float:
     """A watch is requested and fails; returns when the next one is requested at the latest."""
     timeout.watch_requested(at_s)
-    return failure(timeout, at_s) + discovery.PUSHED_MOST_S
+    return failure(timeout, at_s) + discovery.PUSH_MAX_BACKOFF_S
 
 
 def trickle_every_50_ms(timeout: WatchTimeout, start_s: float) -> float:
@@ -126,7 +126,7 @@
 
 def no_response(timeout: WatchTimeout, at_s: float) -> float:
     """The connection is accepted, and the request never answered."""
-    return min(at_s + discovery.ANSWER_S, timeout.first_line_deadline_s)
+    return min(at_s + discovery.RESPONSE_TIMEOUT_S, timeout.first_line_deadline_s)
 
 
 @pytest.mark.parametrize(
@@ -140,7 +140,7 @@
     timeout.watch_requested(0.0)
     timeout.watch_started(0.0)
     timeout.data_received(0.0, has_update=True, line_ended=True, line_incomplete=False)
-    at_s = timeout.deadline_s + discovery.PUSHED_MOST_S
+    at_s = timeout.deadline_s + discovery.PUSH_MAX_BACKOFF_S
     for failure in failures:
         at_s = next_request_s(failure, timeout, at_s)
     assert at_s < STALENESS_LIMIT_S
@@ -148,13 +148,19 @@
 
 def test_watch_after_the_staleness_limit_has_its_whole_time() -> None:
     timeout = make_push_timeout()
-    timeout.watch_requested(discovery.PUSHED_TOLD_S)
+    timeout.watch_requested(discovery.PUSH_STALENESS_LIMIT_S)
     assert timeout.first_line_deadline_s == inf
-    assert no_data(timeout, discovery.PUSHED_TOLD_S) == discovery.PUSHED_TOLD_S + discovery.PUSHED_SILENCE_S
+    assert (
+        no_data(timeout, discovery.PUSH_STALENESS_LIMIT_S)
+        == discovery.PUSH_STALENESS_LIMIT_S + discovery.PUSH_IDLE_TIMEOUT_S
+    )
 
 
 def test_three_watches_are_requested_at_a_start_before_a_stale_list_is_used() -> None:
-    timeout, at_s = make_push_timeout(discovery.START_TOLD_S - discovery.PUSHED_TOLD_S), 0.0
+    timeout, at_s = (
+        make_push_timeout(discovery.START_STALENESS_LIMIT_S - discovery.PUSH_STALENESS_LIMIT_S),
+        0.0,
+    )
     for _ in range(2):
         at_s = next_request_s(no_data, timeout, at_s)
     assert at_s + 0.2 < LIST_S
@@ -162,7 +168,9 @@
 
 def test_two_watches_may_fail_after_a_change_of_address() -> None:
     timeout = make_push_timeout()
-    timeout.address_changed(10.0 + discovery.MOVED_TOLD_S - discovery.PUSHED_TOLD_S)
+    timeout.address_changed(
+        10.0 + discovery.RECONFIGURED_STALENESS_LIMIT_S - discovery.PUSH_STALENESS_LIMIT_S
+    )
     at_s = next_request_s(no_data, timeout, 10.0)
     assert next_request_s(trickle_every_50_ms, timeout, at_s) < 10.0 + 4.0
 
@@ -179,5 +187,7 @@
 
 
 def test_three_unanswered_requests_after_an_idle_watch_end_before_the_staleness_limit() -> None:
-    waits_s = sum(min(discovery.PUSHED_MOST_S, discovery.PUSHED_FIRST_S * 2**tries) for tries in range(4))
-    assert discovery.PUSHED_SILENCE_S + 3 * discovery.ANSWER_S + waits_s < STALENESS_LIMIT_S
+    waits_s = sum(
+        min(discovery.PUSH_MAX_BACKOFF_S, discovery.PUSH_INITIAL_BACKOFF_S * 2**tries) for tries in range(4)
+    )
+    assert discovery.PUSH_IDLE_TIMEOUT_S + 3 * discovery.RESPONSE_TIMEOUT_S + waits_s < STALENESS_LIMIT_S
--- a/tests/decide/test_backoff.py
+++ b/tests/decide/test_backoff.py
@@ -4,7 +4,11 @@
 from heapq import heapify, heappop
 
 from ringledge.decide.backoff import Backoff
-from ringledge.wire.discovery.watcher import FIRST_AT_MOST_S, FIRST_RETRY_S, MOST_RETRY_S
+from ringledge.wire.discovery.watcher import (
+    INITIAL_BACKOFF_PER_ROUTER_S,
+    MAX_BACKOFF_PER_ROUTER_S,
+    MAX_INITIAL_BACKOFF_S,
+)
 
 
 def test_bound_doubles_up_to_the_maximum_and_is_reset_by_a_success() -> None:
@@ -51,5 +55,11 @@
     assert _count_answered(make_callers(0.05, 0.05), 40.0) < 20  # at a constant rate only the first callers
     assert _count_answered(make_callers(0.05, 2.0), 40.0) < 20
     assert (
-        _count_answered(make_callers(min(FIRST_AT_MOST_S, FIRST_RETRY_S * 40), MOST_RETRY_S * 40), 40.0) >= 38
+        _count_answered(
+            make_callers(
+                min(MAX_INITIAL_BACKOFF_S, INITIAL_BACKOFF_PER_ROUTER_S * 40), MAX_BACKOFF_PER_ROUTER_S * 40
+            ),
+            40.0,
+        )
+        >= 38
     )
--- a/tests/wire/discovery/test_json_stream.py
+++ b/tests/wire/discovery/test_json_stream.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ringledge.wire.discovery.json_stream import Objects
+from ringledge.wire.discovery.json_stream import JsonStreamSplitter
 
 MOST = 1000
 names = st.text(st.sampled_from('a{}[]"\\ \n\u00e9'), max_size=4)
@@ -20,12 +20,12 @@
 
 
 def split(text: bytes, sizes: list[int]) -> list[Any]:
-    reader, found = Objects(MOST), list[Any]()
+    reader, found = JsonStreamSplitter(MOST), list[Any]()
     while text:
         size = sizes[len(text) % len(sizes)]
         found += [json.loads(each) for each in reader.feed(text[:size])]
         text = text[size:]
-    assert reader.between
+    assert reader.is_between_objects
     return found
 
 
@@ -48,11 +48,11 @@
 @pytest.mark.parametrize("text", [b"}", b"x\n", b"{}x", b"{" + b" " * (MOST + 1)])
 def test_what_can_become_no_object_is_refused(text: bytes) -> None:
     with pytest.raises(ValueError):
-        list(Objects(MOST).feed(text))
+        list(JsonStreamSplitter(MOST).feed(text))
 
 
 def test_nothing_is_kept_between_objects() -> None:
-    reader = Objects(MOST)
+    reader = JsonStreamSplitter(MOST)
     for _ in range(MOST + 1):
-        assert list(reader.feed(b"\n")) == [] and reader.between
+        assert list(reader.feed(b"\n")) == [] and reader.is_between_objects
     assert list(reader.feed(b"{}")) == [b"{}"]
--- a/tests/wire/discovery/test_list_lines.py
+++ b/tests/wire/discovery/test_list_lines.py
@@ -86,7 +86,7 @@
 def test_a_line_without_end_is_told_once_and_the_list_kept(
     agent: StandIn, logged: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watching, "MOST_LIST", 10_000)
+    monkeypatch.setattr(watching, "MAX_LIST_BYTES", 10_000)
     assert anyio.run(played, agent, b'{"x":"' + b"y" * 10_000) == 2
     assert logged == ["list_malformed: an object without end"]
 
--- a/tests/wire/discovery/test_wall_clock.py
+++ b/tests/wire/discovery/test_wall_clock.py
@@ -24,7 +24,7 @@
     RouterSettings,
     ServerKind,
 )
-from ringledge.wire.discovery.watcher import Discovery
+from ringledge.wire.discovery.watcher import DiscoveryClient
 
 HOUR_MS = 3_600_000.0
 WARM_MS = 13_000.0
@@ -43,7 +43,7 @@
         clock._offset_ms += wrong_ms
         port: Any = SimpleNamespace(endpoints_changed=lambda: None, unreachable_servers=frozenset)
         self.conductor = Conductor(SETTINGS, 1, clock, servers, Metrics(), port)
-        self.discovery = Discovery("127.0.0.1:9", NAMES, self.conductor, random.Random(1))
+        self.discovery = DiscoveryClient("127.0.0.1:9", NAMES, self.conductor, random.Random(1))
 
     def told(self, snapshot: bool, **since_ms: float) -> None:
         entries = [
--- a/tests/wire/discovery/test_watcher.py
+++ b/tests/wire/discovery/test_watcher.py
@@ -23,7 +23,7 @@
     MembershipMode,
 )
 from ringledge.wire.discovery import watcher as watching
-from ringledge.wire.discovery.watcher import Discovery
+from ringledge.wire.discovery.watcher import DiscoveryClient
 from tests.loopback import Call, StandIn
 
 NAMES = Names(("east",), ("prefill",), (), (), 30.0, 0.25, 0.0)
@@ -64,7 +64,7 @@
 @asynccontextmanager
 async def watched(agent: StandIn, membership: MembershipMode) -> AsyncIterator[Told]:
     told = Told(membership)
-    discovery = Discovery(agent.address, NAMES, told, random.Random(5))  # type: ignore[arg-type]
+    discovery = DiscoveryClient(agent.address, NAMES, told, random.Random(5))  # type: ignore[arg-type]
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(discovery.watch)
         yield told
@@ -96,8 +96,8 @@
 ) -> None:
     """A conductor that slept between its watches heard of a drain a second after it counted as told."""
     waits = list[float]()
-    monkeypatch.setattr(watching, "ANSWER_S", 0.05)
-    monkeypatch.setattr(watching, "PUSHED_SILENCE_S", 0.05)
+    monkeypatch.setattr(watching, "RESPONSE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(watching, "PUSH_IDLE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(log, "warning", lambda _, **told: waits.append(told["again_s"]))
 
     async def run() -> None:
@@ -109,21 +109,24 @@
                 each.raw(b"")
 
     anyio.run(run)
-    assert len(waits) >= 6 and max(waits) <= watching.PUSHED_MOST_S
+    assert len(waits) >= 6 and max(waits) <= watching.PUSH_MAX_BACKOFF_S
 
 
 def test_two_silences_in_a_row_are_over_before_what_they_missed_counts_as_told() -> None:
     """It counts 6 s after the first began, whatever arrived."""
     counts_as_told_s = 6.0
-    waits = 2 * watching.PUSHED_MOST_S
-    assert watching.PUSHED_SILENCE_S + watching.ANSWER_S + waits + watching.ANSWER_S < counts_as_told_s
+    waits = 2 * watching.PUSH_MAX_BACKOFF_S
+    assert (
+        watching.PUSH_IDLE_TIMEOUT_S + watching.RESPONSE_TIMEOUT_S + waits + watching.RESPONSE_TIMEOUT_S
+        < counts_as_told_s
+    )
 
 
 def test_a_watch_that_trickles_is_made_anew_like_a_silent_one(
     agent: StandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each byte put its end off, so that a drain behind a line without an end was never heard of."""
-    monkeypatch.setattr(watching, "PUSHED_SILENCE_S", 0.3)
+    monkeypatch.setattr(watching, "PUSH_IDLE_TIMEOUT_S", 0.3)
 
     def trickle(call: Call) -> None:
         text = json.dumps(listing(8))
@@ -151,7 +154,7 @@
     agent: StandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each watch that is given up under it gives the next ones more time."""
-    monkeypatch.setattr(watching, "PUSHED_SILENCE_S", 0.2)
+    monkeypatch.setattr(watching, "PUSH_IDLE_TIMEOUT_S", 0.2)
     calls = list[Call]()
 
     def play(over: threading.Event) -> None:
--- a/tests/wire/servers/test_abandoned.py
+++ b/tests/wire/servers/test_abandoned_attempts.py
@@ -39,6 +39,7 @@
 from ringledge.wire.clients.response import Exchange
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.servers import connections as lines
+from ringledge.wire.servers.context import UpstreamContext
 from ringledge.wire.servers.upstream import Upstream
 
 SERVER, ADDRESS = "w0", "127.0.0.1:9"
@@ -54,7 +55,7 @@
         servers = ServerList((WRITES,))
         entry = ServerEntry(SERVER, 0, 0, 0, Availability.UP)
         servers.apply(EndpointUpdate(EndpointUpdateKind.FULL, 1, (entry,)), {SERVER: ADDRESS})
-        self.upstream = Upstream(tasks, servers, NAMES, 8, 500.0, 0, clock, metrics)
+        self.upstream = Upstream(UpstreamContext(tasks, servers, NAMES, 8, 500.0, 0, clock, metrics))
         self.settings = RouterSettings(
             (RequestClass(1200, 5000, Idempotency.IDEMPOTENT),), (WRITES,), max_attempts=2
         )
--- a/tests/wire/servers/test_first_event_crossing.py
+++ b/tests/wire/servers/test_first_event_crossing.py
@@ -9,7 +9,7 @@
     AttemptStatus,
 )
 from tests.standins import event
-from tests.wire.servers.test_abandoned import rig
+from tests.wire.servers.test_abandoned_attempts import rig
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -30,7 +30,7 @@
 
             def read_then_end() -> None:
                 readable()
-                at.upstream._live[attempt].scope.cancel()
+                at.upstream._in_flight[attempt].scope.cancel()
 
             at.conn.deafen()
             at.conn._readable = read_then_end  # type: ignore[method-assign]
--- a/tests/wire/servers/test_late_202.py
+++ b/tests/wire/servers/test_late_202.py
@@ -7,7 +7,7 @@
 from ringledge.routing.interface import (
     AttemptStatus,
 )
-from tests.wire.servers.test_abandoned import rig
+from tests.wire.servers.test_abandoned_attempts import rig
 
 PREFILLED = b"HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"
 
--- a/tests/wire/servers/test_stalled_send.py
+++ b/tests/wire/servers/test_stalled_send.py
@@ -9,7 +9,7 @@
 from ringledge.routing.interface import (
     AttemptStatus,
 )
-from tests.wire.servers.test_abandoned import rig
+from tests.wire.servers.test_abandoned_attempts import rig
 
 LARGE = b"x" * (8 * 1024 * 1024)  # bytes: more than a socket buffers
 
--- a/tests/wire/servers/test_silence.py
+++ b/tests/wire/servers/test_unresponsive_peers.py
@@ -15,8 +15,8 @@
 from ringledge.routing.interface import (
     Request,
 )
-from ringledge.wire.servers.silence import Silence
-from ringledge.wire.servers.stream_relay import Live
+from ringledge.wire.servers.in_flight import InFlightAttempt
+from ringledge.wire.servers.unresponsive_peers import UnresponsivePeerDetector
 
 LET_GO_MS = 500.0
 
@@ -34,14 +34,17 @@
         self.attempt = Attempt(self.record, 0, "w0", False, True, written_ms, 20_000.0)
         self.attempt.written = self.attempt.fetches_cache = True
         self.record.attempts.append(self.attempt)
-        live = {self.attempt: Live(written_ms=written_ms)}
+        live = {self.attempt: InFlightAttempt(written_ms=written_ms)}
         reach = Reachability()
         reach.update_servers([("w0", 0)])
-        lines: Any = SimpleNamespace(reach=reach, open=self.open, connect_s=lambda: 0.25, pool=self)
+        lines: Any = SimpleNamespace(
+            reachability=reach, open=self.open, connect_timeout_s=lambda: 0.25, pool=self
+        )
         servers: Any = SimpleNamespace(address=lambda _: "127.0.0.1:9")
         clock: Any = SimpleNamespace(now_ms=lambda: self.now_ms)
         releaser: Any = SimpleNamespace(release=lambda _, known, __: self.released.append(known))
-        self.silence = Silence(tasks, live, servers, lines, releaser, LET_GO_MS, clock)
+        context: Any = SimpleNamespace(tasks=tasks, servers=servers, clock=clock, hold_limit_ms=LET_GO_MS)
+        self.silence = UnresponsivePeerDetector(context, live, lines, releaser)
 
     async def open(self, *_: Any) -> Any:
         self.asked.set()
@@ -57,7 +60,7 @@
     async with anyio.create_task_group() as tasks:
         rig = Rig(tasks, waited_ms, comes_up)
         rig.attempt.delivered = arrived
-        tasks.start_soon(rig.silence.watch)
+        tasks.start_soon(rig.silence.run)
         await rig.asked.wait()
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
