--- a/ringledge/wire/discovery/__init__.py
+++ b/ringledge/wire/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the endpoint list is watched and read."""
+"""Discovery: the endpoint list is watched and parsed."""
--- a/ringledge/wire/discovery/json_stream.py
+++ b/ringledge/wire/discovery/json_stream.py
@@ -1,8 +1,8 @@
-"""JSON objects one behind the other in a stream of bytes, whatever white space stands in them.
+"""Splits a stream of bytes into concatenated JSON objects, whatever white space stands in and between them.
 
-Discovery says one object a line, but it may be indented, and come in pieces of any size. A parser that is fed
-the text again with each piece pays for it anew each time, so only brackets and quotes are followed here, each
-byte once, and a whole object goes to the parser.
+Discovery documents one object per line, but objects may be indented, and arrive in pieces of any size. A
+parser that is fed the text again with each piece pays for it anew each time, so only brackets and quotes are
+scanned here, each byte once, and a complete object goes to the parser.
 """
 
 from __future__ import annotations
@@ -12,60 +12,72 @@
 
 from ringledge.memory.endpoint_list import ListError
 
-# What decides where an object ends: brackets, and what begins, ends or is escaped in a string.
+# The bytes that decide where an object ends: brackets, and those that begin, end or escape in a string.
 STRUCTURAL = re.compile(rb'[{}\[\]"]|\\')
-OPENING, CLOSING = (b"{", b"["), (b"}", b"]")
+OPENING = (b"{", b"[")
+CLOSING = (b"}", b"]")
 
 
 class JsonStreamSplitter:
-    """Splits a stream into the texts of its objects; sizes in bytes."""
+    """Splits a stream into the texts of its objects."""
 
-    def __init__(self, most: int) -> None:
-        """`most`: bytes that one object may have."""
-        self._most = most
-        self._text = bytearray()  # of the object that has begun, or white space before it
-        self._seen = 0  # how much of it was looked at
+    def __init__(self, max_object_bytes: int) -> None:
+        """`max_object_bytes`: limit of one object's length."""
+        self._max_object_bytes = max_object_bytes
+        self._buffer = bytearray()  # the incomplete object, or white space before it
+        self._scanned_bytes = 0  # of the buffer
         self._depth = 0
-        self._quoted = False
+        self._in_string = False
         self.line_ended = False  # the last piece ended an object, or an empty line before one
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Take a piece in, give each object that is whole by now; ListError where none can come of it."""
+        """Yield each object that a piece completes; ListError if the stream can't be valid."""
         self.line_ended = self.is_between_objects and b"\n" in data.partition(b"{")[0]
-        self._text += data
-        begun = 0
-        while mark := STRUCTURAL.search(self._text, self._seen):
-            at, sign = mark.start(), mark[0]
-            if sign == b"\\":  # what it escapes may not have come yet
-                if at + 1 >= len(self._text):
-                    self._seen = at
+        self._buffer += data
+        start = 0  # of the object in progress
+        while mark := STRUCTURAL.search(self._buffer, self._scanned_bytes):
+            position = mark.start()
+            if mark[0] == b"\\":
+                if position + 1 >= len(self._buffer):  # the escaped byte has not arrived
+                    self._scanned_bytes = position
                     break
-                self._seen = at + 2
+                self._scanned_bytes = position + 2
                 continue
-            self._seen = at + 1
-            if sign == b'"':
-                self._quoted = not self._quoted
-            elif not self._quoted:
-                self._depth += (sign in OPENING) - (sign in CLOSING)
-                if self._depth < 0:
-                    raise ListError("a bracket closes what was never opened")
-                if not self._depth:
-                    whole, begun = bytes(self._text[begun : self._seen]), self._seen
-                    self.line_ended = True
-                    yield whole
+            self._scanned_bytes = position + 1
+            if self._ends_object(mark[0]):
+                text = bytes(self._buffer[start : self._scanned_bytes])
+                start = self._scanned_bytes
+                self.line_ended = True
+                yield text
         else:
-            self._seen = len(self._text)
-        del self._text[:begun]
-        self._seen -= begun
-        if not self._depth and not self._quoted:
-            if self._text.strip():
-                raise ListError("something stands between objects")
-            self._text.clear()
-            self._seen = 0
-        if len(self._text) > self._most:
-            raise ListError("an object without end")
+            self._scanned_bytes = len(self._buffer)
+        self._discard(start)
 
     @property
     def is_between_objects(self) -> bool:
-        """Whether all that has come is whole."""
-        return not self._text
+        """Whether every object that has begun is complete."""
+        return not self._buffer
+
+    def _ends_object(self, mark: bytes) -> bool:
+        """Follow a bracket or quote; returns whether an object ends with it."""
+        if mark == b'"':
+            self._in_string = not self._in_string
+            return False
+        if self._in_string:
+            return False
+        self._depth += (mark in OPENING) - (mark in CLOSING)
+        if self._depth < 0:
+            raise ListError("a bracket closes what was never opened")
+        return self._depth == 0
+
+    def _discard(self, size: int) -> None:
+        """Remove complete objects from the front of the buffer, and white space between objects."""
+        del self._buffer[:size]
+        self._scanned_bytes -= size
+        if not self._depth and not self._in_string:
+            if self._buffer.strip():
+                raise ListError("something stands between objects")
+            self._buffer.clear()
+            self._scanned_bytes = 0
+        if len(self._buffer) > self._max_object_bytes:
+            raise ListError("an object without end")
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""The list of servers, as discovery tells it."""
+"""Client of the discovery service: watches the endpoint list, and hands changes to the conductor."""
 
 from __future__ import annotations
 
@@ -31,130 +31,154 @@
 from ringledge.wire.servers.upstream import Upstream
 
 AVAILABILITY = {"active": Availability.UP, "leaving": Availability.DRAINING, "left": Availability.REMOVED}
-IDLE_TIMEOUT_S = 3.0  # an empty line comes every 2 s: a watch without a whole line for so long is made anew
-MAX_LIST_BYTES = 4 * 1024 * 1024  # bytes of a list, or of one object of changes
-# Bounds of the wait before a watch that failed is asked for again, in s for each conductor of the tier: one
-# discovery of fixed capacity serves them all, takes seconds over a call while it is overbooked, and works
-# off calls that nobody waits for any more. So the tier asks twenty times a second at first, then ever less.
-# A watch may also break for itself: news count as told after 6 s, so the first wait is never long.
+IDLE_TIMEOUT_S = 3.0  # of a watch without a complete line: discovery writes an empty one every 2 s
+MAX_LIST_BYTES = 4 * 1024 * 1024  # of a list, or of one object of changes
+# Bounds of the backoff before a failed watch is requested again, in s for each router of the tier: one
+# discovery of fixed capacity serves them all, takes seconds for a request while it is overloaded, and also
+# serves requests whose callers have given up. So the tier sends twenty requests a second at first, then ever
+# fewer. A watch may also break by itself: changes count as known after 6 s, so the first delay is never long.
 INITIAL_BACKOFF_PER_ROUTER_S = 0.1
 MAX_INITIAL_BACKOFF_S = 2.0
 MAX_BACKOFF_PER_ROUTER_S = 1.0
-# Where lists are pushed an agent on the conductor's own machine has them. It answers at once and at no cost,
-# says nothing while discovery is down, and what it gets at the return counts as told at once. Who sleeps then
-# hears it late, who hangs on a watch hears it in time. So a watch is never long away.
-PUSH_INITIAL_BACKOFF_S, PUSH_MAX_BACKOFF_S = 0.02, 0.1
-# A change counts as told 6 s after the agent had it, whatever became of the watches meanwhile. So where lists
-# are pushed one clock runs over all watches in a row; a little is left for the last one to be read. A new
-# watch costs the agent nothing.
+# With pushed lists an agent on the router's own machine holds them. It answers at once and at no cost, sends
+# nothing while discovery is down, and what it receives when that returns counts as known at once. A router
+# that waits between watches learns of it late, one with an open watch in time. So a new watch is requested
+# soon.
+PUSH_INITIAL_BACKOFF_S = 0.02
+PUSH_MAX_BACKOFF_S = 0.1
+# A change counts as known 6 s after the agent had it, whatever became of the watches meanwhile. So with
+# pushed lists one deadline holds for all watches in a row, less a margin in which the last one is read.
 PUSH_IDLE_TIMEOUT_S = 2.5
 PUSH_STALENESS_LIMIT_S = 5.6
-RECONFIGURED_STALENESS_LIMIT_S = (
-    3.6  # the same behind a new configuration: from then on what discovery has counts after 4 s
-)
-START_STALENESS_LIMIT_S = (
-    1.0  # and at a start, where what the agent has counts at once: the first watch gets half of it
-)
-# A watch that doesn't begin to speak within this, its connection included, was accepted in vain.
+RECONFIGURED_STALENESS_LIMIT_S = 3.6  # after a new configuration: from then on changes count after 4 s
+START_STALENESS_LIMIT_S = 1.0  # at a start, when the agent's list counts at once: the first watch gets half
+# With pushed lists a request without a response within this, its connection included, has failed.
 RESPONSE_TIMEOUT_S = 1.0
 
 
 class DiscoveryClient:
-    """Keeps one watch open, and hands each change to the conductor as it comes."""
+    """Keeps one watch open, and hands each change to the conductor as it arrives."""
 
     def __init__(self, address: str, names: Names, conductor: Conductor, rng: random.Random) -> None:
-        self.address, self._names, self._conductor = address, names, conductor
+        self.address = address
+        self._names = names
+        self._conductor = conductor
         settings = conductor.context.settings
-        self._pushed = settings.membership == MembershipMode.PUSH
-        first_s, most_s = PUSH_INITIAL_BACKOFF_S, PUSH_MAX_BACKOFF_S
-        if not self._pushed:
-            tier = max(1, settings.routers)
-            first_s, most_s = (
-                min(MAX_INITIAL_BACKOFF_S, INITIAL_BACKOFF_PER_ROUTER_S * tier),
-                MAX_BACKOFF_PER_ROUTER_S * tier,
-            )
-        self._backoff = Backoff(first_s, most_s, rng)
-        self._clock = WatchTimeout(IDLE_TIMEOUT_S)
-        if self._pushed:
-            self._clock = WatchTimeout(
-                PUSH_IDLE_TIMEOUT_S, PUSH_STALENESS_LIMIT_S, known_ago(START_STALENESS_LIMIT_S)
-            )
+        self._is_push = settings.membership == MembershipMode.PUSH
+        self._backoff = _make_backoff(self._is_push, settings.routers, rng)
+        self._timeout = _make_timeout(self._is_push)
         self.last_received_s = time.monotonic()
-        self.synchronized = anyio.Event()  # what it has to tell is known
-        self._watching = anyio.CancelScope()
-        self._starts = StartTimes()
-        self._known_ms: float | None = None  # when the list was known whole last, on the decisions' clock
-
-    def apply(self, told: Listing, form: EndpointUpdateKind | None = None) -> None:
-        """Hand one object of the list on; `form` overrides what it says of itself."""
-        if form is None:
-            form = EndpointUpdateKind.FULL if told.snapshot else EndpointUpdateKind.CHANGES
-        now_ms = self._conductor.clock.now_ms()
-        starts = self._starts.update(
-            now_ms, {each.name: each.since_ms for each in told.endpoints}, self._known_ms
-        )
-        entries = [self._entry(each, starts[each.name]) for each in told.endpoints]
-        addresses = {each.name: each.address for each in told.endpoints}
-        if form is not EndpointUpdateKind.PERSISTED:
-            self._known_ms = now_ms
-        self._conductor.update_endpoints(EndpointUpdate(form, told.index, tuple(entries)), addresses)
-        self._starts.retain(self._conductor.context.servers.entries)
-        up = [each for each in entries if each.availability == Availability.UP]
-        fresh = {each.server: each.started_ms for each in up if each.started_ms > 0}
-        log.info("list", form=form.value, index=told.index, entries=len(entries), fresh=fresh)
-
-    def _entry(self, told: Endpoint, started_here_ms: float) -> ServerEntry:
-        """One server as the decisions take it."""
-        return ServerEntry(
-            told.name,
-            self._names.index(self._names.zones, told.zone),
-            self._names.index(self._names.kinds, told.type),
-            told.group,
-            # A state that is not known yet gets nothing new, which breaks no rule.
-            AVAILABILITY.get(told.status, Availability.DRAINING),
-            told.weight,
-            told.since_ms,
-            started_here_ms,
+        self.synchronized = anyio.Event()  # the outstanding updates of a watch have been applied
+        self._watch_scope = anyio.CancelScope()  # of the watch, or of the delay before the next one
+        self._start_times = StartTimes()
+        self._complete_ms: float | None = (
+            None  # when the list was last known to be complete (conductor's clock)
         )
 
+    def apply(self, listing: Listing, kind: EndpointUpdateKind | None = None) -> None:
+        """Hand one object of the list to the conductor; `kind` overrides the kind that it states itself."""
+        if kind is None:
+            kind = EndpointUpdateKind.FULL if listing.snapshot else EndpointUpdateKind.CHANGES
+        now_ms = self._conductor.clock.now_ms()
+        reported_ms = {endpoint.name: endpoint.since_ms for endpoint in listing.endpoints}
+        started_ms = self._start_times.update(now_ms, reported_ms, self._complete_ms)
+        entries = [self._entry(endpoint, started_ms[endpoint.name]) for endpoint in listing.endpoints]
+        addresses = {endpoint.name: endpoint.address for endpoint in listing.endpoints}
+        if kind is not EndpointUpdateKind.PERSISTED:
+            self._complete_ms = now_ms
+        self._conductor.update_endpoints(EndpointUpdate(kind, listing.index, tuple(entries)), addresses)
+        self._start_times.retain(self._conductor.context.servers.entries)
+        up = [entry for entry in entries if entry.availability == Availability.UP]
+        fresh = {entry.server: entry.started_ms for entry in up if entry.started_ms > 0}
+        log.info("list", form=kind.value, index=listing.index, entries=len(entries), fresh=fresh)
+
     def change_address(self, address: str) -> None:
-        """Discovery is at another address: the watch goes on there at once."""
+        """Discovery has another address: the watch continues there at once."""
         self.address = address
         self._backoff.reset()
-        self._clock.address_changed(known_ago(RECONFIGURED_STALENESS_LIMIT_S))
-        self._watching.cancel()
+        self._timeout.address_changed(_complete_s_for(RECONFIGURED_STALENESS_LIMIT_S))
+        self._watch_scope.cancel()
 
     async def watch(self) -> None:
-        """Watch for ever, from the last index; after failures in a row ever more seldom."""
+        """Watch from the last index on, for ever, with backoff between watches that end."""
         while True:
+            delay_s = await self._watch_until_end()
+            with anyio.CancelScope() as self._watch_scope:  # a new address needs no delay
+                await anyio.sleep(delay_s)
+
+    async def fetch_on_request(self, upstream: Upstream) -> None:
+        """Fetch the whole list whenever the policy requests it, for ever."""
+        while True:
+            await upstream.endpoints_wanted.wait()
+            upstream.endpoints_wanted = anyio.Event()
             try:
-                with anyio.CancelScope() as self._watching:
-                    await self._watch_once()
-                wait_s = 0.0 if self._watching.cancelled_caught else self._backoff.next_s()
-                log.info("watch_ended", again_s=round(wait_s, 3))
-            except TimeoutError as error:
-                wait_s = self._backoff.next_s()
-                log.warning("watch_silent", why=str(error), again_s=round(wait_s, 3))
-            except PEER_ERRORS as error:
-                wait_s = self._backoff.next_s()
-                log.warning("watch_broken", error=str(error), again_s=round(wait_s, 3))
-            except ListError as error:
-                wait_s = self._backoff.next_s()
-                log.error("list_malformed", error=str(error), again_s=round(wait_s, 3))
-            with anyio.CancelScope() as self._watching:
-                await anyio.sleep(wait_s)  # a move ends it: the new address owes us nothing
-
-    @property
-    def _answer_s(self) -> float:
-        """How long discovery may take to begin an answer; the agent of a pushed list takes no time."""
-        return RESPONSE_TIMEOUT_S if self._pushed else IDLE_TIMEOUT_S
-
-    async def _ask(self, path: str, by_s: float = math.inf) -> tuple[Connection, h11.Response]:
-        """The connection and the head of an answer; TimeoutError where none begins in time, or by then."""
+                with anyio.fail_after(IDLE_TIMEOUT_S):
+                    listing = await self._fetch()
+                self.apply(listing)
+            except (*PEER_ERRORS, ListError) as error:
+                log.warning("list_fetch_failed", error=repr(error))
+                self._conductor.update_endpoints(EndpointUpdate(EndpointUpdateKind.FAILED), {})
+
+    def _entry(self, endpoint: Endpoint, started_ms: float) -> ServerEntry:
+        """One server in the terms of the decisions."""
+        return ServerEntry(
+            endpoint.name,
+            self._names.index(self._names.zones, endpoint.zone),
+            self._names.index(self._names.kinds, endpoint.type),
+            endpoint.group,
+            # A server in an unknown state gets no new requests, which is always permitted.
+            AVAILABILITY.get(endpoint.status, Availability.DRAINING),
+            endpoint.weight,
+            endpoint.since_ms,
+            started_ms,
+        )
+
+    async def _watch_until_end(self) -> float:
+        """Run one watch, and log how it ended; returns the delay before the next one."""
+        try:
+            with anyio.CancelScope() as self._watch_scope:
+                await self._watch_once()
+        except (TimeoutError, *PEER_ERRORS, ListError) as error:
+            delay_s = self._backoff.next_s()
+            _log_failure(error, delay_s)
+            return delay_s
+        delay_s = 0.0 if self._watch_scope.cancelled_caught else self._backoff.next_s()
+        log.info("watch_ended", again_s=round(delay_s, 3))
+        return delay_s
+
+    async def _watch_once(self) -> None:
+        """Watch until the server ends the response; TimeoutError, ListError or a peer's error otherwise."""
+        path = f"/v1/endpoints?watch=1&after={self._conductor.context.servers.version}"
+        self._timeout.watch_requested(anyio.current_time())
+        conn, _ = await self._request(path, self._timeout.first_line_deadline_s)
+        try:
+            splitter = JsonStreamSplitter(MAX_LIST_BYTES)
+            self._timeout.watch_started(anyio.current_time())
+            while True:
+                event = await self._next_event(conn)
+                self.last_received_s = time.monotonic()
+                if not isinstance(event, h11.Data):
+                    if not splitter.is_between_objects:
+                        raise ListError("the watch ended within an object")
+                    return
+                self._receive(splitter, bytes(event.data))
+        finally:
+            conn.close()
+
+    async def _fetch(self) -> Listing:
+        conn, head = await self._request("/v1/endpoints")
+        try:
+            return decode(await read_body(conn, head, limit=MAX_LIST_BYTES))
+        finally:
+            conn.close()
+
+    async def _request(self, path: str, deadline_s: float = math.inf) -> tuple[Connection, h11.Response]:
+        """The connection and the head of a response; TimeoutError if none begins in time."""
         now_s = anyio.current_time()
-        answer_s = min(self._answer_s, by_s - now_s)
-        with anyio.CancelScope(deadline=now_s + answer_s) as late:
-            conn = await connect(self.address, answer_s)
+        response_timeout_s = RESPONSE_TIMEOUT_S if self._is_push else IDLE_TIMEOUT_S
+        timeout_s = min(response_timeout_s, deadline_s - now_s)
+        with anyio.CancelScope(deadline=now_s + timeout_s) as scope:
+            conn = await connect(self.address, timeout_s)
             try:
                 request = h11.Request(method="GET", target=path, headers=[("Host", self.address)])
                 await conn.send(request, h11.EndOfMessage())
@@ -165,70 +189,62 @@
                 conn.close()
                 raise
             return conn, head
-        assert late.cancelled_caught
+        assert scope.cancelled_caught
         raise TimeoutError("no answer")
 
-    async def _watch_once(self) -> None:
-        version = self._conductor.context.servers.version
-        self._clock.watch_requested(anyio.current_time())
-        conn, _ = await self._ask(f"/v1/endpoints?watch=1&after={version}", self._clock.first_line_deadline_s)
-        try:
-            objects = JsonStreamSplitter(MAX_LIST_BYTES)
-            self._clock.watch_started(anyio.current_time())
-            while True:
-                event = await self._next_on_watch(conn)
-                self.last_received_s = time.monotonic()
-                if not isinstance(event, h11.Data):
-                    if not objects.is_between_objects:
-                        raise ListError("the watch ended within an object")
-                    return
-                self._take(objects, bytes(event.data))
-        finally:
-            conn.close()
-
-    async def _next_on_watch(self, conn: Connection) -> h11.Event | type[h11.PAUSED]:
-        """The next thing that a watch says; TimeoutError once it counts as silent."""
-        with anyio.CancelScope(deadline=self._clock.deadline_s) as silent:
+    async def _next_event(self, conn: Connection) -> h11.Event | type[h11.PAUSED]:
+        """The next event of a watch; TimeoutError at the deadline."""
+        with anyio.CancelScope(deadline=self._timeout.deadline_s) as scope:
             return await conn.next_event()
-        assert silent.cancelled_caught
-        slow = self._clock.watch_timed_out(anyio.current_time())
+        assert scope.cancelled_caught
+        slow = self._timeout.watch_timed_out(anyio.current_time())
         raise TimeoutError("a line came too slowly" if slow else "no line came")
 
-    def _take(self, objects: JsonStreamSplitter, piece: bytes) -> None:
-        """Apply what a piece of a watch made whole."""
-        told = False
-        for text in objects.feed(piece):
+    def _receive(self, splitter: JsonStreamSplitter, piece: bytes) -> None:
+        """Apply the objects that a piece of a watch completes."""
+        has_update = False
+        for text in splitter.feed(piece):
             self.apply(decode(text))
-            told = True
-        self._clock.data_received(
+            has_update = True
+        self._timeout.data_received(
             anyio.current_time(),
-            has_update=told,
-            line_ended=objects.line_ended,
-            line_incomplete=not objects.is_between_objects,
+            has_update=has_update,
+            line_ended=splitter.line_ended,
+            line_incomplete=not splitter.is_between_objects,
         )
-        if objects.line_ended:
-            self._known_ms = self._conductor.clock.now_ms()
+        if splitter.line_ended:
+            self._complete_ms = self._conductor.clock.now_ms()
             self._backoff.reset()
             self.synchronized.set()
 
-    async def fetch_on_request(self, upstream: Upstream) -> None:
-        """Fetch the whole list whenever the policy asks for it."""
-        while True:
-            await upstream.endpoints_wanted.wait()
-            upstream.endpoints_wanted = anyio.Event()
-            try:
-                with anyio.fail_after(IDLE_TIMEOUT_S):
-                    conn, head = await self._ask("/v1/endpoints")
-                    try:
-                        told = decode(await read_body(conn, head, limit=MAX_LIST_BYTES))
-                    finally:
-                        conn.close()
-                self.apply(told)
-            except (*PEER_ERRORS, ListError) as error:
-                log.warning("list_fetch_failed", error=repr(error))
-                self._conductor.update_endpoints(EndpointUpdate(EndpointUpdateKind.FAILED), {})
+
+def _make_backoff(is_push: bool, routers: int, rng: random.Random) -> Backoff:
+    if is_push:
+        return Backoff(PUSH_INITIAL_BACKOFF_S, PUSH_MAX_BACKOFF_S, rng)
+    tier = max(1, routers)
+    initial_s = min(MAX_INITIAL_BACKOFF_S, INITIAL_BACKOFF_PER_ROUTER_S * tier)
+    return Backoff(initial_s, MAX_BACKOFF_PER_ROUTER_S * tier, rng)
+
+
+def _make_timeout(is_push: bool) -> WatchTimeout:
+    if not is_push:
+        return WatchTimeout(IDLE_TIMEOUT_S)
+    complete_s = _complete_s_for(START_STALENESS_LIMIT_S)
+    return WatchTimeout(PUSH_IDLE_TIMEOUT_S, PUSH_STALENESS_LIMIT_S, complete_s)
+
+
+def _complete_s_for(remaining_s: float) -> float:
+    """When the list must have been complete for so much of `PUSH_STALENESS_LIMIT_S` to remain now."""
+    return time.monotonic() - PUSH_STALENESS_LIMIT_S + remaining_s
 
 
-def known_ago(left_s: float) -> float:
-    """When the list would have been known whole, for so long to be left of `PUSH_STALENESS_LIMIT_S` now."""
-    return time.monotonic() - PUSH_STALENESS_LIMIT_S + left_s
+def _log_failure(error: Exception, delay_s: float) -> None:
+    """Log how a watch failed."""
+    retry_s = round(delay_s, 3)
+    match error:
+        case TimeoutError():
+            log.warning("watch_silent", why=str(error), again_s=retry_s)
+        case ListError():
+            log.error("list_malformed", error=str(error), again_s=retry_s)
+        case _:
+            log.warning("watch_broken", error=str(error), again_s=retry_s)
--- a/tests/wire/discovery/test_json_stream.py
+++ b/tests/wire/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Objects in a stream: pieces of any size, white space anywhere, and what can't be an object."""
+"""Objects in a stream: pieces of any size, white space anywhere, and malformed streams."""
 
 import json
 from typing import Any
@@ -9,7 +9,7 @@
 
 from ringledge.wire.discovery.json_stream import JsonStreamSplitter
 
-MOST = 1000
+MAX_OBJECT_BYTES = 1000
 names = st.text(st.sampled_from('a{}[]"\\ \n\u00e9'), max_size=4)
 values = st.recursive(
     st.none() | st.integers(-9, 9) | names,
@@ -20,39 +20,40 @@
 
 
 def split(text: bytes, sizes: list[int]) -> list[Any]:
-    reader, found = JsonStreamSplitter(MOST), list[Any]()
+    splitter = JsonStreamSplitter(MAX_OBJECT_BYTES)
+    parsed = list[Any]()
     while text:
         size = sizes[len(text) % len(sizes)]
-        found += [json.loads(each) for each in reader.feed(text[:size])]
+        parsed += [json.loads(value) for value in splitter.feed(text[:size])]
         text = text[size:]
-    assert reader.is_between_objects
-    return found
+    assert splitter.is_between_objects
+    return parsed
 
 
 @given(
     st.lists(st.tuples(objects, st.sampled_from([None, 2]), st.sampled_from(["", "\n", "\r\n"])), max_size=3),
     st.lists(st.integers(1, 40), min_size=1, max_size=5),
 )
-def test_objects_come_out_whole_however_they_are_written_and_cut(
-    told: list[tuple[dict[str, Any], int | None, str]], sizes: list[int]
+def test_objects_are_split_whatever_their_white_space_and_pieces(
+    written: list[tuple[dict[str, Any], int | None, str]], sizes: list[int]
 ) -> None:
-    text = "".join(json.dumps(each, indent=indent) + behind for each, indent, behind in told)
-    assert split(text.encode(), sizes) == [each for each, _, _ in told]
+    text = "".join(json.dumps(value, indent=indent) + separator for value, indent, separator in written)
+    assert split(text.encode(), sizes) == [value for value, _, _ in written]
 
 
-def test_an_indented_list_comes_a_byte_at_a_time() -> None:
-    told = {"index": 3, "endpoints": [{"name": 'a"}{', "zone": "\\"}, {"name": "b"}]}
-    assert split(b"\n" + json.dumps(told, indent=4).encode() + b"\n", [1]) == [told]
+def test_indented_object_is_split_from_single_bytes() -> None:
+    written = {"index": 3, "endpoints": [{"name": 'a"}{', "zone": "\\"}, {"name": "b"}]}
+    assert split(b"\n" + json.dumps(written, indent=4).encode() + b"\n", [1]) == [written]
 
 
-@pytest.mark.parametrize("text", [b"}", b"x\n", b"{}x", b"{" + b" " * (MOST + 1)])
-def test_what_can_become_no_object_is_refused(text: bytes) -> None:
+@pytest.mark.parametrize("text", [b"}", b"x\n", b"{}x", b"{" + b" " * (MAX_OBJECT_BYTES + 1)])
+def test_malformed_stream_is_an_error(text: bytes) -> None:
     with pytest.raises(ValueError):
-        list(JsonStreamSplitter(MOST).feed(text))
+        list(JsonStreamSplitter(MAX_OBJECT_BYTES).feed(text))
 
 
-def test_nothing_is_kept_between_objects() -> None:
-    reader = JsonStreamSplitter(MOST)
-    for _ in range(MOST + 1):
-        assert list(reader.feed(b"\n")) == [] and reader.is_between_objects
-    assert list(reader.feed(b"{}")) == [b"{}"]
+def test_white_space_between_objects_is_discarded() -> None:
+    splitter = JsonStreamSplitter(MAX_OBJECT_BYTES)
+    for _ in range(MAX_OBJECT_BYTES + 1):
+        assert list(splitter.feed(b"\n")) == [] and splitter.is_between_objects
+    assert list(splitter.feed(b"{}")) == [b"{}"]
--- a/tests/wire/discovery/test_list_lines.py
+++ b/tests/wire/discovery/test_list_lines.py
@@ -1,4 +1,4 @@
-"""Lines of the list that can't be used: logged once with their cause, the watch begun anew, the list kept."""
+"""Malformed lines of the list: logged once with the cause, a new watch begins, the list is retained."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 from ringledge.wire.discovery import watcher as watching
 from tests.standins import StandIn
-from tests.wire.discovery.test_watcher import listing, next_call, watched
+from tests.wire.discovery.test_watcher import listing, next_call, watching_client
 
 ENTRY = listing(8)["endpoints"][0]
 
@@ -29,7 +29,7 @@
     return json.dumps({k: v for k, v in listing(8).items() if k != key}).encode() + b"\n"
 
 
-BAD = {
+MALFORMED = {
     "no-json": (b"oops\n", "something stands between objects"),
     "no-value": (b'{"index":}\n', "JSON is malformed"),
     "no-utf8": (line().replace(b"r0", b"\xff"), "UTF-8"),
@@ -51,51 +51,51 @@
 @pytest.fixture
 def logged(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     causes = list[str]()
-    monkeypatch.setattr(log, "error", lambda event, **told: causes.append(f"{event}: {told['error']}"))
+    monkeypatch.setattr(log, "error", lambda event, **fields: causes.append(f"{event}: {fields['error']}"))
     return causes
 
 
-async def played(agent: StandIn, bad: bytes, end: bytes = b"") -> int:
-    """A good list, then what is bad, then on the next watch a better one; how many lists were taken."""
-    async with watched(agent, MembershipMode.PUSH) as told:
+async def play_malformed(agent: StandIn, malformed: bytes, end: bytes = b"") -> int:
+    """A list, malformed data, and on the next watch a newer list; returns how many lists were applied."""
+    async with watching_client(agent, MembershipMode.PUSH) as conductor:
         first = (await next_call(agent)).begin().chunk(json.dumps(listing(8)) + "\n")
-        await told.has(8)
-        first.raw(b"%x\r\n%s\r\n" % (len(bad), bad) + end)
-        again = await next_call(agent)
-        assert again.path.endswith("after=8") and len(told.lists) == 1
-        again.begin().chunk(json.dumps(listing(9, "leaving")) + "\n")
-        await told.has(9)
-        again.raw(b"")
-        return len(told.lists)
-
-
-@pytest.mark.parametrize("name", list(BAD))
-def test_a_malformed_line_is_told_once_and_the_list_kept(
+        await conductor.wait_for_version(8)
+        first.raw(b"%x\r\n%s\r\n" % (len(malformed), malformed) + end)
+        second = await next_call(agent)
+        assert second.path.endswith("after=8") and len(conductor.updates) == 1
+        second.begin().chunk(json.dumps(listing(9, "leaving")) + "\n")
+        await conductor.wait_for_version(9)
+        second.raw(b"")
+        return len(conductor.updates)
+
+
+@pytest.mark.parametrize("name", list(MALFORMED))
+def test_malformed_line_is_logged_once_and_the_list_retained(
     agent: StandIn, logged: list[str], name: str
 ) -> None:
-    bad, cause = BAD[name]
-    assert anyio.run(played, agent, bad) == 2
+    malformed, cause = MALFORMED[name]
+    assert anyio.run(play_malformed, agent, malformed) == 2
     assert len(logged) == 1 and logged[0].startswith("list_malformed: ") and cause in logged[0]
 
 
-def test_a_line_that_is_cut_is_told_once_and_the_list_kept(agent: StandIn, logged: list[str]) -> None:
-    assert anyio.run(played, agent, line()[:40], b"0\r\n\r\n") == 2
+def test_truncated_line_is_logged_once_and_the_list_retained(agent: StandIn, logged: list[str]) -> None:
+    assert anyio.run(play_malformed, agent, line()[:40], b"0\r\n\r\n") == 2
     assert logged == ["list_malformed: the watch ended within an object"]
 
 
-def test_a_line_without_end_is_told_once_and_the_list_kept(
+def test_endless_line_is_logged_once_and_the_list_retained(
     agent: StandIn, logged: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watching, "MAX_LIST_BYTES", 10_000)
-    assert anyio.run(played, agent, b'{"x":"' + b"y" * 10_000) == 2
+    assert anyio.run(play_malformed, agent, b'{"x":"' + b"y" * 10_000) == 2
     assert logged == ["list_malformed: an object without end"]
 
 
-def test_a_server_that_has_left_needs_no_address(agent: StandIn, logged: list[str]) -> None:
+def test_removed_server_needs_no_address(agent: StandIn, logged: list[str]) -> None:
     async def run() -> None:
-        async with watched(agent, MembershipMode.PUSH) as told:
+        async with watching_client(agent, MembershipMode.PUSH) as conductor:
             call = (await next_call(agent)).begin().chunk(line(status="left", address="").decode())
-            assert (await told.has(8)).entries[0].availability == Availability.REMOVED
+            assert (await conductor.wait_for_version(8)).entries[0].availability == Availability.REMOVED
             call.raw(b"")
 
     anyio.run(run)
--- a/tests/wire/discovery/test_slow_discovery.py
+++ b/tests/wire/discovery/test_slow_discovery.py
@@ -1,4 +1,4 @@
-"""An agent that answers every call, but slowly: its list is had in time all the same."""
+"""An agent that answers every request, but slowly: its list is received in time all the same."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
     MembershipMode,
 )
 from tests.standins import Call, StandIn
-from tests.wire.discovery.test_watcher import listing, watched
+from tests.wire.discovery.test_watcher import listing, watching_client
 
-SLOW_S = 1.2  # until it begins an answer, however many are asked for beside each other
-TOLD_S = 6.0  # what discovery has counts as told then
+SLOW_S = 1.2  # until a response begins, however many requests are in flight
+STALENESS_LIMIT_S = 6.0  # what discovery wait_for_version counts as conductor then
 
 
 def answer_late(call: Call) -> bool:
     time.sleep(SLOW_S)  # it is slow: that is the test
     call.begin().chunk(json.dumps(listing(9)) + "\n")
-    call.done.wait(TOLD_S)
+    call.done.wait(STALENESS_LIMIT_S)
     return True
 
 
-def test_a_slow_agent_is_waited_for() -> None:
+def test_list_of_a_slow_agent_is_received() -> None:
     agent = StandIn(answer_late)
 
     async def run() -> None:
-        async with watched(agent, MembershipMode.PUSH) as told:
-            with anyio.fail_after(TOLD_S):
-                await told.has(9)
+        async with watching_client(agent, MembershipMode.PUSH) as conductor:
+            with anyio.fail_after(STALENESS_LIMIT_S):
+                await conductor.wait_for_version(9)
 
     try:
         anyio.run(run)
--- a/tests/wire/discovery/test_wall_clock.py
+++ b/tests/wire/discovery/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Ages of servers where this machine's wall clock is wrong: they come from discovery's machine's own."""
+"""Ages of servers where this machine's wall clock is wrong: they follow discovery's clock."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 )
 
 
-class Rig:
-    """A conductor whose machine's wall clock is wrong by so much, and its list."""
+class WarmupHarness:
+    """A conductor with an error of its wall clock, and its endpoint list."""
 
-    def __init__(self, wrong_ms: float) -> None:
+    def __init__(self, clock_error_ms: float) -> None:
         clock, servers = Clock(), ServerList(KINDS)
-        clock._offset_ms += wrong_ms
+        clock._offset_ms += clock_error_ms
         port: Any = SimpleNamespace(endpoints_changed=lambda: None, unreachable_servers=frozenset)
         self.conductor = Conductor(SETTINGS, 1, clock, servers, Metrics(), port)
         self.discovery = DiscoveryClient("127.0.0.1:9", NAMES, self.conductor, random.Random(1))
 
-    def told(self, snapshot: bool, **since_ms: float) -> None:
+    def receive_list(self, snapshot: bool, **since_ms: float) -> None:
         entries = [
             {"name": name, "address": "127.0.0.1:9", "zone": "east", "type": "decode", "group": 1,
              "status": "active", "since_ms": at_ms}
@@ -61,57 +61,57 @@
         return policy.warmth(policy.servers[server])
 
 
-def true_ms() -> float:
-    """What discovery's clock says now."""
+def discovery_now_ms() -> float:
+    """The time by discovery's clock."""
     return time.time() * 1000
 
 
-async def of_a_start_that_is_told(wrong_ms: float, ago_ms: float) -> float:
-    rig = Rig(wrong_ms)
-    rig.told(True, old=0)
-    rig.told(False, new=true_ms() - ago_ms)
-    return rig.warmth("new")
+async def warmth_after_reported_start(clock_error_ms: float, age_ms: float) -> float:
+    harness = WarmupHarness(clock_error_ms)
+    harness.receive_list(True, old=0)
+    harness.receive_list(False, new=discovery_now_ms() - age_ms)
+    return harness.warmth("new")
 
 
-@pytest.mark.parametrize("wrong_ms", [0.0, HOUR_MS, -HOUR_MS, -5_000.0])
-def test_a_server_that_has_just_started_is_cold(wrong_ms: float) -> None:
-    assert anyio.run(of_a_start_that_is_told, wrong_ms, 500.0) < 0.4
+@pytest.mark.parametrize("clock_error_ms", [0.0, HOUR_MS, -HOUR_MS, -5_000.0])
+def test_server_that_just_started_is_warming_up(clock_error_ms: float) -> None:
+    assert anyio.run(warmth_after_reported_start, clock_error_ms, 500.0) < 0.4
 
 
-async def of_a_list_at_the_start(wrong_ms: float) -> tuple[float, float]:
-    rig = Rig(wrong_ms)
-    now_ms = true_ms()
-    rig.told(True, young=now_ms - 1000.0, warm=now_ms - 2 * WARM_MS)
-    return rig.warmth("young"), rig.warmth("warm")
+async def warmth_after_first_list(clock_error_ms: float) -> tuple[float, float]:
+    harness = WarmupHarness(clock_error_ms)
+    now_ms = discovery_now_ms()
+    harness.receive_list(True, young=now_ms - 1000.0, warm=now_ms - 2 * WARM_MS)
+    return harness.warmth("young"), harness.warmth("warm")
 
 
-@pytest.mark.parametrize("wrong_ms", [0.0, -HOUR_MS])
-def test_a_clock_that_is_behind_leaves_no_server_cold_for_long(wrong_ms: float) -> None:
-    """By it they would all start in an hour."""
-    young, warm = anyio.run(of_a_list_at_the_start, wrong_ms)
+@pytest.mark.parametrize("clock_error_ms", [0.0, -HOUR_MS])
+def test_slow_clock_does_not_prolong_the_warm_up(clock_error_ms: float) -> None:
+    """By that clock all of them would start in an hour."""
+    young, warm = anyio.run(warmth_after_first_list, clock_error_ms)
     assert young < 0.5 and warm == 1.0
 
 
-async def late_list() -> float:
-    rig = Rig(0.0)
-    rig.told(True, old=0)
-    rig.told(False, new=true_ms() - 4000.0)
-    return rig.warmth("new")
+async def warmth_after_late_report() -> float:
+    harness = WarmupHarness(0.0)
+    harness.receive_list(True, old=0)
+    harness.receive_list(False, new=discovery_now_ms() - 4000.0)
+    return harness.warmth("new")
 
 
-def test_a_list_that_comes_late_makes_no_server_younger() -> None:
-    assert anyio.run(late_list) > 0.28 + 0.72 * 4000 / WARM_MS - 0.02
+def test_late_report_does_not_make_a_server_younger() -> None:
+    assert anyio.run(warmth_after_late_report) > 0.28 + 0.72 * 4000 / WARM_MS - 0.02
 
 
-async def of_one_that_returns(gone_ms: float) -> float:
-    rig = Rig(0.0)
-    started_ms = true_ms() - 2 * WARM_MS
-    rig.told(True, old=0, returns=started_ms)
-    rig.told(True, old=0)
-    rig.conductor.clock._offset_ms += gone_ms
-    rig.told(False, returns=started_ms)
-    return rig.warmth("returns")
+async def warmth_after_return(absence_ms: float) -> float:
+    harness = WarmupHarness(0.0)
+    started_ms = discovery_now_ms() - 2 * WARM_MS
+    harness.receive_list(True, old=0, returns=started_ms)
+    harness.receive_list(True, old=0)
+    harness.conductor.clock._offset_ms += absence_ms
+    harness.receive_list(False, returns=started_ms)
+    return harness.warmth("returns")
 
 
-def test_a_server_that_left_the_list_and_returns_without_a_new_start_is_warm() -> None:
-    assert anyio.run(of_one_that_returns, 8_000.0) == 1.0
+def test_server_that_returns_without_a_new_start_is_warm() -> None:
+    assert anyio.run(warmth_after_return, 8_000.0) == 1.0
--- a/tests/wire/discovery/test_watcher.py
+++ b/tests/wire/discovery/test_watcher.py
@@ -1,4 +1,4 @@
-"""The watch of the list: discovery is played by the test, the conductor records what it is told."""
+"""The watch of the endpoint list, with discovery simulated and a recording conductor."""
 
 import contextlib
 import json
@@ -27,7 +27,7 @@
 from tests.loopback import Call, StandIn
 
 NAMES = Names(("east",), ("prefill",), (), (), 30.0, 0.25, 0.0)
-TIER = 2
+ROUTERS = 2
 
 
 def listing(index: int, status: str = "active") -> dict[str, Any]:
@@ -35,26 +35,26 @@
     return {"index": index, "snapshot": True, "endpoints": [entry | {"status": status, "weight": 1.0}]}
 
 
-class Told:
-    """A conductor that keeps what it is told of the list."""
+class RecordingConductor:
+    """A conductor that records the updates of the list."""
 
     def __init__(self, membership: MembershipMode) -> None:
-        settings = SimpleNamespace(membership=membership, routers=TIER)
+        settings = SimpleNamespace(membership=membership, routers=ROUTERS)
         self.context = SimpleNamespace(settings=settings, servers=SimpleNamespace(version=7, entries={}))
         self.clock = Clock()
-        self.news, self.lists = anyio.Event(), list[EndpointUpdate]()
+        self.changed, self.updates = anyio.Event(), list[EndpointUpdate]()
 
-    def update_endpoints(self, members: EndpointUpdate, _: dict[str, str]) -> None:
-        self.lists.append(members)
-        self.context.servers.version = members.version
-        self.news.set()
-        self.news = anyio.Event()
+    def update_endpoints(self, update: EndpointUpdate, _: dict[str, str]) -> None:
+        self.updates.append(update)
+        self.context.servers.version = update.version
+        self.changed.set()
+        self.changed = anyio.Event()
 
-    async def has(self, version: int) -> EndpointUpdate:
+    async def wait_for_version(self, version: int) -> EndpointUpdate:
         with anyio.fail_after(10):
-            while not self.lists or self.lists[-1].version != version:
-                await self.news.wait()
-        return self.lists[-1]
+            while not self.updates or self.updates[-1].version != version:
+                await self.changed.wait()
+        return self.updates[-1]
 
 
 async def next_call(agent: StandIn) -> Call:
@@ -62,70 +62,72 @@
 
 
 @asynccontextmanager
-async def watched(agent: StandIn, membership: MembershipMode) -> AsyncIterator[Told]:
-    told = Told(membership)
-    discovery = DiscoveryClient(agent.address, NAMES, told, random.Random(5))  # type: ignore[arg-type]
+async def watching_client(agent: StandIn, membership: MembershipMode) -> AsyncIterator[RecordingConductor]:
+    conductor = RecordingConductor(membership)
+    discovery = DiscoveryClient(agent.address, NAMES, conductor, random.Random(5))  # type: ignore[arg-type]
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(discovery.watch)
-        yield told
+        yield conductor
         tasks.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize("size", [1, 7, 10_000])
 @pytest.mark.parametrize("indent", [None, 2])
-def test_a_list_is_read_however_it_is_written_and_cut(agent: StandIn, size: int, indent: int | None) -> None:
-    """Each line was taken for an object: an indented list was malformed, and asked for anew for ever."""
+def test_list_is_read_whatever_its_white_space_and_pieces(
+    agent: StandIn, size: int, indent: int | None
+) -> None:
+    """Regression: each line was taken for an object, so that an indented list was never read."""
 
     async def run() -> None:
-        async with watched(agent, MembershipMode.PUSH) as told:
+        async with watching_client(agent, MembershipMode.PUSH) as conductor:
             call = (await next_call(agent)).begin()
             for index, status in ((8, "active"), (9, "leaving")):
                 text = json.dumps(listing(index, status), indent=indent) + "\n\n"
                 for at in range(0, len(text), size):
                     call.chunk(text[at : at + size])
-                await told.has(index)
-            assert told.lists[-1].entries[0].availability == Availability.DRAINING
-            assert len(told.lists) == 2 and agent.calls.empty()
+                await conductor.wait_for_version(index)
+            assert conductor.updates[-1].entries[0].availability == Availability.DRAINING
+            assert len(conductor.updates) == 2 and agent.calls.empty()
             call.raw(b"0\r\n\r\n")
 
     anyio.run(run)
 
 
-def test_pushed_lists_are_hung_on_again_at_once_when_the_agent_is_silent(
+def test_push_watch_is_requested_again_at_once_while_the_agent_does_not_answer(
     agent: StandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A conductor that slept between its watches heard of a drain a second after it counted as told."""
-    waits = list[float]()
+    """Regression: with a delay between watches a drain was known a second after it counted as known."""
+    delays_s = list[float]()
     monkeypatch.setattr(watching, "RESPONSE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(watching, "PUSH_IDLE_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(log, "warning", lambda _, **told: waits.append(told["again_s"]))
+    monkeypatch.setattr(log, "warning", lambda _, **fields: delays_s.append(fields["again_s"]))
 
     async def run() -> None:
-        async with watched(agent, MembershipMode.PUSH) as told:
-            silent = [await next_call(agent) for _ in range(6)]  # accepted, and never spoken on
+        async with watching_client(agent, MembershipMode.PUSH) as conductor:
+            unanswered = [await next_call(agent) for _ in range(6)]  # accepted, and never answered
             call = (await next_call(agent)).begin().chunk(json.dumps(listing(8, "leaving")) + "\n")
-            await told.has(8)
-            for each in (*silent, call):
-                each.raw(b"")
+            await conductor.wait_for_version(8)
+            for pending_call in (*unanswered, call):
+                pending_call.raw(b"")
 
     anyio.run(run)
-    assert len(waits) >= 6 and max(waits) <= watching.PUSH_MAX_BACKOFF_S
+    assert len(delays_s) >= 6 and max(delays_s) <= watching.PUSH_MAX_BACKOFF_S
 
 
-def test_two_silences_in_a_row_are_over_before_what_they_missed_counts_as_told() -> None:
-    """It counts 6 s after the first began, whatever arrived."""
-    counts_as_told_s = 6.0
-    waits = 2 * watching.PUSH_MAX_BACKOFF_S
+def test_two_unresponsive_push_watches_end_before_the_staleness_limit() -> None:
+    """The limit counts from the beginning of the first, whatever arrived."""
+    staleness_limit_s = 6.0
+    delays_s = 2 * watching.PUSH_MAX_BACKOFF_S
     assert (
-        watching.PUSH_IDLE_TIMEOUT_S + watching.RESPONSE_TIMEOUT_S + waits + watching.RESPONSE_TIMEOUT_S
-        < counts_as_told_s
+        watching.PUSH_IDLE_TIMEOUT_S + watching.RESPONSE_TIMEOUT_S + delays_s + watching.RESPONSE_TIMEOUT_S
+        < staleness_limit_s
     )
 
 
-def test_a_watch_that_trickles_is_made_anew_like_a_silent_one(
+def test_watch_with_single_bytes_is_replaced_like_one_without_data(
     agent: StandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each byte put its end off, so that a drain behind a line without an end was never heard of."""
+    """Regression: each byte extended the deadline, so a drain after an endless line was never known."""
     monkeypatch.setattr(watching, "PUSH_IDLE_TIMEOUT_S", 0.3)
 
     def trickle(call: Call) -> None:
@@ -137,23 +139,21 @@
             time.sleep(0.05)
 
     async def run() -> None:
-        async with watched(agent, MembershipMode.PUSH) as told:
+        async with watching_client(agent, MembershipMode.PUSH) as conductor:
             slow = (await next_call(agent)).begin()
             with anyio.fail_after(5):
                 await anyio.to_thread.run_sync(trickle, slow)
-            assert not told.lists
+            assert not conductor.updates
             call = (await next_call(agent)).begin().chunk(json.dumps(listing(9, "leaving")) + "\n")
-            assert (await told.has(9)).entries[0].availability == Availability.DRAINING
+            assert (await conductor.wait_for_version(9)).entries[0].availability == Availability.DRAINING
             slow.done.set()
             call.raw(b"")
 
     anyio.run(run)
 
 
-def test_a_long_list_that_comes_slowly_is_had_in_the_end(
-    agent: StandIn, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Each watch that is given up under it gives the next ones more time."""
+def test_slow_long_list_is_received_eventually(agent: StandIn, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each watch that times out within the list gives the next ones more time."""
     monkeypatch.setattr(watching, "PUSH_IDLE_TIMEOUT_S", 0.2)
     calls = list[Call]()
 
@@ -162,17 +162,20 @@
         while not over.is_set():
             call = agent.next().begin()
             calls.append(call)
-            with contextlib.suppress(OSError):  # it was given up
+            with contextlib.suppress(OSError):  # the watch timed out
                 for piece in pieces:
                     call.chunk(piece)
                     time.sleep(0.8 / len(pieces))
 
     async def run() -> None:
         over = threading.Event()
-        async with watched(agent, MembershipMode.PUSH) as told, anyio.create_task_group() as tasks:
+        async with (
+            watching_client(agent, MembershipMode.PUSH) as conductor,
+            anyio.create_task_group() as tasks,
+        ):
             tasks.start_soon(anyio.to_thread.run_sync, play, over)
             try:
-                await told.has(8)
+                await conductor.wait_for_version(8)
             finally:
                 over.set()
 
@@ -182,29 +185,29 @@
     assert 3 < len(calls) < 8
 
 
-def test_an_overbooked_discovery_is_asked_ever_more_seldom_until_it_answers(
+def test_requests_to_an_overloaded_discovery_back_off_until_it_answers(
     agent: StandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A fleet that comes back at a steady pace keeps it overbooked: no conductor ever got a list again."""
-    waits = list[float]()
+    """Regression: routers that retried at a constant rate kept it overloaded, and none ever got a list."""
+    delays_s = list[float]()
 
-    def noted(_: str, again_s: float | None = None, **__: Any) -> None:
+    def record_wait(_: str, again_s: float | None = None, **__: Any) -> None:
         if again_s is not None:
-            waits.append(again_s)
+            delays_s.append(again_s)
 
-    monkeypatch.setattr(log, "warning", noted)
-    monkeypatch.setattr(log, "info", noted)
+    monkeypatch.setattr(log, "warning", record_wait)
+    monkeypatch.setattr(log, "info", record_wait)
 
     async def run() -> None:
-        async with watched(agent, MembershipMode.POLL) as told:
+        async with watching_client(agent, MembershipMode.POLL) as conductor:
             for _ in range(5):
                 (await next_call(agent)).answer(503)
             watch = (await next_call(agent)).begin().chunk(json.dumps(listing(9)) + "\n")
-            await told.has(9)
+            await conductor.wait_for_version(9)
             watch.raw(b"0\r\n\r\n")
             (await next_call(agent)).raw(b"")
 
     anyio.run(run)
-    assert all(wait_s <= min(1.0, 0.1 * 2**failed) * TIER for failed, wait_s in enumerate(waits[:5]))
-    assert max(waits) > 0.1 * TIER  # drawn at random
-    assert waits[5] <= 0.1 * TIER  # the first failure of a new row
+    assert all(delay_s <= min(1.0, 0.1 * 2**failed) * ROUTERS for failed, delay_s in enumerate(delays_s[:5]))
+    assert max(delays_s) > 0.1 * ROUTERS  # drawn at random
+    assert delays_s[5] <= 0.1 * ROUTERS  # the first failure after a success
