--- a/tests/wire/servers/test_abandoned_attempts.py
+++ b/tests/wire/servers/test_abandoned_attempts.py
@@ -1,4 +1,4 @@
-"""An attempt that is given up in the turn in which its connection is there is never written to its server."""
+"""An attempt that is abandoned in the turn in which its connection is established is never written."""
 
 from __future__ import annotations
 
@@ -38,26 +38,26 @@
 from ringledge.routing.policy import Policy
 from ringledge.wire.clients.response import Exchange
 from ringledge.wire.http.connection import Connection
-from ringledge.wire.servers import connections as lines
+from ringledge.wire.servers import connections
 from ringledge.wire.servers.context import UpstreamContext
 from ringledge.wire.servers.upstream import Upstream
 
 SERVER, ADDRESS = "w0", "127.0.0.1:9"
-WRITES = ServerKind(Role.DECODE)
+DECODE_KIND = ServerKind(Role.DECODE)
 NAMES = Names(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
 
 
-class Rig:
-    """An upstream whose one server is the other end of a socket pair."""
+class UpstreamHarness:
+    """An upstream whose only server is the other end of a socket pair."""
 
     def __init__(self, tasks: Any) -> None:
         clock, metrics = Clock(), Metrics()
-        servers = ServerList((WRITES,))
+        servers = ServerList((DECODE_KIND,))
         entry = ServerEntry(SERVER, 0, 0, 0, Availability.UP)
         servers.apply(EndpointUpdate(EndpointUpdateKind.FULL, 1, (entry,)), {SERVER: ADDRESS})
         self.upstream = Upstream(UpstreamContext(tasks, servers, NAMES, 8, 500.0, 0, clock, metrics))
         self.settings = RouterSettings(
-            (RequestClass(1200, 5000, Idempotency.IDEMPOTENT),), (WRITES,), max_attempts=2
+            (RequestClass(1200, 5000, Idempotency.IDEMPOTENT),), (DECODE_KIND,), max_attempts=2
         )
         self.outcomes = list[AttemptStatus]()
         self.ended = anyio.Event()
@@ -71,22 +71,22 @@
         self.policy.handle(clock.now_ms(), EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, (entry,)))
         self.clock = clock
         self.caller: Any = SimpleNamespace(is_disconnected=lambda: False)
-        ours, self.theirs = socket.socketpair()
-        for sock in (ours, self.theirs):
+        own_end, self.peer = socket.socketpair()
+        for sock in (own_end, self.peer):
             sock.setblocking(False)
-        self.conn = Connection(ours, h11.CLIENT)
+        self.conn = Connection(own_end, h11.CLIENT)
 
     def _may_begin(self, attempt: Attempt) -> bool:
-        """The real question, asked of this policy and this list."""
-        at: Any = SimpleNamespace(
+        """The conductor's real check, against this policy and list."""
+        conductor: Any = SimpleNamespace(
             context=SimpleNamespace(clock=self.clock, metrics=Metrics(), settings=self.settings),
             policy=self.policy,
             client_gone=lambda record: self.upstream.conductor.client_gone(record),
         )
-        return Conductor.may_begin(at, attempt)
+        return Conductor.may_begin(conductor, attempt)
 
     def drain(self) -> None:
-        """The list says that the server drains."""
+        """The endpoint list reports the server as draining."""
         entry = ServerEntry(SERVER, 0, 0, 0, Availability.DRAINING)
         self.policy.handle(self.clock.now_ms(), EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,)))
 
@@ -94,8 +94,8 @@
         self.outcomes.append(status)
         self.ended.set()
 
-    def keep(self) -> None:
-        """Have the connection kept, and trusted."""
+    def pool_connection(self) -> None:
+        """Put the connection into the pool, as one that is trusted."""
         self.upstream.pool.reserve()
         self.upstream.pool.put(ADDRESS, self.conn)
         self.conn.idle_since -= 2 * SETTLED_S
@@ -108,31 +108,31 @@
 
     def written(self) -> bytes:
         try:
-            return self.theirs.recv(4096)
+            return self.peer.recv(4096)
         except BlockingIOError:
             return b""
 
 
 @asynccontextmanager
-async def rig() -> AsyncIterator[Rig]:
+async def upstream_harness() -> AsyncIterator[UpstreamHarness]:
     async with anyio.create_task_group() as tasks:
-        each = Rig(tasks)
-        yield each
+        harness = UpstreamHarness(tasks)
+        yield harness
         tasks.cancel_scope.cancel()
-    each.theirs.close()
+    harness.peer.close()
 
 
 @asynccontextmanager
-async def client_of(each: Rig) -> AsyncIterator[socket.socket]:
-    """The client's end of the connection on which the attempt's request came."""
+async def client_connection(harness: UpstreamHarness) -> AsyncIterator[socket.socket]:
+    """The client's end of the connection on which the request arrived."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        theirs = socket.create_connection(listener.getsockname(), 10)
-        ours, _ = listener.accept()
-    ours.setblocking(False)
-    conn = Connection(ours, h11.SERVER)
-    each.caller = Exchange(conn)
-    with theirs:
-        yield theirs
+        peer = socket.create_connection(listener.getsockname(), 10)
+        own_end, _ = listener.accept()
+    own_end.setblocking(False)
+    conn = Connection(own_end, h11.SERVER)
+    harness.caller = Exchange(conn)
+    with peer:
+        yield peer
     conn.close()
 
 
@@ -150,104 +150,106 @@
 
 
 @pytest.mark.parametrize("ahead", [b"", b"GET /ready HTTP/1.1\r\n"], ids=["plain", "pipelined"])
-@pytest.mark.parametrize("leave", [close, close_sending, reset])
-def test_one_whose_client_left_in_the_same_turn_is_not_written(
-    leave: Callable[[socket.socket], None], ahead: bytes
+@pytest.mark.parametrize("disconnect", [close, close_sending, reset])
+def test_attempt_is_not_written_if_its_client_disconnects_in_the_same_turn(
+    disconnect: Callable[[socket.socket], None], ahead: bytes
 ) -> None:
-    """The end has come to the system, but a busy loop has not come round to it."""
+    """The end of the connection has reached the kernel, but the busy event loop has not read it."""
 
     async def run() -> None:
-        async with rig() as at, client_of(at) as client:
-            gone = list[Record]()
+        async with upstream_harness() as harness, client_connection(harness) as client:
+            disconnected = list[Record]()
 
             def client_gone(record: Record) -> None:
-                gone.append(record)
-                at.upstream.abandon(attempt)
+                disconnected.append(record)
+                harness.upstream.abandon(attempt)
 
-            at.upstream.conductor.client_gone = client_gone  # type: ignore[method-assign]
-            at.keep()
-            attempt = at.attempt()
-            at.upstream.send(attempt)
+            harness.upstream.conductor.client_gone = client_gone  # type: ignore[method-assign]
+            harness.pool_connection()
+            attempt = harness.attempt()
+            harness.upstream.send(attempt)
             client.sendall(ahead)
-            leave(client)
-            await at.ended.wait()
-            assert gone == [attempt.record] and at.written() == b"" and not attempt.written
+            disconnect(client)
+            await harness.ended.wait()
+            assert disconnected == [attempt.record] and harness.written() == b"" and not attempt.written
 
     anyio.run(run)
 
 
-def test_one_whose_client_waits_and_has_sent_more_is_written() -> None:
+def test_attempt_is_written_if_its_client_has_pipelined_a_request() -> None:
     async def run() -> None:
-        async with rig() as at, client_of(at) as client:
-            at.keep()
+        async with upstream_harness() as harness, client_connection(harness) as client:
+            harness.pool_connection()
             client.sendall(b"GET /ready HTTP/1.1\r\n")
-            attempt = at.attempt()
-            at.upstream.send(attempt)
+            attempt = harness.attempt()
+            harness.upstream.send(attempt)
             with anyio.fail_after(10):
-                while not at.written():
+                while not harness.written():
                     await anyio.sleep(0)
             assert attempt.written
 
     anyio.run(run)
 
 
-def test_one_given_up_before_its_task_began_is_not_written_to_a_kept_connection() -> None:
-    """A kept connection is there without a wait, and the request went out beside the next attempt."""
+def test_attempt_abandoned_before_its_task_starts_is_not_written_to_a_reused_connection() -> None:
+    """Regression: a reused connection needs no wait, so the request was sent beside the next attempt."""
 
     async def run() -> None:
-        async with rig() as at:
-            at.keep()
-            attempt = at.attempt()
-            at.upstream.send(attempt)
-            at.upstream.abandon(attempt)  # before the loop came round
-            await at.ended.wait()
-            assert at.written() == b"" and not attempt.written
+        async with upstream_harness() as harness:
+            harness.pool_connection()
+            attempt = harness.attempt()
+            harness.upstream.send(attempt)
+            harness.upstream.abandon(attempt)  # before its task starts
+            await harness.ended.wait()
+            assert harness.written() == b"" and not attempt.written
 
     anyio.run(run)
 
 
-async def connecting(at: Rig, monkeypatch: pytest.MonkeyPatch) -> tuple[anyio.Event, Attempt]:
-    """An attempt that waits for its connection, which comes up once the event is set."""
-    up, attempt = anyio.Event(), at.attempt()
+async def attempt_awaiting_connection(
+    harness: UpstreamHarness, monkeypatch: pytest.MonkeyPatch
+) -> tuple[anyio.Event, Attempt]:
+    """An attempt whose connection is established once the event is set."""
+    established, attempt = anyio.Event(), harness.attempt()
 
     async def connect(*_: Any) -> Connection:
-        await up.wait()
-        return at.conn
+        await established.wait()
+        return harness.conn
 
-    monkeypatch.setattr(lines, "connect", connect)
-    at.upstream.send(attempt)
-    while not up.statistics().tasks_waiting:
+    monkeypatch.setattr(connections, "connect", connect)
+    harness.upstream.send(attempt)
+    while not established.statistics().tasks_waiting:
         await anyio.sleep(0)
-    return up, attempt
+    return established, attempt
 
 
-def test_one_given_up_in_the_turn_in_which_its_connection_came_up_is_not_written(
+def test_attempt_abandoned_in_the_turn_of_its_connection_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What is cancelled once its wait is over goes on to its next wait, which a write is not."""
+    """A task cancelled after its wait continues to the next wait, which a write is not."""
 
     async def run() -> None:
-        async with rig() as at:
-            up, attempt = await connecting(at, monkeypatch)
-            up.set()
-            at.upstream.abandon(attempt)
-            await at.ended.wait()
-            assert at.written() == b"" and not attempt.written
+        async with upstream_harness() as harness:
+            established, attempt = await attempt_awaiting_connection(harness, monkeypatch)
+            established.set()
+            harness.upstream.abandon(attempt)
+            await harness.ended.wait()
+            assert harness.written() == b"" and not attempt.written
 
     anyio.run(run)
 
 
-def test_one_whose_server_is_told_to_drain_while_it_connects_is_not_written(
+def test_attempt_is_not_written_if_its_server_drains_while_connecting(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A connection may wait in a queue for longer than the grace, and a send counts from its first byte."""
+    """A connection may wait in a queue beyond the grace period; a send counts from its first byte."""
 
     async def run() -> None:
-        async with rig() as at:
-            up, attempt = await connecting(at, monkeypatch)
-            at.drain()
-            up.set()
-            await at.ended.wait()
-            assert at.written() == b"" and at.outcomes == [AttemptStatus.NOT_SENT]
+        async with upstream_harness() as harness:
+            established, attempt = await attempt_awaiting_connection(harness, monkeypatch)
+            harness.drain()
+            established.set()
+            await harness.ended.wait()
+            assert harness.written() == b"" and harness.outcomes == [AttemptStatus.NOT_SENT]
 
     anyio.run(run)
--- a/tests/wire/servers/test_event_buffer.py
+++ b/tests/wire/servers/test_event_buffer.py
@@ -1,32 +1,34 @@
-"""Events that come in pieces are put together, and held for a bounded time only."""
+"""Events that arrive in pieces are joined, and delayed for a bounded time only."""
 
 import pytest
 
 from ringledge.wire.servers.event_buffer import MAX_DELAY_S, EventBuffer
 
-FIRST, SECOND = b'data: {"a":1}\n\n', b'data: {"b":2}\r\n\r\n'
+FIRST = b'data: {"a":1}\n\n'
+SECOND = b'data: {"b":2}\r\n\r\n'
 
 
-def test_an_event_waits_until_it_is_whole() -> None:
+def test_incomplete_event_is_delayed_until_complete() -> None:
     events = EventBuffer()
-    for place in range(len(FIRST) - 1):
-        events.feed(FIRST[place : place + 1], 0.0)
+    for position in range(len(FIRST) - 1):
+        events.feed(FIRST[position : position + 1], 0.0)
         assert events.take_complete(0.0) == b""
     events.feed(FIRST[-1:], 0.0)
     assert events.take_complete(0.0) == FIRST and not len(events)
 
 
 @pytest.mark.parametrize("cut", range(1, len(FIRST + SECOND)))
-def test_wherever_they_are_cut_events_go_out_whole_and_unchanged(cut: int) -> None:
-    events, out = EventBuffer(), list[bytes]()
+def test_events_are_relayed_complete_and_unchanged_whatever_the_pieces(cut: int) -> None:
+    events = EventBuffer()
+    relayed = list[bytes]()
     for piece in ((FIRST + SECOND)[:cut], (FIRST + SECOND)[cut:]):
         events.feed(piece, 0.0)
-        out.append(events.take_complete(0.0))
-    assert b"".join(out) == FIRST + SECOND
-    assert out[0] == (FIRST if cut >= len(FIRST) else b"")
+        relayed.append(events.take_complete(0.0))
+    assert b"".join(relayed) == FIRST + SECOND
+    assert relayed[0] == (FIRST if cut >= len(FIRST) else b"")
 
 
-def test_a_part_waits_for_its_time_only_counted_from_its_oldest_byte() -> None:
+def test_incomplete_event_is_relayed_at_the_deadline_of_its_oldest_byte() -> None:
     events = EventBuffer()
     events.feed(b"data: ", 1.0)
     events.feed(b"{", 1.0 + MAX_DELAY_S / 2)
@@ -37,7 +39,7 @@
     assert events.deadline_s == 5.0 + MAX_DELAY_S
 
 
-def test_what_is_left_behind_whole_events_begins_its_own_wait() -> None:
+def test_rest_after_a_complete_event_has_its_own_deadline() -> None:
     events = EventBuffer()
     events.feed(FIRST + b"data", 1.0)
     assert events.take_complete(1.0) == FIRST
--- a/tests/wire/servers/test_releases.py
+++ b/tests/wire/servers/test_releases.py
@@ -1,4 +1,4 @@
-"""What servers hold for a request that is over is let go, played at the real program."""
+"""KV cache entries of finished requests are released, played against the real program."""
 
 from __future__ import annotations
 
@@ -22,97 +22,99 @@
         yield node
 
 
-def first_read(node: Node) -> tuple[int, Call]:
-    """Send a request; the reader that got it, whichever it is, and its call."""
+def first_prefill(node: Node) -> tuple[int, Call]:
+    """Send a request; returns the index of the prefill server that got it, and its call."""
     node.clients = [node.post("a1")]
-    return next_read(node)
+    return next_prefill(node)
 
 
-def next_read(node: Node) -> tuple[int, Call]:
-    until = time.monotonic() + WAIT_S
-    while time.monotonic() < until:
-        for place, reader in enumerate(node.reader):
+def next_prefill(node: Node) -> tuple[int, Call]:
+    deadline_s = time.monotonic() + WAIT_S
+    while time.monotonic() < deadline_s:
+        for index, server in enumerate(node.reader):
             try:
-                return place, reader.calls.get(timeout=0.01)
+                return index, server.calls.get(timeout=0.01)
             except queue.Empty:
                 continue
-    raise AssertionError("no reader was asked")
+    raise AssertionError("no prefill server got a call")
 
 
-def test_a_holder_that_accepts_and_never_answers_does_not_keep_the_state(node: Node) -> None:
-    place, call = first_read(node)
+def test_entry_is_released_by_another_server_if_its_holder_does_not_answer(node: Node) -> None:
+    index, call = first_prefill(node)
     call.read()
-    writing = node.writer[0].next()
-    node.reader[place].deaf = True
+    decode_call = node.writer[0].next()
+    node.reader[index].deaf = True
     node.clients[0].close()
-    assert writing.closed()
-    writing.drop()
+    assert decode_call.closed()
+    decode_call.drop()
     assert node.deleted.get(timeout=10).path == PATH
-    told = node.logged("release_ended")
-    assert told["how"] == "done" and told["asked"] == 2 and told["where"] != f"r{place}"
-    assert node.reader[place].next().path == PATH  # it was asked first
+    fields = node.logged("release_ended")
+    assert fields["how"] == "done" and fields["asked"] == 2 and fields["where"] != f"r{index}"
+    assert node.reader[index].next().path == PATH  # it was called first
 
 
-def test_no_release_is_sent_while_a_second_read_is_under_way(node: Node) -> None:
-    """Heard anywhere, it would let go of the second read's state too, and its writer had to read anew.
+def test_no_release_is_sent_while_a_second_prefill_is_in_flight(node: Node) -> None:
+    """Any server that answered it would release the second entry too, and the decode had to prefill anew.
 
-    The first read may have left a state as its answer was lost, so one goes out once the request has ended.
+    The first prefill may have reserved an entry though its answer was lost: released once the request ends.
     """
-    place, call = first_read(node)
+    index, call = first_prefill(node)
     call.drop()
-    second = node.reader[1 - place].next()
-    second.read()
-    writing = node.writer[0].next()
+    second_prefill = node.reader[1 - index].next()
+    second_prefill.read()
+    decode_call = node.writer[0].next()
     assert node.deleted.empty()
-    writing.serve("x")
+    decode_call.serve("x")
     assert take(node.clients[0]).status == 200
     assert node.logged("request_ended")["how"] == "served"
     assert node.logged("release_ended")["holder"]
     assert node.deleted.get(timeout=10).path == PATH
 
 
-def test_a_process_told_to_end_lets_go_first(node: Node) -> None:
-    place, call = first_read(node)
+def test_process_releases_entries_before_it_stops(node: Node) -> None:
+    index, call = first_prefill(node)
     call.read()
-    writing = node.writer[0].next()
-    for each in node.reader:
-        each.deaf = True
+    decode_call = node.writer[0].next()
+    for server in node.reader:
+        server.deaf = True
     node.writer[0].deaf = True
     node.clients[0].close()
-    assert writing.closed()
-    writing.drop()
-    assert node.reader[place].next().path == PATH  # the release is open
+    assert decode_call.closed()
+    decode_call.drop()
+    assert node.reader[index].next().path == PATH  # the release is in progress
     node.process.send_signal(signal.SIGTERM)
-    for each in node.reader:
-        each.deaf = False
+    for server in node.reader:
+        server.deaf = False
     node.writer[0].deaf = False
     assert node.logged("release_ended")["how"] == "done"
     assert node.process.wait(timeout=10) == 0
 
 
-def test_a_state_that_no_writer_is_reached_for_is_let_go_in_time_and_read_anew(tmp_path: Path) -> None:
-    """Writers that are cut off: each connection to them waits, and the state must not wait for several."""
+def test_entry_is_released_in_time_and_prefilled_anew_if_no_decode_server_is_reachable(
+    tmp_path: Path,
+) -> None:
+    """Connections to unreachable decode servers wait, and the entry must not wait for several of them."""
     with Node(tmp_path, readers=2, writers=0, hung=4) as node:
-        place, call = first_read(node)
+        index, call = first_prefill(node)
         call.read()
-        assert node.logged("state_let_go")["servers"] == [f"r{place}"]
-        told = node.logged("release_ended")
-        assert told["how"] == "done" and told["where"] == f"r{place}"
-        next_read(node)[1].drop()  # it is read anew
+        assert node.logged("state_let_go")["servers"] == [f"r{index}"]
+        fields = node.logged("release_ended")
+        assert fields["how"] == "done" and fields["where"] == f"r{index}"
+        next_prefill(node)[1].drop()  # it is prefilled anew
 
 
-def test_what_discovery_has_to_tell_is_known_before_the_first_request_is_taken(tmp_path: Path) -> None:
-    """Clients that knew the address come as soon as a conductor is back, with an old list."""
+def test_outstanding_updates_are_applied_before_the_first_request_is_accepted(tmp_path: Path) -> None:
+    """Clients that know the address connect as soon as a router is back, with an old list."""
     with Node(tmp_path, told=lambda node: json.dumps(node.listing(8, r0="leaving"))) as node:
         lists = [(line["form"], line["index"]) for line in node.passed if line["event"] == "list"]
         assert lists == [("kept", 7), ("full", 8)]
 
 
-def test_a_state_that_a_writer_says_is_gone_is_let_go_all_the_same(node: Node) -> None:
-    """Another writer that was given up may have fetched it; only the first token lets go of all by itself."""
-    first_read(node)[1].read()
+def test_entry_that_a_decode_server_reports_missing_is_released_all_the_same(node: Node) -> None:
+    """Another, abandoned decode may have fetched it; only a first token releases everything by itself."""
+    first_prefill(node)[1].read()
     node.writer[0].next().answer(410, X_Rejected="1")
-    for _ in range(3):  # of the six attempts a read needs one more, for the writer
-        next_read(node)[1].answer(503, X_Rejected="1")
+    for _ in range(3):  # of the six attempts a prefill needs one more, for the decode
+        next_prefill(node)[1].answer(503, X_Rejected="1")
     assert take(node.clients[0]).status == 503
     assert node.deleted.get(timeout=10).path == PATH
--- a/tests/wire/servers/test_send_first.py
+++ b/tests/wire/servers/test_send_first.py
@@ -1,4 +1,4 @@
-"""A connection on which the peer speaks before our request's last byte is spoilt; the request never ran."""
+"""A connection on which the peer sends before the request's last byte is corrupt; the request never ran."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 REQUEST = h11.Request(method="POST", target="/", headers=[("Host", "a"), ("Content-Length", "4000000")])
 BODY = h11.Data(data=bytes(4_000_000))  # more than the two sockets take at once
-LATE = b"HTTP/1.1 503 \r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+UNSOLICITED_RESPONSE = b"HTTP/1.1 503 \r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-def pair() -> tuple[Connection, socket.socket]:
-    ours, theirs = socket.socketpair()
-    ours.setblocking(False)
-    return Connection(ours, h11.CLIENT), theirs
+def connection_pair() -> tuple[Connection, socket.socket]:
+    own_end, peer = socket.socketpair()
+    own_end.setblocking(False)
+    return Connection(own_end, h11.CLIENT), peer
 
 
 def read_all(sock: socket.socket) -> int:
-    """How many bytes come until the other side closes, which a reset is as well."""
+    """How many bytes arrive until the other side closes or resets the connection."""
     size = 0
     with suppress(ConnectionResetError):
         while piece := sock.recv(1 << 20):
@@ -31,25 +31,25 @@
     return size
 
 
-def test_an_answer_that_is_there_before_the_first_byte_ends_the_send() -> None:
+def test_response_before_the_first_byte_ends_the_send() -> None:
     async def run() -> None:
-        conn, theirs = pair()
-        with theirs:
-            theirs.sendall(LATE)
+        conn, peer = connection_pair()
+        with peer:
+            peer.sendall(UNSOLICITED_RESPONSE)
             with pytest.raises(ConnectionResetError):
                 await conn.send_first(REQUEST)
-            theirs.setblocking(False)
+            peer.setblocking(False)
             with pytest.raises(BlockingIOError):
-                theirs.recv(1)
+                peer.recv(1)
             conn.close()
 
     anyio.run(run)
 
 
-def test_an_answer_that_comes_while_the_request_is_written_ends_the_send() -> None:
+def test_response_while_the_request_is_written_ends_the_send() -> None:
     async def run() -> None:
-        conn, theirs = pair()
-        with theirs:
+        conn, peer = connection_pair()
+        with peer:
             async with anyio.create_task_group() as tasks:
 
                 async def send() -> None:
@@ -59,7 +59,7 @@
 
                 tasks.start_soon(send)
                 await anyio.wait_all_tasks_blocked()  # the sockets take no more
-                theirs.sendall(LATE)
-                assert await anyio.to_thread.run_sync(read_all, theirs) < len(BODY.data)
+                peer.sendall(UNSOLICITED_RESPONSE)
+                assert await anyio.to_thread.run_sync(read_all, peer) < len(BODY.data)
 
     anyio.run(run)
--- a/tests/wire/servers/test_stalled_send.py
+++ b/tests/wire/servers/test_stalled_send.py
@@ -1,4 +1,4 @@
-"""A connection that takes no more of a request may be dead: the attempt is over, and has not run."""
+"""A connection that accepts no more of a request may be dead: the attempt fails, and has not run."""
 
 from __future__ import annotations
 
@@ -9,27 +9,29 @@
 from ringledge.routing.interface import (
     AttemptStatus,
 )
-from tests.wire.servers.test_abandoned_attempts import rig
+from tests.wire.servers.test_abandoned_attempts import upstream_harness
 
 LARGE = b"x" * (8 * 1024 * 1024)  # bytes: more than a socket buffers
 
 
-@pytest.mark.parametrize("held", [False, True])
-def test_a_request_that_is_never_taken_whole_has_not_run(held: bool) -> None:
+@pytest.mark.parametrize("has_entry", [False, True])
+def test_request_that_is_never_written_completely_has_not_run(has_entry: bool) -> None:
     async def run() -> float:
-        async with rig() as at:
-            at.keep()
-            attempt = at.attempt()
+        async with upstream_harness() as harness:
+            harness.pool_connection()
+            attempt = harness.attempt()
             record = attempt.record
             record.payload = Payload(b"/", LARGE)
-            if held:
-                record.cache_holders, record.idle_since_ms = {"r0"}, at.clock.now_ms()
+            if has_entry:
+                record.cache_holders, record.idle_since_ms = {"r0"}, harness.clock.now_ms()
             began_s = anyio.current_time()
-            at.upstream.send(attempt)
-            await at.ended.wait()
-            assert at.outcomes == [AttemptStatus.CONNECT_FAILED]
-            assert not attempt.written and at.conn.closed
+            harness.upstream.send(attempt)
+            await harness.ended.wait()
+            assert harness.outcomes == [AttemptStatus.CONNECT_FAILED]
+            assert not attempt.written and harness.conn.closed
             return anyio.current_time() - began_s
 
-    took_s = anyio.run(run)
-    assert took_s < (0.8 if held else 3.0)  # in time for what is held; well before the request's own 5 s
+    duration_s = anyio.run(run)
+    assert duration_s < (
+        0.8 if has_entry else 3.0
+    )  # in time for what is has_entry; well before the request's own 5 s
--- a/tests/wire/servers/test_unresponsive_peers.py
+++ b/tests/wire/servers/test_unresponsive_peers.py
@@ -1,4 +1,4 @@
-"""What is held for an attempt that may never have arrived is released in time, however its server looks."""
+"""The entry for a decode attempt that may not have been delivered is released at its hold limit."""
 
 from __future__ import annotations
 
@@ -18,67 +18,69 @@
 from ringledge.wire.servers.in_flight import InFlightAttempt
 from ringledge.wire.servers.unresponsive_peers import UnresponsivePeerDetector
 
-LET_GO_MS = 500.0
+HOLD_LIMIT_MS = 500.0
 
 
-class Rig:
-    """One booking whose decode attempt was written a while ago and has not been answered."""
+class DetectorHarness:
+    """An at-most-once request whose decode attempt was written a while ago and is unanswered."""
 
-    def __init__(self, tasks: Any, waited_ms: float, comes_up: bool) -> None:
-        self.now_ms, self.released = 10_000.0, list[set[str]]()
-        self.comes_up, self.asked = comes_up, anyio.Event()
+    def __init__(self, tasks: Any, unanswered_ms: float, reachable: bool) -> None:
+        self.now_ms = 10_000.0
+        self.released = list[set[str]]()
+        self.reachable = reachable
+        self.connection_attempted = anyio.Event()
         caller: Any = SimpleNamespace()
-        written_ms = self.now_ms - waited_ms
+        written_ms = self.now_ms - unanswered_ms
         self.record = Record(Request("a", expires_in_ms=9000), Payload(b"/", b""), caller, written_ms)
         self.record.cache_holders, self.record.idle_since_ms = {"r0"}, written_ms
         self.attempt = Attempt(self.record, 0, "w0", False, True, written_ms, 20_000.0)
         self.attempt.written = self.attempt.fetches_cache = True
         self.record.attempts.append(self.attempt)
-        live = {self.attempt: InFlightAttempt(written_ms=written_ms)}
-        reach = Reachability()
-        reach.update_servers([("w0", 0)])
-        lines: Any = SimpleNamespace(
-            reachability=reach, open=self.open, connect_timeout_s=lambda: 0.25, pool=self
+        in_flight = {self.attempt: InFlightAttempt(written_ms=written_ms)}
+        reachability = Reachability()
+        reachability.update_servers([("w0", 0)])
+        connections: Any = SimpleNamespace(
+            reachability=reachability, open=self.open, connect_timeout_s=lambda: 0.25, pool=self
         )
         servers: Any = SimpleNamespace(address=lambda _: "127.0.0.1:9")
         clock: Any = SimpleNamespace(now_ms=lambda: self.now_ms)
-        releaser: Any = SimpleNamespace(release=lambda _, known, __: self.released.append(known))
-        context: Any = SimpleNamespace(tasks=tasks, servers=servers, clock=clock, hold_limit_ms=LET_GO_MS)
-        self.silence = UnresponsivePeerDetector(context, live, lines, releaser)
+        release_sender: Any = SimpleNamespace(release=lambda _, known, __: self.released.append(known))
+        context: Any = SimpleNamespace(tasks=tasks, servers=servers, clock=clock, hold_limit_ms=HOLD_LIMIT_MS)
+        self.detector = UnresponsivePeerDetector(context, in_flight, connections, release_sender)
 
     async def open(self, *_: Any) -> Any:
-        self.asked.set()
-        if not self.comes_up:
+        self.connection_attempted.set()
+        if not self.reachable:
             raise TimeoutError
 
     def put(self, *_: Any) -> None:
-        """The pool takes the connection that came up."""
+        """The pool takes the new connection."""
 
 
-async def watched(waited_ms: float, comes_up: bool, arrived: bool) -> list[set[str]]:
-    """What is released once the server has been tried."""
+async def released_entries(unanswered_ms: float, reachable: bool, delivered: bool) -> list[set[str]]:
+    """What is released once the server has been checked."""
     async with anyio.create_task_group() as tasks:
-        rig = Rig(tasks, waited_ms, comes_up)
-        rig.attempt.delivered = arrived
-        tasks.start_soon(rig.silence.run)
-        await rig.asked.wait()
+        harness = DetectorHarness(tasks, unanswered_ms, reachable)
+        harness.attempt.delivered = delivered
+        tasks.start_soon(harness.detector.run)
+        await harness.connection_attempted.wait()
         await anyio.wait_all_tasks_blocked()
         tasks.cancel_scope.cancel()
-    return rig.released
+    return harness.released
 
 
 @pytest.mark.parametrize(
-    ("waited_ms", "comes_up", "arrived", "released"),
+    ("unanswered_ms", "reachable", "delivered", "released"),
     [
-        (LET_GO_MS, True, False, [{"r0"}]),  # its connection was kept, and may be dead
-        (LET_GO_MS - 1, True, False, []),  # there is time left
-        (LET_GO_MS, True, True, []),  # its connection was new: it likely waits in a queue
-        (LET_GO_MS + 150, True, True, [{"r0"}]),  # or that fell silent, too, or is slow: nobody can tell
-        (CHECK_AFTER_MS, False, True, [{"r0"}]),  # the same, but its server was cut off since
+        (HOLD_LIMIT_MS, True, False, [{"r0"}]),  # a reused connection may be dead
+        (HOLD_LIMIT_MS - 1, True, False, []),  # the limit is not reached
+        (HOLD_LIMIT_MS, True, True, []),  # a new connection: the request likely waits in a queue
+        (HOLD_LIMIT_MS + 150, True, True, [{"r0"}]),  # a new connection may be dead or slow, too
+        (CHECK_AFTER_MS, False, True, [{"r0"}]),  # the server became unreachable since
         (CHECK_AFTER_MS, False, False, [{"r0"}]),
     ],
 )
-def test_what_is_held_is_released_unless_its_attempt_has_arrived(
-    waited_ms: float, comes_up: bool, arrived: bool, released: list[set[str]]
+def test_entry_is_released_unless_its_attempt_is_delivered(
+    unanswered_ms: float, reachable: bool, delivered: bool, released: list[set[str]]
 ) -> None:
-    assert anyio.run(watched, waited_ms, comes_up, arrived) == released
+    assert anyio.run(released_entries, unanswered_ms, reachable, delivered) == released
