--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -14,7 +14,7 @@
 from ringledge.wire.clients.chat.queued import QueuedChat, QueuedChatOptions
 from ringledge.wire.clients.chat.replaying import ReplaySender
 from ringledge.wire.clients.chat_settings import ChatConfig
-from ringledge.wire.servers.observation import Sight
+from ringledge.wire.servers.observation import ServerObserver
 
 if TYPE_CHECKING:
     from ringledge.members.cluster import ClusterMember
@@ -39,7 +39,7 @@
     if "chat" not in config.deploy_settings:
         raise ConfigError("queue.toml: chat.toml has to be enabled, too; its clients are queued")
     chat_settings, settings, names = config.settings_of(ChatConfig), config.settings, config.names
-    observation = Sight(context.conductor, context.upstream.reach, context.metrics)
+    observation = ServerObserver(context.conductor, context.upstream.reachability, context.metrics)
     is_leased = "duties" in config.deploy_settings
     records = None if fleet is None else fleet.members.records
     queue = QueueComponent(
--- a/ringledge/lifecycle/components/servers.py
+++ b/ringledge/lifecycle/components/servers.py
@@ -13,9 +13,9 @@
     def start() -> None:
         tasks.start_soon(context.conductor.run_timers)
         tasks.start_soon(discovery.watch)
-        tasks.start_soon(discovery.fetch_when_asked, upstream)
-        tasks.start_soon(upstream.retire_idle)
-        tasks.start_soon(upstream.watch_silence)
+        tasks.start_soon(discovery.fetch_on_request, upstream)
+        tasks.start_soon(upstream.close_expired_connections)
+        tasks.start_soon(upstream.detect_unresponsive_peers)
         tasks.start_soon(context.operator_overrides.watch)
 
     def on_process_count(processes: int) -> None:
--- a/ringledge/lifecycle/context.py
+++ b/ringledge/lifecycle/context.py
@@ -17,7 +17,8 @@
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import EndpointUpdateKind
-from ringledge.wire.discovery.watcher import Discovery
+from ringledge.wire.discovery.watcher import DiscoveryClient
+from ringledge.wire.servers.context import UpstreamContext
 from ringledge.wire.servers.upstream import Upstream
 
 
@@ -32,7 +33,7 @@
     upstream: Upstream
     conductor: Conductor
     operator_overrides: OperatorOverrides
-    discovery: Discovery
+    discovery: DiscoveryClient
     fronts: Fronts
     shutdown: Shutdown
 
@@ -47,15 +48,23 @@
     servers = ServerList(settings.kinds)
     clock = Clock(predecessor.clock_offset_ms)
     fronts = Fronts(config, metrics, predecessor.listeners)
-    release_timeout_ms, zone = settings.release_within_ms, settings.zone
     upstream = Upstream(
-        tasks, servers, names, fronts.max_upstream_sockets, release_timeout_ms, zone, clock, metrics
+        UpstreamContext(
+            tasks=tasks,
+            servers=servers,
+            names=names,
+            max_connections=fronts.max_upstream_sockets,
+            configured_hold_limit_ms=settings.release_within_ms,
+            zone=settings.zone,
+            clock=clock,
+            metrics=metrics,
+        )
     )
     conductor = Conductor(settings, config.seed, clock, servers, metrics, upstream)
     upstream.conductor = conductor
     overrides = OperatorOverrides(config.folder, config.name, config.fingerprint, conductor.override_server)
     overrides.load()  # before the first request is forwarded
-    discovery = Discovery(config.discovery, names, conductor, random.Random(config.seed))
+    discovery = DiscoveryClient(config.discovery, names, conductor, random.Random(config.seed))
     discovery.apply(config.known_endpoints, EndpointUpdateKind.PERSISTED)
     return ProgramContext(
         config=config,
--- a/ringledge/lifecycle/drain.py
+++ b/ringledge/lifecycle/drain.py
@@ -30,7 +30,9 @@
     else:
         fronts.drain()
         await anyio.sleep(POLL_INTERVAL_S)  # the fronts accept what waits in the backlog
-    while fronts.open_connection_count() or conductor.registry.records or context.upstream.releases:
+    while (
+        fronts.open_connection_count() or conductor.registry.records or context.upstream.unanswered_releases
+    ):
         fronts.drain()
         if anyio.current_time() >= abandon_at_s:
             conductor.shut_down()
--- a/ringledge/lifecycle/reload.py
+++ b/ringledge/lifecycle/reload.py
@@ -10,7 +10,7 @@
 from ringledge.lifecycle import config as configuration
 from ringledge.lifecycle.config import Config, ConfigError
 from ringledge.observe.logging import log
-from ringledge.wire.discovery.watcher import Discovery
+from ringledge.wire.discovery.watcher import DiscoveryClient
 
 RETRY_INTERVAL_S = 0.05  # between two reads of a file that could not be used
 RETRY_TIMEOUT_S = 3.0  # of all retries: discovery's list counts as received 4 s after SIGHUP
@@ -21,7 +21,7 @@
 class ConfigReloader:
     """Reads the configuration anew, and applies what may change in the running program."""
 
-    def __init__(self, config: Config, discovery: Discovery, tasks: anyio.abc.TaskGroup) -> None:
+    def __init__(self, config: Config, discovery: DiscoveryClient, tasks: anyio.abc.TaskGroup) -> None:
         self._running_config = config
         self._latest_config = config
         self._discovery = discovery
@@ -56,7 +56,7 @@
         restart_required = fields_requiring_restart(self._running_config, config)
         # A changed address in the file is newer than that of RELAY_DISCOVERY.
         if config.configured_discovery != self._latest_config.configured_discovery:
-            self._discovery.move(config.configured_discovery)
+            self._discovery.change_address(config.configured_discovery)
         self._latest_config = config
         log.info("reloaded", discovery=self._discovery.address, waits_for_restart=restart_required)
 
--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -23,12 +23,12 @@
 from ringledge.routing.interface import (
     Availability,
 )
-from ringledge.wire.discovery.watcher import ANSWER_S
+from ringledge.wire.discovery.watcher import RESPONSE_TIMEOUT_S
 
 # Where discovery has not responded for so long, the last known list is used. A first call that is accepted
-# but not answered is given up after ANSWER_S; the response to the next has to come before a stale list is
-# used.
-ENDPOINT_LIST_TIMEOUT_S = ANSWER_S + 0.5
+# but not answered is given up after RESPONSE_TIMEOUT_S; the response to the next has to come before a stale
+# list is used.
+ENDPOINT_LIST_TIMEOUT_S = RESPONSE_TIMEOUT_S + 0.5
 
 
 class Program:
@@ -53,7 +53,7 @@
     def _register_gauges(self) -> None:
         context = self._context
         metrics, discovery = context.metrics, context.discovery
-        metrics.list_age.set_function(lambda: time.monotonic() - discovery.last_heard)
+        metrics.list_age.set_function(lambda: time.monotonic() - discovery.last_received_s)
         metrics.open_requests.set_function(context.conductor.registry.unanswered_count)
         metrics.avoided.set_function(context.conductor.avoided_server_count)
         for state in (Availability.UP, Availability.DRAINING):
@@ -68,7 +68,7 @@
     def _has_endpoint_list(self) -> bool:
         """Whether discovery has sent its list, or an older one is used as discovery does not respond."""
         context = self._context
-        if context.discovery.heard.is_set():
+        if context.discovery.synchronized.is_set():
             return True
         is_late = time.monotonic() - self._started_s >= ENDPOINT_LIST_TIMEOUT_S
         return is_late and bool(context.servers.entries)
@@ -141,7 +141,7 @@
         remaining_s = max(0.0, self._started_s + ENDPOINT_LIST_TIMEOUT_S - time.monotonic())
         with anyio.move_on_after(remaining_s) as timeout:
             async with anyio.create_task_group() as waits:
-                waits.start_soon(_cancel_after, context.discovery.heard, waits.cancel_scope)
+                waits.start_soon(_cancel_after, context.discovery.synchronized, waits.cancel_scope)
                 waits.start_soon(_cancel_after, context.shutdown, waits.cancel_scope)
         if timeout.cancelled_caught:
             log.warning("list_late", seconds=ENDPOINT_LIST_TIMEOUT_S, entries=len(context.servers.entries))
--- /dev/null
+++ b/tests/wire/servers/test_unresponsive_peers.py
@@ -0,0 +1,86 @@
+"""The entry for a decode attempt that may not have been delivered is released at its hold limit."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+from typing import Any
+
+import anyio
+import pytest
+
+from ringledge.core.port import Payload
+from ringledge.core.records import Attempt, Record
+from ringledge.decide.servers.delivery import CHECK_AFTER_MS
+from ringledge.decide.servers.reachability import Reachability
+from ringledge.routing.interface import (
+    Request,
+)
+from ringledge.wire.servers.in_flight import InFlightAttempt
+from ringledge.wire.servers.unresponsive_peers import UnresponsivePeerDetector
+
+HOLD_LIMIT_MS = 500.0
+
+
+class DetectorHarness:
+    """An at-most-once request whose decode attempt was written a while ago and is unanswered."""
+
+    def __init__(self, tasks: Any, unanswered_ms: float, reachable: bool) -> None:
+        self.now_ms = 10_000.0
+        self.released = list[set[str]]()
+        self.reachable = reachable
+        self.connection_attempted = anyio.Event()
+        caller: Any = SimpleNamespace()
+        written_ms = self.now_ms - unanswered_ms
+        self.record = Record(Request("a", expires_in_ms=9000), Payload(b"/", b""), caller, written_ms)
+        self.record.cache_holders, self.record.idle_since_ms = {"r0"}, written_ms
+        self.attempt = Attempt(self.record, 0, "w0", False, True, written_ms, 20_000.0)
+        self.attempt.written = self.attempt.fetches_cache = True
+        self.record.attempts.append(self.attempt)
+        in_flight = {self.attempt: InFlightAttempt(written_ms=written_ms)}
+        reachability = Reachability()
+        reachability.update_servers([("w0", 0)])
+        connections: Any = SimpleNamespace(
+            reachability=reachability, open=self.open, connect_timeout_s=lambda: 0.25, pool=self
+        )
+        servers: Any = SimpleNamespace(address=lambda _: "127.0.0.1:9")
+        clock: Any = SimpleNamespace(now_ms=lambda: self.now_ms)
+        release_sender: Any = SimpleNamespace(release=lambda _, known, __: self.released.append(known))
+        context: Any = SimpleNamespace(tasks=tasks, servers=servers, clock=clock, hold_limit_ms=HOLD_LIMIT_MS)
+        self.detector = UnresponsivePeerDetector(context, in_flight, connections, release_sender)
+
+    async def open(self, *_: Any) -> Any:
+        self.connection_attempted.set()
+        if not self.reachable:
+            raise TimeoutError
+
+    def release(self, *_: Any) -> None:
+        """The pool takes the new connection."""
+
+
+async def released_entries(unanswered_ms: float, reachable: bool, delivered: bool) -> list[set[str]]:
+    """What is released once the server has been checked."""
+    async with anyio.create_task_group() as tasks:
+        harness = DetectorHarness(tasks, unanswered_ms, reachable)
+        harness.attempt.delivered = delivered
+        tasks.start_soon(harness.detector.run)
+        await harness.connection_attempted.wait()
+        await anyio.wait_all_tasks_blocked()
+        tasks.cancel_scope.cancel()
+    return harness.released
+
+
+@pytest.mark.parametrize(
+    ("unanswered_ms", "reachable", "delivered", "released"),
+    [
+        (HOLD_LIMIT_MS, True, False, [{"r0"}]),  # a reused connection may be dead
+        (HOLD_LIMIT_MS - 1, True, False, []),  # the limit is not reached
+        (HOLD_LIMIT_MS, True, True, []),  # a new connection: the request likely waits in a queue
+        (HOLD_LIMIT_MS + 150, True, True, [{"r0"}]),  # a new connection may be dead or slow, too
+        (CHECK_AFTER_MS, False, True, [{"r0"}]),  # the server became unreachable since
+        (CHECK_AFTER_MS, False, False, [{"r0"}]),
+    ],
+)
+def test_entry_is_released_unless_its_attempt_is_delivered(
+    unanswered_ms: float, reachable: bool, delivered: bool, released: list[set[str]]
+) -> None:
+    assert anyio.run(released_entries, unanswered_ms, reachable, delivered) == released
