--- a/ringledge/decide/leases/duty_locks.py
+++ b/ringledge/decide/leases/duty_locks.py
@@ -22,7 +22,7 @@
 class DutyLock:
     """One duty as an acceptor knows it."""
 
-    # Invariant: never decreases; a token not above it is accepted of nobody but the one that holds it.
+    # Invariant: never decreases; a token not above it is accepted only as a renewal or a repetition.
     highest_token: int = 0
     # Invariant: while the lock lasts, `holder` changes for a release of the holder alone.
     holder: ProposerId = NOBODY  # of the current or the last lock; NOBODY once it was released
