--- a/ringledge/lab/stage.py
+++ b/ringledge/lab/stage.py
@@ -54,6 +54,13 @@
     raise RuntimeError(f"it ended without a line {event}")
 
 
+def _conductor_environment(folder: str) -> dict[str, str]:
+    """The environment of this process with the conductor's variables set to the folder."""
+    inherited = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "RINGLEDGE_"))}
+    variables = {"RELAY_CONFIG": f"{folder}/config.json", "RINGLEDGE_DEPLOY": folder, "TMPDIR": folder}
+    return inherited | variables
+
+
 @contextmanager
 def start_stage(
     servers: tuple[str, ...] = (),
@@ -77,14 +84,10 @@
             discovery = _read_event(processes[0].stdout, "ready")["discovery"]
             for name, text in (deploy or {}).items():
                 (Path(folder) / name).write_text(text)
-            variables = {
-                "RELAY_CONFIG": f"{folder}/config.json",
-                "RINGLEDGE_DEPLOY": folder,
-                "TMPDIR": folder,
-            }
-            environ = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "RINGLEDGE_"))}
             processes.append(
-                subprocess.Popen(COMMAND, cwd=tree, env=environ | variables, stderr=subprocess.PIPE)
+                subprocess.Popen(
+                    COMMAND, cwd=tree, env=_conductor_environment(folder), stderr=subprocess.PIPE
+                )
             )
             if core is not None:
                 os.sched_setaffinity(processes[1].pid, {core})
