--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -17,11 +17,11 @@
 import anyio
 import click
 
-from ringledge.decide.replay.partition_detection import State
-from ringledge.decide.replay.rate_control import Pace
-from ringledge.decide.replay.scheduler import Head, Replay, Verdict
+from ringledge.decide.replay.partition_detection import SiteState
+from ringledge.decide.replay.rate_control import RateController
+from ringledge.decide.replay.scheduler import QueueHead, ReplayScheduler, SendOutcome
 from ringledge.members.duty import Still
-from ringledge.members.replay_sender import Result, Sending
+from ringledge.members.replay_sender import SendHandle, SendResult
 from ringledge.members.replayer import Replayer
 from ringledge.observe.logging import log
 from ringledge.store.entry import Asked, Entry
@@ -41,10 +41,10 @@
     """The servers, which are the process that started this one."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, Callable[[Result], None]] = {}
+        self._waiting: dict[str, Callable[[SendResult], None]] = {}
         self.stopping = self.all_taken = False
 
-    def __call__(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
         """Tell the other side of a send."""
         self._waiting[entry.name] = ended
         say("sent", entry.name)
@@ -72,13 +72,13 @@
                 if word == "stop":
                     self.stopping = True
                 elif ended := self._waiting.pop(name, None):
-                    ended(Result(Verdict.SERVED, True, b'{"object":"chat.completion"}'))
+                    ended(SendResult(SendOutcome.SERVED, True, b'{"object":"chat.completion"}'))
 
 
 class LateStart(Replayer):
     """A mutant: the start is written after the send."""
 
-    async def _begin(self, replay: Replay, head: Head, token: int, still: Still) -> bool:
+    async def _begin(self, replay: ReplayScheduler, head: QueueHead, token: int, still: Still) -> bool:
         entry = await self._queue.get(head.name)
         assert entry is not None
         self._start(entry, token)
@@ -92,12 +92,12 @@
     queue, stand_in = Queue(QueueConfig(path=path, busy_s=10.0)), StandIn()
     queue.start()
 
-    def decider(now_s: float, token: int) -> Replay:
-        pace = Pace(random.Random(seed), jitter_s=0.0)
-        pace.allot(now_s, 1e6)
-        pace.opened(now_s)
+    def decider(now_s: float, token: int) -> ReplayScheduler:
+        pace = RateController(random.Random(seed), jitter_s=0.0)
+        pace.set_ceiling(now_s, 1e6)
+        pace.open(now_s)
         pace.rate = 1e5
-        return Replay(pace, 16)
+        return ReplayScheduler(pace, 16)
 
     async def clients() -> None:
         for number in range(entries):
@@ -111,7 +111,7 @@
 
     async with anyio.create_task_group() as tasks:
         kind = LateStart if late else Replayer
-        replayer = kind(queue, stand_in, decider, lambda: State.OPEN, time.monotonic)
+        replayer = kind(queue, stand_in, decider, lambda: SiteState.AVAILABLE, time.monotonic)
         replayer.tasks = tasks
         tasks.start_soon(stand_in.receive)
         tasks.start_soon(clients)
@@ -119,8 +119,10 @@
         replayer.begin(token)
         say("began", str(token))
         await replayer.step(token, lambda: True)  # settles what earlier holders had begun
-        while not stand_in.over or replayer.under_way or replayer.owed or await queue.waiting():
-            await replayer.news(0.005)
+        while (
+            not stand_in.over or replayer.in_flight_count or replayer.unsettled_count or await queue.waiting()
+        ):
+            await replayer.wait_for_completion(0.005)
             await replayer.step(token, lambda: True)
         tasks.cancel_scope.cancel()
     queue.stop()
--- a/benchmarks/ratio_ways.py
+++ b/benchmarks/ratio_ways.py
@@ -14,7 +14,7 @@
 from ringledge.decide.ratio.planner import ListedServer
 from ringledge.decide.ratio.role_records import encode_assignment
 from ringledge.decide.ratio.settings import RatioConfig
-from ringledge.members.planner import Planner
+from ringledge.members.planner import RolePlannerService
 
 FULL, ROOM = 0.9, 0.05  # of what servers get through that keeps requests in time; worth of room beyond
 DRAINS_S = 5.0  # that a change of foresight's is taken to drain in the mean: about a long answer
@@ -144,9 +144,9 @@
         self.planner = self._new()
         lab.after(3.0, self.begin)
 
-    def _new(self) -> Planner:
+    def _new(self) -> RolePlannerService:
         member = self.lab.conductors[self.holder]
-        return Planner(self.lab.settings, member.facts, self, member.book, lambda: self.lab.now_s)
+        return RolePlannerService(self.lab.settings, member.facts, self, member.book, lambda: self.lab.now_s)
 
     def servers(self) -> list[ListedServer]:
         return self.lab.listed
@@ -168,7 +168,7 @@
         self.planner.changes = changes
         self.begin()
 
-    def _step(self, planner: Planner, token: int) -> None:
+    def _step(self, planner: RolePlannerService, token: int) -> None:
         if planner is not self.planner:
             return
         step = planner.step(token, lambda: planner is self.planner)
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -20,7 +20,7 @@
 import orjson
 
 from benchmarks.replay_world import World, queue_of
-from ringledge.decide.replay.fair_share import jain
+from ringledge.decide.replay.fair_share import jain_index
 
 BACKLOGS = {"s1": 10_000, "s2": 100, "s3": 100, "s4": 500, "s5": 1_000}
 WEIGHTS = {"s1": 1.0, "s2": 1.0, "s3": 1.0, "s4": 2.0, "s5": 1.0}
@@ -50,8 +50,8 @@
     """What is not done: each site sends what it has as soon as its link is there."""
     filled(told, seed)
     for site in told.sites.values():
-        site.replay._most = HERD
-        site.replay.pace.may_send = lambda now_s, under_way: True  # type: ignore[method-assign]
+        site.replay._max_in_flight = HERD
+        site.replay.rate_controller.may_send = lambda now_s: True  # type: ignore[method-assign]
     return told
 
 
@@ -70,7 +70,7 @@
     tenants = defaultdict[str, float](float)
     for at_s, work, tenant in told.sites["s1"].log:
         tenants[tenant] += work if at_s <= until_s else 0.0
-    return jain(got), jain(tenants.values())
+    return jain_index(got), jain_index(tenants.values())
 
 
 def play(seed: int) -> dict[str, Any]:
--- a/benchmarks/replay_world.py
+++ b/benchmarks/replay_world.py
@@ -16,9 +16,9 @@
 from functools import partial
 from itertools import count
 
-from ringledge.decide.replay.capacity_loans import Lend, Lending, Want
-from ringledge.decide.replay.rate_control import Pace, Room, spare
-from ringledge.decide.replay.scheduler import Head, Replay, Verdict
+from ringledge.decide.replay.capacity_loans import CapacityLoans, LoanGrant, LoanRequest
+from ringledge.decide.replay.rate_control import Capacity, RateController, spare_capacity
+from ringledge.decide.replay.scheduler import QueueHead, ReplayScheduler, SendOutcome
 
 READERS, READ_PACE = 24, 8_000.0  # servers; tokens per s of each
 WRITERS, PLACES, TOKEN_S = 24, 16, 0.02  # servers; streams of each; s a token
@@ -34,9 +34,9 @@
     """One site: its queue by tenant, and its replay."""
 
     name: str
-    queue: dict[str, list[Head]]
-    replay: Replay
-    lending: Lending
+    queue: dict[str, list[QueueHead]]
+    replay: ReplayScheduler
+    lending: CapacityLoans
     open: Callable[[float], bool]
     want: float = 0.0
     first_s: float = -1.0  # when its first one was sent
@@ -70,13 +70,13 @@
         self,
         name: str,
         weights: dict[str, float],
-        queue: dict[str, list[Head]],
+        queue: dict[str, list[QueueHead]],
         open_: Callable[[float], bool] = lambda now_s: True,
     ) -> None:
         """One more site with what it has queued."""
         rng = random.Random(f"{name}{self.facts.random()}")
-        lending = Lending(name, weights, 1, -100.0)
-        self.sites[name] = Site(name, queue, Replay(Pace(rng), MOST), lending, open_)
+        lending = CapacityLoans(name, weights, 1, -100.0)
+        self.sites[name] = Site(name, queue, ReplayScheduler(RateController(rng), MOST), lending, open_)
 
     def at(self, at_s: float, call: Callable[[], None]) -> None:
         """Have something happen."""
@@ -125,26 +125,34 @@
 
     # Replay.
 
-    def room(self) -> Room:
+    def room(self) -> Capacity:
         """What the facts say; live traffic as it was over the last seconds."""
         since_s = max(0.1, min(WINDOW_S, self.now_s))
         self.demand = [each for each in self.demand if self.now_s - each[0] <= WINDOW_S]
         reading = sum(prompt for _, prompt, _ in self.demand) / since_s
         writing = sum(out for _, _, out in self.demand) / since_s
-        return Room(READERS * READ_PACE, WRITERS * PLACES / TOKEN_S, reading, writing)
+        return Capacity(READERS * READ_PACE, WRITERS * PLACES / TOKEN_S, reading, writing)
 
     def _tick(self) -> None:
         room = self.room()
         for site in self.sites.values():
-            pace, left = site.replay.pace, spare(room, RESERVE, site.replay.written(room.written()))
+            pace, left = (
+                site.replay.rate_controller,
+                spare_capacity(room, RESERVE, site.replay.decode_fraction(room.decode_fraction())),
+            )
             if not site.open(self.now_s):
-                pace.closed()
+                pace.close()
                 continue
-            site.lending.need(self.now_s, self._wish(site, left))
-            pace.allot(self.now_s, None if left is None else left * PART * site.lending.part(self.now_s))
-            pace.opened(self.now_s)
-            heads = [head for queued in site.queue.values() for head in queued[: 8 + site.replay.under_way]]
-            while (head := site.replay.choose(self.now_s, heads)) is not None:
+            site.lending.update_demand(self.now_s, self._wish(site, left))
+            pace.set_ceiling(
+                self.now_s,
+                None if left is None else left * PART * site.lending.available_fraction(self.now_s),
+            )
+            pace.open(self.now_s)
+            heads = [
+                head for queued in site.queue.values() for head in queued[: 8 + site.replay.in_flight_count]
+            ]
+            while (head := site.replay.choose_next(self.now_s, heads)) is not None:
                 self._send(site, head)
                 heads.remove(head)
         self.at(self.now_s + TICK_S, self._tick)
@@ -152,9 +160,13 @@
     def _wish(self, site: Site, left: float | None) -> float:
         if not site.left():
             return 0.0
-        return min(1.0, max(site.lending.base, 2 * site.replay.pace.rate / (left * PART))) if left else 1.0
+        return (
+            min(1.0, max(site.lending.own_fraction, 2 * site.replay.rate_controller.rate / (left * PART)))
+            if left
+            else 1.0
+        )
 
-    def _send(self, site: Site, head: Head) -> None:
+    def _send(self, site: Site, head: QueueHead) -> None:
         self.sends.append((self.now_s, site.name))
         site.first_s = self.now_s if site.first_s < 0 else site.first_s
         out = head.work / 10
@@ -164,36 +176,36 @@
 
         def served() -> None:
             site.queue[head.tenant].remove(head)
-            site.replay.ended(self.now_s, head.name, Verdict.SERVED, head.work, out)
+            site.replay.record_outcome(self.now_s, head.name, SendOutcome.SERVED, head.work, out)
             site.log.append((self.now_s, head.work, head.tenant))
             if not site.left():
                 site.ended_s = self.now_s
 
         if not self._serve(head.work - out, out, first):
             site.refused += 1
-            site.replay.ended(self.now_s, head.name, Verdict.REFUSED)
+            site.replay.record_outcome(self.now_s, head.name, SendOutcome.REJECTED)
 
     def _tell(self) -> None:
         """Facts on their way: late by up to two seconds, one in twenty lost."""
         for site in self.sites.values():
-            for key, row in site.lending.rows().items():
+            for key, row in site.lending.records().items():
                 for other in self.sites.values():
                     if self.lends and other is not site and self.facts.random() > 0.05:
                         late_s = self.facts.uniform(0.01, 2.0)
                         self.at(self.now_s + late_s, partial(self._receive, other, key, row))
         self.at(self.now_s + FACTS_S, self._tell)
 
-    def _receive(self, site: Site, key: str, row: Want | Lend) -> None:
-        if isinstance(row, Want):
+    def _receive(self, site: Site, key: str, row: LoanRequest | LoanGrant) -> None:
+        if isinstance(row, LoanRequest):
             site.lending.receive(self.now_s, {key[5:]: row}, {})
         elif key.endswith(f"/{site.name}"):
             site.lending.receive(self.now_s, {}, {key.split("/")[1]: row})
 
 
-def queue_of(rng: random.Random, site: str, entries: int, tenants: int = 3) -> dict[str, list[Head]]:
+def queue_of(rng: random.Random, site: str, entries: int, tenants: int = 3) -> dict[str, list[QueueHead]]:
     """So many entries; the work of each differs a hundredfold."""
-    told = defaultdict[str, list[Head]](list)
+    told = defaultdict[str, list[QueueHead]](list)
     for number in range(entries):
         tenant, work = f"t{number % tenants}", min(12_000.0, max(100.0, rng.lognormvariate(7.0, 1.0)))
-        told[tenant].append(Head(f"{site}/{number}", tenant, work, float(number), number % 2 == 0))
+        told[tenant].append(QueueHead(f"{site}/{number}", tenant, work, float(number), number % 2 == 0))
     return dict(told)
--- a/ringledge/decide/replay/fair_share.py
+++ b/ringledge/decide/replay/fair_share.py
@@ -1,6 +1,6 @@
-"""Weighted max-min fairness: nobody gets more than it can use, and what is left goes to the others by weight.
+"""Weighted max-min fairness: no share exceeds its demand, and the rest is divided by weight.
 
-Bertsekas and Gallager, Data Networks, 6.5.2. The index of fairness is Jain's (Jain, Chiu, Hawe 1984).
+Bertsekas and Gallager, Data Networks, 6.5.2. The fairness index is Jain's (Jain, Chiu, Hawe 1984).
 """
 
 from __future__ import annotations
@@ -10,28 +10,29 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Claim:
+class ShareRequest:
     """What one party could use, and its weight (over 0)."""
 
     weight: float
-    most: float
-
-
-def max_min(budget: float, claims: Mapping[str, Claim]) -> dict[str, float]:
-    """Divide a budget: the sum is never above it, and above no claim."""
-    given = dict.fromkeys(claims, 0.0)
-    # By what would fill each first: once the smallest can't be filled any more, none behind it can.
-    waiting = sorted(claims, key=lambda name: claims[name].most / claims[name].weight)
-    weight = sum(each.weight for each in claims.values())
-    for name in waiting:
-        claim = claims[name]
-        given[name] = max(0.0, min(claim.most, budget * claim.weight / weight))
-        budget, weight = budget - given[name], weight - claim.weight
-    return given
-
-
-def jain(values: Iterable[float]) -> float:
-    """Jain's index of fairness: 1 where all are equal, 1/n where one has all; 1 of nothing."""
-    told = list(values)
-    squares = sum(each * each for each in told)
-    return sum(told) ** 2 / (len(told) * squares) if squares else 1.0
+    demand: float
+
+
+def max_min_fair_shares(budget: float, requests: Mapping[str, ShareRequest]) -> dict[str, float]:
+    """Divide a budget: the sum of the shares is never above it, and no share above its demand."""
+    shares = dict.fromkeys(requests, 0.0)
+    # In the order in which they are satisfied: once the smallest can't be, none after it can.
+    ascending = sorted(requests, key=lambda name: requests[name].demand / requests[name].weight)
+    total_weight = sum(request.weight for request in requests.values())
+    for name in ascending:
+        request = requests[name]
+        shares[name] = max(0.0, min(request.demand, budget * request.weight / total_weight))
+        budget -= shares[name]
+        total_weight -= request.weight
+    return shares
+
+
+def jain_index(values: Iterable[float]) -> float:
+    """Jain's fairness index: 1 where all are equal, 1/n where one has everything; 1 of no values."""
+    values = list(values)
+    sum_of_squares = sum(value * value for value in values)
+    return sum(values) ** 2 / (len(values) * sum_of_squares) if sum_of_squares else 1.0
--- a/ringledge/decide/replay/partition_detection.py
+++ b/ringledge/decide/replay/partition_detection.py
@@ -1,9 +1,11 @@
-"""When a site is cut off or short: its conductors reach no reader or no writer, or none that has room.
+"""Detects when a site is partitioned or saturated, as its conductors see it.
 
-Each conductor looks at what it reaches and tells the others of its site; the site is cut off only where all
-that are heard of say so. It is entered soon, so that requests are kept; it is left only when something was
-heard from a server since, for a silence that has merely faded proves nothing. Free of I/O and clocks; times
-in s.
+Partitioned: they reach no prefill or no decode server; saturated: none that has capacity. Free of I/O and
+clocks; times in s.
+
+Each conductor observes the servers and publishes its own state to the others of its site; the site counts as
+partitioned only where all that have reported say so. The state is entered soon, so that requests are queued;
+it is left only after a response from a server, for a recorded failure that merely expired proves nothing.
 """
 
 from __future__ import annotations
@@ -15,110 +17,131 @@
 
 import msgspec
 
-CUT_AFTER_S = 0.5  # nothing reached for so long: a first list and a connect that times out take less
-SHORT_AFTER_S = 2.0  # no room for so long: a jam of a second is what refusals are for
-SHORT_REFUSALS = 3  # in a row, and none served: one refusal may be the request's own (its time, its size)
-BACK_AFTER_S = 2.0  # reached and with room for so long: a link that is up for a moment changes nothing
-TOLD_S = 5.0  # what another conductor said counts so long
+PARTITIONED_AFTER_S = 0.5  # without servers: a first server list and a connect time-out take less
+SATURATED_AFTER_S = 2.0  # without capacity: a jam of a second is what rejections are for
+SATURATED_REJECTIONS = 3  # in a row, none served: one rejection may be the request's own (its time, its size)
+AVAILABLE_AFTER_S = 2.0  # with servers and capacity: a link that is up for a moment changes nothing
+PEER_STATE_TTL_S = 5.0  # after which another conductor's state expires
+
+
+class SiteReachability(msgspec.Struct, array_like=True, frozen=True):
+    """The state of a site as one conductor reports it (key reach/SITE)."""
 
+    state: int  # a value of `SiteState`
 
-class Reached(msgspec.Struct, array_like=True, frozen=True):
-    """What one conductor says of its site (key reach/SITE)."""
 
-    state: int  # 0 open, 1 short, 2 cut off
+class SiteState(Enum):
+    """Whether a site can serve live requests; lower values are better."""
 
+    AVAILABLE = 0
+    SATURATED = 1
+    PARTITIONED = 2
 
-class State(Enum):
-    """How a site stands; the numbers go into `Reached`."""
+    @property
+    def label(self) -> str:
+        """The state's name in logs."""
+        return _LABELS[self]
 
-    OPEN = 0
-    SHORT = 1
-    CUT_OFF = 2
+
+_LABELS = {SiteState.AVAILABLE: "open", SiteState.SATURATED: "short", SiteState.PARTITIONED: "cut_off"}
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class ServerReachability:
     """One server as a conductor sees it at a moment."""
 
-    reads: bool
-    writes: bool
-    reached: bool  # listed as up, and connections come up
-    room: bool  # it may get something new
-    heard_s: float  # when it answered last, -inf: never
+    does_prefill: bool
+    does_decode: bool
+    reachable: bool  # listed as up, and connections succeed
+    has_capacity: bool  # it may get a new request
+    last_response_s: float  # -inf: never
 
 
 @dataclass(slots=True)
-class _Since:
-    """Since when something holds without a break."""
+class _ConditionTimer:
+    """For how long a condition has held without interruption."""
 
-    at_s: float = inf
+    since_s: float = inf
 
-    def look(self, now_s: float, holds: bool) -> float:
-        """For how long it holds now, in s."""
+    def update(self, now_s: float, holds: bool) -> float:
+        """The time for which the condition has held, in s; 0 where it does not hold."""
         if not holds:
-            self.at_s = inf
+            self.since_s = inf
             return 0.0
-        self.at_s = min(self.at_s, now_s)
-        return now_s - self.at_s
+        self.since_s = min(self.since_s, now_s)
+        return now_s - self.since_s
 
 
-class CutOff:
+class PartitionDetector:
     """One conductor's view of its site."""
 
     def __init__(self) -> None:
-        self.own = State.OPEN
+        self.own_state = SiteState.AVAILABLE
         self.changed_s = -inf
-        self._none, self._full, self._well = _Since(), _Since(), _Since()
-        self._refusals, self._served_s = 0, -inf
-        self._others: dict[str, tuple[float, State]] = {}  # by name: when heard, and what it said
-
-    def refused(self) -> None:
-        """A request was refused or failed before any answer."""
-        self._refusals += 1
-
-    def served(self, now_s: float) -> None:
-        """An answer has begun: there is a reader and a writer with room."""
-        self._refusals, self._served_s = 0, now_s
-
-    def receive(self, now_s: float, told: Iterable[tuple[str, Reached]]) -> None:
-        """What the other conductors of the site say now, by name; who is not among them is gone."""
-        self._others = {
-            name: (now_s, State(row.state)) for name, row in told if row.state in State._value2member_map_
+        self._unreachable = _ConditionTimer()
+        self._without_capacity = _ConditionTimer()
+        self._available = _ConditionTimer()
+        self._rejections = 0  # since a request was served
+        self._served_s = -inf
+        self._peer_states: dict[str, tuple[float, SiteState]] = {}  # by name: received at, state
+
+    def record_rejected(self) -> None:
+        """A request was rejected, or failed before any response."""
+        self._rejections += 1
+
+    def record_served(self, now_s: float) -> None:
+        """A response has begun: there are a prefill and a decode server with capacity."""
+        self._rejections = 0
+        self._served_s = now_s
+
+    def receive(self, now_s: float, reports: Iterable[tuple[str, SiteReachability]]) -> None:
+        """Set the present reports of the site's other conductors by name; unknown states are ignored."""
+        self._peer_states = {
+            name: (now_s, SiteState(report.state))
+            for name, report in reports
+            if report.state in SiteState._value2member_map_
         }
 
-    def look(self, now_s: float, servers: Iterable[Seen]) -> State:
-        """Take in how the servers are seen now; the site's state."""
-        reads = reads_room = writes = writes_room = False
-        heard_s = self._served_s
-        for each in servers:
-            heard_s = max(heard_s, each.heard_s)
-            room = each.reached and each.room
-            reads = reads or (each.reads and each.reached)
-            reads_room = reads_room or (each.reads and room)
-            writes = writes or (each.writes and each.reached)
-            writes_room = writes_room or (each.writes and room)
-        cut = not (reads and writes)
-        full = not (reads_room and writes_room) or self._refusals >= SHORT_REFUSALS
-        none_s, full_s = self._none.look(now_s, cut), self._full.look(now_s, full)
-        well_s = self._well.look(now_s, not cut and not full and heard_s > self.changed_s)
-        if none_s >= CUT_AFTER_S:
-            self._become(now_s, State.CUT_OFF)
-        elif full_s >= SHORT_AFTER_S and self.own is State.OPEN:
-            self._become(now_s, State.SHORT)
-        elif well_s >= BACK_AFTER_S:
-            self._become(now_s, State.OPEN)
+    def update(self, now_s: float, servers: Iterable[ServerReachability]) -> SiteState:
+        """Process the present view of the servers; returns the site's state."""
+        servers = list(servers)
+        reachable = [server for server in servers if server.reachable]
+        with_capacity = [server for server in reachable if server.has_capacity]
+        last_response_s = max([self._served_s, *(server.last_response_s for server in servers)])
+        is_partitioned = not _has_both_roles(reachable)
+        is_saturated = not _has_both_roles(with_capacity) or self._rejections >= SATURATED_REJECTIONS
+        is_available = not is_partitioned and not is_saturated and last_response_s > self.changed_s
+        unreachable_s = self._unreachable.update(now_s, is_partitioned)
+        without_capacity_s = self._without_capacity.update(now_s, is_saturated)
+        available_s = self._available.update(now_s, is_available)
+        if unreachable_s >= PARTITIONED_AFTER_S:
+            self._change_state(now_s, SiteState.PARTITIONED)
+        elif without_capacity_s >= SATURATED_AFTER_S and self.own_state is SiteState.AVAILABLE:
+            self._change_state(now_s, SiteState.SATURATED)
+        elif available_s >= AVAILABLE_AFTER_S:
+            self._change_state(now_s, SiteState.AVAILABLE)
         return self.state(now_s)
 
-    def state(self, now_s: float) -> State:
-        """The site's: as open as the one that sees it most open."""
-        said = [state for at_s, state in self._others.values() if now_s - at_s < TOLD_S]
-        return min([self.own, *said], key=lambda each: each.value)
-
-    def row(self) -> Reached:
-        """What to tell the others."""
-        return Reached(self.own.value)
-
-    def _become(self, now_s: float, state: State) -> None:
-        if state is not self.own:
-            self.own, self.changed_s = state, now_s
-            self._refusals = 0 if state is State.OPEN else self._refusals
+    def state(self, now_s: float) -> SiteState:
+        """The site's state: the best that any of its conductors reports."""
+        peer_states = [
+            state for received_s, state in self._peer_states.values() if now_s - received_s < PEER_STATE_TTL_S
+        ]
+        return min([self.own_state, *peer_states], key=lambda state: state.value)
+
+    def record(self) -> SiteReachability:
+        """The record of this conductor's own state."""
+        return SiteReachability(self.own_state.value)
+
+    def _change_state(self, now_s: float, state: SiteState) -> None:
+        if state is self.own_state:
+            return
+        self.own_state = state
+        self.changed_s = now_s
+        if state is SiteState.AVAILABLE:
+            self._rejections = 0
+
+
+def _has_both_roles(servers: list[ServerReachability]) -> bool:
+    does_prefill = any(server.does_prefill for server in servers)
+    return does_prefill and any(server.does_decode for server in servers)
--- a/ringledge/decide/replay/scheduler.py
+++ b/ringledge/decide/replay/scheduler.py
@@ -1,13 +1,12 @@
-"""Which queued request is sent next, and when: fair in work among tenants, in what live traffic leaves over.
+"""Which queued request is sent next, and when: fair in work among tenants, within the spare capacity.
 
 Among tenants: start-time fair queuing (Goyal, Vin, Cheng 1996) on tokens, by weight; within one by age. A
-tenant that comes late starts at the present, so what it did not use while it had nothing is no claim on the
-rest; one that is served pays for the work that its requests took, not for their number. So nobody waits for
-ever while another is served: between two of a tenant's requests each other one gets a bounded amount of
-work.
+tenant that becomes backlogged late starts at the present virtual time, so capacity that it did not use before
+is no claim on the rest; a tenant pays for the work that its requests took, not for their number. So there is
+no starvation: between two requests of one tenant each other one gets a bounded amount of work.
 
-In time: a bucket fills at a pace (`replay_pace.py`) and an entry goes when it is not empty; the entry may
-overdraw it, so the largest goes too. Free of I/O and clocks; times in s, work in tokens.
+In time: a token bucket fills at the rate of `rate_control.py`, and an entry is sent when it is not empty; an
+entry may overdraw it, so the largest is sent too. Free of I/O and clocks; times in s, work in tokens.
 """
 
 from __future__ import annotations
@@ -17,145 +16,176 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from ringledge.decide.replay.rate_control import Pace
+from ringledge.decide.replay.rate_control import RateController
 
-MIX = 0.95  # of what the mix was known by that stays with each one served: the last twenty tell it
-FIRST_MIX = 2_000.0  # tokens by which the mix is first taken to be that of live traffic: a request or two
-MOST_WORK = 2_000_000.0  # tokens: a row that tells more is not believed, for it would stop its tenant
+MIX_RETENTION = 0.95  # factor on the mix at each entry served: the last twenty determine it
+INITIAL_MIX_TOKENS = 2_000.0  # tokens with which the mix of live traffic counts: a request or two
+MAX_WORK = 2_000_000.0  # tokens of one entry: a larger figure is implausible, and would stop its tenant
 
 
 @dataclass(slots=True, frozen=True)
-class Head:
-    """One waiting entry as far as the choice of the next one has to know it."""
+class QueueHead:
+    """One waiting entry as far as the scheduler has to know it."""
 
     name: str
     tenant: str
-    work: float  # tokens to read and to write, as estimated
+    work: float  # estimated tokens to prefill and decode
     created_s: float  # Unix seconds; only compared with others
-    safe: bool  # it may run twice
+    idempotent: bool  # it may run twice
 
 
-class Verdict(Enum):
-    """What became of a send."""
+class SendOutcome(Enum):
+    """The outcome of sending one entry."""
 
     SERVED = "served"
-    REFUSED = "refused"  # it did not run: there was no room
+    REJECTED = "refused"  # it did not run: there was no capacity
     FAILED = "failed"  # it may have run
-    WITHHELD = "withheld"  # it was not sent after all: expired, taken back, or the duty was lost
+    NOT_SENT = "withheld"  # expired, withdrawn by its client, or the lease was lost
 
 
 @dataclass(slots=True)
-class _Sent:
-    head: Head
-    charged: float
+class _InFlightEntry:
+    head: QueueHead
+    charged_work: float
 
 
-class Fair:
+class StartTimeFairQueue:
     """Start-time fair queuing over tenants."""
 
     def __init__(self, weights: Mapping[str, float]) -> None:
-        """`weights`: of tenants that don't weigh 1."""
+        """`weights`: of tenants whose weight is not 1."""
         self._weights = weights
-        self._starts: dict[str, float] = {}  # when each tenant's next entry starts, in virtual time
-        self._now = 0.0  # virtual time: the start of what was sent last
+        self._start_tags: dict[str, float] = {}  # of each tenant's next entry, in virtual time
+        self._virtual_time = 0.0  # the start tag of the last entry sent
 
-    def first(self, heads: Iterable[Head]) -> Head | None:
-        """Whose turn it is, of what waits."""
-        oldest: dict[str, Head] = {}
+    def select(self, heads: Iterable[QueueHead]) -> QueueHead | None:
+        """The waiting entry with the smallest start tag; None where none waits."""
+        oldest: dict[str, QueueHead] = {}
         for head in heads:
             known = oldest.setdefault(head.tenant, head)
             if (head.created_s, head.name) < (known.created_s, known.name):
                 oldest[head.tenant] = head
         if not oldest:
             return None
-        return min(oldest.values(), key=lambda each: (self._start(each), each.created_s, each.name))
-
-    def charge(self, head: Head, work: float) -> None:
-        """It is sent: its tenant's next one starts that much later."""
-        start = self._start(head)
-        self._now = max(self._now, start)
-        self._starts[head.tenant] = start + work / self._weight(head.tenant)
-
-    def settle(self, tenant: str, more: float) -> None:
-        """The work was more (or less) than was charged; never back before the present."""
-        start = self._starts.get(tenant, self._now) + more / self._weight(tenant)
-        self._starts[tenant] = max(self._now, start)
-
-    def forget(self, tenants: Iterable[str]) -> None:
-        """Drop tenants with nothing waiting whose time has come: they start at the present again."""
-        kept = set(tenants)
-        self._starts = {t: at for t, at in self._starts.items() if t in kept or at > self._now}
-
-    def _start(self, head: Head) -> float:
-        return max(self._now, self._starts.get(head.tenant, self._now))
+        return min(oldest.values(), key=lambda head: (self._start_tag(head), head.created_s, head.name))
+
+    def charge(self, head: QueueHead, work: float) -> None:
+        """An entry is sent: its tenant's next start tag is later by its work over its weight."""
+        start_tag = self._start_tag(head)
+        self._virtual_time = max(self._virtual_time, start_tag)
+        self._start_tags[head.tenant] = start_tag + work / self._weight(head.tenant)
+
+    def settle(self, tenant: str, additional_work: float) -> None:
+        """Correct the charge by the work that was really done; never to before the present virtual time."""
+        current = self._start_tags.get(tenant, self._virtual_time)
+        start_tag = current + additional_work / self._weight(tenant)
+        self._start_tags[tenant] = max(self._virtual_time, start_tag)
+
+    def remove_idle(self, waiting_tenants: Iterable[str]) -> None:
+        """Remove tenants with nothing waiting whose start tag has passed: they start at the present again."""
+        waiting = set(waiting_tenants)
+        self._start_tags = {
+            tenant: start_tag
+            for tenant, start_tag in self._start_tags.items()
+            if tenant in waiting or start_tag > self._virtual_time
+        }
+
+    def _start_tag(self, head: QueueHead) -> float:
+        return max(self._virtual_time, self._start_tags.get(head.tenant, self._virtual_time))
 
     def _weight(self, tenant: str) -> float:
         return self._weights.get(tenant, 1.0)
 
 
-class Replay:
-    """Chooses what is sent next of one site's queue, for the holder of its replay duty."""
+class ReplayScheduler:
+    """Chooses what is sent next of one site's queue, for the holder of its replay lease."""
 
-    def __init__(self, pace: Pace, most: int, weights: Mapping[str, float] | None = None) -> None:
-        """`most`: entries under way together."""
-        self.pace, self._most = pace, most
-        self._fair = Fair(weights or {})
-        self.sent: dict[str, _Sent] = {}  # under way, by name
-        self.done = defaultdict[str, float](float)  # work served, by tenant
-        self.served = 0.0  # work served in all
-        self._mix = (0.0, 0.0)  # read and written, of those served last
+    def __init__(
+        self, rate_controller: RateController, max_in_flight: int, weights: Mapping[str, float] | None = None
+    ) -> None:
+        """`weights`: of tenants whose weight is not 1."""
+        self.rate_controller = rate_controller
+        self._max_in_flight = max_in_flight
+        self._fair_queue = StartTimeFairQueue(weights or {})
+        self.in_flight: dict[str, _InFlightEntry] = {}  # by name
+        self.served_work_by_tenant = defaultdict[str, float](float)
+        self.served_work = 0.0
+        # Recent work served, with exponential decay.
+        self._recent_prefill = 0.0
+        self._recent_decode = 0.0
 
     @property
-    def under_way(self) -> int:
-        """Entries sent and not ended."""
-        return len(self.sent)
-
-    def written(self, live: float) -> float:
-        """The part of the work that is written: of those served last; of few, as of `live` traffic."""
-        return (self._mix[1] + FIRST_MIX * live) / (sum(self._mix) + FIRST_MIX)
-
-    def choose(self, now_s: float, heads: Iterable[Head], probing: bool = False) -> Head | None:
-        """What to send now, None: nothing yet. `probing`: the site is cut off, one alone may try the link.
-
-        The one chosen counts as sent until `ended` is told of it.
+    def in_flight_count(self) -> int:
+        """Entries sent without an outcome yet."""
+        return len(self.in_flight)
+
+    def decode_fraction(self, live_fraction: float) -> float:
+        """The fraction of recent work that is decode; of little work, toward that of live traffic."""
+        recent = self._recent_prefill + self._recent_decode
+        decode = self._recent_decode + INITIAL_MIX_TOKENS * live_fraction
+        return decode / (recent + INITIAL_MIX_TOKENS)
+
+    def choose_next(
+        self, now_s: float, heads: Iterable[QueueHead], probing: bool = False
+    ) -> QueueHead | None:
+        """The entry to send now; None: none yet. It counts as in flight until `record_outcome`.
+
+        `probing`: the site is partitioned or saturated, and a single entry may be sent as a probe.
         """
-        waiting = [head for head in heads if head.name not in self.sent]
-        self._fair.forget(head.tenant for head in waiting)
-        if not waiting or len(self.sent) >= (1 if probing else self._most):
-            return None
-        if not (self.pace.may_probe(now_s) if probing else self.pace.may_send(now_s, len(self.sent))):
+        waiting = [head for head in heads if head.name not in self.in_flight]
+        self._fair_queue.remove_idle(head.tenant for head in waiting)
+        if not waiting or not self._may_send(now_s, probing):
             return None
-        # To try a link, what may run twice is better: a booking that is cut off midway ends as unknown.
-        safe = [head for head in waiting if head.safe] if probing else []
-        head = self._fair.first(safe or waiting)
+        # A probe had better be idempotent: a booking that is cut off midway ends as unknown.
+        idempotent = [head for head in waiting if head.idempotent] if probing else []
+        head = self._fair_queue.select(idempotent or waiting)
         assert head is not None
-        work = min(max(1.0, head.work), MOST_WORK)
-        self.sent[head.name] = _Sent(head, work)
-        self._fair.charge(head, work)
-        self.pace.sent(now_s, work)
+        work = bounded_work(head.work)
+        self.in_flight[head.name] = _InFlightEntry(head, work)
+        self._fair_queue.charge(head, work)
+        self.rate_controller.record_sent(now_s, work)
         return head
 
-    def ended(
-        self, now_s: float, name: str, verdict: Verdict, work: float | None = None, written: float = 0.0
+    def _may_send(self, now_s: float, probing: bool) -> bool:
+        if probing:
+            return not self.in_flight and self.rate_controller.may_probe(now_s)
+        return len(self.in_flight) < self._max_in_flight and self.rate_controller.may_send(now_s)
+
+    def record_outcome(
+        self,
+        now_s: float,
+        name: str,
+        outcome: SendOutcome,
+        work: float | None = None,
+        decode_work: float = 0.0,
     ) -> None:
-        """What became of one that was chosen; `work`: the tokens that it took, where they are known.
+        """Record the outcome of a chosen entry; an unknown name is ignored.
 
-        `written`: those of them that were written.
+        `work`: the tokens that it took, where they are known; `decode_work`: those of them that were decoded.
         """
-        sent = self.sent.pop(name, None)
-        if sent is None:
+        entry = self.in_flight.pop(name, None)
+        if entry is None:
             return
-        took = sent.charged if work is None else min(max(1.0, work), MOST_WORK)
-        if verdict is Verdict.SERVED:
-            self.pace.served(now_s, took)
-            self.done[sent.head.tenant] += took
-            self.served += took
-            if work is not None:
-                read, wrote = self._mix
-                self._mix = (read * MIX + max(0.0, took - written), wrote * MIX + min(took, written))
-        elif verdict is Verdict.REFUSED:
-            self.pace.refused(now_s)
-        elif verdict is Verdict.FAILED:
-            self.pace.failed(now_s)
-        unused = verdict in (Verdict.REFUSED, Verdict.WITHHELD)  # nobody worked for it
-        self._fair.settle(sent.head.tenant, (0.0 if unused else took) - sent.charged)
+        actual_work = entry.charged_work if work is None else bounded_work(work)
+        match outcome:
+            case SendOutcome.SERVED:
+                self.rate_controller.record_served(now_s)
+                self.served_work_by_tenant[entry.head.tenant] += actual_work
+                self.served_work += actual_work
+                if work is not None:
+                    self._update_mix(actual_work, decode_work)
+            case SendOutcome.REJECTED | SendOutcome.FAILED:
+                self.rate_controller.record_rejected(now_s)
+        if outcome in (SendOutcome.REJECTED, SendOutcome.NOT_SENT):
+            actual_work = 0.0  # no server worked for it
+        self._fair_queue.settle(entry.head.tenant, actual_work - entry.charged_work)
+
+    def _update_mix(self, work: float, decode_work: float) -> None:
+        prefill_work = max(0.0, work - decode_work)
+        self._recent_prefill = self._recent_prefill * MIX_RETENTION + prefill_work
+        self._recent_decode = self._recent_decode * MIX_RETENTION + min(work, decode_work)
+
+
+def bounded_work(work: float) -> float:
+    """The work of one entry within plausible bounds, in tokens."""
+    return min(max(1.0, work), MAX_WORK)
--- a/ringledge/lifecycle/components/ratio.py
+++ b/ringledge/lifecycle/components/ratio.py
@@ -8,8 +8,8 @@
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.shared import Part, Shared
-from ringledge.members.planner import NAME, Planner
-from ringledge.members.role_keeper import RoleKeeper
+from ringledge.members.planner import LEASE_NAME, RolePlannerService
+from ringledge.members.role_keeper import RoleFollower
 
 
 def part(shared: Shared) -> Part:
@@ -21,7 +21,7 @@
     if members.membership.me.site not in zones:
         raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
     book = RoleRegistry(told)
-    keeper = RoleKeeper(told, members.facts, members.membership, shared.conductor, config.names, book)
-    fleet.duties[NAME] = Planner(told, members.facts, keeper, book, time.monotonic)
+    keeper = RoleFollower(told, members.facts, members.membership, shared.conductor, config.names, book)
+    fleet.duties[LEASE_NAME] = RolePlannerService(told, members.facts, keeper, book, time.monotonic)
     shared.conductor.context.observer = keeper
     return Part(ready=lambda: shared.tasks.start_soon(keeper.run))
--- a/ringledge/members/replay_sender.py
+++ b/ringledge/members/replay_sender.py
@@ -6,22 +6,22 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ringledge.decide.replay.scheduler import Verdict
+from ringledge.decide.replay.scheduler import SendOutcome
 from ringledge.store.entry import Entry
 
 
 @dataclass(slots=True, frozen=True)
-class Result:
+class SendResult:
     """What became of one send."""
 
-    verdict: Verdict
-    ran: bool  # it may have run
+    outcome: SendOutcome
+    may_have_run: bool  # it may have run
     answer: bytes = b""  # served: what the client gets
     work: float | None = None  # tokens read and written, where they are known
-    written: float = 0.0  # those that were written
+    decode_work: float = 0.0  # those that were written
 
 
-class Sending(Protocol):
+class SendHandle(Protocol):
     """One entry on its way."""
 
     def cancel(self) -> bool:
@@ -29,9 +29,9 @@
         ...
 
 
-class Sender(Protocol):
+class EntrySender(Protocol):
     """Sends entries by the same decisions as all other requests."""
 
-    def __call__(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
         """Start one; `ended` is called once, maybe at once. None: it can't be sent at all."""
         ...
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -24,12 +24,17 @@
 from prometheus_client import CollectorRegistry
 
 from ringledge.decide.interface import ClassDemand, QueueBacklog, RecordStore, ServerObservation
-from ringledge.decide.replay.capacity_estimate import room, rows
-from ringledge.decide.replay.capacity_loans import Lend, Lending, Want
-from ringledge.decide.replay.partition_detection import CutOff, Reached, Seen, State
-from ringledge.decide.replay.rate_control import Pace, spare
-from ringledge.decide.replay.scheduler import Replay
-from ringledge.members.replay_sender import Result, Sender, Sending
+from ringledge.decide.replay.capacity_estimate import decode_records, estimate_capacity
+from ringledge.decide.replay.capacity_loans import CapacityLoans, LoanGrant, LoanRequest
+from ringledge.decide.replay.partition_detection import (
+    PartitionDetector,
+    ServerReachability,
+    SiteReachability,
+    SiteState,
+)
+from ringledge.decide.replay.rate_control import RateController, spare_capacity
+from ringledge.decide.replay.scheduler import ReplayScheduler
+from ringledge.members.replay_sender import EntrySender, SendHandle, SendResult
 from ringledge.members.replayer import Replayer
 from ringledge.observe.logging import log
 from ringledge.store.entry import Entry, StoreError
@@ -48,7 +53,7 @@
 class Looks(Protocol):
     """What this process sees of its servers and answers."""
 
-    def servers(self, now_s: float) -> list[Seen]:
+    def servers(self, now_s: float) -> list[ServerReachability]:
         """Every server, with times on the clock that reads `now_s`."""
         ...
 
@@ -73,21 +78,21 @@
         self.config, self._looks, self._random, self._facts = config, looks, random, facts
         self.figures = Figures(registry)
         self.queue = Queue(config)
-        self.cut_off = CutOff()
+        self.cut_off = PartitionDetector()
         self.duty = f"replay/{config.site}"
-        self.sender: Sender | None = None
+        self.sender: EntrySender | None = None
         self.replayer = Replayer(
             self.queue, self._send, self._decider, self.state, time.monotonic, self.figures
         )
         self._leased, self._waiting, self._token = leased, list[Waiting](), 0
         self._holder: Holder | None = None
         self._answers, self._told_s, self._stopping = looks.answers(), 0.0, False
-        self._state = State.OPEN
-        self._said: State | None = None  # what the other conductors were told of our own view
-        self._lending: Lending | None = None
+        self._state = SiteState.AVAILABLE
+        self._said: SiteState | None = None  # what the other conductors were told of our own view
+        self._lending: CapacityLoans | None = None
         self._told: set[str] = set()  # keys of loans and questions that stand as facts
 
-    def state(self) -> State:
+    def state(self) -> SiteState:
         """How the site stands."""
         return self._state
 
@@ -112,8 +117,8 @@
         if self._holder is not None:
             self._holder.end()
         with anyio.move_on_after(DRAIN_S):
-            while self.replayer.under_way or self.replayer.owed:
-                await self.replayer.news(STEP_S)
+            while self.replayer.in_flight_count or self.replayer.unsettled_count:
+                await self.replayer.wait_for_completion(STEP_S)
                 await self.replayer.settle()
 
     async def _run(self) -> None:
@@ -128,28 +133,28 @@
                     await self._holder.step()
             except StoreError as error:
                 log.often("queue_step_failed", why=error.why.value, error=str(error))
-            await self.replayer.news(STEP_S if self._waiting else IDLE_S)
+            await self.replayer.wait_for_completion(STEP_S if self._waiting else IDLE_S)
 
     def _look(self, now_s: float) -> None:
         """How the site stands now."""
         answered, refused = self._looks.answers()
         if answered > self._answers[0]:
-            self.cut_off.served(now_s)
+            self.cut_off.record_served(now_s)
         elif refused > self._answers[1]:
             for _ in range(int(refused - self._answers[1])):
-                self.cut_off.refused()
+                self.cut_off.record_rejected()
         self._answers = answered, refused
         site = f"reach/{self.config.site}"
         if self._facts is not None:
-            said = rows(self._facts.values(now_s, site), Reached)
+            said = decode_records(self._facts.values(now_s, site), SiteReachability)
             self.cut_off.receive(now_s, [(name, row) for (name, key), row in said.items() if key == site])
         before = self._state
-        self._state = self.cut_off.look(now_s, self._looks.servers(now_s))
-        if self._facts is not None and self._said is not self.cut_off.own:
-            self._said = self.cut_off.own  # also at the start: who says nothing would not count as open
-            self._facts.write(now_s, site, msgspec.msgpack.encode(self.cut_off.row()))
+        self._state = self.cut_off.update(now_s, self._looks.servers(now_s))
+        if self._facts is not None and self._said is not self.cut_off.own_state:
+            self._said = self.cut_off.own_state  # also at the start: who says nothing would not count as open
+            self._facts.write(now_s, site, msgspec.msgpack.encode(self.cut_off.record()))
         if self._state is not before:
-            log.info("site_state", site=self.config.site, state=self._state.name.lower())
+            log.info("site_state", site=self.config.site, state=self._state.label)
         self.figures.state.set(self._state.value)
 
     async def _tidy(self, now_s: float) -> None:
@@ -162,41 +167,49 @@
         oldest_s = max((time.time() - each.oldest_s for each in self._waiting), default=0.0)
         self.figures.waiting.set(entries)
         self.figures.oldest.set(oldest_s)
-        replay = self.replayer.replay
+        replay = self.replayer.scheduler
         if replay is None or self._lending is None:
             self.figures.pace.set(0.0)
             return
         self._share(now_s, replay, self._lending, entries)
-        self.figures.pace.set(replay.pace.rate)
+        self.figures.pace.set(replay.rate_controller.rate)
         if self._facts is not None:
             weight = self.config.sites.get(self.config.site, 1.0)
-            row = QueueBacklog(self._token, entries, oldest_s, weight, replay.served)
+            row = QueueBacklog(self._token, entries, oldest_s, weight, replay.served_work)
             self._facts.write(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(row))
 
-    def _share(self, now_s: float, replay: Replay, lending: Lending, entries: int) -> None:
+    def _share(self, now_s: float, replay: ReplayScheduler, lending: CapacityLoans, entries: int) -> None:
         """The site's part of what live traffic leaves over."""
         left = None
         if self._facts is not None:
-            seen = rows(self._facts.values(now_s, "server/"), ServerObservation)
-            demand = rows(self._facts.values(now_s, "demand/"), ClassDemand)
-            known = room(seen, demand)
-            left = spare(known, self.config.reserve, replay.written(known.written()))
+            seen = decode_records(self._facts.values(now_s, "server/"), ServerObservation)
+            demand = decode_records(self._facts.values(now_s, "demand/"), ClassDemand)
+            known = estimate_capacity(seen, demand)
+            left = spare_capacity(known, self.config.reserve, replay.decode_fraction(known.decode_fraction()))
         if left is not None:
             left *= self.config.replay_part
         wished = 0.0
-        if entries and self._state is State.OPEN:  # twice the pace: a loan is there before the pace needs it
-            wished = 1.0 if not left else min(1.0, max(lending.base, 2 * replay.pace.rate / left))
-        lending.need(now_s, wished)
+        if (
+            entries and self._state is SiteState.AVAILABLE
+        ):  # twice the pace: a loan is there before the pace needs it
+            wished = (
+                1.0
+                if not left
+                else min(1.0, max(lending.own_fraction, 2 * replay.rate_controller.rate / left))
+            )
+        lending.update_demand(now_s, wished)
         if self._facts is not None:
-            wants = _by_site(rows(self._facts.values(now_s, "want/"), Want), "want/{}")
+            wants = _by_site(decode_records(self._facts.values(now_s, "want/"), LoanRequest), "want/{}")
             mine = f"/{self.config.site}"
-            lends = rows(self._facts.values(now_s, "lend/"), Lend)
+            lends = decode_records(self._facts.values(now_s, "lend/"), LoanGrant)
             ours = {key.split("/")[1]: row for (_, key), row in lends.items() if key.endswith(mine)}
             lending.receive(now_s, wants, ours)
-            self._put(now_s, lending.rows())
-        replay.pace.allot(now_s, None if left is None else left * lending.part(now_s))
+            self._put(now_s, lending.records())
+        replay.rate_controller.set_ceiling(
+            now_s, None if left is None else left * lending.available_fraction(now_s)
+        )
 
-    def _put(self, now_s: float, told: Mapping[str, Want | Lend]) -> None:
+    def _put(self, now_s: float, told: Mapping[str, LoanRequest | LoanGrant]) -> None:
         assert self._facts is not None
         for key in self._told - told.keys():
             self._facts.delete(now_s, key)
@@ -204,21 +217,21 @@
             self._facts.write(now_s, key, msgspec.msgpack.encode(row))
         self._told = set(told)
 
-    def _send(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+    def _send(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
         assert self.sender is not None
         return self.sender(entry, ended)
 
-    def _decider(self, now_s: float, token: int) -> Replay:
+    def _decider(self, now_s: float, token: int) -> ReplayScheduler:
         """A new holding begins."""
         self._token = token
         weights = self.config.sites or {self.config.site: 1.0}
-        self._lending = Lending(self.config.site, weights, token, now_s)
-        return Replay(Pace(self._random), self.config.in_flight, self.config.tenants)
+        self._lending = CapacityLoans(self.config.site, weights, token, now_s)
+        return ReplayScheduler(RateController(self._random), self.config.in_flight, self.config.tenants)
 
 
-def _by_site(found: Mapping[tuple[str, str], Want], pattern: str) -> dict[str, Want]:
+def _by_site(found: Mapping[tuple[str, str], LoanRequest], pattern: str) -> dict[str, LoanRequest]:
     """Of several that were heard for one site the newest token's counts."""
-    newest: dict[str, Want] = {}
+    newest: dict[str, LoanRequest] = {}
     for (_, key), row in found.items():
         site = key.removeprefix(pattern.format(""))
         known = newest.get(site)
--- a/ringledge/store/queries.py
+++ b/ringledge/store/queries.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ringledge.decide.replay.scheduler import Head
+from ringledge.decide.replay.scheduler import QueueHead
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,14 +27,16 @@
     return [Waiting(tenant, _first(db, count, tenant), _first(db, oldest, tenant)) for tenant in _tenants(db)]
 
 
-def heads(db: sqlite3.Connection, each: int) -> list[Head]:
+def heads(db: sqlite3.Connection, each: int) -> list[QueueHead]:
     """The oldest waiting entries of each tenant, so many of each; costs by tenants, not by entries."""
-    found = list[Head]()
+    found = list[QueueHead]()
     oldest = """SELECT name, tenant, work, created_s, safe FROM entries INDEXED BY waiting
         WHERE state = 0 AND tenant = ? ORDER BY seq LIMIT ?"""
     for tenant in _tenants(db):
         rows = db.execute(oldest, (tenant, each)).fetchall()
-        found += [Head(name, tenant, work, came_s, bool(safe)) for name, tenant, work, came_s, safe in rows]
+        found += [
+            QueueHead(name, tenant, work, came_s, bool(safe)) for name, tenant, work, came_s, safe in rows
+        ]
     return found
 
 
--- a/ringledge/store/queue.py
+++ b/ringledge/store/queue.py
@@ -8,7 +8,7 @@
 from functools import partial
 from pathlib import Path
 
-from ringledge.decide.replay.scheduler import Head
+from ringledge.decide.replay.scheduler import QueueHead
 from ringledge.store import queries as looks
 from ringledge.store import transitions as steps
 from ringledge.store.entry import Asked, End, Entry
@@ -82,7 +82,7 @@
         await self.worker.run(lambda db: steps.purge(db, self._now(), self._config.keep_s))
         return expired
 
-    async def heads(self, each: int) -> list[Head]:
+    async def heads(self, each: int) -> list[QueueHead]:
         """The oldest waiting entries of each tenant, so many of each."""
         return await self.worker.run(partial(looks.heads, each=each), writes=False)
 
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -15,7 +15,7 @@
 import h11
 import orjson
 
-from ringledge.decide.replay.partition_detection import State
+from ringledge.decide.replay.partition_detection import SiteState
 from ringledge.observe.logging import log
 from ringledge.routing.interface import (
     Idempotency,
@@ -79,7 +79,7 @@
     def __init__(
         self,
         queue: Queue,
-        site: Callable[[], State],
+        site: Callable[[], SiteState],
         classes: tuple[str, ...],
         settings: RouterSettings,
         tenant: str,
@@ -110,7 +110,7 @@
                 raise HttpError(409, text, "queued", headers=[_place(entry)])
             await _accepted(conn, entry)
             return True
-        if not wished or self._site() is State.OPEN:
+        if not wished or self._site() is SiteState.AVAILABLE:
             return False
         now_s = time()
         asked = Asked(
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -12,8 +12,8 @@
 from ringledge.core.port import Payload
 from ringledge.core.records import Record
 from ringledge.core.stages.accept import DuplicateError
-from ringledge.decide.replay.scheduler import Verdict
-from ringledge.members.replay_sender import Result, Sending
+from ringledge.decide.replay.scheduler import SendOutcome
+from ringledge.members.replay_sender import SendHandle, SendResult
 from ringledge.memory.names import Names
 from ringledge.memory.stream_sessions import End, Session
 from ringledge.routing.interface import (
@@ -31,7 +31,7 @@
 class _Run(Answer):
     """One entry's run: a session that nobody follows, whose end goes back to the replay."""
 
-    def __init__(self, session: Session, conductor: Conductor, ended: Callable[[Result], None]) -> None:
+    def __init__(self, session: Session, conductor: Conductor, ended: Callable[[SendResult], None]) -> None:
         super().__init__(session)
         self._mine, self._conductor, self._told = session, conductor, ended
         self._left = False
@@ -48,11 +48,11 @@
             usage = self._mine.usage or {}
             written = float(usage.get("completion_tokens") or 0)
             work = float(usage.get("prompt_tokens") or 0) + written
-            self._told(Result(Verdict.SERVED, True, whole_answer(self._mine), work or None, written))
+            self._told(SendResult(SendOutcome.SERVED, True, whole_answer(self._mine), work or None, written))
         elif end is End.REFUSED or not ran:
-            self._told(Result(Verdict.REFUSED, False))
+            self._told(SendResult(SendOutcome.REJECTED, False))
         else:
-            self._told(Result(Verdict.FAILED, True))
+            self._told(SendResult(SendOutcome.FAILED, True))
 
     def cancel(self) -> bool:
         """Give it up: the next holder sends it again."""
@@ -78,7 +78,7 @@
     ) -> None:
         self._config, self._settings, self._names, self._conductor = config, settings, names, conductor
 
-    def __call__(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
         """Start one; None where its class or model is not served any more."""
         told: dict[str, Any] = orjson.loads(entry.asked.question)
         try:
@@ -96,7 +96,7 @@
         try:
             record: Record = self._conductor.accept(request, payload, run)
         except DuplicateError:  # the last attempt is still being let go of
-            ended(Result(Verdict.REFUSED, False))
+            ended(SendResult(SendOutcome.REJECTED, False))
             return run
         session.record = record
         return run
--- a/ringledge/wire/servers/observation.py
+++ b/ringledge/wire/servers/observation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ringledge.core.conductor import Conductor
-from ringledge.decide.replay.partition_detection import Seen
+from ringledge.decide.replay.partition_detection import ServerReachability
 from ringledge.decide.servers.reachability import Reachability
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -21,13 +21,13 @@
     def __init__(self, conductor: Conductor, reach: Reachability, metrics: Metrics) -> None:
         self._conductor, self._reach, self._metrics = conductor, reach, metrics
 
-    def servers(self, now_s: float) -> list[Seen]:
+    def servers(self, now_s: float) -> list[ServerReachability]:
         """Every server of the list, with times on the clock that reads `now_s`."""
         now_ms = self._conductor.clock.now_ms()
         offset_s = now_s - now_ms / 1000
         silent, up = self._reach.silences(now_ms), Availability.UP
         return [
-            Seen(
+            ServerReachability(
                 each.role is not Role.DECODE,
                 each.role is not Role.PREFILL,
                 each.availability is up and each.server not in silent,
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -10,7 +10,7 @@
 from ringledge.decide.paging import BUCKETS
 from ringledge.decide.ratio import role_records as role_rows
 from ringledge.decide.records import messages as records
-from ringledge.decide.replay.capacity_loans import Lend, Lending, Want
+from ringledge.decide.replay.capacity_loans import CapacityLoans, LoanGrant, LoanRequest
 from ringledge.members.codec import Codec
 
 KEY = bytes(range(32))
@@ -55,15 +55,15 @@
     return [codec.pack(message, 77, 78) for message in MESSAGES]
 
 
-def _lending_rows() -> dict[str, Want | Lend]:
+def _lending_rows() -> dict[str, LoanRequest | LoanGrant]:
     """A site's rows: it asks for capacity, and lends some."""
     weights = {"north": 1.0, "south": 1.0}
-    asking, lending = Lending("north", weights, 5, 0.0), Lending("south", weights, 6, 0.0)
-    asking.need(0.0, 0.75)
-    rows = asking.rows()
-    wants = {key.removeprefix("want/"): row for key, row in rows.items() if isinstance(row, Want)}
+    asking, lending = CapacityLoans("north", weights, 5, 0.0), CapacityLoans("south", weights, 6, 0.0)
+    asking.update_demand(0.0, 0.75)
+    rows = asking.records()
+    wants = {key.removeprefix("want/"): row for key, row in rows.items() if isinstance(row, LoanRequest)}
     lending.receive(20.0, wants, {})
-    return rows | lending.rows()
+    return rows | lending.records()
 
 
 def record_rows() -> dict[str, bytes]:
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -11,6 +11,10 @@
 
 # Types that have been renamed since the golden files were written: name now, name then.
 RENAMED_TYPES = {
+    "QueueHead": "Head",
+    "Capacity": "Room",
+    "LoanRequest": "Want",
+    "LoanGrant": "Lend",
     "SitePlan": "Plan",
     "SiteDemand": "Need",
     "PlanningRound": "Looked",
--- a/tests/compatibility/test_traces.py
+++ b/tests/compatibility/test_traces.py
@@ -25,7 +25,7 @@
     "leases": ("ringledge.decide.leases.proposer", "EXTEND", 0.26),
     "membership": ("ringledge.decide.membership.swim", "AGAIN", 4),
     "ratio": ("ringledge.decide.ratio.demand_estimate", "OUTLIER_FACTOR", 1.2),
-    "replay": ("ringledge.decide.replay.rate_control", "FALL", 0.51),
+    "replay": ("ringledge.decide.replay.rate_control", "DECREASE_FACTOR", 0.51),
 }
 
 
--- a/tests/decide/ratio/test_simulation.py
+++ b/tests/decide/ratio/test_simulation.py
@@ -19,7 +19,7 @@
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.decide.ratio.target import ServerState
 from ringledge.lifecycle.settings_files import SettingsError, read
-from ringledge.members.planner import Planner
+from ringledge.members.planner import RolePlannerService
 from ringledge.observe.logging import log
 
 SHAPES = ((1_000.0, 300.0), (4_000.0, 120.0))
@@ -188,7 +188,7 @@
         return {"m": "s"}
 
 
-def step(planner: Planner, token: int, still: Callable[[], bool]) -> None:
+def step(planner: RolePlannerService, token: int, still: Callable[[], bool]) -> None:
     with pytest.raises(StopIteration):
         planner.step(token, still).send(None)
 
@@ -201,7 +201,7 @@
     for at in range(20):
         registry.tick(float(at))
     clock = [20.0]
-    planner = Planner(QUICK, records, records, registry, lambda: clock[0])
+    planner = RolePlannerService(QUICK, records, records, registry, lambda: clock[0])
     planner.begin(7)
     step(planner, 7, lambda: True)
     assert not records.published  # the last assignments of the predecessor may still be on their way
--- a/tests/decide/replay/test_capacity_loans.py
+++ b/tests/decide/replay/test_capacity_loans.py
@@ -1,4 +1,4 @@
-"""Parts of the spare capacity: never above the whole, whatever becomes of messages, holders and clocks."""
+"""Loans of spare capacity: fractions never add up to more than 1, whatever happens to messages and clocks."""
 
 from __future__ import annotations
 
@@ -9,60 +9,72 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.decide.replay import capacity_loans as replay_lend
-from ringledge.decide.replay.capacity_loans import DRIFT, LOAN_S, Lend, Lending, Want
+from ringledge.decide.replay import capacity_loans as loans_module
+from ringledge.decide.replay.capacity_loans import (
+    LOAN_DURATION_S,
+    MAX_CLOCK_DRIFT,
+    CapacityLoans,
+    LoanGrant,
+    LoanRequest,
+)
 
 WEIGHTS = {"a": 1.0, "b": 1.0, "c": 2.0}
 
 
 class World:
-    """Sites on clocks of their own rates, whose facts come late, out of order, or never."""
+    """Sites with clocks of different rates, whose records arrive late, out of order, or never."""
 
-    def __init__(self, seed: int, loss: float, hold: bool = True) -> None:
+    def __init__(self, seed: int, loss: float, wait_for_loans: bool = True) -> None:
         self.rng, self.loss, self.at_s = random.Random(seed), loss, 0.0
-        self.rates = {site: 1 + self.rng.uniform(-DRIFT, DRIFT) / 2.1 for site in WEIGHTS}
+        self.rates = {site: 1 + self.rng.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) / 2.1 for site in WEIGHTS}
         self.offsets = {site: self.rng.uniform(0, 1e5) for site in WEIGHTS}
         self.tokens = dict.fromkeys(WEIGHTS, 1)
-        self.sites = {site: Lending(site, WEIGHTS, 1, self.now(site)) for site in WEIGHTS}
-        self.flying: list[tuple[float, str, str, Want | Lend]] = []
-        self.heard: dict[str, dict[str, Want | Lend]] = {site: {} for site in WEIGHTS}
-        self.most, self.lent = 0.0, False
-        if not hold:
-            for lending in self.sites.values():
-                lending._free_s = -1e9
+        self.sites = {site: CapacityLoans(site, WEIGHTS, 1, self.now(site)) for site in WEIGHTS}
+        self.in_transit: list[tuple[float, str, str, LoanRequest | LoanGrant]] = []
+        self.received: dict[str, dict[str, LoanRequest | LoanGrant]] = {site: {} for site in WEIGHTS}
+        self.max_total, self.has_borrowed = 0.0, False
+        if not wait_for_loans:
+            for loans in self.sites.values():
+                loans._lending_from_s = -1e9
 
     def now(self, site: str) -> float:
         return self.offsets[site] + self.at_s * self.rates[site]
 
-    def step(self, needs: dict[str, float], restart: str | None = None, hold: bool = True) -> None:
+    def step(
+        self, demands: dict[str, float], restart: str | None = None, wait_for_loans: bool = True
+    ) -> None:
         self.at_s += 0.5
-        if restart:  # another member holds the site's duty from now on, with a clock of its own
+        if restart:  # another member holds the site's lease from now on, with its own clock
             self.tokens[restart] += 1
             self.offsets[restart] += self.rng.uniform(0, 1e4)
-            self.sites[restart] = Lending(restart, WEIGHTS, self.tokens[restart], self.now(restart))
-            if not hold:
-                self.sites[restart]._free_s = -1e9
-        for site, lending in self.sites.items():
-            lending.need(self.now(site), needs.get(site, 0.0))
-            for key, row in lending.rows().items():
+            self.sites[restart] = CapacityLoans(restart, WEIGHTS, self.tokens[restart], self.now(restart))
+            if not wait_for_loans:
+                self.sites[restart]._lending_from_s = -1e9
+        for site, loans in self.sites.items():
+            loans.update_demand(self.now(site), demands.get(site, 0.0))
+            for key, row in loans.records().items():
                 for to in WEIGHTS:
                     if to != site and self.rng.random() > self.loss:
-                        self.flying.append((self.at_s + self.rng.expovariate(1.0), to, key, row))
-        due = [each for each in self.flying if each[0] <= self.at_s]
-        self.flying = [each for each in self.flying if each[0] > self.at_s]
+                        self.in_transit.append((self.at_s + self.rng.expovariate(1.0), to, key, row))
+        due = [each for each in self.in_transit if each[0] <= self.at_s]
+        self.in_transit = [each for each in self.in_transit if each[0] > self.at_s]
         for _, to, key, row in due:  # in any order: an older one may come after a newer
-            self.heard[to][key] = row
-        for site, lending in self.sites.items():
-            told = self.heard[site]
-            wants = {key[5:]: row for key, row in told.items() if isinstance(row, Want)}
-            lends = {
+            self.received[to][key] = row
+        for site, loans in self.sites.items():
+            told = self.received[site]
+            requests = {key[5:]: row for key, row in told.items() if isinstance(row, LoanRequest)}
+            grants = {
                 key.split("/")[1]: row
                 for key, row in told.items()
-                if isinstance(row, Lend) and key.endswith(f"/{site}")
+                if isinstance(row, LoanGrant) and key.endswith(f"/{site}")
             }
-            lending.receive(self.now(site), wants, lends)
-            self.lent = self.lent or lending.part(self.now(site)) > lending.base
-        self.most = max(self.most, sum(each.part(self.now(site)) for site, each in self.sites.items()))
+            loans.receive(self.now(site), requests, grants)
+            self.has_borrowed = (
+                self.has_borrowed or loans.available_fraction(self.now(site)) > loans.own_fraction
+            )
+        self.max_total = max(
+            self.max_total, sum(each.available_fraction(self.now(site)) for site, each in self.sites.items())
+        )
 
 
 @settings(max_examples=150, deadline=None)
@@ -78,58 +90,60 @@
         max_size=8,
     ),
 )
-def test_the_parts_never_add_up_to_more_than_the_whole(
+def test_available_fractions_never_add_up_to_more_than_1(
     seed: int, loss: float, turns: list[tuple[dict[str, float], int, str]]
 ) -> None:
     world = World(seed, loss)
-    for needs, steps, restart in turns:
-        world.step(needs, restart or None)
+    for demands, steps, restart in turns:
+        world.step(demands, restart or None)
         for _ in range(steps):
-            world.step(needs)
-        assert world.most <= 1 + 1e-9
+            world.step(demands)
+        assert world.max_total <= 1 + 1e-9
 
 
-def lend_then_need(world: World, hold: bool = True) -> World:
+def restart_lender_under_demand(world: World, wait_for_loans: bool = True) -> World:
     for _ in range(40):
         world.step({"a": 1.0})
-    world.step({"a": 1.0, "b": 1.0, "c": 1.0}, restart="c", hold=hold)
+    world.step({"a": 1.0, "b": 1.0, "c": 1.0}, restart="c", wait_for_loans=wait_for_loans)
     for _ in range(30):
         world.step({"a": 1.0, "b": 1.0, "c": 1.0})
     return world
 
 
-def test_a_site_alone_in_need_gets_all_and_each_gets_its_own_back() -> None:
+def test_single_site_with_demand_borrows_all_and_owners_get_theirs_back() -> None:
     world = World(1, 0.0)
     for _ in range(40):
         world.step({"a": 1.0})
-    assert world.sites["a"].part(world.now("a")) == pytest.approx(1.0)
+    assert world.sites["a"].available_fraction(world.now("a")) == pytest.approx(1.0)
     for _ in range(40):
         world.step({"a": 1.0, "b": 1.0, "c": 1.0})
-    parts = {site: each.part(world.now(site)) for site, each in world.sites.items()}
+    parts = {site: each.available_fraction(world.now(site)) for site, each in world.sites.items()}
     assert parts == pytest.approx({"a": 0.25, "b": 0.25, "c": 0.5})
-    assert world.most <= 1 + 1e-9
+    assert world.max_total <= 1 + 1e-9
 
 
-def test_a_site_that_is_not_heard_of_keeps_its_part() -> None:
+def test_site_without_messages_keeps_its_own_fraction() -> None:
     world = World(1, 1.0)
     for _ in range(60):
         world.step({"a": 1.0})
-    assert world.sites["a"].part(world.now("a")) == pytest.approx(0.25)
+    assert world.sites["a"].available_fraction(world.now("a")) == pytest.approx(0.25)
 
 
-def test_a_new_holder_that_takes_its_part_at_once_is_caught() -> None:
+def test_mutant_holder_that_does_not_wait_for_loans_is_detected() -> None:
     """The mutant: what its predecessor lent is still in use."""
-    assert lend_then_need(World(3, 0.0)).most <= 1 + 1e-9
-    assert lend_then_need(World(3, 0.0), hold=False).most > 1.2
+    assert restart_lender_under_demand(World(3, 0.0)).max_total <= 1 + 1e-9
+    assert restart_lender_under_demand(World(3, 0.0), wait_for_loans=False).max_total > 1.2
 
 
-def test_a_loan_counted_from_when_it_was_heard_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_mutant_loan_counted_from_its_receipt_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """The mutant: a borrower that counts from the answer's arrival uses it after its lender has it back."""
-    receive = Lending.receive
+    receive = CapacityLoans.receive
 
-    def late(self: Lending, now_s: float, wants: dict[str, Want], lends: dict[str, Lend]) -> None:
-        self._asked = {number: now_s for number in self._asked}
-        receive(self, now_s, wants, lends)
+    def late(
+        self: CapacityLoans, now_s: float, requests: dict[str, LoanRequest], grants: dict[str, LoanGrant]
+    ) -> None:
+        self._open_requests = {number: now_s for number in self._open_requests}
+        receive(self, now_s, requests, grants)
 
     def game() -> World:
         world = World(5, 0.0)
@@ -139,22 +153,22 @@
             world.step({"a": 1.0, "b": 1.0, "c": 1.0})
         return world
 
-    assert game().lent and game().most <= 1 + 1e-9
-    monkeypatch.setattr(Lending, "receive", late)
-    assert game().most > 1.0 + 1e-6
+    assert game().has_borrowed and game().max_total <= 1 + 1e-9
+    monkeypatch.setattr(CapacityLoans, "receive", late)
+    assert game().max_total > 1.0 + 1e-6
 
 
 def test_loans_are_shorter_for_who_borrows_than_for_who_lends() -> None:
-    lender, borrower = Lending("b", WEIGHTS, 1, -100.0), Lending("a", WEIGHTS, 7, -100.0)
-    borrower.need(0.0, 1.0)
-    want = borrower.rows()["want/a"]
-    assert isinstance(want, Want)
+    lender, borrower = CapacityLoans("b", WEIGHTS, 1, -100.0), CapacityLoans("a", WEIGHTS, 7, -100.0)
+    borrower.update_demand(0.0, 1.0)
+    want = borrower.records()["want/a"]
+    assert isinstance(want, LoanRequest)
     lender.receive(0.0, {"a": want}, {})
-    lend = lender.rows()["lend/b/a"]
-    assert isinstance(lend, Lend)
+    lend = lender.records()["lend/b/a"]
+    assert isinstance(lend, LoanGrant)
     borrower.receive(0.1, {}, {"b": lend})
-    ends = partial(borrower.part), partial(lender.part)
-    before_s, after_s = LOAN_S * (1 - DRIFT), LOAN_S * (1 + DRIFT)
+    ends = partial(borrower.available_fraction), partial(lender.available_fraction)
+    before_s, after_s = LOAN_DURATION_S * (1 - MAX_CLOCK_DRIFT), LOAN_DURATION_S * (1 + MAX_CLOCK_DRIFT)
     assert ends[0](before_s - 0.01) == pytest.approx(0.5) and ends[0](before_s) == pytest.approx(0.25)
     assert ends[1](after_s - 0.01) == 0.0 and ends[1](after_s) == pytest.approx(0.25)
-    assert before_s / 2 > replay_lend.ASK_EVERY_S  # a renewal has two tries
+    assert before_s / 2 > loans_module.REQUEST_INTERVAL_S  # a renewal has two tries
--- a/tests/decide/replay/test_scheduler.py
+++ b/tests/decide/replay/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Whose queued request is next: fair in work, by age, nobody for ever."""
+"""The order of replay: fair in work among tenants, by age within one, without starvation."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.decide.replay.fair_share import jain
-from ringledge.decide.replay.rate_control import Pace
-from ringledge.decide.replay.scheduler import Fair, Head, Replay, Verdict
+from ringledge.decide.replay.fair_share import jain_index
+from ringledge.decide.replay.rate_control import RateController
+from ringledge.decide.replay.scheduler import QueueHead, ReplayScheduler, SendOutcome, StartTimeFairQueue
 
 
-def fast(most: int = 8) -> Replay:
-    """One that is held back by nothing but what is under way."""
-    pace = Pace(random.Random(1), jitter_s=0.0)
-    pace.allot(-10.0, 1e12)
-    pace.opened(-10.0)
-    pace.rate = 1e12
-    return Replay(pace, most)
+def unlimited_scheduler(max_in_flight: int = 8) -> ReplayScheduler:
+    """A scheduler that is limited by nothing but the entries in flight."""
+    controller = RateController(random.Random(1), jitter_s=0.0)
+    controller.set_ceiling(-10.0, 1e12)
+    controller.open(-10.0)
+    controller.rate = 1e12
+    return ReplayScheduler(controller, max_in_flight)
 
 
-def one(tenant: str, number: int, work: float = 100.0, created_s: float = 0.0) -> Head:
-    return Head(f"{tenant}{number}", tenant, work, created_s, True)
+def make_head(tenant: str, number: int, work: float = 100.0, created_s: float = 0.0) -> QueueHead:
+    return QueueHead(f"{tenant}{number}", tenant, work, created_s, True)
 
 
 def serve(
-    fair: Fair, queues: dict[str, list[float]], rounds: int, by_count: bool = False
+    queue: StartTimeFairQueue, queues: dict[str, list[float]], rounds: int, by_count: bool = False
 ) -> dict[str, float]:
-    """Send so many, each tenant's oldest first; the work that each has got. `by_count`: the mutant."""
-    got, places = defaultdict[str, float](float), dict.fromkeys(queues, 0)
+    """Send so many, each tenant's oldest first; returns the work served by tenant. `by_count`: the mutant."""
+    served, next_index = defaultdict[str, float](float), dict.fromkeys(queues, 0)
     for _ in range(rounds):
         heads = [
-            one(tenant, places[tenant], works[places[tenant] % len(works)], places[tenant])
+            make_head(tenant, next_index[tenant], works[next_index[tenant] % len(works)], next_index[tenant])
             for tenant, works in queues.items()
         ]
-        head = fair.first(heads)
+        head = queue.select(heads)
         assert head is not None
-        fair.charge(head, 1.0 if by_count else head.work)
-        got[head.tenant] += head.work
-        places[head.tenant] += 1
-    return got
+        queue.charge(head, 1.0 if by_count else head.work)
+        served[head.tenant] += head.work
+        next_index[head.tenant] += 1
+    return served
 
 
 WORK = st.floats(1.0, 1000.0)
@@ -53,89 +53,99 @@
     queues=st.dictionaries(st.sampled_from("abcde"), st.lists(WORK, min_size=1, max_size=5), min_size=2),
     weights=st.dictionaries(st.sampled_from("abcde"), st.floats(0.5, 4.0)),
 )
-def test_work_by_weight_differs_by_no_more_than_the_largest_request(
+def test_weighted_work_of_two_tenants_differs_by_at_most_their_largest_requests(
     queues: dict[str, list[float]], weights: dict[str, float]
 ) -> None:
     """The bound of start-time fair queuing: between any two tenants, the largest of each over its weight."""
-    got = serve(Fair(weights), queues, 400)
+    served = serve(StartTimeFairQueue(weights), queues, 400)
     for one in queues:
         for other in queues:
             bound = sum(max(queues[each]) / weights.get(each, 1.0) for each in (one, other))
-            differ = got[one] / weights.get(one, 1.0) - got[other] / weights.get(other, 1.0)
+            differ = served[one] / weights.get(one, 1.0) - served[other] / weights.get(other, 1.0)
             assert differ <= bound + 1e-6
 
 
-def test_fairness_by_request_count_is_caught() -> None:
+def test_mutant_fair_by_request_count_is_detected() -> None:
     """The mutant: where requests differ a hundredfold in work, equal counts are no equal shares."""
     queues = {"small": [10.0], "large": [1000.0]}
-    by_work, by_count = serve(Fair({}), queues, 2000), serve(Fair({}), queues, 2000, by_count=True)
-    assert jain(by_work.values()) > 0.99
-    assert jain(by_count.values()) < 0.6
+    by_work = serve(StartTimeFairQueue({}), queues, 2000)
+    by_count = serve(StartTimeFairQueue({}), queues, 2000, by_count=True)
+    assert jain_index(by_work.values()) > 0.99
+    assert jain_index(by_count.values()) < 0.6
 
 
-def test_who_comes_late_starts_at_the_present() -> None:
-    fair = Fair({})
+def test_tenant_that_arrives_late_starts_at_the_present_virtual_time() -> None:
+    queue = StartTimeFairQueue({})
     for number in range(50):
-        fair.charge(Head(f"a{number}", "a", 100.0, number, True), 100.0)
+        queue.charge(QueueHead(f"a{number}", "a", 100.0, number, True), 100.0)
     order = []
     for number in range(10):
-        head = fair.first([one("a", 90 + number), one("b", number, created_s=1.0)])
+        head = queue.select([make_head("a", 90 + number), make_head("b", number, created_s=1.0)])
         assert head is not None
-        fair.charge(head, 100.0)
+        queue.charge(head, 100.0)
         order.append(head.tenant)
     assert 4 <= order.count("b") <= 6  # its share from now on, not fifty in a row
 
 
-def test_within_a_tenant_the_oldest_goes_first_and_none_twice() -> None:
-    replay, heads = fast(), [Head(f"{age}", "a", 1.0, float(age), True) for age in (3, 1, 2)]
-    sent = [replay.choose(0.0, heads) for _ in range(4)]
+def test_oldest_entry_of_a_tenant_is_sent_first_and_none_twice() -> None:
+    scheduler = unlimited_scheduler()
+    heads = [QueueHead(f"{age}", "a", 1.0, float(age), True) for age in (3, 1, 2)]
+    sent = [scheduler.choose_next(0.0, heads) for _ in range(4)]
     assert [head.name if head else None for head in sent] == ["1", "2", "3", None]
 
 
-def test_a_refused_one_costs_its_tenant_nothing_and_a_heavy_one_what_it_took() -> None:
-    replay = fast()
-    first, other = one("a", 1, 500.0), one("b", 1, 500.0, 1.0)
-    assert replay.choose(0.0, [first, other]) is first
-    replay.ended(0.0, "a1", Verdict.REFUSED)
-    replay.pace.rate = 1e12
-    assert replay.choose(2.0, [first, other]) is first  # its turn is not lost
-    replay.ended(2.0, "a1", Verdict.SERVED, work=5000.0)
+def test_rejected_entry_is_not_charged_and_served_entry_by_its_actual_work() -> None:
+    scheduler = unlimited_scheduler()
+    first, other = make_head("a", 1, 500.0), make_head("b", 1, 500.0, 1.0)
+    assert scheduler.choose_next(0.0, [first, other]) is first
+    scheduler.record_outcome(0.0, "a1", SendOutcome.REJECTED)
+    scheduler.rate_controller.rate = 1e12
+    assert scheduler.choose_next(2.0, [first, other]) is first  # its start tag is as before
+    scheduler.record_outcome(2.0, "a1", SendOutcome.SERVED, work=5000.0)
     for number in range(9):
-        head = replay.choose(3.0 + number, [one("a", 2, 500.0), one("b", number, 500.0, 2.0)])
+        head = scheduler.choose_next(
+            3.0 + number, [make_head("a", 2, 500.0), make_head("b", number, 500.0, 2.0)]
+        )
         assert head is not None and head.tenant == "b"
-        replay.ended(3.0 + number, head.name, Verdict.SERVED)
-    assert replay.done == {"a": 5000.0, "b": 4500.0}
+        scheduler.record_outcome(3.0 + number, head.name, SendOutcome.SERVED)
+    assert scheduler.served_work_by_tenant == {"a": 5000.0, "b": 4500.0}
 
 
-def test_the_tenant_with_the_largest_backlog_and_most_live_traffic_takes_nothing_from_others() -> None:
-    """What it asks for live is no claim on the replay, and its backlog none on the others' turns."""
-    replay, place = fast(most=1), defaultdict[str, int](int)
+def test_tenant_with_the_largest_backlog_takes_nothing_from_others() -> None:
+    """Its live demand is no claim on the replay, and its backlog none on the capacity of others."""
+    scheduler, position = unlimited_scheduler(max_in_flight=1), defaultdict[str, int](int)
     for number in range(300):
-        heads = [one("big", place["big"])]
-        if place["small"] < 30:
-            heads.append(one("small", place["small"], created_s=9.0))
-        head = replay.choose(float(number), heads)
+        heads = [make_head("big", position["big"])]
+        if position["small"] < 30:
+            heads.append(make_head("small", position["small"], created_s=9.0))
+        head = scheduler.choose_next(float(number), heads)
         assert head is not None
-        place[head.tenant] += 1
-        replay.ended(float(number), head.name, Verdict.SERVED)
+        position[head.tenant] += 1
+        scheduler.record_outcome(float(number), head.name, SendOutcome.SERVED)
         if number == 60:
-            assert place["small"] >= 29  # all through after twice its own work, not behind the large backlog
+            assert (
+                position["small"] >= 29
+            )  # all through after twice its own work, not behind the large backlog
 
 
-def test_a_link_is_tried_with_one_that_may_run_twice() -> None:
-    replay = fast()
-    replay.pace.closed()
-    heads = [Head("book", "a", 1.0, 0.0, False), Head("ask", "a", 1.0, 1.0, True)]
-    assert replay.choose(0.0, heads) is None  # closed: nothing but a try
-    head = replay.choose(0.0, heads, probing=True)
+def test_probe_prefers_an_idempotent_entry() -> None:
+    scheduler = unlimited_scheduler()
+    scheduler.rate_controller.close()
+    heads = [QueueHead("book", "a", 1.0, 0.0, False), QueueHead("ask", "a", 1.0, 1.0, True)]
+    assert scheduler.choose_next(0.0, heads) is None  # closed: nothing but a probe
+    head = scheduler.choose_next(0.0, heads, probing=True)
     assert head is not None and head.name == "ask"
-    assert replay.choose(0.1, heads, probing=True) is None  # one alone
-    replay.ended(0.2, "ask", Verdict.REFUSED)
-    assert replay.choose(0.3, heads, probing=True) is None  # and not at once again
-    assert replay.choose(4.0, heads, probing=True) is not None
-
-
-@pytest.mark.parametrize("most", [1, 4])
-def test_no_more_are_under_way_than_allowed(most: int) -> None:
-    replay, heads = fast(most), [one("a", n, 1.0, n) for n in range(9)]
-    assert sum(replay.choose(0.0, heads) is not None for _ in range(9)) == most == replay.under_way
+    assert scheduler.choose_next(0.1, heads, probing=True) is None  # a single one
+    scheduler.record_outcome(0.2, "ask", SendOutcome.REJECTED)
+    assert scheduler.choose_next(0.3, heads, probing=True) is None  # not again before the probe interval
+    assert scheduler.choose_next(4.0, heads, probing=True) is not None
+
+
+@pytest.mark.parametrize("max_in_flight", [1, 4])
+def test_entries_in_flight_are_limited(max_in_flight: int) -> None:
+    scheduler, heads = unlimited_scheduler(max_in_flight), [make_head("a", n, 1.0, n) for n in range(9)]
+    assert (
+        sum(scheduler.choose_next(0.0, heads) is not None for _ in range(9))
+        == max_in_flight
+        == scheduler.in_flight_count
+    )
--- a/tests/store/test_component.py
+++ b/tests/store/test_component.py
@@ -14,10 +14,10 @@
 from prometheus_client import CollectorRegistry
 
 from ringledge.decide.interface import QueueBacklog
-from ringledge.decide.replay.partition_detection import Reached, Seen, State
-from ringledge.decide.replay.scheduler import Verdict
+from ringledge.decide.replay.partition_detection import ServerReachability, SiteReachability, SiteState
+from ringledge.decide.replay.scheduler import SendOutcome
 from ringledge.lifecycle import settings_files as strict
-from ringledge.members.replay_sender import Result, Sending
+from ringledge.members.replay_sender import SendHandle, SendResult
 from ringledge.store.component import QueuePart
 from ringledge.store.entry import Asked, End, Entry
 from ringledge.store.settings import QueueConfig
@@ -30,9 +30,12 @@
     def __init__(self, up: bool) -> None:
         self.up, self.count = up, (0.0, 0.0)
 
-    def servers(self, now_s: float) -> list[Seen]:
+    def servers(self, now_s: float) -> list[ServerReachability]:
         heard_s = now_s if self.up else -inf
-        return [Seen(True, False, self.up, True, heard_s), Seen(False, True, self.up, True, heard_s)]
+        return [
+            ServerReachability(True, False, self.up, True, heard_s),
+            ServerReachability(False, True, self.up, True, heard_s),
+        ]
 
     def answers(self) -> tuple[float, float]:
         return self.count
@@ -60,8 +63,8 @@
         await anyio.sleep(0.005)
 
 
-def answered(entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
-    ended(Result(Verdict.SERVED, True, b'{"ok":1}', 20.0, 10.0))
+def answered(entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
+    ended(SendResult(SendOutcome.SERVED, True, b'{"ok":1}', 20.0, 10.0))
     return None
 
 
@@ -77,10 +80,10 @@
         part = QueuePart(config, links, CollectorRegistry(), random.Random(1), facts)
         refused = list[str]()
 
-        def send(entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+        def send(entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
             if not links.up:
                 refused.append(entry.name)
-                ended(Result(Verdict.REFUSED, False))
+                ended(SendResult(SendOutcome.REJECTED, False))
                 return None
             return answered(entry, ended)
 
@@ -89,9 +92,11 @@
             async with anyio.create_task_group() as tasks:
                 part.start(tasks)
                 part.ready()
-                await until(lambda: part.state() is State.CUT_OFF)
-                said: Reached = msgspec.msgpack.decode(facts.own["reach/north"], type=Reached)
-                assert said.state == State.CUT_OFF.value
+                await until(lambda: part.state() is SiteState.PARTITIONED)
+                said: SiteReachability = msgspec.msgpack.decode(
+                    facts.own["reach/north"], type=SiteReachability
+                )
+                assert said.state == SiteState.PARTITIONED.value
                 for number in range(3):
                     await part.queue.enqueue(request(f"{number}"))
                 await until(lambda: "backlog/north" in facts.own)
@@ -123,15 +128,15 @@
             first, second = parts
             with anyio.fail_after(20):
                 first.ready()
-                await until(lambda: first.replayer.replay is not None)
+                await until(lambda: first.replayer.scheduler is not None)
                 second.ready()
                 await second.queue.enqueue(request("a"))
                 while (await second.queue.get("a")).end is not End.SERVED:  # type: ignore[union-attr]
                     await anyio.sleep(0.01)
-                assert second.replayer.replay is None
+                assert second.replayer.scheduler is None
                 assert await second.queue.highest() == 1
                 await first.stop()
-                await until(lambda: second.replayer.replay is not None)
+                await until(lambda: second.replayer.scheduler is not None)
                 while await second.queue.highest() != 2:
                     await anyio.sleep(0.01)
                 await second.stop()
--- a/tests/store/test_replayer.py
+++ b/tests/store/test_replayer.py
@@ -10,10 +10,10 @@
 import anyio
 from prometheus_client import CollectorRegistry
 
-from ringledge.decide.replay.partition_detection import State
-from ringledge.decide.replay.rate_control import PROBE_S, Pace
-from ringledge.decide.replay.scheduler import Replay, Verdict
-from ringledge.members.replay_sender import Result, Sending
+from ringledge.decide.replay.partition_detection import SiteState
+from ringledge.decide.replay.rate_control import PROBE_INTERVAL_S, RateController
+from ringledge.decide.replay.scheduler import ReplayScheduler, SendOutcome
+from ringledge.members.replay_sender import SendHandle, SendResult
 from ringledge.members.replayer import Replayer
 from ringledge.store.entry import End, Entry
 from ringledge.store.entry import State as Stands
@@ -28,10 +28,10 @@
 
     def __init__(self) -> None:
         self.sent: list[str] = []
-        self.out: dict[str, Callable[[Result], None]] = {}
+        self.out: dict[str, Callable[[SendResult], None]] = {}
         self.cancelled: list[str] = []
 
-    def __call__(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
         self.sent.append(entry.name)
         self.out[entry.name] = ended
         outer = self
@@ -43,8 +43,8 @@
 
         return Out()
 
-    def end(self, name: str, verdict: Verdict = Verdict.SERVED, ran: bool = True) -> None:
-        self.out.pop(name)(Result(verdict, ran, b"{}" if verdict is Verdict.SERVED else b""))
+    def end(self, name: str, verdict: SendOutcome = SendOutcome.SERVED, ran: bool = True) -> None:
+        self.out.pop(name)(SendResult(verdict, ran, b"{}" if verdict is SendOutcome.SERVED else b""))
 
 
 class Site:
@@ -52,7 +52,7 @@
 
     def __init__(self, path: Path, tasks: anyio.abc.TaskGroup) -> None:
         self.path, self.tasks, self.now_s = path, tasks, 0.0
-        self.state, self.servers = State.OPEN, StandIn()
+        self.state, self.servers = SiteState.AVAILABLE, StandIn()
         self.queue = self.process()
 
     def process(self) -> Queue:
@@ -61,10 +61,10 @@
         return queue
 
     def holder(self, token: int, queue: Queue | None = None) -> tuple[Replayer, Figures]:
-        def decider(now_s: float, token: int) -> Replay:
-            pace = Pace(random.Random(1), jitter_s=0.0)
-            pace.allot(now_s, 1e9)
-            return Replay(pace, 8)
+        def decider(now_s: float, token: int) -> ReplayScheduler:
+            pace = RateController(random.Random(1), jitter_s=0.0)
+            pace.set_ceiling(now_s, 1e9)
+            return ReplayScheduler(pace, 8)
 
         figures = Figures(CollectorRegistry())
         at, site = queue or self.queue, self
@@ -77,7 +77,7 @@
         """Some steps, a tenth of a second apart."""
         for _ in range(12):
             await replayer.step(token, still)
-            while replayer.owed and not replayer._unsettled:
+            while replayer.unsettled_count and not replayer._unsettled_results:
                 await anyio.sleep(0)
             self.now_s += 0.1
 
@@ -126,7 +126,7 @@
         second, _ = site.holder(2, site.process())
         await site.steps(second, 2)
         for name in ("book", "ask"):  # it goes on where it stood: its answers come, its lease is gone
-            ends[name](Result(Verdict.SERVED, True, b"{}"))
+            ends[name](SendResult(SendOutcome.SERVED, True, b"{}"))
         await site.steps(first, 1)
         assert figures.stale._value.get() >= 2
         assert (await site.entry("book")).end is End.UNKNOWN
@@ -153,21 +153,21 @@
     async def game(site: Site) -> None:
         replayer, _ = site.holder(1)
         await site.steps(replayer, 1)
-        site.state = State.CUT_OFF
-        site.servers.end("book", Verdict.FAILED, ran=True)  # it was written, and nothing came back
-        site.servers.end("ask", Verdict.FAILED, ran=True)
+        site.state = SiteState.PARTITIONED
+        site.servers.end("book", SendOutcome.FAILED, ran=True)  # it was written, and nothing came back
+        site.servers.end("ask", SendOutcome.FAILED, ran=True)
         for number in range(20):
             await site.queue.enqueue(asked(f"{number}", safe=number % 2 == 0))
         sent, from_s = len(site.servers.sent), site.now_s
         for _ in range(5):
             await site.steps(replayer, 1)
             for name in list(site.servers.out):
-                site.servers.end(name, Verdict.REFUSED, ran=False)
+                site.servers.end(name, SendOutcome.REJECTED, ran=False)
         tries = len(site.servers.sent) - sent
-        assert 1 <= tries <= (site.now_s - from_s) / PROBE_S + 1
+        assert 1 <= tries <= (site.now_s - from_s) / PROBE_INTERVAL_S + 1
         assert "book" not in site.servers.sent[sent:]
         assert (await site.entry("book")).end is End.UNKNOWN
-        site.state = State.OPEN
+        site.state = SiteState.AVAILABLE
         for _ in range(40):
             await site.steps(replayer, 1)
             for name in list(site.servers.out):
@@ -185,16 +185,16 @@
         for number in range(40):
             await site.queue.enqueue(asked(f"{number}", f"t{number % 4}", safe=False))
         for _ in range(12):
-            site.state = State.OPEN
+            site.state = SiteState.AVAILABLE
             from_s = site.now_s
             while site.now_s - from_s < 3.0:
                 await site.steps(replayer, 1)
                 for name in list(site.servers.out):
                     site.servers.end(name)
             await site.steps(replayer, 1)
-            site.state = State.CUT_OFF
+            site.state = SiteState.PARTITIONED
             for name in list(site.servers.out):  # what was under way breaks
-                site.servers.end(name, Verdict.FAILED, ran=True)
+                site.servers.end(name, SendOutcome.FAILED, ran=True)
             await site.steps(replayer, 1)
         names = [name for name in site.servers.sent if name != "ask"]
         assert len(names) == len(set(names)) == 41
@@ -210,12 +210,12 @@
         await site.steps(replayer, 1)
         most = "PRAGMA max_page_count = {}"
         await site.queue.worker.run(lambda db: db.execute(most.format(1)).fetchone(), writes=False)
-        site.servers.out.pop("book")(Result(Verdict.SERVED, True, b"?" * 200_000))
+        site.servers.out.pop("book")(SendResult(SendOutcome.SERVED, True, b"?" * 200_000))
         await site.steps(replayer, 1)
-        assert replayer.owed == 1 and (await site.entry("book")).state is Stands.BEGUN
+        assert replayer.unsettled_count == 1 and (await site.entry("book")).state is Stands.BEGUN
         await site.queue.worker.run(lambda db: db.execute(most.format(9_999)).fetchone(), writes=False)
         await site.steps(replayer, 1)
-        assert replayer.owed == 0 and (await site.entry("book")).end is End.SERVED
+        assert replayer.unsettled_count == 0 and (await site.entry("book")).end is End.SERVED
 
     play(tmp_path, game)
 
@@ -228,7 +228,7 @@
         replayer.stop()
         await site.steps(replayer, 1)
         assert "late" not in site.servers.sent and "ask" in site.servers.cancelled
-        assert replayer.under_way == 1  # the booking runs on
+        assert replayer.in_flight_count == 1  # the booking runs on
         site.servers.end("book")  # nobody has taken over yet: its end is taken
         await site.steps(replayer, 1)
         assert (await site.entry("book")).end is End.SERVED
--- a/tests/wire/clients/chat/queued.py
+++ b/tests/wire/clients/chat/queued.py
@@ -15,8 +15,8 @@
 from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
 from ringledge.core.records import Attempt
-from ringledge.decide.replay.partition_detection import State
-from ringledge.members.replay_sender import Result
+from ringledge.decide.replay.partition_detection import SiteState
+from ringledge.members.replay_sender import SendResult
 from ringledge.memory.names import Names
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
@@ -102,7 +102,7 @@
         )
         self.queue = Queue(QueueConfig(**{"path": str(file)} | told))
         self.queue.start()
-        self.state, self.figures = State.CUT_OFF, Figures(CollectorRegistry())
+        self.state, self.figures = SiteState.PARTITIONED, Figures(CollectorRegistry())
         queued = QueuedChat(
             self.queue, lambda: self.state, NAMES.classes, SETTINGS, "farm", 600.0, self.figures
         )
@@ -145,9 +145,9 @@
         named = {key.replace("_", "-"): value for key, value in headers.items()}
         return await self.ask("POST", "/v1/chat/completions", body, named)
 
-    async def replay(self, name: str, token: int) -> list[Result]:
+    async def replay(self, name: str, token: int) -> list[SendResult]:
         """Send one entry through the conductor, as the holder does; its end goes into the list."""
-        entry, ends = await self.queue.begin(name, token), list[Result]()
+        entry, ends = await self.queue.begin(name, token), list[SendResult]()
         self.sender(entry, ends.append)
         return ends
 
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from ringledge.decide.replay.partition_detection import State
+from ringledge.decide.replay.partition_detection import SiteState
 from ringledge.routing.interface import (
     AttemptStatus,
 )
@@ -40,9 +40,11 @@
     play(tmp_path, game)
 
 
-@pytest.mark.parametrize(("prefer", "state"), [("", State.CUT_OFF), ("respond-async", State.OPEN)])
+@pytest.mark.parametrize(
+    ("prefer", "state"), [("", SiteState.PARTITIONED), ("respond-async", SiteState.AVAILABLE)]
+)
 def test_everybody_else_is_served_or_refused_as_without_a_queue(
-    tmp_path: Path, prefer: str, state: State
+    tmp_path: Path, prefer: str, state: SiteState
 ) -> None:
     async def game(process: Process) -> None:
         process.state = state
@@ -124,7 +126,7 @@
         _, headers, told = await process.post("book", Idempotency_Key="k", **ASYNC)
         again = await process.post("book", Idempotency_Key="k", **ASYNC)
         assert again[0] == 202 and again[2]["id"] == told["id"]
-        process.state = State.OPEN  # the link is back, and its client tries it live
+        process.state = SiteState.AVAILABLE  # the link is back, and its client tries it live
         status, place, body = await process.post("book", Idempotency_Key="k")
         assert (status, body["error"]["code"]) == (409, "queued") and place["location"] == headers["location"]
         assert not process.port.sent
@@ -147,10 +149,10 @@
         process.conductor.outcome(
             process.port.sent[1], AttemptStatus.RESET
         )  # written to the writer, then nothing
-        assert [end.ran for end in ends] == [True]
+        assert [end.may_have_run for end in ends] == [True]
         _, _, told = await process.post("book", **ASYNC)
         ends = await process.replay(told["id"], 1)
         process.conductor.shut_down()  # given up before anything was read
-        assert [end.ran for end in ends] == [False]
+        assert [end.may_have_run for end in ends] == [False]
 
     play(tmp_path, game)
