--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -78,7 +78,9 @@
 class LateStart(Replayer):
     """A mutant: the start is written after the send."""
 
-    async def _begin(self, replay: ReplayScheduler, head: QueueHead, token: int, still: Still) -> bool:
+    async def _send_entry(
+        self, scheduler: ReplayScheduler, head: QueueHead, token: int, still: Still
+    ) -> bool:
         entry = await self._queue.get(head.name)
         assert entry is not None
         self._start(entry, token)
--- a/ringledge/members/planner.py
+++ b/ringledge/members/planner.py
@@ -1,7 +1,7 @@
-"""The planner as a duty: it looks at the facts, decides, and tells rows with its token.
+"""The planner of roles as work under a lease: reads the records, decides, publishes assignments.
 
-The part that runs duties begins it with a token, calls its steps while the lease runs, and stops it. Nobody
-holds it: the rows last told stay in force at every conductor.
+The part that holds leases begins it with a fencing token, calls its steps while the lease runs, and stops it.
+Without a holder the last assignments stay in force at every conductor.
 """
 
 from __future__ import annotations
@@ -19,113 +19,126 @@
 from ringledge.members.duty import Still
 from ringledge.observe.logging import log
 
-LEASE_NAME = "planner"  # of the duty
-DEMAND_PREFIX, SERVER_PREFIX = "demand/", "server/"  # keys of the facts that it reads
+LEASE_NAME = "planner"
+DEMAND_PREFIX = "demand/"  # keys of records of `ClassDemand`
+SERVER_PREFIX = "server/"  # keys of records of `ServerObservation`
 
-Row = TypeVar("Row", bound=msgspec.Struct)
+Report = TypeVar("Report", bound=msgspec.Struct)
 
 
 class FleetView(Protocol):
-    """Who is there."""
+    """The servers and members that the planner plans for."""
 
     def servers(self) -> Sequence[ListedServer]:
-        """The servers on the list."""
+        """The servers of the server list."""
         ...
 
     def members(self) -> Mapping[str, str]:
-        """The site of each member that is there."""
+        """The site of each member that is alive."""
         ...
 
 
 class RolePlannerService:
-    """Holds the planner's duty from `begin` to `stop`."""
+    """Plans roles while the planner's lease is held; implements `Duty`."""
 
     def __init__(
         self,
         settings: RatioConfig,
-        facts: RecordStore,
+        records: RecordStore,
         fleet: FleetView,
-        book: RoleRegistry,
+        registry: RoleRegistry,
         clock: Callable[[], float],
     ) -> None:
-        """`book`: this conductor's own, which hears rows as everybody's does; `clock`: s, monotonic."""
+        """`registry`: of this conductor, which receives all assignments; `clock`: monotonic, in s."""
         self.settings = settings
-        self._records, self._fleet, self._registry, self._clock = facts, fleet, book, clock
-        self._planner = RolePlanner(settings, book)
-        self._published = set[str]()  # keys of ours
+        self._records = records
+        self._fleet = fleet
+        self._registry = registry
+        self._clock = clock
+        self._planner = RolePlanner(settings, registry)
+        self._published = set[str]()  # keys of the assignments of this member
         self._next_round_s = 0.0
-        self.malformed = 0  # facts that could not be read
-        self.changes = 0  # roles changed
+        self.malformed = 0  # records that could not be decoded
+        self.changes = 0  # changes of role begun
 
     def begin(self, token: int) -> None:
-        """Take the duty up; nothing is told before the first step."""
+        """Begin a term under a new fencing token; nothing is published before the first step."""
         self._planner.begin(self._clock(), token)
         self._next_round_s = self._clock()
 
     async def step(self, token: int, still: Still) -> float:
-        """One look, if it is time for one; gives s until the next. Each effect asks `still` before."""
+        """Run a planning round if one is due; returns s until the next. `still` is checked at each effect."""
+        interval_s = self.settings.planning_interval_s
         if token != self._planner.token:
-            return self.settings.planning_interval_s  # of a holding that has ended
+            return interval_s  # of a term that has ended
         now_s = self._clock()
-        for server, row in decode_assignments(
-            self._records.values(now_s, KEY_PREFIX)
-        ):  # above all those of the planner before
-            self._registry.receive(now_s, server, row)
-        for server, row in self._planner.reissued_assignments(now_s).items():
-            if not self._publish(server, row, still):
-                return self.settings.planning_interval_s
+        self._receive_assignments(now_s)
+        for server, assignment in self._planner.reissued_assignments(now_s).items():
+            if not self._publish(server, assignment, still):
+                return interval_s
         if now_s < self._next_round_s:
             return self._next_round_s - now_s
-        self._next_round_s = now_s + self.settings.planning_interval_s
-        demand = self._read_reports(now_s, DEMAND_PREFIX, ClassDemand)
-        heard = Observations(
-            demand, self._read_reports(now_s, SERVER_PREFIX, ServerObservation), self._fleet.members()
-        )
-        listed = self._fleet.servers()
-        looked = self._planner.run_round(now_s, heard, listed)
-        self._delete_unlisted(now_s, {each.name for each in listed})
-        for server, row in looked.assignments.items():
-            if not self._publish(server, row, still):
-                return self.settings.planning_interval_s
+        self._next_round_s = now_s + interval_s
+        result = self._run_round(now_s)
+        for server, assignment in result.assignments.items():
+            if not self._publish(server, assignment, still):
+                return interval_s
             self.changes += 1
-        if looked.assignments:
-            log.info("plan", token=token, number=self._planner.number, **self._plan_summary(looked))
-        return self.settings.planning_interval_s
+        if result.assignments:
+            log.info("plan", token=token, number=self._planner.number, **plan_summary(result))
+        return interval_s
 
     def stop(self) -> None:
-        """The duty has ended here; rows told stay where they were heard."""
+        """The lease is lost or given up; published assignments stay in force."""
         self._planner.token = 0
 
-    def _publish(self, server: str, row: RoleAssignment, still: Still) -> bool:
+    def _receive_assignments(self, now_s: float) -> None:
+        """Receive all assignments, above all those of the predecessor."""
+        for server, assignment in decode_assignments(self._records.values(now_s, KEY_PREFIX)):
+            self._registry.receive(now_s, server, assignment)
+
+    def _run_round(self, now_s: float) -> PlanningRound:
+        demand = self._read_reports(now_s, DEMAND_PREFIX, ClassDemand)
+        servers = self._read_reports(now_s, SERVER_PREFIX, ServerObservation)
+        observations = Observations(demand, servers, self._fleet.members())
+        listed = self._fleet.servers()
+        result = self._planner.run_round(now_s, observations, listed)
+        self._delete_unlisted(now_s, {server.name for server in listed})
+        return result
+
+    def _publish(self, server: str, assignment: RoleAssignment, still: Still) -> bool:
+        """Publish an assignment; False where the lease is lost."""
         if not still():
             return False
         now_s = self._clock()
-        key, value = encode_assignment(server, row)
+        key, value = encode_assignment(server, assignment)
         self._records.write(now_s, key, value)
         self._published.add(key)
-        self._registry.receive(now_s, server, row)
+        self._registry.receive(now_s, server, assignment)
         return True
 
     def _delete_unlisted(self, now_s: float, listed: set[str]) -> None:
-        """Rows of servers that no list names any more."""
+        """Delete the assignments of servers that are no longer listed."""
         for key in [key for key in self._published if key.partition("/")[2] not in listed]:
             self._records.delete(now_s, key)
             self._published.discard(key)
 
-    def _read_reports(self, now_s: float, prefix: str, kind: type[Row]) -> dict[tuple[str, str], Row]:
-        """Facts of a kind, by member and what they are about; those that can't be read are counted."""
-        found = dict[tuple[str, str], Row]()
+    def _read_reports(self, now_s: float, prefix: str, kind: type[Report]) -> dict[tuple[str, str], Report]:
+        """Records of one type, by member and the rest of the key; malformed ones are counted."""
+        reports = dict[tuple[str, str], Report]()
         for (member, key), value in self._records.values(now_s, prefix).items():
             try:
-                found[member, key.removeprefix(prefix)] = msgspec.msgpack.decode(value, type=kind)
+                reports[member, key.removeprefix(prefix)] = msgspec.msgpack.decode(value, type=kind)
             except (msgspec.DecodeError, msgspec.ValidationError):
                 self.malformed += 1
-        return found
-
-    def _plan_summary(self, looked: PlanningRound) -> dict[str, object]:
-        return {
-            "moves": {server: row.role for server, row in looked.assignments.items()},
-            "wanted": {site: plan.prefill_target for site, plan in looked.plans.items()},
-            "read": {site: round(need.prefill_rate) for site, need in looked.demands.items()},
-            "write": {site: round(need.decode_rate) for site, need in looked.demands.items()},
-        }
+        return reports
+
+
+def plan_summary(result: PlanningRound) -> dict[str, object]:
+    """The fields of the log event of a round that begins changes."""
+    return {
+        "moves": {server: assignment.role for server, assignment in result.assignments.items()},
+        "wanted": {site: plan.prefill_target for site, plan in result.plans.items()},
+        "read": {site: round(demand.prefill_rate) for site, demand in result.demands.items()},
+        "write": {site: round(demand.decode_rate) for site, demand in result.demands.items()},
+    }
--- a/ringledge/members/replay_sender.py
+++ b/ringledge/members/replay_sender.py
@@ -1,4 +1,4 @@
-"""What sends a queued entry, and what it tells of the end; the fronts implement it."""
+"""The interface between the replayer and what sends its entries; the front ends implement it."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 @dataclass(slots=True, frozen=True)
 class SendResult:
-    """What became of one send."""
+    """The result of sending one entry."""
 
     outcome: SendOutcome
-    may_have_run: bool  # it may have run
-    answer: bytes = b""  # served: what the client gets
-    work: float | None = None  # tokens read and written, where they are known
-    decode_work: float = 0.0  # those that were written
+    may_have_run: bool
+    answer: bytes = b""  # served: what the client gets; failed for good: the reason
+    work: float | None = None  # tokens of prefill and decode, where they are known
+    decode_work: float = 0.0  # those of decode
 
 
 class SendHandle(Protocol):
-    """One entry on its way."""
+    """One entry in flight."""
 
     def cancel(self) -> bool:
-        """Give it up; False for one that must not run twice: it runs on, and its end may still be taken."""
+        """Cancel it; False for one that must not run twice: it runs on, and its result may still count."""
         ...
 
 
 class EntrySender(Protocol):
-    """Sends entries by the same decisions as all other requests."""
+    """Sends entries by the same routing as all other requests."""
 
     def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
-        """Start one; `ended` is called once, maybe at once. None: it can't be sent at all."""
+        """Start one; `ended` is called once, maybe before this returns. None: it can't be sent at all."""
         ...
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -1,8 +1,8 @@
-"""The replay of one site's queue, as a duty that one member holds.
+"""The replay of one site's queue by the member that holds its lease.
 
-Of an entry the start is on the disk, with the token, before it is sent; between that and the send the lease
-is looked at once more. What was begun runs on when the duty is lost: nobody else ever sends a booking that
-has begun, and what its end brings is refused by the file if a newer holder has settled it.
+Before an entry is sent, its start is on the disk with the fencing token; between that and the send the lease
+is checked once more. What has begun runs on when the lease is lost: nobody else ever sends a booking that has
+begun, and its result is rejected by the file if a newer holder has settled it.
 """
 
 from __future__ import annotations
@@ -22,72 +22,79 @@
 from ringledge.store.metrics import Figures
 from ringledge.store.queue import Queue
 
-HEADS_PER_TENANT = 4  # oldest entries of each tenant that are looked at: those under way leave gaps
-BUSY_INTERVAL_S, IDLE_INTERVAL_S = (
-    0.05,
-    0.5,
-)  # until the next step, while something waits and while nothing does
-MAX_SENDS_PER_STEP = 8  # sends in one step: the lease is asked for again soon
+HEADS_PER_TENANT = 4  # oldest entries of each tenant to choose from, besides as many as are in flight
+BUSY_INTERVAL_S = 0.05  # until the next step while entries wait or are in flight
+IDLE_INTERVAL_S = 0.5  # until the next step while there are none
+MAX_SENDS_PER_STEP = 8  # the lease is checked again soon
 
 
 @dataclass(slots=True, frozen=True)
 class _UnsettledResult:
+    """The result of a send that is not on the disk yet."""
+
     entry: Entry
     token: int
     result: SendResult
 
 
 class Replayer:
-    """Replays a site's queue while the duty is held."""
+    """Replays a site's queue while its lease is held; implements `Duty`."""
 
     def __init__(
         self,
         queue: Queue,
         send: EntrySender,
-        decider: Callable[[float, int], ReplayScheduler],
-        site: Callable[[], SiteState],
+        make_scheduler: Callable[[float, int], ReplayScheduler],
+        site_state: Callable[[], SiteState],
         now_s: Callable[[], float],
         figures: Figures | None = None,
     ) -> None:
-        """`decider`: made for each holding, from time and token; `tasks` is set before the first step."""
-        self._queue, self._send, self._make_scheduler = queue, send, decider
-        self._site_state, self._now, self._figures = site, now_s, figures
-        self.tasks: anyio.abc.TaskGroup
-        self._token, self._adopted = 0, False
-        self.scheduler: ReplayScheduler | None = None
+        """`make_scheduler`: called for each term with time and token; `now_s`: a monotonic clock."""
+        self._queue = queue
+        self._send = send
+        self._make_scheduler = make_scheduler
+        self._site_state = site_state
+        self._now = now_s
+        self._figures = figures
+        self.tasks: anyio.abc.TaskGroup | None = None  # set before the first step
+        self.scheduler: ReplayScheduler | None = None  # None: the lease is not held
+        self._token = 0
+        self._adopted = False
         self._handles: dict[str, SendHandle] = {}
-        self._unsettled_results: list[_UnsettledResult] = []  # ends that the disk did not take yet
-        self._settling, self._has_entries = 0, False
+        self._unsettled_results: list[_UnsettledResult] = []  # that the disk has not accepted yet
+        self._settling = 0  # results that are being written for the first time
+        self._has_entries = False
         self._completed = anyio.Event()
 
     @property
     def in_flight_count(self) -> int:
-        """Entries that were sent and whose end is not on the disk."""
+        """Entries that were sent and whose result is not on the disk."""
         return len(self._handles) + len(self._unsettled_results)
 
     @property
     def unsettled_count(self) -> int:
-        """Ends that have come and are not on the disk."""
+        """Results that have been received and are not on the disk."""
         return len(self._unsettled_results) + self._settling
 
     def begin(self, token: int) -> None:
-        """The duty is ours."""
-        self._token, self._adopted = token, False
+        """Begin a term under a new fencing token."""
+        self._token = token
+        self._adopted = False
         self.scheduler = self._make_scheduler(self._now(), token)
         log.info("replay_begun", token=token)
 
     def stop(self) -> None:
-        """The duty is lost or given up: what may run twice is let go, the new holder sends it."""
+        """The lease is lost or given up: idempotent entries are cancelled, the new holder sends them."""
         if self.scheduler is not None:
             log.info("replay_stopped", token=self._token, under_way=self.in_flight_count)
         self.scheduler = None
-        self._handles = {name: sending for name, sending in self._handles.items() if not sending.cancel()}
+        self._handles = {name: handle for name, handle in self._handles.items() if not handle.cancel()}
 
     async def step(self, token: int, still: Still) -> float:
-        """Settle what is owed, then send what it is time for; s until the next step is wanted.
+        """Write unsettled results, then send the entries that are due; returns s until the next step.
 
         Shielded: cancelled between a start on the disk and its send, a booking that was never sent would end
-        as unknown. It lasts some syncs, and `still` is asked before each effect.
+        as unknown. It lasts some syncs, and `still` is checked before each effect.
         """
         with anyio.CancelScope(shield=True):
             await self._step(token, still)
@@ -98,138 +105,142 @@
             await self._adopt(token)
             await self.settle()
             if self.scheduler is not None:
-                await self._send_some(self.scheduler, token, still)
+                await self._send_due(self.scheduler, token, still)
         except StaleError as error:
-            self._stale(token, error)
+            self._handle_stale_token(token, error)
         except StoreError as error:
             log.often("queue_step_failed", why=error.why.value, error=str(error))
 
     async def wait_for_completion(self, timeout_s: float) -> None:
-        """Wait until an entry has ended, so that the next step may come sooner."""
+        """Wait until an entry has completed, so that the next step may come sooner."""
         with anyio.move_on_after(timeout_s):
             await self._completed.wait()
 
     async def settle(self) -> None:
-        """Write down ends that the disk did not take before."""
-        waiting, self._unsettled_results = self._unsettled_results, []
-        for outcome in waiting:
-            await self._settle(outcome)
+        """Write the results that the disk did not accept before."""
+        results, self._unsettled_results = self._unsettled_results, []
+        for unsettled in results:
+            await self._settle(unsettled)
 
     async def _adopt(self, token: int) -> None:
+        """Take the queue over from the holder before, once in a term."""
         if self._adopted:
             return
         found = await self._queue.adopt(token)
         self._adopted = True
         for name in found.unknown:
-            self._tell_end(name, End.UNKNOWN, token)
+            self._report_end(name, End.UNKNOWN, token)
         log.info("queue_adopted", token=token, again=found.again, unknown=len(found.unknown))
 
-    async def _send_some(self, replay: ReplayScheduler, token: int, still: Still) -> None:
+    async def _send_due(self, scheduler: ReplayScheduler, token: int, still: Still) -> None:
         probing = self._site_state() is not SiteState.AVAILABLE
         if probing:
-            replay.rate_controller.close()
+            scheduler.rate_controller.close()
         else:
-            replay.rate_controller.open(self._now())
-        heads = await self._queue.heads(HEADS_PER_TENANT + replay.in_flight_count)
-        self._has_entries = bool(heads) or bool(replay.in_flight_count)
+            scheduler.rate_controller.open(self._now())
+        heads = await self._queue.heads(HEADS_PER_TENANT + scheduler.in_flight_count)
+        self._has_entries = bool(heads) or bool(scheduler.in_flight_count)
         for _ in range(MAX_SENDS_PER_STEP):
-            head = replay.choose_next(self._now(), heads, probing)
+            head = scheduler.choose_next(self._now(), heads, probing)
             if head is None:
                 return
             heads.remove(head)
-            if not await self._begin(replay, head, token, still):
+            if not await self._send_entry(scheduler, head, token, still):
                 return
 
-    async def _begin(self, replay: ReplayScheduler, head: QueueHead, token: int, still: Still) -> bool:
-        """Send one; False where the duty is not ours any more."""
-        verdict: SendOutcome | None = SendOutcome.NOT_SENT
+    async def _send_entry(
+        self, scheduler: ReplayScheduler, head: QueueHead, token: int, still: Still
+    ) -> bool:
+        """Send one entry; False where the lease is lost."""
+        sent = False
         try:
             if not still():
                 return False
             entry = await self._queue.begin(head.name, token)
-            if entry.state is not EntryState.BEGUN:  # too late for it, or its row is spoilt
+            if entry.state is not EntryState.BEGUN:  # it has expired, or its row is corrupt
                 assert entry.end is not None
-                self._tell_end(entry.name, entry.end, token)
+                self._report_end(entry.name, entry.end, token)
                 return True
-            if not still() or self.scheduler is not replay:  # the sync took long; nothing was sent
+            if not still() or self.scheduler is not scheduler:  # lost during the sync; nothing was sent
                 await self._queue.give_back(entry.name, token, ran=False)
                 return False
-            verdict = None
+            sent = True
             self._start(entry, token)
             return True
-        except MovedError:  # its client took it back meanwhile
+        except MovedError:  # its client withdrew it meanwhile
             return True
         finally:
-            if verdict is not None:
-                replay.record_outcome(self._now(), head.name, verdict)
+            if not sent:
+                scheduler.record_outcome(self._now(), head.name, SendOutcome.NOT_SENT)
 
     def _start(self, entry: Entry, token: int) -> None:
         def ended(result: SendResult) -> None:
-            self._handles.pop(entry.name, None)
-            if self.scheduler is not None:
-                self.scheduler.record_outcome(
-                    self._now(), entry.name, result.outcome, result.work, result.decode_work
-                )
-            if self._figures is not None:
-                self._figures.sends.labels(result.outcome.value).inc()
-            self._settling += 1
-            self.tasks.start_soon(self._settle_first, _UnsettledResult(entry, token, result))
+            self._on_result(_UnsettledResult(entry, token, result))
 
         log.info("queue_entry_sent", entry=entry.name, token=token, attempt=entry.attempts)
         try:
-            sending = self._send(entry, ended)
-        except Exception as error:  # a fault of ours: it may have been sent
+            handle = self._send(entry, ended)
+        except Exception as error:  # a fault of the sender: the entry may have been sent
             log.fault("queue_send_crashed", error, entry=entry.name)
             ended(SendResult(SendOutcome.FAILED, may_have_run=True))
             return
-        if sending is None:
-            ended(
-                SendResult(
-                    SendOutcome.FAILED,
-                    may_have_run=False,
-                    answer=b"its class or model is not served any more",
-                )
-            )
+        if handle is None:
+            reason = b"its class or model is not served any more"
+            ended(SendResult(SendOutcome.FAILED, may_have_run=False, answer=reason))
         elif self.scheduler is not None and entry.name in self.scheduler.in_flight:
-            self._handles[entry.name] = sending
+            self._handles[entry.name] = handle
+
+    def _on_result(self, unsettled: _UnsettledResult) -> None:
+        name, result = unsettled.entry.name, unsettled.result
+        self._handles.pop(name, None)
+        if self.scheduler is not None:
+            self.scheduler.record_outcome(self._now(), name, result.outcome, result.work, result.decode_work)
+        if self._figures is not None:
+            self._figures.sends.labels(result.outcome.value).inc()
+        self._settling += 1
+        assert self.tasks is not None
+        self.tasks.start_soon(self._settle_first, unsettled)
 
-    async def _settle_first(self, outcome: _UnsettledResult) -> None:
+    async def _settle_first(self, unsettled: _UnsettledResult) -> None:
         try:
-            await self._settle(outcome)
+            await self._settle(unsettled)
         finally:
             self._settling -= 1
 
-    async def _settle(self, outcome: _UnsettledResult) -> None:
-        """Bring the end of a send to the disk; kept for later where the disk takes none."""
-        entry, token, result = outcome.entry, outcome.token, outcome.result
+    async def _settle(self, unsettled: _UnsettledResult) -> None:
+        """Write the result of a send; retained for a later attempt where the disk fails."""
+        name, token = unsettled.entry.name, unsettled.token
         try:
-            if result.outcome is SendOutcome.SERVED:
-                now = await self._queue.finish(entry.name, token, End.SERVED, result.answer)
-            elif result.answer:
-                now = await self._queue.finish(entry.name, token, End.FAILED, result.answer)
-            else:
-                now = await self._queue.give_back(entry.name, token, result.may_have_run)
+            entry = await self._write_result(name, token, unsettled.result)
         except StaleError as error:
-            self._stale(token, error)
+            self._handle_stale_token(token, error)
             return
         except MovedError as error:
-            log.warning("queue_entry_moved", entry=entry.name, error=str(error))
+            log.warning("queue_entry_moved", entry=name, error=str(error))
             return
         except StoreError as error:
             log.often("queue_step_failed", why=error.why.value, error=str(error))
-            self._unsettled_results.append(outcome)
+            self._unsettled_results.append(unsettled)
             return
-        if now.end is not None:
-            self._tell_end(entry.name, now.end, token)
+        if entry.end is not None:
+            self._report_end(name, entry.end, token)
         self._completed.set()
         self._completed = anyio.Event()
 
-    def _tell_end(self, name: str, end: End, token: int) -> None:
+    async def _write_result(self, name: str, token: int, result: SendResult) -> Entry:
+        if result.outcome is SendOutcome.SERVED:
+            return await self._queue.finish(name, token, End.SERVED, result.answer)
+        if result.answer:
+            return await self._queue.finish(name, token, End.FAILED, result.answer)
+        return await self._queue.give_back(name, token, result.may_have_run)
+
+    def _report_end(self, name: str, end: End, token: int) -> None:
         log.info("queue_entry_ended", entry=name, how=end.value, token=token)
         if self._figures is not None:
             self._figures.ended.labels(end.value).inc()
 
-    def _stale(self, token: int, error: StaleError) -> None:
+    def _handle_stale_token(self, token: int, error: StaleError) -> None:
+        """A newer holder has written to the file: stop, if the token is still the present one."""
         log.warning("queue_effect_refused", token=token, error=str(error))
         if self._figures is not None:
             self._figures.stale.inc()
--- a/ringledge/members/role_keeper.py
+++ b/ringledge/members/role_keeper.py
@@ -1,10 +1,11 @@
-"""A conductor's side of the roles: it tells what it sees, and has the policy keep to the plan's rows."""
+"""A conductor's side of the roles: publishes its measurements and has the policy follow the assignments."""
 
 from __future__ import annotations
 
 import time
 from collections import Counter
 from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
 
 import anyio
 import msgspec
@@ -30,59 +31,75 @@
 from ringledge.routing.server_views import server_views
 
 KIND_OF_ROLE = {Role.PREFILL: "read", Role.DECODE: "write", Role.MIXED: "both"}
-MIN_RELATIVE_CHANGE = (
-    0.1  # share by which a server's figures have to differ to be told anew: each tells all members
-)
+MIN_RELATIVE_CHANGE = 0.1  # of a server's figures from which they are published again, to all members
+
+
+@dataclass(slots=True)
+class InFlightWork:
+    """What this conductor has in flight at each server."""
+
+    prefills: Counter[str] = field(default_factory=Counter)
+    streams: Counter[str] = field(default_factory=Counter)
+    cache_entries: Counter[str] = field(default_factory=Counter)  # that wait to be fetched
 
 
 class RoleFollower:
-    """Implements the core's Observer and the planner's Fleet."""
+    """Implements the core's Observer and the planner's FleetView."""
 
     def __init__(
         self,
         settings: RatioConfig,
-        facts: RecordStore,
+        records: RecordStore,
         membership: Membership,
         conductor: Conductor,
         names: Names,
-        book: RoleRegistry,
+        registry: RoleRegistry,
     ) -> None:
-        self._settings, self._records, self._membership = settings, facts, membership
-        self._conductor, self._names, self._registry = conductor, names, book
+        self._settings = settings
+        self._records = records
+        self._membership = membership
+        self._conductor = conductor
+        self._names = names
+        self._registry = registry
         self._context = conductor.context
         self._measurements = LocalMeasurements()
         self._published: dict[str, ServerObservation] = {}
-        self._logged: dict[str, RoleAssignment] = {}  # rows that the log has
+        self._logged: dict[str, RoleAssignment] = {}
         self._role_plan = RolePlan()
 
-    # The core's observer.
+    # Observer
 
     def taken(self, record: Record) -> None:
-        """A request was taken in."""
+        """A request was admitted."""
         request = record.request
-        tokens = request.prompt_tokens, request.max_output_tokens
-        self._measurements.request_received(time.monotonic(), request.class_index, *tokens)
+        self._measurements.request_received(
+            time.monotonic(), request.class_index, request.prompt_tokens, request.max_output_tokens
+        )
 
     def ended(self, attempt: Attempt, status: AttemptStatus, note: int) -> None:
-        """An attempt has its outcome."""
+        """An attempt has its outcome; `note`: cached prompt tokens, after a prefill."""
         request = attempt.record.request
         if status == AttemptStatus.PREFILLED:
-            unread = max(0.0, request.prompt_tokens - note)
+            uncached_tokens = max(0.0, request.prompt_tokens - note)
             self._measurements.prefill_finished(
-                request.class_index, attempt.server, unread, attempt.duration_ms / 1000
+                request.class_index, attempt.server, uncached_tokens, attempt.duration_ms / 1000
             )
         elif status == AttemptStatus.OK and attempt.answer_tokens:
-            took_s = (attempt.duration_ms - attempt.first_token_ms) / 1000
-            kind, prompt = request.class_index, request.prompt_tokens
-            self._measurements.decode_finished(kind, attempt.server, prompt, attempt.answer_tokens, took_s)
+            duration_s = (attempt.duration_ms - attempt.first_token_ms) / 1000
+            self._measurements.decode_finished(
+                request.class_index, attempt.server, request.prompt_tokens, attempt.answer_tokens, duration_s
+            )
 
-    # The planner's fleet.
+    # FleetView
 
     def servers(self) -> Sequence[ListedServer]:
-        """The servers on the list that are up, by the sites that members name."""
+        """The listed servers that are up, by the sites that members name."""
         return [
             ListedServer(
-                entry.server, self._names.zones[entry.zone], f"{entry.zone}/{entry.cell}", KIND_OF_ROLE[role]
+                name=entry.server,
+                site=self._names.zones[entry.zone],
+                rack=f"{entry.zone}/{entry.cell}",
+                kind=KIND_OF_ROLE[role],
             )
             for entry in self._context.servers.entries.values()
             if entry.availability == Availability.UP
@@ -91,76 +108,98 @@
         ]
 
     def members(self) -> Mapping[str, str]:
-        """The site of each member that is there."""
-        return {each.name: each.site for each in self._membership.alive()}
+        """The site of each member that is alive."""
+        return {member.name: member.site for member in self._membership.alive()}
 
-    # Looking.
+    # Updates
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Update at each planning interval, until cancelled."""
         while True:
             self.update(time.monotonic())
             await anyio.sleep(self._settings.planning_interval_s)
 
     def update(self, now_s: float) -> None:
-        """Tell what is seen, hear the rows, and hand the roles on where they have changed."""
-        listed = {each.name: each for each in self.servers()}
-        reads, streams, waiting = Counter[str](), Counter[str](), Counter[str]()
+        """Publish the measurements, receive assignments, and update the role plan where it has changed."""
+        kinds = {server.name: server.kind for server in self.servers()}
+        work = self._count_in_flight()
+        self._publish_demand(now_s)
+        self._publish_servers(now_s, set(kinds), work)
+        self._registry.update_servers(now_s, kinds)
+        for server in kinds:
+            self._registry.update_in_flight(server, work.prefills[server], work.streams[server])
+        for server, assignment in decode_assignments(self._records.values(now_s, KEY_PREFIX)):
+            self._registry.receive(now_s, server, assignment)
+        self._log_assignments()
+        for server, phase in self._registry.tick(now_s):
+            log.info("role_changes", server=server, state=phase.value)
+        role_plan = RolePlan(*self._registry.excluded_servers())
+        if role_plan != self._role_plan:
+            self._role_plan = role_plan
+            self._conductor.update_role_plan(role_plan)
+
+    def _count_in_flight(self) -> InFlightWork:
+        work = InFlightWork()
         for record in self._context.registry.records.values():
-            waiting.update(record.cache_holders)
+            work.cache_entries.update(record.cache_holders)
             for attempt in record.attempts:
-                if attempt.in_flight:
-                    (streams if attempt.streaming or record.cache_holders else reads)[attempt.server] += 1
-        self._publish(now_s, set(listed), streams, waiting)
-        self._registry.update_servers(now_s, {name: each.kind for name, each in listed.items()})
-        for server in listed:
-            self._registry.update_in_flight(server, reads[server], streams[server])
-        for server, row in decode_assignments(self._records.values(now_s, KEY_PREFIX)):
-            self._registry.receive(now_s, server, row)
-        for (
-            server,
-            row,
-        ) in self._registry.assignments.items():  # where the planner is here, it has told the book before
-            if self._logged.get(server) != row:
-                self._logged[server] = row
-                log.info("role_asked", server=server, role=row.role, token=row.token, number=row.number)
-        for server, state in self._registry.tick(now_s):
-            log.info("role_changes", server=server, state=state.value)
-        roles = RolePlan(*self._registry.excluded_servers())
-        if roles != self._role_plan:
-            self._role_plan = roles
-            self._conductor.update_role_plan(roles)
-
-    def _publish(self, now_s: float, listed: set[str], streams: Counter[str], waiting: Counter[str]) -> None:
-        measures, settings = self._measurements, self._context.settings
-        for kind, demand in measures.demand(now_s).items():
-            if kind < len(self._names.classes):
-                self._records.write(
-                    now_s, DEMAND_PREFIX + self._names.classes[kind], msgspec.msgpack.encode(demand)
+                if not attempt.in_flight:
+                    continue
+                is_stream = attempt.streaming or record.cache_holders
+                counter = work.streams if is_stream else work.prefills
+                counter[attempt.server] += 1
+        return work
+
+    def _log_assignments(self) -> None:
+        """Log new assignments, also those of a planner in this process, which are in the registry already."""
+        for server, assignment in self._registry.assignments.items():
+            if self._logged.get(server) != assignment:
+                self._logged[server] = assignment
+                log.info(
+                    "role_asked",
+                    server=server,
+                    role=assignment.role,
+                    token=assignment.token,
+                    number=assignment.number,
                 )
-        measures.retain_servers(listed)
-        for each in server_views(self._conductor.policy, self._conductor.clock.now_ms()):
-            if each.server not in listed:
+
+    def _publish_demand(self, now_s: float) -> None:
+        for class_index, demand in self._measurements.demand(now_s).items():
+            if class_index < len(self._names.classes):
+                key = DEMAND_PREFIX + self._names.classes[class_index]
+                self._records.write(now_s, key, msgspec.msgpack.encode(demand))
+
+    def _publish_servers(self, now_s: float, listed: set[str], work: InFlightWork) -> None:
+        """Publish the observations of listed servers that have changed, and delete those of others."""
+        self._measurements.retain_servers(listed)
+        for view in server_views(self._conductor.policy, self._conductor.clock.now_ms()):
+            if view.server not in listed:
                 continue
-            measures.update_streams(each.server, streams[each.server])
-            memory = settings.kinds[self._context.servers.entries[each.server].kind].memory_tokens
-            its = (memory, settings.routers, round(each.warmth, 2), waiting[each.server])
-            seen = measures.server_observation(each.server, *its)
-            if _has_changed(self._published.get(each.server), seen):
-                self._published[each.server] = seen
-                self._records.write(now_s, SERVER_PREFIX + each.server, msgspec.msgpack.encode(seen))
+            observation = self._observe(view.server, view.warmth, work)
+            if has_changed(self._published.get(view.server), observation):
+                self._published[view.server] = observation
+                key = SERVER_PREFIX + view.server
+                self._records.write(now_s, key, msgspec.msgpack.encode(observation))
         for server in self._published.keys() - listed:
             del self._published[server]
             self._records.delete(now_s, SERVER_PREFIX + server)
 
+    def _observe(self, server: str, warmth: float, work: InFlightWork) -> ServerObservation:
+        settings = self._context.settings
+        self._measurements.update_streams(server, work.streams[server])
+        kind = settings.kinds[self._context.servers.entries[server].kind]
+        return self._measurements.server_observation(
+            server, kind.memory_tokens, settings.routers, round(warmth, 2), work.cache_entries[server]
+        )
+
 
-def _has_changed(told: ServerObservation | None, seen: ServerObservation) -> bool:
-    """Whether it is worth a datagram to everybody."""
-    if told is None or bool(told.waiting_entries) != bool(seen.waiting_entries):
+def has_changed(published: ServerObservation | None, current: ServerObservation) -> bool:
+    """Whether an observation differs enough from the published one to be sent to all members."""
+    if published is None or bool(published.waiting_entries) != bool(current.waiting_entries):
         return True
     pairs = (
-        (told.prefill_rate, seen.prefill_rate),
-        (told.decode_rate, seen.decode_rate),
-        (told.warmth, seen.warmth),
+        (published.prefill_rate, current.prefill_rate),
+        (published.decode_rate, current.decode_rate),
+        (published.warmth, current.warmth),
     )
-    return any(abs(now - before) > MIN_RELATIVE_CHANGE * before for before, now in pairs)
+    return any(abs(after - before) > MIN_RELATIVE_CHANGE * before for before, after in pairs)
--- a/tests/store/test_replayer.py
+++ b/tests/store/test_replayer.py
@@ -16,62 +16,66 @@
 from ringledge.members.replay_sender import SendHandle, SendResult
 from ringledge.members.replayer import Replayer
 from ringledge.store.entry import End, Entry
-from ringledge.store.entry import State as Stands
+from ringledge.store.entry import State as EntryState
 from ringledge.store.metrics import Figures
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 from tests.store.helpers import NOW_S, asked
 
 
-class StandIn:
-    """The servers: every send waits until a test ends it."""
+class FakeServers:
+    """The servers: every send stays in flight until a test ends it."""
 
     def __init__(self) -> None:
         self.sent: list[str] = []
-        self.out: dict[str, Callable[[SendResult], None]] = {}
+        self.in_flight: dict[str, Callable[[SendResult], None]] = {}
         self.cancelled: list[str] = []
 
     def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
         self.sent.append(entry.name)
-        self.out[entry.name] = ended
+        self.in_flight[entry.name] = ended
         outer = self
 
-        class Out:
+        class Handle:
             def cancel(self) -> bool:
                 outer.cancelled.append(entry.name)
                 return entry.asked.safe
 
-        return Out()
+        return Handle()
 
-    def end(self, name: str, verdict: SendOutcome = SendOutcome.SERVED, ran: bool = True) -> None:
-        self.out.pop(name)(SendResult(verdict, ran, b"{}" if verdict is SendOutcome.SERVED else b""))
+    def end(self, name: str, outcome: SendOutcome = SendOutcome.SERVED, may_have_run: bool = True) -> None:
+        self.in_flight.pop(name)(
+            SendResult(outcome, may_have_run, b"{}" if outcome is SendOutcome.SERVED else b"")
+        )
 
 
 class Site:
-    """Holders at one file, on a clock that a test moves."""
+    """Replayers of one file, with a clock that a test advances."""
 
     def __init__(self, path: Path, tasks: anyio.abc.TaskGroup) -> None:
         self.path, self.tasks, self.now_s = path, tasks, 0.0
-        self.state, self.servers = SiteState.AVAILABLE, StandIn()
-        self.queue = self.process()
+        self.state, self.servers = SiteState.AVAILABLE, FakeServers()
+        self.queue = self.open_queue()
 
-    def process(self) -> Queue:
+    def open_queue(self) -> Queue:
         queue = Queue(QueueConfig(path=str(self.path), busy_s=5.0), lambda: NOW_S + self.now_s)
         queue.start()
         return queue
 
-    def holder(self, token: int, queue: Queue | None = None) -> tuple[Replayer, Figures]:
-        def decider(now_s: float, token: int) -> ReplayScheduler:
-            pace = RateController(random.Random(1), jitter_s=0.0)
-            pace.set_ceiling(now_s, 1e9)
-            return ReplayScheduler(pace, 8)
+    def start_replayer(self, token: int, queue: Queue | None = None) -> tuple[Replayer, Figures]:
+        def make_scheduler(now_s: float, token: int) -> ReplayScheduler:
+            controller = RateController(random.Random(1), jitter_s=0.0)
+            controller.set_ceiling(now_s, 1e9)
+            return ReplayScheduler(controller, 8)
 
         figures = Figures(CollectorRegistry())
-        at, site = queue or self.queue, self
-        made = Replayer(at, self.servers, decider, lambda: site.state, lambda: site.now_s, figures)
-        made.tasks = self.tasks
-        made.begin(token)
-        return made, figures
+        own_queue, site = queue or self.queue, self
+        replayer = Replayer(
+            own_queue, self.servers, make_scheduler, lambda: site.state, lambda: site.now_s, figures
+        )
+        replayer.tasks = self.tasks
+        replayer.begin(token)
+        return replayer, figures
 
     async def steps(self, replayer: Replayer, token: int, still: Callable[[], bool] = lambda: True) -> None:
         """Some steps, a tenth of a second apart."""
@@ -82,31 +86,31 @@
             self.now_s += 0.1
 
     async def entry(self, name: str) -> Entry:
-        told = await self.queue.get(name)
-        assert told is not None
-        return told
+        entry = await self.queue.get(name)
+        assert entry is not None
+        return entry
 
 
-def play(path: Path, game: Callable[[Site], Coroutine[Any, Any, None]]) -> None:
+def run_scenario(path: Path, scenario: Callable[[Site], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
         with anyio.fail_after(30):
             async with anyio.create_task_group() as tasks:
                 site = Site(path / "queue.db", tasks)
                 await site.queue.enqueue(asked("book", safe=False))
                 await site.queue.enqueue(asked("ask"))
-                await game(site)
+                await scenario(site)
                 tasks.cancel_scope.cancel()
             site.queue.stop()
 
     anyio.run(run)
 
 
-def test_a_holder_that_dies_after_the_send_and_before_the_end_is_written(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        first, _ = site.holder(1)
+def test_successor_resends_only_idempotent_entries_of_a_dead_holder(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        first, _ = site.start_replayer(1)
         await site.steps(first, 1)
-        assert sorted(site.servers.sent) == ["ask", "book"]  # and now nothing more is heard of it
-        second, figures = site.holder(2, site.process())
+        assert sorted(site.servers.sent) == ["ask", "book"]  # it fails without any result
+        second, figures = site.start_replayer(2, site.open_queue())
         await site.steps(second, 2)
         assert site.servers.sent.count("book") == 1 and site.servers.sent.count("ask") == 2
         assert (await site.entry("book")).end is End.UNKNOWN
@@ -115,73 +119,73 @@
         assert (await site.entry("ask")).end is End.SERVED
         assert figures.ended.labels("unknown")._value.get() == 1
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_holder_that_stood_still_is_refused_what_it_still_does(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        first, figures = site.holder(1)
+def test_results_of_a_holder_with_stale_token_are_rejected(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        first, figures = site.start_replayer(1)
         await site.steps(first, 1)
-        ends = dict(site.servers.out)
-        second, _ = site.holder(2, site.process())
+        ends = dict(site.servers.in_flight)
+        second, _ = site.start_replayer(2, site.open_queue())
         await site.steps(second, 2)
-        for name in ("book", "ask"):  # it goes on where it stood: its answers come, its lease is gone
+        for name in ("book", "ask"):  # it resumes: its responses arrive, its lease is lost
             ends[name](SendResult(SendOutcome.SERVED, True, b"{}"))
         await site.steps(first, 1)
         assert figures.stale._value.get() >= 2
         assert (await site.entry("book")).end is End.UNKNOWN
-        assert (await site.entry("ask")).state is Stands.BEGUN  # the second holder's
+        assert (await site.entry("ask")).state is EntryState.BEGUN  # of the second holder
         assert site.servers.sent.count("book") == 1
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_lease_that_ends_while_the_start_is_written_sends_nothing(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
-        looks = iter([True, False])  # before the sync it runs, after it no more
-        await site.steps(replayer, 1, lambda: next(looks, False))
+def test_lease_lost_while_start_is_written_sends_nothing(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.start_replayer(1)
+        lease_checks = iter([True, False])  # held before the sync, lost after it
+        await site.steps(replayer, 1, lambda: next(lease_checks, False))
         assert not site.servers.sent
         for name in ("book", "ask"):
             entry = await site.entry(name)
-            assert entry.state is Stands.WAITING and entry.attempts == 0
+            assert entry.state is EntryState.WAITING and entry.attempts == 0
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_site_that_is_cut_off_while_it_replays(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
+def test_partitioned_site_sends_only_probes_and_no_booking_twice(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.start_replayer(1)
         await site.steps(replayer, 1)
         site.state = SiteState.PARTITIONED
-        site.servers.end("book", SendOutcome.FAILED, ran=True)  # it was written, and nothing came back
-        site.servers.end("ask", SendOutcome.FAILED, ran=True)
+        site.servers.end("book", SendOutcome.FAILED, may_have_run=True)  # sent, without a response
+        site.servers.end("ask", SendOutcome.FAILED, may_have_run=True)
         for number in range(20):
             await site.queue.enqueue(asked(f"{number}", safe=number % 2 == 0))
         sent, from_s = len(site.servers.sent), site.now_s
         for _ in range(5):
             await site.steps(replayer, 1)
-            for name in list(site.servers.out):
-                site.servers.end(name, SendOutcome.REJECTED, ran=False)
-        tries = len(site.servers.sent) - sent
-        assert 1 <= tries <= (site.now_s - from_s) / PROBE_INTERVAL_S + 1
+            for name in list(site.servers.in_flight):
+                site.servers.end(name, SendOutcome.REJECTED, may_have_run=False)
+        attempts = len(site.servers.sent) - sent
+        assert 1 <= attempts <= (site.now_s - from_s) / PROBE_INTERVAL_S + 1
         assert "book" not in site.servers.sent[sent:]
         assert (await site.entry("book")).end is End.UNKNOWN
         site.state = SiteState.AVAILABLE
         for _ in range(40):
             await site.steps(replayer, 1)
-            for name in list(site.servers.out):
+            for name in list(site.servers.in_flight):
                 site.servers.end(name)
         assert not await site.queue.waiting()
         sends = [name for name in site.servers.sent if name.isdecimal() and int(name) % 2]
         assert len(sends) == len(set(sends)) == 10  # each booking once
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_link_that_is_there_for_three_seconds_at_a_time(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
+def test_intermittent_link_sends_each_booking_once(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.start_replayer(1)
         for number in range(40):
             await site.queue.enqueue(asked(f"{number}", f"t{number % 4}", safe=False))
         for _ in range(12):
@@ -189,48 +193,48 @@
             from_s = site.now_s
             while site.now_s - from_s < 3.0:
                 await site.steps(replayer, 1)
-                for name in list(site.servers.out):
+                for name in list(site.servers.in_flight):
                     site.servers.end(name)
             await site.steps(replayer, 1)
             site.state = SiteState.PARTITIONED
-            for name in list(site.servers.out):  # what was under way breaks
-                site.servers.end(name, SendOutcome.FAILED, ran=True)
+            for name in list(site.servers.in_flight):  # what is in flight fails
+                site.servers.end(name, SendOutcome.FAILED, may_have_run=True)
             await site.steps(replayer, 1)
         names = [name for name in site.servers.sent if name != "ask"]
         assert len(names) == len(set(names)) == 41
         ends = [(await site.entry(name)).end for name in names]
         assert set(ends) <= {End.SERVED, End.UNKNOWN} and ends.count(End.SERVED) > 10
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_end_that_the_disk_does_not_take_is_written_later(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
+def test_result_that_the_disk_rejects_is_written_later(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.start_replayer(1)
         await site.steps(replayer, 1)
-        most = "PRAGMA max_page_count = {}"
-        await site.queue.worker.run(lambda db: db.execute(most.format(1)).fetchone(), writes=False)
-        site.servers.out.pop("book")(SendResult(SendOutcome.SERVED, True, b"?" * 200_000))
+        page_limit = "PRAGMA max_page_count = {}"
+        await site.queue.worker.run(lambda db: db.execute(page_limit.format(1)).fetchone(), writes=False)
+        site.servers.in_flight.pop("book")(SendResult(SendOutcome.SERVED, True, b"?" * 200_000))
         await site.steps(replayer, 1)
-        assert replayer.unsettled_count == 1 and (await site.entry("book")).state is Stands.BEGUN
-        await site.queue.worker.run(lambda db: db.execute(most.format(9_999)).fetchone(), writes=False)
+        assert replayer.unsettled_count == 1 and (await site.entry("book")).state is EntryState.BEGUN
+        await site.queue.worker.run(lambda db: db.execute(page_limit.format(9_999)).fetchone(), writes=False)
         await site.steps(replayer, 1)
         assert replayer.unsettled_count == 0 and (await site.entry("book")).end is End.SERVED
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_duty_given_up_lets_what_may_repeat_go_and_sends_nothing_more(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
+def test_stopped_replayer_cancels_idempotent_entries_and_sends_nothing(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.start_replayer(1)
         await site.steps(replayer, 1)
         await site.queue.enqueue(asked("late"))
         replayer.stop()
         await site.steps(replayer, 1)
         assert "late" not in site.servers.sent and "ask" in site.servers.cancelled
         assert replayer.in_flight_count == 1  # the booking runs on
-        site.servers.end("book")  # nobody has taken over yet: its end is taken
+        site.servers.end("book")  # there is no successor yet: its result is accepted
         await site.steps(replayer, 1)
         assert (await site.entry("book")).end is End.SERVED
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
