--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -1,4 +1,4 @@
-"""Roles by plan in the decisions: what servers that do both get new, and what they end all the same."""
+"""Role plans in the routing: which new work mixed servers get, and that work in flight ends."""
 
 from ringledge.decide.interface import RoleAssignment
 from ringledge.decide.ratio.role_registry import RoleRegistry
@@ -19,7 +19,7 @@
     return {world.at[f"a{at}"] for at in range(start, start + 40)}
 
 
-def test_a_server_kept_from_reads_gets_none_and_is_back_when_it_is_not_named() -> None:
+def test_server_excluded_from_prefill_gets_none_until_it_is_included_again() -> None:
     world = World(MIXES)
     assert used(world) == {"m0", "m1", "m2", "m3"}
     world.give(RolePlan(no_prefill=frozenset({"m0", "m1"})))
@@ -28,7 +28,7 @@
     assert used(world, 200) == {"m0", "m1", "m2", "m3"}
 
 
-def test_no_plan_shuts_a_role_everywhere_and_none_goes_against_a_kind() -> None:
+def test_role_plan_never_excludes_all_servers_nor_overrides_a_kind() -> None:
     world = World((*MIXES, entry("r0", READER), entry("w0", WRITER)))
     names = frozenset({"m0", "m1", "m2", "m3"})
     world.give(RolePlan(names | {"r0"}, names | {"w0"}))
@@ -40,7 +40,7 @@
     assert used(lone) == {"m0", "m1", "m2", "m3"}
 
 
-def test_a_state_that_waits_at_a_server_that_changes_is_fetched_and_a_stream_ends() -> None:
+def test_cache_entry_waiting_at_a_changing_server_is_fetched_and_its_stream_ends() -> None:
     world = World((*MIXES[:2], entry("r0", READER)), classes=(SAFE,))
     world.give(RolePlan(no_prefill=frozenset({"m0", "m1"})))
     world.request("a", session=1)
@@ -53,13 +53,13 @@
     assert not sends(world.outcome("a", AttemptStatus.OK, request_ended=True)) and not released(world.last)
 
 
-def test_the_book_says_what_the_decisions_take() -> None:
-    book = RoleRegistry(RatioConfig())
-    book.update_servers(0.0, {"m0": "both", "m1": "both", "r0": "read", "w0": "write"})
-    book.receive(0.0, "m0", RoleAssignment(1, 1, "read"))
+def test_registry_yields_the_role_plan_of_the_routing() -> None:
+    registry = RoleRegistry(RatioConfig())
+    registry.update_servers(0.0, {"m0": "both", "m1": "both", "r0": "read", "w0": "write"})
+    registry.receive(0.0, "m0", RoleAssignment(1, 1, "read"))
     for at in range(60):
-        book.tick(float(at))
-    assert book.excluded_servers() == (frozenset({"w0"}), frozenset({"m0", "r0"}))
+        registry.tick(float(at))
+    assert registry.excluded_servers() == (frozenset({"w0"}), frozenset({"m0", "r0"}))
     world = World((*MIXES[:2], entry("r0", READER), entry("w0", WRITER)))
-    world.give(RolePlan(*book.excluded_servers()))
+    world.give(RolePlan(*registry.excluded_servers()))
     assert used(world) <= {"m0", "m1", "r0"}
