--- a/benchmarks/ratio.py
+++ b/benchmarks/ratio.py
@@ -1,8 +1,8 @@
-"""The planner against the best fixed split and one that sees the future, in virtual time; JSON on stdout.
+"""The planner against the best fixed split and the optimal plan, in virtual time; JSON on stdout.
 
 Mixes: `short` (short prompts, long answers), `long` (long prompts, short answers), `autumn` (from one to the
-other within 60 s and back), `swing` (to and fro every 20 s). The load is the same part of what the best split
-of all servers could do for the mix of the moment. Settings are those of deploy/ratio.toml.
+other within 60 s and back), `swing` (there and back every 20 s). The load is the same fraction of what the
+best split of all servers could do for the mix of the moment. Settings are those of deploy/ratio.toml.
 """
 
 from __future__ import annotations
@@ -16,107 +16,130 @@
 import click
 import orjson
 
-from benchmarks.ratio_lab import READ_PACE, WRITE_PACE, Lab
-from benchmarks.ratio_ways import Planned, Told, fixed, foresight
+from benchmarks.ratio_lab import DECODE_RATE, PREFILL_RATE, Simulation
+from benchmarks.ratio_ways import ScriptedPlan, SimulatedPlanner, best_fixed_split, optimal_plan
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.observe.logging import log
 
-SHAPES = ((1_000.0, 300.0), (4_000.0, 120.0))  # prompt tokens to read, answer tokens
+SHAPES = ((1_000.0, 300.0), (4_000.0, 120.0))  # prompt tokens, answer tokens
 LOAD = 0.75  # of what the best split can do
 SIZES = {10: (1, 2, 5, 4), 60: (2, 6, 5, 4), 100: (2, 10, 5, 4)}  # sites, racks, servers a rack, members
-BEGIN_S, END_S = 60.0, 360.0  # measured; before, everything settles
-SHIFT_S, BACK_S = 120.0, 260.0  # autumn's days begin to move
-MOVES_S, SWING_S = 60.0, 20.0
-BIN_S = 5.0  # in which the time to 90% is looked for
+MEASURE_FROM_S, END_S = 60.0, 360.0  # measured interval; before, the simulation settles
+SHIFT_AT_S, SHIFT_BACK_AT_S = 120.0, 260.0  # when the mix of autumn begins to shift
+SHIFT_DURATION_S, HALF_PERIOD_S = 60.0, 20.0
+BIN_S = 5.0  # in which the recovery time is measured
 
 
-def part_of(mix: str, now_s: float) -> float:
-    """The part of requests that are of the second shape."""
+def long_fraction(mix: str, now_s: float) -> float:
+    """The fraction of requests that are of the second shape."""
     if mix == "swing":
-        return float(now_s // SWING_S % 2)
+        return float(now_s // HALF_PERIOD_S % 2)
     if mix == "autumn":
-        there, back = ((now_s - at_s) / MOVES_S for at_s in (SHIFT_S, BACK_S))
+        there, back = ((now_s - at_s) / SHIFT_DURATION_S for at_s in (SHIFT_AT_S, SHIFT_BACK_AT_S))
         return min(1.0, max(0.0, there)) - min(1.0, max(0.0, back))
     if mix == "step":
-        return float(SHIFT_S <= now_s < BACK_S)
+        return float(SHIFT_AT_S <= now_s < SHIFT_BACK_AT_S)
     return 1.0 if mix == "long" else 0.0
 
 
 def demand(mix: str, servers: int, now_s: float) -> tuple[float, float]:
-    """Requests per s of all, and the part of the second shape; none once it is over."""
-    second = part_of(mix, now_s)
+    """Requests per s of all, and the fraction of the second shape; none once it is over."""
+    second = long_fraction(mix, now_s)
     prompt, answer = ((1 - second) * a + second * b for a, b in zip(*SHAPES, strict=True))
-    rate = LOAD * servers / (prompt / READ_PACE + answer / WRITE_PACE)
+    rate = LOAD * servers / (prompt / PREFILL_RATE + answer / DECODE_RATE)
     return (rate if now_s < END_S else 0.0), second
 
 
-def needs(mix: str, servers: int, now_s: float) -> tuple[float, float]:
-    """Tokens per s to read and to write at a site of so many servers."""
+def token_demand(mix: str, servers: int, now_s: float) -> tuple[float, float]:
+    """Tokens per s to prefill and decode at a site of so many servers."""
     rate, second = demand(mix, servers, min(now_s, END_S - 1))
     prompt, answer = ((1 - second) * a + second * b for a, b in zip(*SHAPES, strict=True))
     return rate * prompt, rate * answer
 
 
 def run(
-    mix: str, size: int, seed: int, way: Callable[[Lab], Told | Planned], blind: bool = False
-) -> tuple[Lab, Told | Planned]:
-    """Play one way to its end."""
-    lab = Lab(seed, SIZES[size], RatioConfig(), SHAPES, partial(demand, mix, size), blind)
-    decides = way(lab)
-    lab.play(END_S + 60)
-    return lab, decides
-
-
-def always(readers: int, _: float) -> int:
-    """A plan that stays as it is."""
+    mix: str,
+    size: int,
+    seed: int,
+    strategy: Callable[[Simulation], ScriptedPlan | SimulatedPlanner],
+    blind: bool = False,
+) -> tuple[Simulation, ScriptedPlan | SimulatedPlanner]:
+    """Simulate one strategy."""
+    simulation = Simulation(seed, SIZES[size], RatioConfig(), SHAPES, partial(demand, mix, size), blind)
+    plan = strategy(simulation)
+    simulation.run_until(END_S + 60)
+    return simulation, plan
+
+
+def constant_plan(readers: int, _: float) -> int:
+    """A plan that never changes."""
     return readers
 
 
-def to_ninety(lab: Lab, best: Lab, from_s: float, to_s: float) -> float:
+def recovery_time_s(simulation: Simulation, best: Simulation, from_s: float, to_s: float) -> float:
     """Time from a shift's begin until it stays at 90% of the best, up to the next shift; 0: never below."""
     bins = [from_s + BIN_S * at for at in range(int((to_s - from_s) / BIN_S))]
-    below = [at for at in bins if lab.worth(at, at + BIN_S) < 0.9 * best.worth(at, at + BIN_S)]
+    below = [
+        at for at in bins if simulation.served_value(at, at + BIN_S) < 0.9 * best.served_value(at, at + BIN_S)
+    ]
     return below[-1] + BIN_S - from_s if below else 0.0
 
 
 def compare(mix: str, size: int, seed: int, blind: bool) -> dict[str, Any]:
-    """One mix at one size and seed, by all ways."""
+    """One mix at one size and seed, by all strategies."""
     begun, settings = time.perf_counter(), RatioConfig()
     sites, racks, each, _ = SIZES[size]
     servers = racks * each
-    need = partial(needs, mix, servers)
-    middle = fixed(need, servers, END_S)
+    need = partial(token_demand, mix, servers)
+    middle = best_fixed_split(need, servers, END_S)
     few = max(1, servers // 20)
     fixes = [readers for readers in (middle - few, middle, middle + few) if 0 < readers < servers]
-    fixed_runs = [run(mix, size, seed, partial(Told, plan=partial(always, n)))[0] for n in fixes]
-    best_fixed = max(fixed_runs, key=lambda lab: lab.worth(BEGIN_S, END_S))
-    plans = [foresight(need, servers, racks, settings, END_S, start_s) for start_s in (0.0, -4.0, 4.0)]
-    seers = [run(mix, size, seed, partial(Told, plan=plan)) for plan in plans]
-    seer, told = max(seers, key=lambda each: each[0].worth(BEGIN_S, END_S))
-    best = max((seer, best_fixed), key=lambda lab: lab.worth(BEGIN_S, END_S))
-    lab, planned = run(mix, size, seed, partial(Planned, start=fixed(need, servers, BEGIN_S)), blind)
-    worths = {
-        name: round(each.worth(BEGIN_S, END_S), 4)
-        for name, each in (("planner", lab), ("best_fixed", best_fixed), ("foresight", best))
+    fixed_runs = [
+        run(mix, size, seed, partial(ScriptedPlan, plan=partial(constant_plan, n)))[0] for n in fixes
+    ]
+    best_fixed = max(fixed_runs, key=lambda simulation: simulation.served_value(MEASURE_FROM_S, END_S))
+    plans = [optimal_plan(need, servers, racks, settings, END_S, start_s) for start_s in (0.0, -4.0, 4.0)]
+    foresight_runs = [run(mix, size, seed, partial(ScriptedPlan, plan=plan)) for plan in plans]
+    best_foresight, scripted = max(
+        foresight_runs, key=lambda each: each[0].served_value(MEASURE_FROM_S, END_S)
+    )
+    best = max(
+        (best_foresight, best_fixed), key=lambda simulation: simulation.served_value(MEASURE_FROM_S, END_S)
+    )
+    simulation, planned = run(
+        mix,
+        size,
+        seed,
+        partial(SimulatedPlanner, start=best_fixed_split(need, servers, MEASURE_FROM_S)),
+        blind,
+    )
+    values = {
+        name: round(each.served_value(MEASURE_FROM_S, END_S), 4)
+        for name, each in (("planner", simulation), ("best_fixed", best_fixed), ("foresight", best))
     }
     shifts = mix in ("autumn", "step")
-    within = [(at_s + 60.0, at_s + 90.0) for at_s in (SHIFT_S, BACK_S)] if shifts else []
+    within = [(at_s + 60.0, at_s + 90.0) for at_s in (SHIFT_AT_S, SHIFT_BACK_AT_S)] if shifts else []
     return {
         "mix": mix,
         "servers": size,
         "seed": seed,
-        **worths,
-        "of_foresight": round(worths["planner"] / worths["foresight"], 3),
-        "from_60s_after_shift": [round(lab.worth(*at) / best.worth(*at), 3) for at in within],
-        "to_ninety_s": [to_ninety(lab, best, *at) for at in ((SHIFT_S, BACK_S), (BACK_S, END_S))]
+        **values,
+        "of_foresight": round(values["planner"] / values["foresight"], 3),
+        "from_60s_after_shift": [
+            round(simulation.served_value(*at) / best.served_value(*at), 3) for at in within
+        ],
+        "to_ninety_s": [
+            recovery_time_s(simulation, best, *at)
+            for at in ((SHIFT_AT_S, SHIFT_BACK_AT_S), (SHIFT_BACK_AT_S, END_S))
+        ]
         if shifts
         else [],
         "changes": planned.changes,
-        "foresight_changes": told.changes,
+        "foresight_changes": scripted.changes,
         "fixed_readers": middle,
-        "twice": sum(job.sends > 1 for job in lab.jobs),
-        "no_end": sum(not job.end for job in lab.jobs),
-        "states_left": sum(server.states for server in lab.servers.values()),
+        "twice": sum(job.decode_sends > 1 for job in simulation.requests),
+        "no_end": sum(not job.outcome for job in simulation.requests),
+        "states_left": sum(server.cache_entries for server in simulation.servers.values()),
         "took_s": round(time.perf_counter() - begun, 1),
     }
 
--- a/benchmarks/ratio_lab.py
+++ b/benchmarks/ratio_lab.py
@@ -1,7 +1,8 @@
 """Servers and conductors in virtual time, for `benchmarks/ratio.py`: roles by the program's own modules.
 
-Each conductor has its own book of roles and hears rows late; servers read first come first, write in slots,
-and do either more slowly while they do both. A server that comes to reading has kept no beginnings yet.
+Each conductor has its own registry of roles and receives assignments late. Servers prefill first come first
+served, decode a limited number of streams, and do either more slowly while they do both. The cache of a
+server that changes to prefill is cold.
 """
 
 from __future__ import annotations
@@ -15,79 +16,102 @@
 
 import msgspec
 
-from benchmarks.ratio_facts import Kept, Store
-from benchmarks.ratio_servers import Job, Server
+from benchmarks.ratio_facts import DelayedRecordStore, StoredRecords
+from benchmarks.ratio_servers import SimulatedRequest, SimulatedServer
 from ringledge.decide.interface import ClassDemand, ServerObservation
 from ringledge.decide.ratio.planner import ListedServer
 from ringledge.decide.ratio.role_records import decode_assignments
 from ringledge.decide.ratio.role_registry import RolePhase, RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
 
-READ_PACE, WRITE_PACE, SLOTS = 8_000.0, 1_200.0, 20  # tokens per s of a server, streams at once
-AIM_S, DEADLINE_S, LATE_WORTH = 2.5, 10.0, 0.3  # until the first token; whoever would wait so long is refused
-ANEW = 1.5  # times the prompt tokens read at a reader that has kept nothing yet
-NOISE = 0.15  # of a member's idea of a server's pace
-TICK_S, TELL_S = 0.5, 1.0  # between a conductor's looks at its book, and between two of its facts
-LEARN = 0.1  # weight of an ended answer in what a member takes its class's answers to be
-BOOKINGS = 0.1  # of all requests: sent to a writer once and never again
+PREFILL_RATE = 8_000.0  # tokens per s of a server
+DECODE_RATE = 1_200.0  # tokens per s of a server
+STREAMS_PER_SERVER = 20
+OBJECTIVE_S = 2.5  # until the first token; a request that would wait longer in a queue is rejected
+DEADLINE_S = 10.0  # until the first token; later the client has left
+LATE_VALUE = 0.3  # of a request that is served after the objective
+COLD_CACHE_FACTOR = 1.5  # times the prompt tokens at a server with a cold cache
+RATE_NOISE = 0.15  # of a member's measurement of a server's rate
+TICK_S = 0.5  # between two updates of a conductor
+REPORT_INTERVAL_S = 1.0  # between two reports of a conductor
+ANSWER_SAMPLE_WEIGHT = 0.1  # weight of a new answer in the mean answer of its class
+BOOKING_FRACTION = 0.1  # of all requests: never sent to a decode server twice
 
 
-class Conductor:
-    """One member: sends by its own book, and tells what it sees."""
+class SimulatedConductor:
+    """One member: routes by its own registry, and reports what it measures."""
 
-    def __init__(self, lab: Lab, name: str, site: str) -> None:
-        self.lab, self.name, self.site = lab, name, site
-        self.book, self.facts = RoleRegistry(lab.settings), Store(lab.facts, lab.rng, name)
-        self.reads, self.streams, self.states = Counter[str](), Counter[str](), Counter[str]()
-        self.counts: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])  # arrivals, unread, by class
-        self.answers: dict[str, float] = defaultdict(lambda: 200.0)  # usual answer, by class
-        self.readers, self.writers = list[Server](), list[Server]()
-        self.heard = True  # whether it hears rows; one that is cut off goes on with those it has
+    def __init__(self, simulation: Simulation, name: str, site: str) -> None:
+        self.simulation = simulation
+        self.name = name
+        self.site = site
+        self.registry = RoleRegistry(simulation.settings)
+        self.records = DelayedRecordStore(simulation.records, simulation.rng, name)
+        self.prefills = Counter[str]()
+        self.streams = Counter[str]()
+        self.cache_entries = Counter[str]()
+        # By class: arrivals and uncached tokens.
+        self.class_counts: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
+        self.mean_answer_tokens: dict[str, float] = defaultdict(lambda: 200.0)  # by class
+        self.prefill_servers = list[SimulatedServer]()
+        self.decode_servers = list[SimulatedServer]()
+        self.receives_records = True  # a partitioned one keeps its assignments
 
     def tick(self) -> None:
-        lab, book = self.lab, self.book
-        if self.heard:
-            for server, row in decode_assignments(self.facts.values(lab.now_s, "plan/")):
-                book.receive(lab.now_s, server, row)
-        changing = book.changing_servers()
+        simulation, registry = self.simulation, self.registry
+        if self.receives_records:
+            for server, assignment in decode_assignments(self.records.values(simulation.now_s, "plan/")):
+                registry.receive(simulation.now_s, server, assignment)
+        changing = registry.changing_servers()
         waiting = Counter[str]()
-        for (_, key), value in (self.facts.values(lab.now_s, "server/") if changing else {}).items():
+        for (_, key), value in (self.records.values(simulation.now_s, "server/") if changing else {}).items():
             if key[7:] in changing:
-                waiting[key[7:]] += lab.seen.decode(value).waiting_entries
+                waiting[key[7:]] += simulation.observation_decoder.decode(value).waiting_entries
         for name in changing:
-            book.update_in_flight(name, self.reads[name], self.streams[name])
-            book.update_observation(name, waiting[name], 1.0)
-        for name, state in book.tick(lab.now_s):
-            if state is RolePhase.CHANGED and book.entries[name].role == "read":
-                lab.servers[name].cold_s = max(lab.servers[name].cold_s, lab.now_s)
-        roles = book.accepted_work()
-        its = [lab.servers[name] for name in roles if lab.servers[name].site == self.site]
-        self.readers = [server for server in its if "read" in roles[server.name]] or its
-        self.writers = [server for server in its if "write" in roles[server.name]] or its
-        lab.after(TICK_S, self.tick)
-
-    def tell(self) -> None:
-        lab, encode = self.lab, msgspec.msgpack.encode
-        for kind in ("query0", "query1", "booking") if not lab.blind else ("any", "booking"):
-            arrivals, unread = self.counts[kind]
-            told = ClassDemand(arrivals / TELL_S, unread / TELL_S, arrivals / TELL_S * self.answers[kind])
-            self.facts.write(lab.now_s, f"demand/{kind}", encode(told))
-        self.counts.clear()
-        reads, writes = set(self.readers), set(self.writers)
-        for server in lab.servers.values():
+            registry.update_in_flight(name, self.prefills[name], self.streams[name])
+            registry.update_observation(name, waiting[name], 1.0)
+        for name, phase in registry.tick(simulation.now_s):
+            if phase is RolePhase.CHANGED and registry.entries[name].role == "read":
+                simulation.servers[name].cold_since_s = max(
+                    simulation.servers[name].cold_since_s, simulation.now_s
+                )
+        accepted = registry.accepted_work()
+        own = [simulation.servers[name] for name in accepted if simulation.servers[name].site == self.site]
+        self.prefill_servers = [server for server in own if "read" in accepted[server.name]] or own
+        self.decode_servers = [server for server in own if "write" in accepted[server.name]] or own
+        simulation.after(TICK_S, self.tick)
+
+    def publish(self) -> None:
+        simulation, encode = self.simulation, msgspec.msgpack.encode
+        for class_name in (
+            ("query0", "query1", "booking") if not simulation.single_class else ("any", "booking")
+        ):
+            arrivals, uncached_tokens = self.class_counts[class_name]
+            arrival_rate = arrivals / REPORT_INTERVAL_S
+            decode_rate = arrival_rate * self.mean_answer_tokens[class_name]
+            demand = ClassDemand(arrival_rate, uncached_tokens / REPORT_INTERVAL_S, decode_rate)
+            self.records.write(simulation.now_s, f"demand/{class_name}", encode(demand))
+        self.class_counts.clear()
+        prefill, decode = set(self.prefill_servers), set(self.decode_servers)
+        for server in simulation.servers.values():
             if server.site == self.site:
-                read, write = (
-                    pace * lab.rng.lognormvariate(0, NOISE) * (server in its)
-                    for pace, its in ((server.read_pace, reads), (server.write_pace, writes))
+                prefill_rate, decode_rate = (
+                    rate * simulation.rng.lognormvariate(0, RATE_NOISE) * (server in members)
+                    for rate, members in (
+                        (server.prefill_rate, prefill),
+                        (server.decode_rate, decode),
+                    )
+                )
+                warmth = min(1.0, (simulation.now_s - server.cold_since_s) / simulation.settings.warm_up_s)
+                observation = ServerObservation(
+                    prefill_rate, decode_rate, warmth, self.cache_entries[server.name]
                 )
-                warmth = min(1.0, (lab.now_s - server.cold_s) / lab.settings.warm_up_s)
-                told_s = ServerObservation(read, write, warmth, self.states[server.name])
-                self.facts.write(lab.now_s, f"server/{server.name}", encode(told_s))
-        lab.after(TELL_S, self.tell)
+                self.records.write(simulation.now_s, f"server/{server.name}", encode(observation))
+        simulation.after(REPORT_INTERVAL_S, self.publish)
 
 
-class Lab:
-    """One run; `mix(now_s)` gives requests per s and the part of them that is of the second kind."""
+class Simulation:
+    """One run; `mix(now_s)` gives requests per s and the part of them that is of the second class_name."""
 
     def __init__(
         self,
@@ -96,137 +120,162 @@
         settings: RatioConfig,
         shapes: Sequence[tuple[float, float]],
         mix: Callable[[float], tuple[float, float]],
-        blind: bool = False,
+        single_class: bool = False,
     ) -> None:
         """`sizes`: sites, racks a site, servers a rack, members a site; `shapes`: prompt and answer tokens.
 
-        `blind`: requests of both shapes are of one class, so that a shift shows late, in answers that end.
+        `single_class`: requests of both shapes are of one class: a shift shows late, in answers that end.
         """
-        self.blind = blind
+        self.single_class = single_class
         self.rng, self.settings, self.shapes, self.mix = random.Random(seed), settings, shapes, mix
         self.now_s, self._events, self._numbers = 0.0, list[tuple[float, int, Any, Any]](), count()
-        self.facts: Kept = defaultdict(dict)
-        self.seen: msgspec.msgpack.Decoder[ServerObservation] = msgspec.msgpack.Decoder(ServerObservation)
-        self.servers = dict[str, Server]()
-        self.jobs, self.under_way = list[Job](), 0
+        self.records: StoredRecords = defaultdict(dict)
+        self.observation_decoder: msgspec.msgpack.Decoder[ServerObservation] = msgspec.msgpack.Decoder(
+            ServerObservation
+        )
+        self.servers = dict[str, SimulatedServer]()
+        self.requests = list[SimulatedRequest]()
         sites, racks, each, members = sizes
-        for at in range(sites * racks * each):
-            name, rack = f"b{at:03}", at // each
-            read, write = (pace * self.rng.uniform(0.85, 1.15) for pace in (READ_PACE, WRITE_PACE))
-            self.servers[name] = Server(name, f"s{rack // racks}", f"r{rack}", read, write)
+        for number in range(sites * racks * each):
+            name, rack = f"b{number:03}", number // each
+            read, write = (rate * self.rng.uniform(0.85, 1.15) for rate in (PREFILL_RATE, DECODE_RATE))
+            self.servers[name] = SimulatedServer(name, f"s{rack // racks}", f"r{rack}", read, write)
         self.listed = [ListedServer(s.name, s.site, s.rack, "both") for s in self.servers.values()]
         self.conductors = [
-            Conductor(self, f"c{site}{at}", f"s{site}") for site in range(sites) for at in range(members)
+            SimulatedConductor(self, f"c{site}{at}", f"s{site}")
+            for site in range(sites)
+            for at in range(members)
         ]
         for conductor in self.conductors:
-            conductor.book.update_servers(0.0, dict.fromkeys(self.servers, "both"))
+            conductor.registry.update_servers(0.0, dict.fromkeys(self.servers, "both"))
             self.after(self.rng.uniform(0, TICK_S), conductor.tick)
-            self.after(self.rng.uniform(0, TELL_S), conductor.tell)
-        self.after(2 * TICK_S, self._arrive)  # conductors have their rows by then
+            self.after(self.rng.uniform(0, REPORT_INTERVAL_S), conductor.publish)
+        self.after(2 * TICK_S, self._arrive)  # conductors have their assignments by then
 
-    def after(self, wait_s: float, call: Callable[..., None], *told: Any) -> None:
+    def after(self, wait_s: float, call: Callable[..., None], *args: Any) -> None:
         """Call something in virtual time."""
-        heapq.heappush(self._events, (self.now_s + wait_s, next(self._numbers), call, told))
+        heapq.heappush(self._events, (self.now_s + wait_s, next(self._numbers), call, args))
 
-    def play(self, until_s: float) -> None:
-        """Go on up to a time."""
+    def run_until(self, until_s: float) -> None:
+        """Simulate up to a time."""
         while self._events and self._events[0][0] <= until_s:
-            self.now_s, _, call, told = heapq.heappop(self._events)
-            call(*told)
+            self.now_s, _, call, args = heapq.heappop(self._events)
+            call(*args)
         self.now_s = until_s
 
     def _arrive(self) -> None:
-        rate, part = self.mix(self.now_s)
+        rate, second_fraction = self.mix(self.now_s)
         if rate <= 0:
-            return  # the end: what is under way still goes on
-        shape = int(self.rng.random() < part)
+            return  # the end: work in flight still completes
+        shape = int(self.rng.random() < second_fraction)
         prompt, answer = self.shapes[shape]
-        home, vary = self.rng.choice(self.conductors), self.rng.expovariate
-        booking = self.rng.random() < BOOKINGS
-        kind = "booking" if booking else "any" if self.blind else f"query{shape}"
+        conductor, vary = self.rng.choice(self.conductors), self.rng.expovariate
+        booking = self.rng.random() < BOOKING_FRACTION
+        class_name = "booking" if booking else "any" if self.single_class else f"query{shape}"
         lengths = 50 + vary(1 / (prompt - 50)), 10 + vary(1 / (answer - 10))
-        job = Job(self.now_s, *lengths, kind, booking, home)
-        self.jobs.append(job)
-        if home.readers:
-            self._read(job, home)
+        request = SimulatedRequest(self.now_s, *lengths, class_name, booking, conductor)
+        self.requests.append(request)
+        if conductor.prefill_servers:
+            self._send_prefill(request, conductor)
         self.after(self.rng.expovariate(rate), self._arrive)
 
-    def _read(self, job: Job, home: Conductor) -> None:
-        few = self.rng.choices(home.readers, k=3)
-        server = job.reader = min(few, key=lambda s: s.unread / s.read_pace + s.streams / SLOTS)
-        since_s = self.now_s - server.cold_s
-        job.prompt *= 1 + (ANEW - 1) * max(0.0, 1 - since_s / self.settings.warm_up_s)
-        counts = home.counts[job.kind]
-        counts[0], counts[1] = counts[0] + 1, counts[1] + job.prompt
-        if server.unread / server.read_pace > AIM_S:
-            job.end = "refused"
+    def _send_prefill(self, request: SimulatedRequest, conductor: SimulatedConductor) -> None:
+        candidates = self.rng.choices(conductor.prefill_servers, k=3)
+        server = request.prefill_server = min(
+            candidates,
+            key=lambda s: s.queued_prefill_tokens / s.prefill_rate + s.streams / STREAMS_PER_SERVER,
+        )
+        since_s = self.now_s - server.cold_since_s
+        request.prompt *= 1 + (COLD_CACHE_FACTOR - 1) * max(0.0, 1 - since_s / self.settings.warm_up_s)
+        counts = conductor.class_counts[request.class_name]
+        counts[0], counts[1] = counts[0] + 1, counts[1] + request.prompt
+        if server.queued_prefill_tokens / server.prefill_rate > OBJECTIVE_S:
+            request.outcome = "refused"
             return None
-        server.unread += job.prompt
-        home.reads[server.name] += 1
-        server.queue.append(job)
-        return self._next_read(server)
-
-    def _next_read(self, server: Server) -> None:
-        while not server.reading and server.queue:
-            job = server.queue.popleft()
-            if self.now_s - job.at_s > DEADLINE_S:
-                server.unread -= job.prompt
-                job.home.reads[server.name] -= 1
-                job.end = "gone"
+        server.queued_prefill_tokens += request.prompt
+        conductor.prefills[server.name] += 1
+        server.prefill_queue.append(request)
+        return self._start_prefill(server)
+
+    def _start_prefill(self, server: SimulatedServer) -> None:
+        while not server.prefilling and server.prefill_queue:
+            request = server.prefill_queue.popleft()
+            if self.now_s - request.arrived_s > DEADLINE_S:
+                server.queued_prefill_tokens -= request.prompt
+                request.conductor.prefills[server.name] -= 1
+                request.outcome = "gone"
                 continue
-            server.reading = True
-            part = max(0.2, 1 - server.streams / SLOTS)
-            self.after(job.prompt / (server.read_pace * part), self._was_read, job, server)
-
-    def _was_read(self, job: Job, server: Server) -> None:
-        server.reading, server.unread = False, server.unread - job.prompt
-        job.home.reads[server.name] -= 1
-        server.states += 1
-        job.home.states[server.name] += 1
-        self._write(job)
-        self._next_read(server)
-
-    def _write(self, job: Job) -> None:
-        """Send to a writer once; its state is fetched when a place is free there, first come first."""
-        if not job.home.writers:
-            return self._fetched(job, "gone")
-        few = self.rng.choices(job.home.writers, k=3)
-        server = min(few, key=lambda s: s.streams + len(s.unwritten))
-        if len(server.unwritten) * job.home.answers[job.kind] / server.write_pace > AIM_S:
-            return self._fetched(job, "refused")
-        job.sends += 1
-        job.home.streams[server.name] += 1
-        server.unwritten.append(job)
-        return self._next_write(server)
-
-    def _next_write(self, server: Server) -> None:
-        while server.streams < SLOTS and server.unwritten:
-            job = server.unwritten.popleft()
-            late_s = self.now_s - job.at_s
+            server.prefilling = True
+            speed = max(0.2, 1 - server.streams / STREAMS_PER_SERVER)
+            self.after(
+                request.prompt / (server.prefill_rate * speed), self._prefill_finished, request, server
+            )
+
+    def _prefill_finished(self, request: SimulatedRequest, server: SimulatedServer) -> None:
+        server.prefilling, server.queued_prefill_tokens = False, server.queued_prefill_tokens - request.prompt
+        request.conductor.prefills[server.name] -= 1
+        server.cache_entries += 1
+        request.conductor.cache_entries[server.name] += 1
+        self._send_decode(request)
+        self._start_prefill(server)
+
+    def _send_decode(self, request: SimulatedRequest) -> None:
+        """Send to a decode server once; the cache entry is fetched when a stream is free."""
+        if not request.conductor.decode_servers:
+            return self._release_cache(request, "gone")
+        candidates = self.rng.choices(request.conductor.decode_servers, k=3)
+        server = min(candidates, key=lambda s: s.streams + len(s.decode_queue))
+        if (
+            len(server.decode_queue)
+            * request.conductor.mean_answer_tokens[request.class_name]
+            / server.decode_rate
+            > OBJECTIVE_S
+        ):
+            return self._release_cache(request, "refused")
+        request.decode_sends += 1
+        request.conductor.streams[server.name] += 1
+        server.decode_queue.append(request)
+        return self._start_decode(server)
+
+    def _start_decode(self, server: SimulatedServer) -> None:
+        while server.streams < STREAMS_PER_SERVER and server.decode_queue:
+            request = server.decode_queue.popleft()
+            late_s = self.now_s - request.arrived_s
             if late_s > DEADLINE_S:
-                job.home.streams[server.name] -= 1
-                self._fetched(job, "gone")
+                request.conductor.streams[server.name] -= 1
+                self._release_cache(request, "gone")
                 continue
-            self._fetched(job, "in time" if late_s <= AIM_S else "late")
+            self._release_cache(request, "in time" if late_s <= OBJECTIVE_S else "late")
             server.streams += 1
-            slower = 1.5 if server.reading else 1.0
-            self.after(job.answer * slower * SLOTS / server.write_pace, self._written, job, server)
+            slower = 1.5 if server.prefilling else 1.0
+            self.after(
+                request.answer * slower * STREAMS_PER_SERVER / server.decode_rate,
+                self._decode_finished,
+                request,
+                server,
+            )
 
-    def _fetched(self, job: Job, end: str) -> None:
-        """Its state is fetched, or let go of; nothing waits at its reader any more."""
-        assert job.reader is not None and not job.end
-        job.end = end
-        job.reader.states -= 1
-        job.home.states[job.reader.name] -= 1
+    def _release_cache(self, request: SimulatedRequest, outcome: str) -> None:
+        """The cache entry is fetched or released; nothing waits at its prefill server any more."""
+        assert request.prefill_server is not None and not request.outcome
+        request.outcome = outcome
+        request.prefill_server.cache_entries -= 1
+        request.conductor.cache_entries[request.prefill_server.name] -= 1
 
-    def _written(self, job: Job, server: Server) -> None:
+    def _decode_finished(self, request: SimulatedRequest, server: SimulatedServer) -> None:
         server.streams -= 1
-        job.home.streams[server.name] -= 1
-        job.home.answers[job.kind] += LEARN * (job.answer - job.home.answers[job.kind])
-        self._next_write(server)
-
-    def worth(self, from_s: float, to_s: float) -> float:
-        """The part of what was asked for in a time that was served."""
-        worths = {"in time": 1.0, "late": LATE_WORTH}
-        jobs = [worths.get(job.end, 0.0) for job in self.jobs if from_s <= job.at_s < to_s]
-        return sum(jobs) / max(1, len(jobs))
+        request.conductor.streams[server.name] -= 1
+        request.conductor.mean_answer_tokens[request.class_name] += ANSWER_SAMPLE_WEIGHT * (
+            request.answer - request.conductor.mean_answer_tokens[request.class_name]
+        )
+        self._start_decode(server)
+
+    def served_value(self, from_s: float, to_s: float) -> float:
+        """The mean value of the requests that arrived in a time."""
+        value_of_outcome = {"in time": 1.0, "late": LATE_VALUE}
+        values = [
+            value_of_outcome.get(request.outcome, 0.0)
+            for request in self.requests
+            if from_s <= request.arrived_s < to_s
+        ]
+        return sum(values) / max(1, len(values))
--- a/benchmarks/ratio_servers.py
+++ b/benchmarks/ratio_servers.py
@@ -1,4 +1,4 @@
-"""What requests and servers are in the lab of `benchmarks/ratio_lab.py`."""
+"""Requests and servers of the simulation in `benchmarks/ratio_lab.py`."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from benchmarks.ratio_lab import Conductor
+    from benchmarks.ratio_lab import SimulatedConductor
 
 
 @dataclass(slots=True, eq=False)
-class Job:
+class SimulatedRequest:
     """One request."""
 
-    at_s: float
+    arrived_s: float
     prompt: float
     answer: float
-    kind: str  # its class, as members tell it
+    class_name: str
     booking: bool
-    home: Conductor
-    reader: Server | None = None
-    sends: int = 0  # to a writer
-    end: str = ""  # in time, late, gone
+    conductor: SimulatedConductor
+    prefill_server: SimulatedServer | None = None
+    decode_sends: int = 0  # number of times
+    outcome: str = ""  # in time, late, refused, gone
 
 
 @dataclass(slots=True, eq=False)
-class Server:
-    """One server; it does whatever it is sent."""
+class SimulatedServer:
+    """One server; it does whatever work it is sent."""
 
     name: str
     site: str
     rack: str
-    read_pace: float
-    write_pace: float
-    queue: deque[Job] = field(default_factory=deque)  # unread
-    unwritten: deque[Job] = field(default_factory=deque)  # sent, and no place free yet
-    reading: bool = False
-    unread: float = 0.0  # tokens
+    prefill_rate: float
+    decode_rate: float
+    prefill_queue: deque[SimulatedRequest] = field(default_factory=deque)
+    decode_queue: deque[SimulatedRequest] = field(default_factory=deque)  # until a stream is free
+    prefilling: bool = False
+    queued_prefill_tokens: float = 0.0
     streams: int = 0
-    states: int = 0  # that wait to be fetched
-    cold_s: float = -1e9  # since when it reads
+    cache_entries: int = 0  # that wait to be fetched
+    cold_since_s: float = -1e9  # when it changed to prefill
--- a/benchmarks/ratio_ways.py
+++ b/benchmarks/ratio_ways.py
@@ -1,4 +1,4 @@
-"""Ways to split servers into readers and writers: fixed, by foresight, by the planner."""
+"""Strategies to split servers into prefill and decode: fixed, optimal with foresight, and the planner."""
 
 from __future__ import annotations
 
@@ -9,100 +9,117 @@
 import numpy
 import numpy.typing
 
-from benchmarks.ratio_lab import READ_PACE, WRITE_PACE, Lab
+from benchmarks.ratio_lab import DECODE_RATE, PREFILL_RATE, Simulation
 from ringledge.decide.interface import RoleAssignment
 from ringledge.decide.ratio.planner import ListedServer
 from ringledge.decide.ratio.role_records import encode_assignment
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.members.planner import RolePlannerService
 
-FULL, ROOM = 0.9, 0.05  # of what servers get through that keeps requests in time; worth of room beyond
-DRAINS_S = 5.0  # that a change of foresight's is taken to drain in the mean: about a long answer
+MAX_UTILIZATION = 0.9  # of the capacity that keeps requests in time
+SPARE_CAPACITY_VALUE = 0.05  # of capacity beyond the demand
+MEAN_DRAIN_S = 5.0  # that an optimal change is assumed to drain in the mean: about a long answer
 
 
 Counts = numpy.typing.NDArray[numpy.float64]
 
 
-def part(needs: tuple[float, float], readers: Counts, writers: Counts) -> Counts:
-    """What so many servers of a site serve of its demand (tokens per s to read, to write), and room besides.
+def served_value(demand: tuple[float, float], prefill_servers: Counts, decode_servers: Counts) -> Counts:
+    """The value of what so many servers of a site serve of its demand (tokens per s to prefill and decode).
 
-    Nearly full servers make requests late by their queues; where all is served more room is better.
+    Nearly full servers make requests late by their queues; where all is served more capacity is better.
     """
-    room = numpy.minimum(readers * READ_PACE / needs[0], writers * WRITE_PACE / needs[1])
-    return numpy.minimum(1.0, FULL * room) + ROOM * numpy.minimum(2.0, room)
-
-
-class Told:
-    """Tells rows worked out beforehand: a fixed split, or one for each moment."""
-
-    def __init__(self, lab: Lab, plan: Callable[[float], int]) -> None:
-        """`plan`: how many servers of a site should read at a time."""
-        self.lab, self.plan, self.number, self.changes = lab, plan, 0, 0
+    capacity_ratio = numpy.minimum(
+        prefill_servers * PREFILL_RATE / demand[0], decode_servers * DECODE_RATE / demand[1]
+    )
+    return numpy.minimum(1.0, MAX_UTILIZATION * capacity_ratio) + SPARE_CAPACITY_VALUE * numpy.minimum(
+        2.0, capacity_ratio
+    )
+
+
+class ScriptedPlan:
+    """Publishes assignments that were computed beforehand: a fixed split, or one for each moment."""
+
+    def __init__(self, simulation: Simulation, plan: Callable[[float], int]) -> None:
+        """`plan`: how many servers of a site should do prefill at a time."""
+        self.simulation = simulation
+        self.plan = plan
+        self.number = 0
+        self.changes = 0
         self.roles = dict[str, str]()
-        self.facts = lab.conductors[0].facts
-        for at, each in enumerate(spread(lab.listed)):
-            self._tell(each.name, "read" if at % len(its(lab)) < plan(0.0) else "write")
-        lab.after(0.5, self._step)
-
-    def _tell(self, name: str, role: str) -> None:
+        self.records = simulation.conductors[0].records
+        for at, each in enumerate(spread_over_racks(simulation.listed)):
+            self._publish(
+                each.name, "read" if at % len(servers_of_one_site(simulation)) < plan(0.0) else "write"
+            )
+        simulation.after(0.5, self._step)
+
+    def _publish(self, name: str, role: str) -> None:
         self.number += 1
         self.roles[name] = role
-        self.facts.write(self.lab.now_s, *encode_assignment(name, RoleAssignment(1, self.number, role)))
+        self.records.write(
+            self.simulation.now_s, *encode_assignment(name, RoleAssignment(1, self.number, role))
+        )
 
     def _step(self) -> None:
         """One change at a time in a rack, as for the planner; a server may change again at once."""
-        book = self.lab.conductors[0].book
-        busy = {each.rack for each in self.lab.listed if each.name in book.changing_servers()}
+        registry = self.simulation.conductors[0].registry
+        busy = {each.rack for each in self.simulation.listed if each.name in registry.changing_servers()}
         sites = defaultdict[str, list[ListedServer]](list)
-        for each in spread(self.lab.listed):
+        for each in spread_over_racks(self.simulation.listed):
             sites[each.site].append(each)
         for servers in sites.values():
-            short = self.plan(self.lab.now_s) - sum(self.roles[each.name] == "read" for each in servers)
-            role = "read" if short > 0 else "write"
-            for each in servers if short < 0 else servers[::-1]:
-                told = book.assignments.get(each.name)
-                late = told is None or told.role != self.roles[each.name]
-                if short and self.roles[each.name] != role and each.rack not in busy and not late:
+            shortage = self.plan(self.simulation.now_s) - sum(
+                self.roles[each.name] == "read" for each in servers
+            )
+            role = "read" if shortage > 0 else "write"
+            for each in servers if shortage < 0 else servers[::-1]:
+                current = registry.assignments.get(each.name)
+                is_pending = current is None or current.role != self.roles[each.name]
+                if shortage and self.roles[each.name] != role and each.rack not in busy and not is_pending:
                     busy.add(each.rack)
-                    self._tell(each.name, role)
+                    self._publish(each.name, role)
                     self.changes += 1
-                    short -= 1 if short > 0 else -1
-        self.lab.after(0.5, self._step)
+                    shortage -= 1 if shortage > 0 else -1
+        self.simulation.after(0.5, self._step)
 
 
-def its(lab: Lab) -> list[ListedServer]:
+def servers_of_one_site(simulation: Simulation) -> list[ListedServer]:
     """The servers of one site; all sites are alike."""
-    return [each for each in lab.listed if each.site == lab.listed[0].site]
+    return [each for each in simulation.listed if each.site == simulation.listed[0].site]
 
 
-def spread(listed: Sequence[ListedServer]) -> list[ListedServer]:
-    """By site, and within it so that neighbours stand in different racks."""
+def spread_over_racks(listed: Sequence[ListedServer]) -> list[ListedServer]:
+    """By site, and within it so that neighbours are in different racks."""
     racks, at = defaultdict[str, int](int), dict[str, int]()
     for each in listed:
         at[each.name], racks[each.rack] = racks[each.rack], racks[each.rack] + 1
     return sorted(listed, key=lambda each: (each.site, at[each.name], each.rack))
 
 
-def fixed(needs: Callable[[float], tuple[float, float]], servers: int, until_s: float) -> int:
-    """Readers of a site that serve most with one split for all the time."""
-    readers = numpy.arange(1.0, servers)
-    served = sum(part(needs(at), readers, servers - readers) for at in numpy.arange(0.0, until_s, 1.0))
+def best_fixed_split(demand: Callable[[float], tuple[float, float]], servers: int, until_s: float) -> int:
+    """The number of prefill servers of a site that serves most with one split for all the time."""
+    prefill_servers = numpy.arange(1.0, servers)
+    served = sum(
+        served_value(demand(at), prefill_servers, servers - prefill_servers)
+        for at in numpy.arange(0.0, until_s, 1.0)
+    )
     return 1 + int(numpy.argmax(served))
 
 
-def foresight(
-    needs: Callable[[float], tuple[float, float]],
+def optimal_plan(
+    demand: Callable[[float], tuple[float, float]],
     servers: int,
     racks: int,
     settings: RatioConfig,
     until_s: float,
     start_s: float,
 ) -> Callable[[float], int]:
-    """The best split for each moment by one that knows all that will come (dynamic programme).
+    """The optimal split for each moment with knowledge of all future demand (dynamic programming).
 
     What changes serves neither role for the time of a change. `start_s`: of its grid.
     """
-    step_s = settings.propagation_s + DRAINS_S + settings.warm_up_s / 2
+    step_s = settings.propagation_s + MEAN_DRAIN_S + settings.warm_up_s / 2
     steps = ceil((until_s - start_s) / step_s) + 1
     counts = numpy.arange(1.0, servers)
     value, follow = numpy.zeros(len(counts)), list[numpy.typing.NDArray[numpy.int64]]()
@@ -112,7 +129,7 @@
     for step in reversed(range(steps)):
         gained = numpy.zeros(can.shape)
         for at in numpy.arange(start_s + step * step_s, start_s + (step + 1) * step_s, 1.0):
-            gained += part(needs(float(at)), fewer, more)
+            gained += served_value(demand(float(at)), fewer, more)
         total = numpy.where(can, gained + value[None, :] - 1e-3 * numpy.abs(after - before), -1.0)
         follow.append(numpy.argmax(total, axis=1))
         value = total.max(axis=1)
@@ -130,55 +147,57 @@
     return plan
 
 
-class Planned:
-    """The program's planner, held by one member; `start` readers of a site before it begins."""
+class SimulatedPlanner:
+    """The program's planner, held by one member; `start` prefill servers of a site before it begins."""
 
-    def __init__(self, lab: Lab, start: int) -> None:
-        self.lab = lab
+    def __init__(self, simulation: Simulation, start: int) -> None:
+        self.simulation = simulation
         self.holder = 0
         self.token = 1
-        facts = lab.conductors[0].facts
-        for at, each in enumerate(spread(lab.listed)):
-            role = "read" if at % len(its(lab)) < start else "write"
-            facts.write(0.0, *encode_assignment(each.name, RoleAssignment(1, 1, role)))
-        self.planner = self._new()
-        lab.after(3.0, self.begin)
-
-    def _new(self) -> RolePlannerService:
-        member = self.lab.conductors[self.holder]
-        return RolePlannerService(self.lab.settings, member.facts, self, member.book, lambda: self.lab.now_s)
+        records = simulation.conductors[0].records
+        for at, each in enumerate(spread_over_racks(simulation.listed)):
+            role = "read" if at % len(servers_of_one_site(simulation)) < start else "write"
+            records.write(0.0, *encode_assignment(each.name, RoleAssignment(1, 1, role)))
+        self.service = self._new_service()
+        simulation.after(3.0, self.begin)
+
+    def _new_service(self) -> RolePlannerService:
+        member = self.simulation.conductors[self.holder]
+        return RolePlannerService(
+            self.simulation.settings, member.records, self, member.registry, lambda: self.simulation.now_s
+        )
 
     def servers(self) -> list[ListedServer]:
-        return self.lab.listed
+        return self.simulation.listed
 
     def members(self) -> dict[str, str]:
-        return {each.name: each.site for each in self.lab.conductors}
+        return {each.name: each.site for each in self.simulation.conductors}
 
     def begin(self) -> None:
-        """Take the duty up, at the member that holds it."""
+        """Begin a term at the member that holds the lease."""
         self.token += 1
-        self.planner.begin(self.token)
-        self._step(self.planner, self.token)
-
-    def hand_on(self) -> None:
-        """The holder dies; another begins."""
-        self.holder = (self.holder + 1) % len(self.lab.conductors)
-        self.planner.stop()
-        changes, self.planner = self.planner.changes, self._new()
-        self.planner.changes = changes
+        self.service.begin(self.token)
+        self._step(self.service, self.token)
+
+    def fail_over(self) -> None:
+        """The holder fails; another begins."""
+        self.holder = (self.holder + 1) % len(self.simulation.conductors)
+        self.service.stop()
+        changes, self.service = self.service.changes, self._new_service()
+        self.service.changes = changes
         self.begin()
 
-    def _step(self, planner: RolePlannerService, token: int) -> None:
-        if planner is not self.planner:
+    def _step(self, service: RolePlannerService, token: int) -> None:
+        if service is not self.service:
             return
-        step = planner.step(token, lambda: planner is self.planner)
+        step = service.step(token, lambda: service is self.service)
         try:
             step.send(None)  # nothing in it waits
         except StopIteration as ended:
-            self.lab.after(ended.value, self._step, planner, token)
+            self.simulation.after(ended.value, self._step, service, token)
         else:
             raise RuntimeError("the planner's step waits for something")
 
     @property
     def changes(self) -> int:
-        return self.planner.changes
+        return self.service.changes
--- a/benchmarks/replay_world.py
+++ b/benchmarks/replay_world.py
@@ -1,9 +1,9 @@
-"""Five sites that replay into one fleet beside live traffic, in virtual time on the program's own deciders.
+"""Five sites that replay into one fleet beside live traffic, in virtual time with the program's own modules.
 
-Readers serve first come first served at a pace, the one with the least to read is chosen; a writer has
-places and a pace a stream. A queued request is refused where a live one would be: no reader would be
-through with it in time, or no writer has a place. Facts between sites come late and some are lost. All from
-a seed.
+Prefill servers serve first come first served at a fixed rate, the one with the least work is chosen; a decode
+server has a limited number of streams, each at a fixed rate. A queued request is rejected where a live one
+would be: no prefill server would finish it in time, or no stream is free. Records between sites arrive late
+and some are lost. All is random from a seed.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 from ringledge.decide.replay.rate_control import Capacity, RateController, spare_capacity
 from ringledge.decide.replay.scheduler import QueueHead, ReplayScheduler, SendOutcome
 
-READERS, READ_PACE = 24, 8_000.0  # servers; tokens per s of each
-WRITERS, PLACES, TOKEN_S = 24, 16, 0.02  # servers; streams of each; s a token
-RESERVE, PART = 0.2, 0.5  # of deploy/queue.toml
-WAIT_S = 2.0  # of reading ahead of it with which a request is refused
-TICK_S, FACTS_S = 0.1, 1.0
-MOST = 32  # entries of a site under way
-WINDOW_S = 5.0  # over which live demand is told
+PREFILL_SERVERS, PREFILL_RATE = 24, 8_000.0  # servers; tokens per s of each
+DECODE_SERVERS, STREAMS_PER_SERVER, S_PER_TOKEN = 24, 16, 0.02  # servers; streams of each; s a token
+RESERVE, REPLAY_FRACTION = 0.2, 0.5  # of deploy/queue.toml
+MAX_PREFILL_WAIT_S = 2.0  # a request that would wait longer is rejected
+TICK_S, RECORDS_INTERVAL_S = 0.1, 1.0
+MAX_IN_FLIGHT = 32  # entries of a site
+DEMAND_WINDOW_S = 5.0  # over which live demand is averaged
 
 
 @dataclass(slots=True)
 class Site:
-    """One site: its queue by tenant, and its replay."""
+    """One site: its queue by tenant, and its replay scheduler."""
 
     name: str
     queue: dict[str, list[QueueHead]]
-    replay: ReplayScheduler
-    lending: CapacityLoans
-    open: Callable[[float], bool]
+    scheduler: ReplayScheduler
+    loans: CapacityLoans
+    is_reachable: Callable[[float], bool]
     want: float = 0.0
-    first_s: float = -1.0  # when its first one was sent
-    ended_s: float = -1.0  # when its queue was empty
-    refused: int = 0
-    log: list[tuple[float, float, str]] = field(default_factory=list)  # when, work served, tenant
+    first_sent_s: float = -1.0  # -1: none yet
+    ended_s: float = -1.0  # when its queue became empty; -1: not yet
+    rejected: int = 0
+    served_log: list[tuple[float, float, str]] = field(default_factory=list)  # time, work, tenant
 
-    def left(self) -> int:
+    def waiting_entries(self) -> int:
         """Entries that wait."""
         return sum(len(each) for each in self.queue.values())
 
@@ -52,42 +52,51 @@
 class World:
     """The fleet, its live traffic and its sites."""
 
-    def __init__(self, seed: int, live: float, for_s: float, swing: float = 0.0) -> None:
-        """`live`: part of the readers' capacity that live traffic asks for; `swing`: doubled for a while."""
-        self.rng, self.for_s, self.live, self.swing = random.Random(seed), for_s, live, swing
-        self.facts = random.Random(seed + 1)  # of its own: live traffic is the same with and without replay
-        self.now_s, self.free_s = 0.0, [0.0] * READERS
-        self.busy, self.firsts = 0, list[float]()
-        self.live_refused = 0
+    def __init__(self, seed: int, live: float, duration_s: float, burst_at_s: float = 0.0) -> None:
+        """`live`: traffic as a fraction of the prefill capacity; `burst_at_s`: when it doubles, 0: never."""
+        self.rng, self.duration_s, self.live, self.burst_at_s = (
+            random.Random(seed),
+            duration_s,
+            live,
+            burst_at_s,
+        )
+        self.records_rng = random.Random(
+            seed + 1
+        )  # of its own: live traffic is the same with and without replay
+        self.now_s, self.prefill_free_at_s = 0.0, [0.0] * PREFILL_SERVERS
+        self.active_streams, self.first_token_times_s = 0, list[float]()
+        self.live_rejected = 0
         self.demand: list[tuple[float, float, float]] = []
         self.sites: dict[str, Site] = {}
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = count()
         self.sends: list[tuple[float, str]] = []
-        self.lends = True  # facts between sites come at all
+        self.records_delivered = True  # whether records between sites arrive at all
 
     def add(
         self,
         name: str,
         weights: dict[str, float],
         queue: dict[str, list[QueueHead]],
-        open_: Callable[[float], bool] = lambda now_s: True,
+        is_reachable: Callable[[float], bool] = lambda now_s: True,
     ) -> None:
-        """One more site with what it has queued."""
-        rng = random.Random(f"{name}{self.facts.random()}")
-        lending = CapacityLoans(name, weights, 1, -100.0)
-        self.sites[name] = Site(name, queue, ReplayScheduler(RateController(rng), MOST), lending, open_)
+        """Add a site with its queue."""
+        rng = random.Random(f"{name}{self.records_rng.random()}")
+        loans = CapacityLoans(name, weights, 1, -100.0)
+        self.sites[name] = Site(
+            name, queue, ReplayScheduler(RateController(rng), MAX_IN_FLIGHT), loans, is_reachable
+        )
 
-    def at(self, at_s: float, call: Callable[[], None]) -> None:
-        """Have something happen."""
+    def schedule(self, at_s: float, call: Callable[[], None]) -> None:
+        """Schedule a call."""
         heapq.heappush(self.events, (at_s, next(self._numbers), call))
 
     def run(self) -> None:
-        """Play it to its end."""
-        self.at(0.0, self._arrive)
-        self.at(0.0, self._tick)
-        self.at(0.0, self._tell)
-        while self.events and self.events[0][0] < self.for_s:
+        """Simulate to the end."""
+        self.schedule(0.0, self._arrive)
+        self.schedule(0.0, self._tick)
+        self.schedule(0.0, self._tell)
+        while self.events and self.events[0][0] < self.duration_s:
             self.now_s, _, call = heapq.heappop(self.events)
             call()
 
@@ -95,117 +104,136 @@
 
     def _arrive(self) -> None:
         prompt, out = min(12_000.0, self.rng.lognormvariate(7.0, 0.8)), self.rng.uniform(20, 300)
-        load = self.live * (2 if self.swing and self.swing <= self.now_s < self.swing + 10 else 1)
-        per_s = READERS * READ_PACE * load / 1510.0  # the mean of those prompts is 1,510
-        self.at(self.now_s + self.rng.expovariate(per_s), self._arrive)
+        load = self.live * (
+            2 if self.burst_at_s and self.burst_at_s <= self.now_s < self.burst_at_s + 10 else 1
+        )
+        per_s = PREFILL_SERVERS * PREFILL_RATE * load / 1510.0  # the mean of those prompts is 1,510
+        self.schedule(self.now_s + self.rng.expovariate(per_s), self._arrive)
         self.demand.append((self.now_s, prompt, out))
         came_s = self.now_s
 
         def first(at_s: float) -> None:
-            self.firsts.append(at_s - came_s)
+            self.first_token_times_s.append(at_s - came_s)
 
         if not self._serve(prompt, out, first):
-            self.live_refused += 1
+            self.live_rejected += 1
 
     def _serve(self, prompt: float, out: float, first: Callable[[float], None]) -> bool:
-        """Read and write one; False where it is refused. `first` is told when the first token comes."""
-        reader = min(range(READERS), key=self.free_s.__getitem__)
-        begins_s = max(self.now_s, self.free_s[reader])
-        if begins_s - self.now_s > WAIT_S or self.busy >= WRITERS * PLACES:
+        """Prefill and decode a request; False where it is rejected. `first` is called at its first token."""
+        reader = min(range(PREFILL_SERVERS), key=self.prefill_free_at_s.__getitem__)
+        begins_s = max(self.now_s, self.prefill_free_at_s[reader])
+        if (
+            begins_s - self.now_s > MAX_PREFILL_WAIT_S
+            or self.active_streams >= DECODE_SERVERS * STREAMS_PER_SERVER
+        ):
             return False
-        self.free_s[reader] = read_s = begins_s + prompt / READ_PACE
-        self.busy += 1
+        self.prefill_free_at_s[reader] = read_s = begins_s + prompt / PREFILL_RATE
+        self.active_streams += 1
 
         def written() -> None:
-            self.busy -= 1
+            self.active_streams -= 1
 
-        self.at(read_s, lambda: first(self.now_s))
-        self.at(read_s + out * TOKEN_S, written)
+        self.schedule(read_s, lambda: first(self.now_s))
+        self.schedule(read_s + out * S_PER_TOKEN, written)
         return True
 
     # Replay.
 
-    def room(self) -> Capacity:
-        """What the facts say; live traffic as it was over the last seconds."""
-        since_s = max(0.1, min(WINDOW_S, self.now_s))
-        self.demand = [each for each in self.demand if self.now_s - each[0] <= WINDOW_S]
+    def capacity(self) -> Capacity:
+        """The capacity, and the demand of live traffic over the last seconds."""
+        since_s = max(0.1, min(DEMAND_WINDOW_S, self.now_s))
+        self.demand = [each for each in self.demand if self.now_s - each[0] <= DEMAND_WINDOW_S]
         reading = sum(prompt for _, prompt, _ in self.demand) / since_s
         writing = sum(out for _, _, out in self.demand) / since_s
-        return Capacity(READERS * READ_PACE, WRITERS * PLACES / TOKEN_S, reading, writing)
+        return Capacity(
+            PREFILL_SERVERS * PREFILL_RATE,
+            DECODE_SERVERS * STREAMS_PER_SERVER / S_PER_TOKEN,
+            reading,
+            writing,
+        )
 
     def _tick(self) -> None:
-        room = self.room()
+        capacity = self.capacity()
         for site in self.sites.values():
-            pace, left = (
-                site.replay.rate_controller,
-                spare_capacity(room, RESERVE, site.replay.decode_fraction(room.decode_fraction())),
-            )
-            if not site.open(self.now_s):
-                pace.close()
+            controller = site.scheduler.rate_controller
+            decode_fraction = site.scheduler.decode_fraction(capacity.decode_fraction())
+            spare = spare_capacity(capacity, RESERVE, decode_fraction)
+            if not site.is_reachable(self.now_s):
+                controller.close()
                 continue
-            site.lending.update_demand(self.now_s, self._wish(site, left))
-            pace.set_ceiling(
+            site.loans.update_demand(self.now_s, self._wish(site, spare))
+            controller.set_ceiling(
                 self.now_s,
-                None if left is None else left * PART * site.lending.available_fraction(self.now_s),
+                None
+                if spare is None
+                else spare * REPLAY_FRACTION * site.loans.available_fraction(self.now_s),
             )
-            pace.open(self.now_s)
+            controller.open(self.now_s)
             heads = [
-                head for queued in site.queue.values() for head in queued[: 8 + site.replay.in_flight_count]
+                head
+                for queued in site.queue.values()
+                for head in queued[: 8 + site.scheduler.in_flight_count]
             ]
-            while (head := site.replay.choose_next(self.now_s, heads)) is not None:
+            while (head := site.scheduler.choose_next(self.now_s, heads)) is not None:
                 self._send(site, head)
                 heads.remove(head)
-        self.at(self.now_s + TICK_S, self._tick)
+        self.schedule(self.now_s + TICK_S, self._tick)
 
-    def _wish(self, site: Site, left: float | None) -> float:
-        if not site.left():
+    def _wish(self, site: Site, spare: float | None) -> float:
+        if not site.waiting_entries():
             return 0.0
         return (
-            min(1.0, max(site.lending.own_fraction, 2 * site.replay.rate_controller.rate / (left * PART)))
-            if left
+            min(
+                1.0,
+                max(
+                    site.loans.own_fraction,
+                    2 * site.scheduler.rate_controller.rate / (spare * REPLAY_FRACTION),
+                ),
+            )
+            if spare
             else 1.0
         )
 
     def _send(self, site: Site, head: QueueHead) -> None:
         self.sends.append((self.now_s, site.name))
-        site.first_s = self.now_s if site.first_s < 0 else site.first_s
+        site.first_sent_s = self.now_s if site.first_sent_s < 0 else site.first_sent_s
         out = head.work / 10
 
         def first(at_s: float) -> None:
-            self.at(at_s + out * TOKEN_S, served)
+            self.schedule(at_s + out * S_PER_TOKEN, served)
 
         def served() -> None:
             site.queue[head.tenant].remove(head)
-            site.replay.record_outcome(self.now_s, head.name, SendOutcome.SERVED, head.work, out)
-            site.log.append((self.now_s, head.work, head.tenant))
-            if not site.left():
+            site.scheduler.record_outcome(self.now_s, head.name, SendOutcome.SERVED, head.work, out)
+            site.served_log.append((self.now_s, head.work, head.tenant))
+            if not site.waiting_entries():
                 site.ended_s = self.now_s
 
         if not self._serve(head.work - out, out, first):
-            site.refused += 1
-            site.replay.record_outcome(self.now_s, head.name, SendOutcome.REJECTED)
+            site.rejected += 1
+            site.scheduler.record_outcome(self.now_s, head.name, SendOutcome.REJECTED)
 
     def _tell(self) -> None:
-        """Facts on their way: late by up to two seconds, one in twenty lost."""
+        """Deliver records: up to two seconds late, one in twenty is lost."""
         for site in self.sites.values():
-            for key, row in site.lending.records().items():
+            for key, row in site.loans.records().items():
                 for other in self.sites.values():
-                    if self.lends and other is not site and self.facts.random() > 0.05:
-                        late_s = self.facts.uniform(0.01, 2.0)
-                        self.at(self.now_s + late_s, partial(self._receive, other, key, row))
-        self.at(self.now_s + FACTS_S, self._tell)
+                    if self.records_delivered and other is not site and self.records_rng.random() > 0.05:
+                        late_s = self.records_rng.uniform(0.01, 2.0)
+                        self.schedule(self.now_s + late_s, partial(self._receive, other, key, row))
+        self.schedule(self.now_s + RECORDS_INTERVAL_S, self._tell)
 
     def _receive(self, site: Site, key: str, row: LoanRequest | LoanGrant) -> None:
         if isinstance(row, LoanRequest):
-            site.lending.receive(self.now_s, {key[5:]: row}, {})
+            site.loans.receive(self.now_s, {key[5:]: row}, {})
         elif key.endswith(f"/{site.name}"):
-            site.lending.receive(self.now_s, {}, {key.split("/")[1]: row})
+            site.loans.receive(self.now_s, {}, {key.split("/")[1]: row})
 
 
-def queue_of(rng: random.Random, site: str, entries: int, tenants: int = 3) -> dict[str, list[QueueHead]]:
+def make_queue(rng: random.Random, site: str, entries: int, tenants: int = 3) -> dict[str, list[QueueHead]]:
     """So many entries; the work of each differs a hundredfold."""
-    told = defaultdict[str, list[QueueHead]](list)
+    queue = defaultdict[str, list[QueueHead]](list)
     for number in range(entries):
         tenant, work = f"t{number % tenants}", min(12_000.0, max(100.0, rng.lognormvariate(7.0, 1.0)))
-        told[tenant].append(QueueHead(f"{site}/{number}", tenant, work, float(number), number % 2 == 0))
-    return dict(told)
+        queue[tenant].append(QueueHead(f"{site}/{number}", tenant, work, float(number), number % 2 == 0))
+    return dict(queue)
--- a/tests/decide/ratio/test_simulation.py
+++ b/tests/decide/ratio/test_simulation.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from benchmarks.ratio_lab import Lab
-from benchmarks.ratio_ways import Planned, spread
+from benchmarks.ratio_lab import Simulation
+from benchmarks.ratio_ways import SimulatedPlanner, spread_over_racks
 from ringledge.decide.interface import RoleAssignment
 from ringledge.decide.ratio import planner as planner_module
 from ringledge.decide.ratio.planner import ListedServer
@@ -38,11 +38,11 @@
     def __init__(self, settings: RatioConfig, every_s: float, seed: int = 1) -> None:
         log.configure("error", "test")
         sizes = (1, 5, 4, 3)
-        self.lab = Lab(seed, sizes, settings, SHAPES, partial(mix, 20, every_s))
-        self.planned = Planned(self.lab, 6)
+        self.simulation = Simulation(seed, sizes, settings, SHAPES, partial(mix, 20, every_s))
+        self.planner = SimulatedPlanner(self.simulation, 6)
         self.changes = list[tuple[str, float, str]]()
         self.tokens = list[int]()
-        self.registry = self.lab.conductors[-1].book
+        self.registry = self.simulation.conductors[-1].registry
         receive = self.registry.receive
 
         def recorded_receive(now_s: float, server: str, assignment: RoleAssignment) -> bool:
@@ -58,17 +58,21 @@
 
     def violation(self) -> str:
         """The first rule that was broken, once all is over."""
-        lab = self.lab
-        if any(job.sends > 1 for job in lab.jobs):
+        simulation = self.simulation
+        if any(request.decode_sends > 1 for request in simulation.requests):
             return "sent twice"
-        if any(not job.end for job in lab.jobs) or any(server.states for server in lab.servers.values()):
+        if any(not request.outcome for request in simulation.requests) or any(
+            server.cache_entries for server in simulation.servers.values()
+        ):
             return "a request without an end, or a cache entry that is never released"
         if self.tokens != sorted(self.tokens):
             return "tokens out of order"
         late_s = 1.5  # records arrive up to a second and a tick apart
         for server in {name for name, _, _ in self.changes}:
             times = [at_s for name, at_s, _ in self.changes if name == server]
-            if any(after - before < lab.settings.min_dwell_s - late_s for before, after in pairwise(times)):
+            if any(
+                after - before < simulation.settings.min_dwell_s - late_s for before, after in pairwise(times)
+            ):
                 return "within its minimum dwell time"
         return ""
 
@@ -78,11 +82,11 @@
     changes = 0
     for seed in range(1, 9):
         world = World(QUICK, 30.0, seed)
-        world.lab.after(40.0, setattr, world.lab.conductors[0], "heard", False)
-        world.lab.after(110.0, setattr, world.lab.conductors[0], "heard", True)
+        world.simulation.after(40.0, setattr, world.simulation.conductors[0], "receives_records", False)
+        world.simulation.after(110.0, setattr, world.simulation.conductors[0], "receives_records", True)
         for at in (33.0, 64.0, 91.0):
-            world.lab.after(at, world.planned.hand_on)
-        world.lab.play(END_S + 60)
+            world.simulation.after(at, world.planner.fail_over)
+        world.simulation.run_until(END_S + 60)
         assert world.violation() == ""
         assert len(set(world.tokens)) >= 4
         changes += len(world.changes)
@@ -95,11 +99,11 @@
     """The planner fails before its last plan has reached all; returns the number of failures."""
     changes = failures = 0
     for at in range(4 * 5, 4 * int(END_S)):
-        world.lab.play(at / 4)
-        if world.planned.changes > changes:
-            world.planned.hand_on()
-            changes, failures = world.planned.changes, failures + 1
-    world.lab.play(END_S + 60)
+        world.simulation.run_until(at / 4)
+        if world.planner.changes > changes:
+            world.planner.fail_over()
+            changes, failures = world.planner.changes, failures + 1
+    world.simulation.run_until(END_S + 60)
     return failures
 
 
@@ -111,12 +115,12 @@
 
 def test_roles_and_service_persist_without_a_planner() -> None:
     world = World(QUICK, 1_000.0)
-    world.lab.play(60.0)
+    world.simulation.run_until(60.0)
     roles = {name: entry.role for name, entry in world.registry.entries.items()}
-    world.planned.planner.stop()
-    world.lab.play(END_S + 60)
+    world.planner.service.stop()
+    world.simulation.run_until(END_S + 60)
     assert roles == {name: entry.role for name, entry in world.registry.entries.items()}
-    assert world.lab.worth(60.0, END_S) > 0.9 and world.violation() == ""
+    assert world.simulation.served_value(60.0, END_S) > 0.9 and world.violation() == ""
 
 
 def without_min_dwell(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -144,13 +148,13 @@
 
 
 def sent_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    write = Lab._write
+    send_decode = Simulation._send_decode
 
-    def twice(self: Lab, job: object) -> None:
-        job.sends += 1  # type: ignore[attr-defined]
-        write(self, job)  # type: ignore[arg-type]
+    def send_twice(self: Simulation, request: object) -> None:
+        request.decode_sends += 1  # type: ignore[attr-defined]
+        send_decode(self, request)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Lab, "_write", twice)
+    monkeypatch.setattr(Simulation, "_send_decode", send_twice)
 
 
 @pytest.mark.parametrize("mutant", [without_min_dwell, reissued_at_once, without_fencing, sent_twice])
@@ -195,7 +199,7 @@
 
 def test_each_effect_checks_the_lease() -> None:
     records, registry, lease = RecordedAssignments(), RoleRegistry(QUICK), iter([True, True, False])
-    registry.update_servers(0.0, {each.name: "both" for each in spread(records.servers())})
+    registry.update_servers(0.0, {each.name: "both" for each in spread_over_racks(records.servers())})
     for at in range(4):
         registry.receive(0.0, f"b{at}", RoleAssignment(1, 3, "read" if at < 2 else "write"))
     for at in range(20):
