--- a/benchmarks/ratio.py
+++ b/benchmarks/ratio.py
@@ -16,8 +16,8 @@
 import click
 import orjson
 
-from benchmarks.ratio_lab import DECODE_RATE, PREFILL_RATE, Simulation
-from benchmarks.ratio_ways import ScriptedPlan, SimulatedPlanner, best_fixed_split, optimal_plan
+from benchmarks.ratio_simulation import DECODE_RATE, PREFILL_RATE, Simulation
+from benchmarks.ratio_strategies import ScriptedPlan, SimulatedPlanner, best_fixed_split, optimal_plan
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.observe.logging import log
 
--- a/benchmarks/ratio_servers.py
+++ b/benchmarks/ratio_servers.py
@@ -1,4 +1,4 @@
-"""Requests and servers of the simulation in `benchmarks/ratio_lab.py`."""
+"""Requests and servers of the simulation in `benchmarks/ratio_simulation.py`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from benchmarks.ratio_lab import SimulatedConductor
+    from benchmarks.ratio_simulation import SimulatedConductor
 
 
 @dataclass(slots=True, eq=False)
--- a/benchmarks/ratio_lab.py
+++ b/benchmarks/ratio_simulation.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from benchmarks.ratio_facts import DelayedRecordStore, StoredRecords
+from benchmarks.ratio_records import DelayedRecordStore, StoredRecords
 from benchmarks.ratio_servers import SimulatedRequest, SimulatedServer
 from ringledge.decide.interface import ClassDemand, ServerObservation
 from ringledge.decide.ratio.planner import ListedServer
--- a/benchmarks/ratio_ways.py
+++ b/benchmarks/ratio_strategies.py
@@ -9,7 +9,7 @@
 import numpy
 import numpy.typing
 
-from benchmarks.ratio_lab import DECODE_RATE, PREFILL_RATE, Simulation
+from benchmarks.ratio_simulation import DECODE_RATE, PREFILL_RATE, Simulation
 from ringledge.decide.interface import RoleAssignment
 from ringledge.decide.ratio.planner import ListedServer
 from ringledge.decide.ratio.role_records import encode_assignment
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -19,7 +19,7 @@
 import numpy
 import orjson
 
-from benchmarks.replay_world import World, make_queue
+from benchmarks.replay_simulation import World, make_queue
 from ringledge.decide.replay.fair_share import jain_index
 
 BACKLOGS = {"s1": 10_000, "s2": 100, "s3": 100, "s4": 500, "s5": 1_000}
--- a/ringledge/decide/ratio/plan.py
+++ b/ringledge/decide/ratio/plan.py
@@ -12,6 +12,7 @@
 from enum import Enum
 
 from ringledge.decide.ratio.demand_estimate import SiteDemand
+from ringledge.decide.ratio.role_records import ServerRole
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.decide.ratio.target import (
     ServerState,
@@ -25,7 +26,10 @@
 
 # Relative errors of the demand estimate that a gain must exceed: at one, ten servers follow a shift too late.
 ERROR_MARGIN = 0.5
-OPPOSITE_ROLE = {"read": "write", "write": "read"}
+OPPOSITE_ROLE: dict[str, str] = {
+    ServerRole.PREFILL: ServerRole.DECODE,
+    ServerRole.DECODE: ServerRole.PREFILL,
+}
 
 
 class PlanReason(Enum):
@@ -56,7 +60,9 @@
         return SitePlan({}, len(target), reason)
     gain = _gain(servers, target, demand, settings)
     min_gain = max(settings.min_gain, ERROR_MARGIN * demand.relative_error)
-    has_undecided = any(server.role == "both" and server.kind == "both" for server in servers)
+    has_undecided = any(
+        server.role == ServerRole.MIXED and server.kind == ServerRole.MIXED for server in servers
+    )
     if gain <= min_gain and not has_undecided:
         return SitePlan({}, len(target), PlanReason.NEAR_TARGET)
     moves = choose_moves(servers, target, demand)
@@ -72,10 +78,10 @@
 ) -> float:
     """The served fraction that the target adds, once all changes toward it are over."""
     current = served_fraction(capacity_rates(servers), demand.mixes, settings)
-    roles = {
-        server.name: "read" if server.name in target else "write"
+    roles: dict[str, str] = {
+        server.name: ServerRole.PREFILL if server.name in target else ServerRole.DECODE
         for server in servers
-        if server.kind == "both"
+        if server.kind == ServerRole.MIXED
     }
     return served_fraction(capacity_rates(with_roles(servers, roles)), demand.mixes, settings) - current
 
@@ -105,7 +111,7 @@
         return PlanReason.RELEASE
     if demand.missing_members > demand.reporting_members:
         return PlanReason.TOO_FEW_REPORTS
-    if not total_capacity(servers, "read") or not total_capacity(servers, "write"):
+    if not total_capacity(servers, ServerRole.PREFILL) or not total_capacity(servers, ServerRole.DECODE):
         return PlanReason.RATES_UNKNOWN
     return None
 
@@ -138,13 +144,16 @@
 
     Servers that do both are decided first, so that none that has a role has to change it for their sake.
     """
-    mixed = sorted((server for server in servers if server.kind == "both"), key=prefill_advantage)
-    shortage = prefill_target - sum(server.role == "read" for server in mixed)
-    undecided = [server.name for server in mixed if server.role == "both"]
+    mixed = sorted((server for server in servers if server.kind == ServerRole.MIXED), key=prefill_advantage)
+    shortage = prefill_target - sum(server.role == ServerRole.PREFILL for server in mixed)
+    undecided = [server.name for server in mixed if server.role == ServerRole.MIXED]
     if undecided:
-        wanted = {name: "read" if rank < shortage else "write" for rank, name in enumerate(undecided)}
+        wanted: dict[str, str] = {
+            name: ServerRole.PREFILL if rank < shortage else ServerRole.DECODE
+            for rank, name in enumerate(undecided)
+        }
         return wanted, len(undecided)
-    role = "read" if shortage > 0 else "write"
+    role = ServerRole.PREFILL if shortage > 0 else ServerRole.DECODE
     wanted = {server.name: role for server in mixed if server.role == OPPOSITE_ROLE[role]}
     return wanted, abs(shortage)
 
@@ -165,9 +174,9 @@
     staying = [server for server in after if not server.changing and server.capacity(old_role)]
     if not any(server.warm for server in staying):
         return False  # it is the last warm one
-    demand_rates = {
-        "read": demand.prefill_rate * (1 + demand.relative_error),
-        "write": demand.decode_rate * (1 + demand.relative_error),
+    demand_rates: dict[str, float] = {
+        ServerRole.PREFILL: demand.prefill_rate * (1 + demand.relative_error),
+        ServerRole.DECODE: demand.decode_rate * (1 + demand.relative_error),
     }
     # What covers the loss of the largest rack stays, unless the role that gains is still worse off.
     new_coverage = rack_loss_coverage(servers, new_role, demand_rates[new_role])
--- a/ringledge/decide/ratio/planner.py
+++ b/ringledge/decide/ratio/planner.py
@@ -14,6 +14,7 @@
 from ringledge.decide.interface import ClassDemand, RoleAssignment, ServerObservation
 from ringledge.decide.ratio.demand_estimate import EPSILON, DemandEstimator, SiteDemand
 from ringledge.decide.ratio.plan import SitePlan, plan_site
+from ringledge.decide.ratio.role_records import ServerRole
 from ringledge.decide.ratio.role_registry import WARM_THRESHOLD, RolePhase, RoleRegistry
 from ringledge.decide.ratio.service_rates import ServiceRate, ServiceRateEstimator
 from ringledge.decide.ratio.settings import RatioConfig
@@ -31,7 +32,7 @@
     name: str
     site: str
     rack: str
-    kind: str  # "read", "write" or "both"
+    kind: str  # a `ServerRole`
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +134,7 @@
 
     def _server_state(self, now_s: float, listed: ListedServer, rate: ServiceRate) -> ServerState:
         entry = self.registry.entries[listed.name]
-        is_mixed = listed.kind == "both"
+        is_mixed = listed.kind == ServerRole.MIXED
         changing = entry.phase is not RolePhase.STABLE
         scale = 1.0 if changing else rate.warmth  # a changing server counts as what it will be
         return ServerState(
@@ -157,5 +158,5 @@
         recent = [
             server for server in servers if now_s - self.registry.entries[server.name].requested_s < recent_s
         ]
-        cold = sum(server.capacity("read") * (1 - rates[server.name].warmth) for server in recent)
-        return cold / max(total_capacity(servers, "read"), EPSILON)
+        cold = sum(server.capacity(ServerRole.PREFILL) * (1 - rates[server.name].warmth) for server in recent)
+        return cold / max(total_capacity(servers, ServerRole.PREFILL), EPSILON)
--- a/ringledge/decide/ratio/role_records.py
+++ b/ringledge/decide/ratio/role_records.py
@@ -3,16 +3,27 @@
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping
+from enum import StrEnum
 
 import msgspec
 
 from ringledge.decide.interface import RoleAssignment
 
 KEY_PREFIX = "plan/"
-ROLES = ("read", "write", "both")
 MAX_NUMBER = 2**62  # of a token or plan: no later plan could supersede an assignment beyond it
 MAX_ENCODED_BYTES = 64  # of an assignment, two numbers and a word: longer values are not even decoded
 
+
+class ServerRole(StrEnum):
+    """The role of a server, and the kind of one whose role is configured; the values are those of records."""
+
+    PREFILL = "read"
+    DECODE = "write"
+    MIXED = "both"
+
+
+ROLES = frozenset(ServerRole)
+
 _decoder: msgspec.msgpack.Decoder[RoleAssignment] = msgspec.msgpack.Decoder(RoleAssignment)
 _encoder = msgspec.msgpack.Encoder()
 
--- a/ringledge/decide/ratio/role_registry.py
+++ b/ringledge/decide/ratio/role_registry.py
@@ -14,15 +14,15 @@
 from math import inf
 
 from ringledge.decide.interface import RoleAssignment
-from ringledge.decide.ratio.role_records import supersedes
+from ringledge.decide.ratio.role_records import ServerRole, supersedes
 from ringledge.decide.ratio.settings import RatioConfig
 
 MAX_ASSIGNMENTS = 4096  # retained, including those of servers that are not listed yet
 # Work that a server of each role does; kinds of servers have the same three names.
-WORK_OF_ROLE = {
-    "read": frozenset({"read"}),
-    "write": frozenset({"write"}),
-    "both": frozenset({"read", "write"}),
+WORK_OF_ROLE: dict[str, frozenset[str]] = {
+    ServerRole.PREFILL: frozenset({ServerRole.PREFILL}),
+    ServerRole.DECODE: frozenset({ServerRole.DECODE}),
+    ServerRole.MIXED: frozenset({ServerRole.PREFILL, ServerRole.DECODE}),
 }
 WARM_THRESHOLD = 0.9  # part of a server's full capacity from which it counts as warm
 WARM_UP_LIMIT = 2  # times `warm_up_s` after which warming up ends, whatever warmth is reported
@@ -42,9 +42,10 @@
 class RoleEntry:
     """One server's role, and the work that may remain there from the role before."""
 
-    kind: str  # configured: "read", "write" or "both"
-    role: str = "both"  # that it has, or changes to
-    previous_work: frozenset[str] = WORK_OF_ROLE["both"]  # may still be in flight from before the change
+    kind: str  # configured; a `ServerRole`
+    role: str = ServerRole.MIXED  # a `ServerRole` that it has, or changes to
+    # Kinds of work that may still be in flight from before the change.
+    previous_work: frozenset[str] = WORK_OF_ROLE[ServerRole.MIXED]
     phase: RolePhase = RolePhase.STABLE
     phase_since_s: float = -inf
     requested_s: float = -inf  # when its role was last changed; -inf: never
@@ -55,7 +56,7 @@
 
     def accepted_work(self) -> frozenset[str]:
         """The kinds of new work that this conductor sends to it."""
-        if self.kind != "both":
+        if self.kind != ServerRole.MIXED:
             return WORK_OF_ROLE[self.kind]
         work = WORK_OF_ROLE[self.role]
         if self.phase in (RolePhase.REQUESTED, RolePhase.DRAINING):
@@ -65,16 +66,16 @@
     def has_remaining_work(self) -> bool:
         """Whether work of a role that it gives up is known to be there."""
         ending_work = self.previous_work - WORK_OF_ROLE[self.role]
-        if "read" in ending_work and self.active_prefills + self.waiting_entries > 0:
+        if ServerRole.PREFILL in ending_work and self.active_prefills + self.waiting_entries > 0:
             return True
-        return "write" in ending_work and self.active_streams > 0
+        return ServerRole.DECODE in ending_work and self.active_streams > 0
 
     def request_role(self, now_s: float, role: str) -> None:
         """Begin a change of role; without effect where the kind is fixed or the role is the same.
 
         The same role comes again from each new planner, and a change in progress then goes on.
         """
-        if self.kind != "both" or role == self.role:
+        if self.kind != ServerRole.MIXED or role == self.role:
             return
         if self.phase in (RolePhase.REQUESTED, RolePhase.DRAINING):
             # Reversed while it drains, it may hold work of either role: only what both do is accepted.
@@ -147,7 +148,7 @@
         return True
 
     def update_servers(self, now_s: float, kinds: Mapping[str, str]) -> None:
-        """Apply the server list, the kind ("read", "write", "both") of each; others are removed."""
+        """Apply the server list, the kind (a `ServerRole`) of each; others are removed."""
         for server in self.entries.keys() - kinds.keys():
             del self.entries[server]
         for server, kind in kinds.items():
@@ -192,7 +193,7 @@
         plan may cost speed, but never leaves requests without a server.
         """
         accepted = {server: entry.accepted_work() for server, entry in self.entries.items()}
-        for role in WORK_OF_ROLE["both"]:
+        for role in WORK_OF_ROLE[ServerRole.MIXED]:
             if not any(role in work for work in accepted.values()):
                 for server, entry in self.entries.items():
                     accepted[server] |= WORK_OF_ROLE[entry.kind] & {role}
@@ -201,8 +202,8 @@
     def excluded_servers(self) -> tuple[frozenset[str], frozenset[str]]:
         """Servers that get no new prefills, and those that get no new decodes: the fields of `RolePlan`."""
         accepted = self.accepted_work()
-        no_prefill = frozenset(server for server, work in accepted.items() if "read" not in work)
-        no_decode = frozenset(server for server, work in accepted.items() if "write" not in work)
+        no_prefill = frozenset(server for server, work in accepted.items() if ServerRole.PREFILL not in work)
+        no_decode = frozenset(server for server, work in accepted.items() if ServerRole.DECODE not in work)
         return no_prefill, no_decode
 
     def changing_servers(self) -> set[str]:
@@ -212,7 +213,7 @@
 
 def initial_role(kind: str, assignment: RoleAssignment | None) -> str:
     """The role of a server of this kind while no change is in progress."""
-    if assignment is not None and kind == "both":
+    if assignment is not None and kind == ServerRole.MIXED:
         return assignment.role
     return kind
 
--- a/ringledge/decide/ratio/target.py
+++ b/ringledge/decide/ratio/target.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 
 from ringledge.decide.ratio.demand_estimate import EPSILON, TokenRates
+from ringledge.decide.ratio.role_records import ServerRole
 from ringledge.decide.ratio.settings import RatioConfig
 
 MIXED_EFFICIENCY = 0.5  # part of a server's rate in a role that counts while it does both
@@ -25,8 +26,8 @@
     name: str
     site: str
     rack: str
-    kind: str  # configured: "read", "write" or "both"
-    role: str  # that it has, or changes to
+    kind: str  # configured; a `ServerRole`
+    role: str  # a `ServerRole` that it has, or changes to
     changing: bool  # its change of role is in progress
     movable: bool  # it is mixed, and has had its role for `min_dwell_s`
     warm: bool
@@ -35,10 +36,10 @@
 
     def capacity(self, role: str) -> float:
         """Tokens per s that it adds to a role once its change is over."""
-        rate = self.prefill_rate if role == "read" else self.decode_rate
+        rate = self.prefill_rate if role == ServerRole.PREFILL else self.decode_rate
         if self.role == role:
             return rate
-        return MIXED_EFFICIENCY * rate if self.role == "both" else 0.0
+        return MIXED_EFFICIENCY * rate if self.role == ServerRole.MIXED else 0.0
 
 
 def total_capacity(servers: Iterable[ServerState], role: str) -> float:
@@ -48,7 +49,7 @@
 
 def capacity_rates(servers: Sequence[ServerState]) -> TokenRates:
     """Tokens per s that servers process in both roles."""
-    return TokenRates(total_capacity(servers, "read"), total_capacity(servers, "write"))
+    return TokenRates(total_capacity(servers, ServerRole.PREFILL), total_capacity(servers, ServerRole.DECODE))
 
 
 def served_fraction(capacity: TokenRates, mixes: Sequence[TokenRates], settings: RatioConfig) -> float:
@@ -88,9 +89,9 @@
 
     Servers are taken in the order of their relative advantage at prefill, so only their number is searched.
     """
-    mixed = sorted((server for server in servers if server.kind == "both"), key=prefill_advantage)
-    prefill = sum(server.prefill_rate for server in servers if server.kind == "read")
-    decode = sum(server.decode_rate for server in servers if server.kind != "read")
+    mixed = sorted((server for server in servers if server.kind == ServerRole.MIXED), key=prefill_advantage)
+    prefill = sum(server.prefill_rate for server in servers if server.kind == ServerRole.PREFILL)
+    decode = sum(server.decode_rate for server in servers if server.kind != ServerRole.PREFILL)
     best_objective = (-1.0, -1.0)
     best_count = 0
     for count in range(len(mixed) + 1):
--- a/tests/decide/ratio/test_simulation.py
+++ b/tests/decide/ratio/test_simulation.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from benchmarks.ratio_lab import Simulation
-from benchmarks.ratio_ways import SimulatedPlanner, spread_over_racks
+from benchmarks.ratio_simulation import Simulation
+from benchmarks.ratio_strategies import SimulatedPlanner, spread_over_racks
 from ringledge.decide.interface import RoleAssignment
 from ringledge.decide.ratio import planner as planner_module
 from ringledge.decide.ratio.planner import ListedServer
