--- a/ringledge/decide/ratio/planner.py
+++ b/ringledge/decide/ratio/planner.py
@@ -12,7 +12,8 @@
 from math import inf
 
 from ringledge.decide.interface import ClassDemand, RoleAssignment, ServerObservation
-from ringledge.decide.ratio.demand_estimate import EPSILON, DemandEstimator, SiteDemand
+from ringledge.decide.ratio.demand_estimate import DemandEstimator, SiteDemand
+from ringledge.decide.ratio.demand_statistics import EPSILON
 from ringledge.decide.ratio.plan import SitePlan, plan_site
 from ringledge.decide.ratio.role_records import ServerRole
 from ringledge.decide.ratio.role_registry import WARM_THRESHOLD, RolePhase, RoleRegistry
--- a/ringledge/decide/ratio/target.py
+++ b/ringledge/decide/ratio/target.py
@@ -10,7 +10,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from ringledge.decide.ratio.demand_estimate import EPSILON, TokenRates
+from ringledge.decide.ratio.demand_estimate import TokenRates
+from ringledge.decide.ratio.demand_statistics import EPSILON
 from ringledge.decide.ratio.role_records import ServerRole
 from ringledge.decide.ratio.settings import RatioConfig
 
