--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -17,11 +17,11 @@
 import anyio
 import click
 
-from ringledge.decide.replay.partition_detection import State
-from ringledge.decide.replay.rate_control import Pace
-from ringledge.decide.replay.scheduler import Head, Replay, Verdict
+from ringledge.decide.replay.partition_detection import SiteState
+from ringledge.decide.replay.rate_control import RateController
+from ringledge.decide.replay.scheduler import QueueHead, ReplayScheduler, SendOutcome
 from ringledge.members.duty import LeaseCheck
-from ringledge.members.replay_sender import Result, Sending
+from ringledge.members.replay_sender import SendHandle, SendResult
 from ringledge.members.replayer import Replayer
 from ringledge.observe.logging import log
 from ringledge.store.entry import Entry, QueuedRequest
@@ -41,11 +41,11 @@
     """The servers, played by the process that started this one."""
 
     def __init__(self) -> None:
-        self._in_flight: dict[str, Callable[[Result], None]] = {}
+        self._in_flight: dict[str, Callable[[SendResult], None]] = {}
         self.stopping = False
         self.all_enqueued = False
 
-    def __call__(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
         """Start an attempt."""
         self._in_flight[entry.name] = ended
         write_line("sent", entry.name)
@@ -74,13 +74,15 @@
                 if word == "stop":
                     self.stopping = True
                 elif ended := self._in_flight.pop(name, None):
-                    ended(Result(Verdict.SERVED, True, b'{"object":"chat.completion"}'))
+                    ended(SendResult(SendOutcome.SERVED, True, b'{"object":"chat.completion"}'))
 
 
 class LateRecordReplayer(Replayer):
     """A mutant that records an attempt only after it was sent."""
 
-    async def _begin(self, replay: Replay, head: Head, token: int, still: LeaseCheck) -> bool:
+    async def _send_entry(
+        self, scheduler: ReplayScheduler, head: QueueHead, token: int, still: LeaseCheck
+    ) -> bool:
         entry = await self._queue.get(head.name)
         assert entry is not None
         self._start(entry, token)
@@ -89,13 +91,13 @@
         return True
 
 
-def scheduler(seed: int, now_s: float) -> Replay:
+def scheduler(seed: int, now_s: float) -> ReplayScheduler:
     """A replay that sends at a high rate from its start."""
-    pace = Pace(random.Random(seed), jitter_s=0.0)
-    pace.allot(now_s, 1e6)
-    pace.opened(now_s)
+    pace = RateController(random.Random(seed), jitter_s=0.0)
+    pace.set_ceiling(now_s, 1e6)
+    pace.open(now_s)
     pace.rate = 1e5
-    return Replay(pace, 16)
+    return ReplayScheduler(pace, 16)
 
 
 def queued_request(number: int) -> QueuedRequest:
@@ -130,8 +132,13 @@
     replayer.begin(token)
     write_line("began", str(token))
     await replayer.step(token, lambda: True)  # adopts what earlier holders had begun
-    while not servers.finished or replayer.under_way or replayer.owed or await queue.backlog_by_tenant():
-        await replayer.news(0.005)
+    while (
+        not servers.finished
+        or replayer.in_flight_count
+        or replayer.unsettled_count
+        or await queue.backlog_by_tenant()
+    ):
+        await replayer.wait_for_completion(0.005)
         await replayer.step(token, lambda: True)
     return token
 
@@ -144,7 +151,11 @@
     async with anyio.create_task_group() as tasks:
         replayer_type = LateRecordReplayer if late else Replayer
         replayer = replayer_type(
-            queue, servers, lambda now_s, _: scheduler(seed, now_s), lambda: State.OPEN, time.monotonic
+            queue,
+            servers,
+            lambda now_s, _: scheduler(seed, now_s),
+            lambda: SiteState.AVAILABLE,
+            time.monotonic,
         )
         replayer.tasks = tasks
         tasks.start_soon(servers.receive)
--- a/ringledge/lifecycle/components/role_planning.py
+++ b/ringledge/lifecycle/components/role_planning.py
@@ -10,8 +10,8 @@
 from ringledge.lifecycle.config import ConfigError
 from ringledge.lifecycle.context import ProgramContext
 from ringledge.members.cluster import ClusterMember
-from ringledge.members.planner import NAME, Planner
-from ringledge.members.role_keeper import RoleKeeper
+from ringledge.members.planner import LEASE_NAME, RolePlannerService
+from ringledge.members.role_keeper import RoleFollower
 
 
 def create(context: ProgramContext, fleet: ClusterMember) -> Component:
@@ -24,9 +24,11 @@
     if members.membership.me.site not in zones:
         raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
     role_registry = RoleRegistry(settings)
-    role_keeper = RoleKeeper(
+    role_keeper = RoleFollower(
         settings, members.records, members.membership, context.conductor, config.names, role_registry
     )
-    fleet.duties[NAME] = Planner(settings, members.records, role_keeper, role_registry, time.monotonic)
+    fleet.duties[LEASE_NAME] = RolePlannerService(
+        settings, members.records, role_keeper, role_registry, time.monotonic
+    )
     context.conductor.context.observer = role_keeper
     return Component(on_ready=lambda: context.tasks.start_soon(role_keeper.run))
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -22,10 +22,10 @@
 from prometheus_client import CollectorRegistry
 
 from ringledge.decide.interface import QueueBacklog, RecordStore
-from ringledge.decide.replay.partition_detection import State
-from ringledge.decide.replay.rate_control import Pace
-from ringledge.decide.replay.scheduler import Replay
-from ringledge.members.replay_sender import Result, Sender, Sending
+from ringledge.decide.replay.partition_detection import SiteState
+from ringledge.decide.replay.rate_control import RateController
+from ringledge.decide.replay.scheduler import ReplayScheduler
+from ringledge.members.replay_sender import EntrySender, SendHandle, SendResult
 from ringledge.members.replayer import Replayer
 from ringledge.observe.logging import log
 from ringledge.store.capacity_sharing import CapacitySharing
@@ -60,7 +60,7 @@
         self.metrics = QueueMetrics(registry)
         self.queue = Queue(config)
         self.duty_name = f"replay/{config.site}"
-        self.sender: Sender | None = None
+        self.sender: EntrySender | None = None
         self.replayer = Replayer(
             self.queue, self._send, self._begin_lease, self.site_state, time.monotonic, self.metrics
         )
@@ -75,7 +75,7 @@
         self._maintained_s = 0.0
         self._stopping = False
 
-    def site_state(self) -> State:
+    def site_state(self) -> SiteState:
         """Whether the site is open, short of capacity, or cut off from its servers."""
         return self._site_monitor.state
 
@@ -100,8 +100,8 @@
         if self._file_lock is not None:
             self._file_lock.release()
         with anyio.move_on_after(DRAIN_TIMEOUT_S):
-            while self.replayer.under_way or self.replayer.owed:
-                await self.replayer.news(BUSY_INTERVAL_S)
+            while self.replayer.in_flight_count or self.replayer.unsettled_count:
+                await self.replayer.wait_for_completion(BUSY_INTERVAL_S)
                 await self.replayer.settle()
 
     async def _run(self) -> None:
@@ -113,7 +113,7 @@
                 await self._step(now_s)
             except QueueError as error:
                 log.rate_limited("queue_step_failed", why=error.reason.value, error=str(error))
-            await self.replayer.news(BUSY_INTERVAL_S if self._backlog else IDLE_INTERVAL_S)
+            await self.replayer.wait_for_completion(BUSY_INTERVAL_S if self._backlog else IDLE_INTERVAL_S)
 
     async def _step(self, now_s: float) -> None:
         if now_s - self._maintained_s >= MAINTENANCE_INTERVAL_S:
@@ -137,24 +137,26 @@
         oldest_s = max(ages_s, default=0.0)
         self.metrics.backlog_entries.set(entries)
         self.metrics.backlog_age.set(oldest_s)
-        replay = self.replayer.replay
+        replay = self.replayer.scheduler
         if replay is None:
             self.metrics.replay_rate.set(0.0)
             return
-        has_work = entries > 0 and self.site_state() is State.OPEN
+        has_work = entries > 0 and self.site_state() is SiteState.AVAILABLE
         self._capacity_sharing.allot(now_s, replay, has_work)
-        self.metrics.replay_rate.set(replay.pace.rate)
+        self.metrics.replay_rate.set(replay.rate_controller.rate)
         if self._records is not None:
             weight = self.config.site_weights.get(self.config.site, 1.0)
-            row = QueueBacklog(self._token, entries, oldest_s, weight, replay.served)
+            row = QueueBacklog(self._token, entries, oldest_s, weight, replay.served_work)
             self._records.write(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(row))
 
-    def _send(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+    def _send(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
         assert self.sender is not None
         return self.sender(entry, ended)
 
-    def _begin_lease(self, now_s: float, token: int) -> Replay:
+    def _begin_lease(self, now_s: float, token: int) -> ReplayScheduler:
         """The scheduler for a newly acquired lease."""
         self._token = token
         self._capacity_sharing.begin_lease(now_s, token)
-        return Replay(Pace(self._random), self.config.max_in_flight, self.config.tenant_weights)
+        return ReplayScheduler(
+            RateController(self._random), self.config.max_in_flight, self.config.tenant_weights
+        )
--- a/ringledge/store/queries.py
+++ b/ringledge/store/queries.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ringledge.decide.replay.scheduler import Head
+from ringledge.decide.replay.scheduler import QueueHead
 from ringledge.store.entry import Entry, EntryOutcome, EntryState, QueuedRequest
 from ringledge.store.seal import COLUMNS, CorruptRowError, from_row
 
@@ -59,18 +59,18 @@
     ]
 
 
-def oldest_entries(db: sqlite3.Connection, per_tenant: int) -> list[Head]:
+def oldest_entries(db: sqlite3.Connection, per_tenant: int) -> list[QueueHead]:
     """The oldest waiting entries, up to `per_tenant` of each tenant.
 
     The cost grows with the number of tenants, not with the number of entries.
     """
-    heads = list[Head]()
+    heads = list[QueueHead]()
     oldest = """SELECT name, tenant, work, created_s, safe FROM entries INDEXED BY waiting
         WHERE state = 0 AND tenant = ? ORDER BY seq LIMIT ?"""
     for tenant in _waiting_tenants(db):
         rows = db.execute(oldest, (tenant, per_tenant)).fetchall()
         heads += [
-            Head(name, tenant, estimated_tokens, created_s, bool(idempotent))
+            QueueHead(name, tenant, estimated_tokens, created_s, bool(idempotent))
             for name, tenant, estimated_tokens, created_s, idempotent in rows
         ]
     return heads
--- a/ringledge/store/queue.py
+++ b/ringledge/store/queue.py
@@ -9,7 +9,7 @@
 from functools import partial
 from pathlib import Path
 
-from ringledge.decide.replay.scheduler import Head
+from ringledge.decide.replay.scheduler import QueueHead
 from ringledge.store import queries, transitions
 from ringledge.store.admission import QueueLimits
 from ringledge.store.entry import Entry, EntryOutcome, QueuedRequest
@@ -95,7 +95,7 @@
         await self.worker.run(lambda db: transitions.purge(db, self._clock(), self._config.retention_s))
         return expired
 
-    async def oldest_entries(self, per_tenant: int) -> list[Head]:
+    async def oldest_entries(self, per_tenant: int) -> list[QueueHead]:
         """The oldest waiting entries, up to `per_tenant` of each tenant."""
         return await self.worker.run(partial(queries.oldest_entries, per_tenant=per_tenant), writes=False)
 
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -17,7 +17,7 @@
 import h11
 import orjson
 
-from ringledge.decide.replay.partition_detection import State
+from ringledge.decide.replay.partition_detection import SiteState
 from ringledge.observe.logging import log
 from ringledge.routing.interface import (
     Idempotency,
@@ -63,7 +63,7 @@
     def __init__(
         self,
         queue: Queue,
-        site_state: Callable[[], State],
+        site_state: Callable[[], SiteState],
         metrics: QueueMetrics,
         options: QueuedChatOptions,
     ) -> None:
@@ -89,7 +89,7 @@
             if entry is not None:
                 await _respond_to_repeated_request(conn, head, entry)
                 return True
-        if not prefers_async(head) or self._site_state() is State.OPEN:
+        if not prefers_async(head) or self._site_state() is SiteState.AVAILABLE:
             return False
         entry = await self._enqueue(self._queued_request(head, idempotency_key, question, request))
         await respond_accepted(conn, entry)
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -11,8 +11,8 @@
 from ringledge.core.conductor import Conductor
 from ringledge.core.port import Payload
 from ringledge.core.stages.accept import DuplicateError
-from ringledge.decide.replay.scheduler import Verdict
-from ringledge.members.replay_sender import Result, Sending
+from ringledge.decide.replay.scheduler import SendOutcome
+from ringledge.members.replay_sender import SendHandle, SendResult
 from ringledge.memory.names import Names
 from ringledge.routing.interface import (
     Idempotency,
@@ -35,7 +35,7 @@
         self,
         session: StreamSession,
         conductor: Conductor,
-        report: Callable[[Result], None],
+        report: Callable[[SendResult], None],
         idempotent: bool,
     ) -> None:
         super().__init__(session)
@@ -63,22 +63,22 @@
         self._finished = True
         self._report(self._result(end))
 
-    def _result(self, end: SessionEnd) -> Result:
+    def _result(self, end: SessionEnd) -> SendResult:
         if end is SessionEnd.SERVED:
             return self._served()
         record = self._session.record
         # Without a record the conductor has not returned from `accept`, and nothing can have been sent.
         may_have_run = record is not None and (record.streaming or record.may_have_run)
         if end is SessionEnd.REJECTED or not may_have_run:
-            return Result(Verdict.REFUSED, False)
-        return Result(Verdict.FAILED, True)
+            return SendResult(SendOutcome.REJECTED, False)
+        return SendResult(SendOutcome.FAILED, True)
 
-    def _served(self) -> Result:
+    def _served(self) -> SendResult:
         usage = self._session.usage or {}
         output_tokens = float(usage.get("completion_tokens") or 0)
         total_tokens = float(usage.get("prompt_tokens") or 0) + output_tokens
         response = whole_answer(self._session)
-        return Result(Verdict.SERVED, True, response, total_tokens or None, output_tokens)
+        return SendResult(SendOutcome.SERVED, True, response, total_tokens or None, output_tokens)
 
 
 class ReplaySender:
@@ -92,7 +92,7 @@
         self._names = names
         self._conductor = conductor
 
-    def __call__(self, entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
         """Start an attempt; None if the entry's class or model is not served any more."""
         queued = entry.request
         question: dict[str, Any] = orjson.loads(queued.body)
@@ -117,7 +117,7 @@
         try:
             session.record = self._conductor.accept(request, _payload(question, request), attempt)
         except DuplicateError:  # the previous attempt is not closed yet
-            ended(Result(Verdict.REFUSED, False))
+            ended(SendResult(SendOutcome.REJECTED, False))
         return attempt
 
     def _is_idempotent(self, class_index: int) -> bool:
--- a/ringledge/wire/servers/observation.py
+++ b/ringledge/wire/servers/observation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ringledge.core.conductor import Conductor
-from ringledge.decide.replay.partition_detection import Seen
+from ringledge.decide.replay.partition_detection import ServerReachability
 from ringledge.decide.servers.reachability import Reachability
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -24,13 +24,13 @@
         self._reachability = reachability
         self._metrics = metrics
 
-    def servers(self, now_s: float) -> list[Seen]:
+    def servers(self, now_s: float) -> list[ServerReachability]:
         """Every listed server, with times on the clock that reads `now_s`."""
         now_ms = self._conductor.clock.now_ms()
         offset_s = now_s - now_ms / 1000
         unreachable = self._reachability.unreachable_servers(now_ms)
         return [
-            Seen(
+            ServerReachability(
                 view.role is not Role.DECODE,
                 view.role is not Role.PREFILL,
                 view.availability is Availability.UP and view.server not in unreachable,
--- a/tests/store/test_component.py
+++ b/tests/store/test_component.py
@@ -14,10 +14,10 @@
 from prometheus_client import CollectorRegistry
 
 from ringledge.decide.interface import QueueBacklog
-from ringledge.decide.replay.partition_detection import Reached, Seen, State
-from ringledge.decide.replay.scheduler import Verdict
+from ringledge.decide.replay.partition_detection import ServerReachability, SiteReachability, SiteState
+from ringledge.decide.replay.scheduler import SendOutcome
 from ringledge.lifecycle import settings_files
-from ringledge.members.replay_sender import Result, Sending
+from ringledge.members.replay_sender import SendHandle, SendResult
 from ringledge.store.component import QueueComponent
 from ringledge.store.entry import Entry, EntryOutcome, QueuedRequest
 from ringledge.store.settings import QueueConfig
@@ -30,11 +30,11 @@
     def __init__(self, reachable: bool) -> None:
         self.reachable = reachable
 
-    def servers(self, now_s: float) -> list[Seen]:
+    def servers(self, now_s: float) -> list[ServerReachability]:
         heard_s = now_s if self.reachable else -inf
         return [
-            Seen(True, False, self.reachable, True, heard_s),
-            Seen(False, True, self.reachable, True, heard_s),
+            ServerReachability(True, False, self.reachable, True, heard_s),
+            ServerReachability(False, True, self.reachable, True, heard_s),
         ]
 
     def answers(self) -> tuple[float, float]:
@@ -63,8 +63,8 @@
         await anyio.sleep(0.005)
 
 
-def serve(entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
-    ended(Result(Verdict.SERVED, True, b'{"ok":1}', 20.0, 10.0))
+def serve(entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
+    ended(SendResult(SendOutcome.SERVED, True, b'{"ok":1}', 20.0, 10.0))
     return None
 
 
@@ -81,10 +81,10 @@
         component = QueueComponent(config, observations, CollectorRegistry(), random.Random(1), records)
         rejected = list[str]()
 
-        def send(entry: Entry, ended: Callable[[Result], None]) -> Sending | None:
+        def send(entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
             if not observations.reachable:
                 rejected.append(entry.name)
-                ended(Result(Verdict.REFUSED, False))
+                ended(SendResult(SendOutcome.REJECTED, False))
                 return None
             return serve(entry, ended)
 
@@ -93,9 +93,11 @@
             async with anyio.create_task_group() as tasks:
                 component.start(tasks)
                 component.ready()
-                await wait_until(lambda: component.site_state() is State.CUT_OFF)
-                view: Reached = msgspec.msgpack.decode(records.own["reach/north"], type=Reached)
-                assert view.state == State.CUT_OFF.value
+                await wait_until(lambda: component.site_state() is SiteState.PARTITIONED)
+                view: SiteReachability = msgspec.msgpack.decode(
+                    records.own["reach/north"], type=SiteReachability
+                )
+                assert view.state == SiteState.PARTITIONED.value
                 for number in range(3):
                     await component.queue.enqueue(request(f"{number}"))
                 await wait_until(lambda: "backlog/north" in records.own)
@@ -131,15 +133,15 @@
             first, second = components
             with anyio.fail_after(20):
                 first.ready()
-                await wait_until(lambda: first.replayer.replay is not None)
+                await wait_until(lambda: first.replayer.scheduler is not None)
                 second.ready()
                 await second.queue.enqueue(request("a"))
                 while (await second.queue.get("a")).outcome is not EntryOutcome.SERVED:  # type: ignore[union-attr]
                     await anyio.sleep(0.01)
-                assert second.replayer.replay is None
+                assert second.replayer.scheduler is None
                 assert await second.queue.highest_token() == 1
                 await first.stop()
-                await wait_until(lambda: second.replayer.replay is not None)
+                await wait_until(lambda: second.replayer.scheduler is not None)
                 while await second.queue.highest_token() != 2:
                     await anyio.sleep(0.01)
                 await second.stop()
--- a/tests/wire/clients/chat/queued.py
+++ b/tests/wire/clients/chat/queued.py
@@ -16,8 +16,8 @@
 from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
 from ringledge.core.records import Attempt
-from ringledge.decide.replay.partition_detection import State
-from ringledge.members.replay_sender import Result
+from ringledge.decide.replay.partition_detection import SiteState
+from ringledge.members.replay_sender import SendResult
 from ringledge.memory.names import Names
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
@@ -112,7 +112,7 @@
         self.conductor.update_endpoints(update, {"r": "a:1", "w": "a:2"})
         self.queue = Queue(QueueConfig(**{"path": str(file)} | queue_options))
         self.queue.start()
-        self.site_state = State.CUT_OFF
+        self.site_state = SiteState.PARTITIONED
         self.metrics = QueueMetrics(CollectorRegistry())
         options = QueuedChatOptions(NAMES.classes, SETTINGS, "farm", 600.0)
         queued = QueuedChat(self.queue, lambda: self.site_state, self.metrics, options)
@@ -148,10 +148,10 @@
         named = {key.replace("_", "-"): value for key, value in headers.items()}
         return await self.request("POST", "/v1/chat/completions", body, named)
 
-    async def replay(self, name: str, token: int) -> list[Result]:
+    async def replay(self, name: str, token: int) -> list[SendResult]:
         """Send an entry through the conductor, as the lease holder does; the list receives its result."""
         entry = await self.queue.begin_attempt(name, token)
-        results = list[Result]()
+        results = list[SendResult]()
         self.sender(entry, results.append)
         return results
 
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from ringledge.decide.replay.partition_detection import State
+from ringledge.decide.replay.partition_detection import SiteState
 from ringledge.routing.interface import (
     AttemptStatus,
 )
@@ -44,9 +44,11 @@
     run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize(("prefer", "state"), [("", State.CUT_OFF), ("respond-async", State.OPEN)])
+@pytest.mark.parametrize(
+    ("prefer", "state"), [("", SiteState.PARTITIONED), ("respond-async", SiteState.AVAILABLE)]
+)
 def test_a_request_is_run_at_once_without_the_preference_or_while_the_site_is_open(
-    tmp_path: Path, prefer: str, state: State
+    tmp_path: Path, prefer: str, state: SiteState
 ) -> None:
     async def scenario(process: SiteProcess) -> None:
         process.site_state = state
@@ -135,7 +137,9 @@
         repeated = await process.post("book", Idempotency_Key="k", **ASYNC)
         assert repeated.status == 202 and repeated.body["id"] == first.body["id"]
 
-        process.site_state = State.OPEN  # the partition is over, and the client retries synchronously
+        process.site_state = (
+            SiteState.AVAILABLE
+        )  # the partition is over, and the client retries synchronously
         conflict = await process.post("book", Idempotency_Key="k")
         assert (conflict.status, conflict.body["error"]["code"]) == (409, "queued")
         assert conflict.headers["location"] == first.headers["location"]
@@ -159,11 +163,11 @@
         process.conductor.on_attempt_outcome(process.port.sent[0], AttemptStatus.PREFILLED)
         # The request was written to the decode server, which reset the connection.
         process.conductor.on_attempt_outcome(process.port.sent[1], AttemptStatus.RESET)
-        assert [result.ran for result in results] == [True]
+        assert [result.may_have_run for result in results] == [True]
 
         accepted = await process.post("book", **ASYNC)
         results = await process.replay(accepted.body["id"], 1)
         process.conductor.shut_down()  # before the prefill server has answered
-        assert [result.ran for result in results] == [False]
+        assert [result.may_have_run for result in results] == [False]
 
     run_scenario(tmp_path, scenario)
