--- a/benchmarks/collapse.py
+++ b/benchmarks/collapse.py
@@ -31,9 +31,7 @@
 
 def without_limit(settings: RouterSettings, seed: int) -> Policy:
     """A policy that sends prefills however long they wait."""
-    policy = Policy(settings, seed)
-    policy.concurrency_limit = Unlimited()
-    return policy
+    return Policy(settings, seed, Unlimited())
 
 
 def told(seconds: list[defaultdict[str, float]]) -> dict[str, Any]:
--- a/ringledge/core/send_guard.py
+++ b/ringledge/core/send_guard.py
@@ -71,12 +71,14 @@
 
 def _server_refusal(policy: Policy, attempt: Attempt, now_ms: float) -> SendRefusal | None:
     """By whom it goes to."""
-    server, job = policy.servers.get(attempt.server), policy.jobs.get(attempt.record.name)
-    if server is None or policy.availability(server) != Availability.UP:
+    server, state = policy.fleet.servers.get(attempt.server), policy.requests.get(attempt.record.name)
+    if server is None or policy.fleet.availability(server) != Availability.UP:
         return SendRefusal.SERVER_CLOSED
     if server.entry.started_ms != attempt.server_started_ms:
         return SendRefusal.SERVER_RESTARTED
     late = (
-        job is not None and not attempt.is_prefill and not policy.repeatable(job, server, now_ms + ARRIVAL_MS)
+        state is not None
+        and not attempt.is_prefill
+        and not policy.eligibility.repeatable(state, server, now_ms + ARRIVAL_MS)
     )
     return SendRefusal.REPEAT_LATE if late else None
--- a/ringledge/routing/actions.py
+++ b/ringledge/routing/actions.py
@@ -23,6 +23,27 @@
     EXPIRE = "reap"  # drop what is old
 
 
+@dataclass(slots=True, frozen=True)
+class TimerToken:
+    """What a timer is for; its text goes to whoever runs the timer and comes back with `TimerFired`."""
+
+    name: TimerName
+    request: str | None = None  # of WATCH alone
+
+    def encode(self) -> str:
+        """The token's text."""
+        return self.name.value if self.request is None else f"{self.name}:{self.request}"
+
+    @classmethod
+    def decode(cls, text: str) -> TimerToken | None:
+        """The token of a text, or None where it is no token of the decisions."""
+        name, _, request = text.partition(":")
+        return cls(TimerName(name), request) if name in _TIMER_NAMES else None
+
+
+_TIMER_NAMES = frozenset(TimerName)
+
+
 class GiveUpReason(StrEnum):
     """Why a request was refused or failed."""
 
--- a/ringledge/routing/events.py
+++ b/ringledge/routing/events.py
@@ -1,4 +1,4 @@
-"""What happens to requests, as the decisions are told; all times are milliseconds (``_ms``)."""
+"""Events of requests, attempts and timers; all times are milliseconds (``_ms``)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     OK = "ok"
     PREFILLED = "read"  # the KV cache entry waits at the prefill server
     ERROR = "error"
-    FULL = "full"  # turned away, or no KV cache entry to fetch (then `note` is 1)
+    FULL = "full"  # rejected, or no KV cache entry to fetch (then `note` is 1)
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
@@ -28,6 +28,8 @@
     AttemptStatus.NOT_SENT,
 )
 
+CONNECTION_LOST = (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET)
+
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
@@ -61,7 +63,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptOutcome:
-    """How one attempt ended; `over` says that the request has ended with it or before."""
+    """How one attempt ended; `request_ended` says that the request has ended with it or before.
+
+    What `note` means depends on the status; read it by the properties.
+    """
 
     request: str
     attempt: int
@@ -72,6 +77,31 @@
     note: int = 0  # tokens found cached; full: 1 without a KV cache entry; lost: 1 if idle before
     load: LoadReport | None = None
 
+    @property
+    def cached_tokens(self) -> int:
+        """Of a prefill: the prompt tokens that were found cached."""
+        return self.note
+
+    @property
+    def cache_entry_missing(self) -> bool:
+        """Whether the server had no KV cache entry to fetch."""
+        return self.status == AttemptStatus.FULL and self.note == 1
+
+    @property
+    def rejected(self) -> bool:
+        """Whether the server rejected the attempt for want of capacity."""
+        return self.status == AttemptStatus.FULL and not self.note
+
+    @property
+    def idle_connection_closed(self) -> bool:
+        """Whether the server closed a connection that had been idle: no failure of the server."""
+        return self.status in CONNECTION_LOST and bool(self.note)
+
+    @property
+    def connection_failed(self) -> bool:
+        """Whether the connection was lost otherwise."""
+        return self.status in CONNECTION_LOST and not self.note
+
 
 @dataclass(slots=True, frozen=True)
 class FirstToken:
--- /dev/null
+++ b/ringledge/routing/observations.py
@@ -0,0 +1,120 @@
+"""Updates a router's estimates by the outcomes of attempts; the types are in ``interface.py``.
+
+Nothing is decided here.
+"""
+
+from __future__ import annotations
+
+from math import inf
+
+from ringledge.routing.concurrency_limit import WAIT_SHARE, ConcurrencyLimit
+from ringledge.routing.context import RoutingContext
+from ringledge.routing.estimates import PREFILL_OVERHEAD_TOKENS, Estimates
+from ringledge.routing.events import AttemptOutcome, AttemptStatus
+from ringledge.routing.fleet import FleetState
+from ringledge.routing.settings import Role
+from ringledge.routing.state import ANY_REQUEST, SAMPLE_WEIGHT, SERVER_ERROR, RequestState, Server
+
+# Tuned values: unit, and why.
+FIRST_PREFILLS = 4  # whose fastest sets the rate: the very first may have waited in a queue
+MAX_SLOWDOWN = 4.0  # times the rate so far that one sample counts at most: it may have queued
+STREAM_DECAY = 0.9  # weight of the streams before with each one that ends: about ten count
+MAX_WORK_SAMPLES = 64  # that a mean of requests' work counts at most: a router's mix changes within a day
+
+
+class OutcomeObserver:
+    """Feeds outcomes and first tokens to the estimates and to the concurrency limit."""
+
+    def __init__(
+        self,
+        context: RoutingContext,
+        fleet: FleetState,
+        estimates: Estimates,
+        concurrency_limit: ConcurrencyLimit,
+    ) -> None:
+        self.settings = context.settings
+        self.clock = context.clock
+        self.fleet = fleet
+        self.estimates = estimates
+        self.concurrency_limit = concurrency_limit
+
+    def observe(self, state: RequestState, server: Server, outcome: AttemptOutcome) -> None:
+        """Update the estimates by the outcome of an attempt."""
+        status, now_ms = outcome.status, self.clock.now_ms
+        queued_ms = state.queued_tokens * self.estimates.prefill_ms_per_token
+        delay_ms = max(0.0, outcome.latency_ms - queued_ms)
+        if status == AttemptStatus.PREFILLED:
+            self._observe_prefill_rate(state, server, outcome)
+        if status == AttemptStatus.PREFILLED or (status == AttemptStatus.OK and not state.streaming):
+            self.record_success(state, server, delay_ms)
+        elif status == AttemptStatus.OK:
+            self._observe_stream(state, server)
+        elif not state.streaming and delay_ms > server.delay_of(state).value(now_ms):
+            server.delay_of(state).add(now_ms, delay_ms)  # it would have taken at least so long
+        self._observe_failure(state, server, outcome)
+        if server.role == Role.PREFILL and status in (AttemptStatus.PREFILLED, AttemptStatus.CANCELLED):
+            self._observe_congestion(state, outcome)
+
+    def _observe_failure(self, state: RequestState, server: Server, outcome: AttemptOutcome) -> None:
+        """Count a failure in the scope that it concerns."""
+        status = outcome.status
+        if status == AttemptStatus.ERROR and server.role != Role.PREFILL:
+            server.failures[SERVER_ERROR].add(self.clock.now_ms, 1.0)
+        if outcome.connection_failed:
+            server.failures[ANY_REQUEST].add(self.clock.now_ms, 1.0)
+        elif status in (AttemptStatus.ERROR, AttemptStatus.TIMEOUT) or outcome.rejected:
+            self.record_result(state, server, 1.0)
+
+    def _observe_congestion(self, state: RequestState, outcome: AttemptOutcome) -> None:
+        """Adapt the limit of what is in flight to how long a prefill waited."""
+        estimates, now_ms = self.estimates, self.clock.now_ms
+        target_ms = state.request_class.target_ms
+        wait = (outcome.latency_ms - state.queued_tokens * estimates.prefill_ms_per_token) / target_ms
+        if outcome.status == AttemptStatus.CANCELLED and wait <= WAIT_SHARE:
+            return  # cancelled so early it tells nothing
+        if not self.concurrency_limit.observe_wait(now_ms, wait, state.sent_ms):
+            return
+        servers = [server for server in self.fleet.prefill_servers if server.role == Role.PREFILL]
+        warm = sum(self.fleet.warmth(server, now_ms) for server in servers)
+        token_ms = max(estimates.prefill_ms_per_token, 1e-3)
+        floor = warm * WAIT_SHARE * target_ms / token_ms / self.settings.routers
+        in_flight = state.pending_tokens + PREFILL_OVERHEAD_TOKENS + estimates.prefill_tokens_in_flight()
+        self.concurrency_limit.decrease(now_ms, in_flight, floor)
+
+    def _observe_prefill_rate(self, state: RequestState, server: Server, outcome: AttemptOutcome) -> None:
+        """Seek the rate of an idle prefill server: faster samples count more than slower ones."""
+        estimates = self.estimates
+        known = estimates.prefill_ms_per_token
+        uncached = max(0.0, state.request.prompt_tokens - outcome.cached_tokens)
+        sample = min(outcome.latency_ms / (uncached + PREFILL_OVERHEAD_TOKENS), MAX_SLOWDOWN * known or inf)
+        weight = SAMPLE_WEIGHT / (6 if sample < known else 60)
+        early = len(estimates.completions[server.role]) < FIRST_PREFILLS and sample < known
+        estimates.prefill_ms_per_token += (1.0 if early or not known else weight) * (sample - known)
+
+    def _observe_stream(self, state: RequestState, server: Server) -> None:
+        """An ended stream is a sample of its class's usual duration, and of its server's slowdown."""
+        class_index = state.request.class_index
+        duration_ms = self.clock.now_ms - state.stream_start_ms
+        usual_ms = self.estimates.usual_stream_ms(class_index)
+        change_ms = SAMPLE_WEIGHT / 20 * (duration_ms - usual_ms)
+        self.estimates.class_stream_ms[class_index] = usual_ms + change_ms
+        server.stream_ratio_sum = STREAM_DECAY * server.stream_ratio_sum + duration_ms / usual_ms
+        server.stream_count = STREAM_DECAY * server.stream_count + 1
+
+    def record_success(self, state: RequestState, server: Server, delay_ms: float) -> None:
+        """Include a prefill or an answer's start in the delays and the work; it clears failures."""
+        estimates, now_ms, role = self.estimates, self.clock.now_ms, server.role
+        estimates.completions[role].append(now_ms)
+        estimates.usual_delay[role].add(now_ms, delay_ms)
+        server.delay_of(state).add(now_ms, delay_ms)
+        server.failures.pop(ANY_REQUEST, None)
+        self.record_result(state, server, 0.0)
+        work, mean = estimates.work_tokens(state, server), estimates.mean_work[role]
+        weight = 1 / min(len(estimates.completions[role]), MAX_WORK_SAMPLES)
+        estimates.mean_work[role] = mean + weight * (work - mean) if mean else work
+
+    def record_result(self, state: RequestState, server: Server, failed: float) -> None:
+        """Add a result (1: failed, 0: succeeded) by scope: others' answers don't clear a failure."""
+        for scope in state.failure_scopes:
+            if failed or scope in server.failures:
+                server.failures[scope].add(self.clock.now_ms, failed)
--- /dev/null
+++ b/ringledge/routing/request_lifecycle.py
@@ -0,0 +1,248 @@
+"""The life of a request, from its arrival to its final answer; its types are in ``interface.py``."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ringledge.routing.actions import (
+    GiveUpReason,
+    RejectRequest,
+    ReleaseCache,
+    RoutingAction,
+    SendAttempt,
+    SetTimer,
+    TimerName,
+    TimerToken,
+)
+from ringledge.routing.affinity import SessionAffinities
+from ringledge.routing.context import RoutingContext
+from ringledge.routing.decode import DecodeSelector
+from ringledge.routing.estimates import PREFILL_OVERHEAD_TOKENS, Estimates
+from ringledge.routing.events import (
+    NEVER_RAN,
+    AttemptOutcome,
+    AttemptStatus,
+    ClientDisconnected,
+    FirstToken,
+    Request,
+)
+from ringledge.routing.fleet import FleetState
+from ringledge.routing.observations import OutcomeObserver
+from ringledge.routing.prefill import LATE_WAIT_SHARE, PrefillSelector
+from ringledge.routing.quotas import TenantQuotas
+from ringledge.routing.settings import Idempotency, Role
+from ringledge.routing.state import FailureScope, PossibleRun, RequestState, Server
+from ringledge.routing.termination import cancel_actions, final_answer
+
+# Tuned values: unit, and why.
+WATCH_MULTIPLE = 4.0  # times the usual delay without a sign of life that count as a failure
+
+
+@dataclass(slots=True, frozen=True)
+class LifecycleParts:
+    """The components that a request passes on its way."""
+
+    fleet: FleetState
+    affinities: SessionAffinities
+    quotas: TenantQuotas
+    estimates: Estimates
+    observer: OutcomeObserver
+    prefill_selector: PrefillSelector
+    decode_selector: DecodeSelector
+
+
+class RequestLifecycle:
+    """Owns the open requests and the actions of the event that is being handled.
+
+    Each request gets exactly one final answer, and what it has reserved is released at its end.
+    """
+
+    def __init__(self, context: RoutingContext, parts: LifecycleParts) -> None:
+        self.settings = context.settings
+        self.clock = context.clock
+        self.fleet = parts.fleet
+        self.affinities = parts.affinities
+        self.quotas = parts.quotas
+        self.estimates = parts.estimates
+        self.observer = parts.observer
+        self.prefill_selector = parts.prefill_selector
+        self.decode_selector = parts.decode_selector
+        self.requests = dict[str, RequestState]()  # open ones, by id
+        self.actions = list[RoutingAction]()  # of the event that is being handled
+
+    def begin_event(self) -> list[RoutingAction]:
+        """Begin the list of an event's actions, which its handling fills."""
+        self.actions = []
+        return self.actions
+
+    # Arrival and choice.
+
+    def accept(self, request: Request) -> None:
+        """Open a request; send its first attempt, or give it up."""
+        if request.class_index >= len(self.settings.classes):
+            self.actions.append(RejectRequest(request.request, reason=GiveUpReason.UNKNOWN_CLASS))
+            return
+        self.quotas.record_arrival()
+        request_class = self.settings.classes[request.class_index]
+        priority = self.quotas.priority(request_class, request.tenant)
+        scopes = [FailureScope.of_class(request.class_index)]
+        if request.tenant < len(self.settings.tenants):
+            scopes.append(FailureScope.of_tenant(request.tenant))
+        deadline_ms = self.clock.now_ms + request.expires_in_ms
+        state = RequestState(request, request_class, priority, deadline_ms, scopes)
+        self.requests[request.request] = state
+        self._proceed(state)
+        self._watch(state)
+
+    def _proceed(self, state: RequestState) -> None:
+        """Take the next step of a request with no attempt in flight: prefill, decode, or give up."""
+        selected = self._select(state)
+        if isinstance(selected, GiveUpReason):
+            self._give_up(state, selected)
+        elif state.attempts + (selected.role == Role.PREFILL) >= self.settings.max_attempts:
+            self._give_up(state, GiveUpReason.ATTEMPTS_USED)  # a prefill needs one more, for the decode
+        else:
+            self._send(state, selected)
+
+    def _select(self, state: RequestState) -> Server | GiveUpReason:
+        if state.kv_server is None:
+            return self.prefill_selector.select(state)
+        return self.decode_selector.select(state, state.kv_server) or GiveUpReason.NO_SERVER
+
+    def _send(self, state: RequestState, server: Server) -> None:
+        estimates = self.estimates
+        self.fleet.readmitted.discard(server.entry.server)
+        uncached = estimates.uncached_tokens(state.request, server)
+        decodes = state.kv_server is not None
+        state.prefill_tokens = 0.0 if decodes else uncached
+        state.pending_tokens = uncached if server.role == Role.PREFILL else estimates.decode_tokens(state)
+        server.reserve(state)
+        state.queued_tokens = 0.0 if decodes else server.prefill_tokens + PREFILL_OVERHEAD_TOKENS
+        state.server = server
+        state.sent_ms = self.clock.now_ms
+        state.attempts += 1
+        server.start_credit -= estimates.relative_work(state, server)
+        timeout_ms = None if self.settings.may_cancel else self._watch_timeout_ms(state, server)
+        self.actions.append(SendAttempt(state.request.request, server.entry.server, timeout_ms))
+
+    # The time while a request waits.
+
+    def _watch_timeout_ms(self, state: RequestState, server: Server) -> float:
+        """How long a server may give no sign of life while a request waits: more in a slow fleet."""
+        usual_ms = self.estimates.usual_delay[server.role].value(self.clock.now_ms)
+        expected_ms = usual_ms + state.queued_tokens * self.estimates.prefill_ms_per_token
+        return max(WATCH_MULTIPLE * expected_ms, LATE_WAIT_SHARE * state.request_class.target_ms)
+
+    def check_timeout(self, request: str) -> None:
+        """Check on a request where its timer has fired, if it is still open."""
+        if request in self.requests:
+            self._watch(self.requests[request])
+
+    def _watch(self, state: RequestState) -> None:
+        """Give up a request in time; cancel an attempt without a sign of life since it was sent."""
+        if state.ended or state.streaming:
+            return
+        now_ms = self.clock.now_ms
+        end_ms = state.deadline_ms - self.settings.tick_ms
+        if now_ms >= end_ms:
+            self._give_up(state, GiveUpReason.OUT_OF_TIME)
+            return
+        next_ms = end_ms
+        if state.server is not None:
+            timeout_at_ms = state.sent_ms + self._watch_timeout_ms(state, state.server)
+            if now_ms >= timeout_at_ms:
+                self._time_out(state, state.server)
+            else:
+                next_ms = min(end_ms, timeout_at_ms)
+        token = TimerToken(TimerName.WATCH, state.request.request)
+        self.actions.append(SetTimer(next_ms, token.encode()))
+
+    def _time_out(self, state: RequestState, server: Server) -> None:
+        """Count an attempt as failed; cancel it where another can follow, else it could only fail."""
+        self.observer.record_result(state, server, 1.0)
+        prefills = server.role == Role.PREFILL
+        repeatable = prefills or state.request_class.idempotency != Idempotency.NON_IDEMPOTENT
+        if repeatable and state.attempts + prefills < self.settings.max_attempts:
+            self.actions += cancel_actions(self.settings, state)
+
+    # Attempts.
+
+    def _state_of(self, event: AttemptOutcome | FirstToken) -> RequestState | None:
+        """The request of an event; None where the event is not of the attempt in flight."""
+        state = self.requests.get(event.request)
+        in_flight = state is not None and state.server is not None and event.attempt == state.attempts - 1
+        return state if in_flight else None
+
+    def finish_attempt(self, outcome: AttemptOutcome) -> None:
+        """Learn from an attempt's outcome, and take its request's next step."""
+        state = self._state_of(outcome)
+        if state is None or state.server is None:
+            return
+        server, state.server = state.server, None
+        server.release(state)
+        self.observer.observe(state, server, outcome)
+        if outcome.status == AttemptStatus.PREFILLED:
+            state.kv_server = server
+            self.affinities.bind(state.request, server, self.clock.now_ms)
+        elif outcome.cache_entry_missing:
+            state.kv_server = None
+        if outcome.status not in NEVER_RAN and server.role != Role.PREFILL:
+            state.possible_runs.append(PossibleRun(server, state.sent_ms))
+        if outcome.status != AttemptStatus.PREFILLED and not outcome.idle_connection_closed:
+            state.failed_servers.append(server)
+        state.ended = state.ended or outcome.request_ended
+        if state.ended:
+            self._forget(state)
+        else:
+            self._proceed(state)
+
+    def start_stream(self, event: FirstToken) -> None:
+        """The answer has started: the attempt is the client's, and is not repeated any more."""
+        state = self._state_of(event)
+        if state is None or state.server is None:
+            return
+        server, now_ms = state.server, self.clock.now_ms
+        penalty_ms = 0.0
+        if state.kv_server is not None:
+            cell = state.kv_server.entry.cell
+            remote = server.entry.cell != cell
+            penalty_ms = self.estimates.transfer_penalty_ms(cell) if remote else 0.0
+            self.estimates.fetch_delays[cell, remote].add(now_ms, event.latency_ms)
+        state.streaming = True
+        state.stream_start_ms = now_ms
+        state.kv_server = None
+        server.end_prefill(state)
+        queued_ms = state.queued_tokens * self.estimates.prefill_ms_per_token
+        delay_ms = max(0.0, event.latency_ms - penalty_ms - queued_ms)
+        self.observer.record_success(state, server, delay_ms)
+        if server.role == Role.MIXED:
+            self.affinities.bind(state.request, server, now_ms)
+
+    # Ends.
+
+    def _give_up(self, state: RequestState, reason: GiveUpReason) -> None:
+        """Answer at once, and release what is reserved."""
+        self.actions.append(final_answer(self.settings, state, reason))
+        self._end(state)
+
+    def _end(self, state: RequestState) -> None:
+        state.ended = True
+        self.actions += cancel_actions(self.settings, state)
+        self._forget(state)
+
+    def _forget(self, state: RequestState) -> None:
+        """With no attempt in flight, delete an ended request and release its KV cache entry."""
+        if state.server is None:
+            if state.kv_server is not None:
+                self.actions.append(ReleaseCache(state.request.request))
+            del self.requests[state.request.request]
+
+    def disconnect_client(self, event: ClientDisconnected) -> None:
+        """End a request that nobody waits for."""
+        if event.request in self.requests:
+            self._end(self.requests[event.request])
+
+    def shut_down(self) -> None:
+        """Give up all that has not begun while there is time to answer and to release what is reserved."""
+        for state in [each for each in self.requests.values() if not (each.streaming or each.ended)]:
+            self._give_up(state, GiveUpReason.SHUTDOWN)
--- a/ringledge/routing/server_views.py
+++ b/ringledge/routing/server_views.py
@@ -1,20 +1,23 @@
-"""How a policy sees each server at a moment, for those who ask from outside; it decides nothing."""
+"""How a policy sees each server at a moment, for metrics, xDS and the role planner; it decides nothing."""
 
 from __future__ import annotations
 
 from ringledge.routing.endpoints import Availability, ServerView
-from ringledge.routing.policy import AVOIDED, Policy
+from ringledge.routing.policy import Policy
 from ringledge.routing.state import ANY_REQUEST, DecayingMean
 
+# From this failure probability on a server counts as avoided: it is skipped more often than not.
+AVOIDED_FAILURE_PROBABILITY = 0.5
+
 
 def server_views(policy: Policy, now_ms: float) -> list[ServerView]:
     """Every listed server, by name."""
-    policy.now_ms = now_ms
-    views = []
-    for name, server in sorted(policy.servers.items()):
-        availability, entry = policy.availability(server), server.entry
+    fleet, views = policy.fleet, list[ServerView]()
+    for name, server in sorted(fleet.servers.items()):
+        availability, entry = fleet.availability(server), server.entry
         failures = server.failures.get(ANY_REQUEST, DecayingMean())
-        failure_probability = 1.0 if name in policy.unreachable else failures.value(now_ms)
+        failure_probability = 1.0 if name in fleet.unreachable else failures.value(now_ms)
+        avoided = failure_probability >= AVOIDED_FAILURE_PROBABILITY or availability != Availability.UP
         view = ServerView(
             name,
             server.role,
@@ -22,9 +25,9 @@
             entry.cell,
             availability,
             entry.weight,
-            policy.warmth(server),
+            fleet.warmth(server, now_ms),
             failure_probability,
-            avoided=failure_probability >= AVOIDED or availability != Availability.UP,
+            avoided,
         )
         views.append(view)
     return views
--- a/ringledge/routing/snapshot.py
+++ b/ringledge/routing/snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot of what a policy has learned, as plain values in parts, for the process that succeeds its own.
+"""A snapshot of a policy's estimates, as plain values in parts, for the process that succeeds its own.
 
 The tables' names and rows are a format between versions of the program. Requests under way stay with the old
 process, which finishes them.
@@ -10,10 +10,12 @@
 from itertools import islice
 from typing import Any
 
+from ringledge.routing.affinity import Affinity
 from ringledge.routing.endpoints import Availability, ServerEntry
 from ringledge.routing.policy import Policy
+from ringledge.routing.quotas import ArrivalCount, TokenBucket
 from ringledge.routing.settings import Role
-from ringledge.routing.state import Affinity, DecayingMean, Server
+from ringledge.routing.state import DecayingMean, FailureScope, Server
 
 ROWS_PER_PART = 200
 SERVER_TABLES = ("servers", "in_place", "blame", "prefixes")  # whose rows begin with a server's name
@@ -25,15 +27,18 @@
 
 def _tables(policy: Policy) -> Iterator[tuple[str, Iterator[list[Any]]]]:
     """Each table's name and rows; keys of 64 bits and more go as hex digits."""
-    servers = policy.servers.items()
-    yield "done", ([role.value, at_ms] for role, times in policy.completions.items() for at_ms in times)
-    yield "work", ([role.value, tokens] for role, tokens in policy.mean_work.items())
-    yield "usual", ([role.value, *_mean_fields(value)] for role, value in policy.usual_delay.items())
-    yield "peak", ([role.value, most] for role, most in policy.peak_servers.items())
-    yield "streams", ([index, lasts_ms] for index, lasts_ms in policy.class_stream_ms.items())
-    yield "fetches", ([*key, *_mean_fields(value)] for key, value in policy.fetch_delays.items())
-    yield "room", ([tenant, *room] for tenant, room in policy.quota_buckets.items())
-    yield "recalled", ([name] for name in policy.readmitted)
+    estimates, servers = policy.estimates, policy.fleet.servers.items()
+    yield "done", ([role.value, at_ms] for role, times in estimates.completions.items() for at_ms in times)
+    yield "work", ([role.value, tokens] for role, tokens in estimates.mean_work.items())
+    yield "usual", ([role.value, *_mean_fields(value)] for role, value in estimates.usual_delay.items())
+    yield "peak", ([role.value, peak] for role, peak in policy.fleet.peak_servers.items())
+    yield "streams", ([index, lasts_ms] for index, lasts_ms in estimates.class_stream_ms.items())
+    yield "fetches", ([*key, *_mean_fields(value)] for key, value in estimates.fetch_delays.items())
+    yield (
+        "room",
+        ([tenant, bucket.tokens, bucket.updated_ms] for tenant, bucket in policy.quotas.buckets.items()),
+    )
+    yield "recalled", ([name] for name in policy.fleet.readmitted)
     yield (
         "servers",
         (
@@ -54,7 +59,7 @@
     yield (
         "blame",
         (
-            [name, scope, *_mean_fields(mean)]
+            [name, str(scope), *_mean_fields(mean)]
             for name, server in servers
             for scope, mean in server.failures.items()
         ),
@@ -71,7 +76,7 @@
         "homes",
         (
             [f"{session:x}", affinity.server.entry.server, affinity.cached_tokens, affinity.used_ms]
-            for session, affinity in policy.affinities.items()
+            for session, affinity in policy.affinities.by_session.items()
             if session is not None
         ),
     )
@@ -79,7 +84,8 @@
 
 def dump(policy: Policy) -> Iterator[dict[str, Any]]:
     """All that it has learned, in parts: a table's name and some of its rows."""
-    yield {"pace": [[policy.prefill_ms_per_token, *policy.recent_arrivals]]}
+    arrivals = policy.quotas.recent_arrivals
+    yield {"pace": [[policy.estimates.prefill_ms_per_token, arrivals.requests, arrivals.updated_ms]]}
     for name, rows in _tables(policy):
         while part := list(islice(rows, ROWS_PER_PART)):
             yield {name: part}
@@ -96,49 +102,55 @@
 
 
 def _load_row(policy: Policy, table: str, row: list[Any]) -> None:
+    estimates = policy.estimates
     match table, row:
-        case "pace", [pace, arrived, at_ms]:
-            policy.prefill_ms_per_token, policy.recent_arrivals = pace, (arrived, at_ms)
+        case "pace", [ms_per_token, requests, updated_ms]:
+            estimates.prefill_ms_per_token = ms_per_token
+            policy.quotas.recent_arrivals = ArrivalCount(requests, updated_ms)
         case "work", [role, tokens]:
-            policy.mean_work[Role(role)] = tokens
-        case "done", [role, at_ms]:
-            policy.completions[Role(role)].append(at_ms)
-        case "usual", [role, mean, at_ms]:
-            policy.usual_delay[Role(role)] = DecayingMean(mean, at_ms)
-        case "peak", [role, most]:
-            policy.peak_servers[Role(role)] = max(policy.peak_servers[Role(role)], most)
+            estimates.mean_work[Role(role)] = tokens
+        case "done", [role, updated_ms]:
+            estimates.completions[Role(role)].append(updated_ms)
+        case "usual", [role, mean, updated_ms]:
+            estimates.usual_delay[Role(role)] = DecayingMean(mean, updated_ms)
+        case "peak", [role, peak]:
+            peaks = policy.fleet.peak_servers
+            peaks[Role(role)] = max(peaks[Role(role)], peak)
         case "streams", [index, lasts_ms]:
-            policy.class_stream_ms[index] = lasts_ms
-        case "fetches", [cell, remote, mean, at_ms]:
-            policy.fetch_delays[cell, remote] = DecayingMean(mean, at_ms)
-        case "room", [tenant, room, at_ms]:
-            policy.quota_buckets[tenant] = (room, at_ms)
+            estimates.class_stream_ms[index] = lasts_ms
+        case "fetches", [cell, remote, mean, updated_ms]:
+            estimates.fetch_delays[cell, remote] = DecayingMean(mean, updated_ms)
+        case "room", [tenant, tokens, updated_ms]:
+            policy.quotas.buckets[tenant] = TokenBucket(tokens, updated_ms)
         case "recalled", [name]:
-            policy.readmitted.add(name)
-        case "homes", [key, name, cached, at_ms]:
-            if name in policy.servers:
-                policy.affinities[int(key, 16)] = Affinity(policy.servers[name], cached, at_ms)
+            policy.fleet.readmitted.add(name)
+        case "homes", [key, name, cached, updated_ms]:
+            servers = policy.fleet.servers
+            if name in servers:
+                policy.affinities.by_session[int(key, 16)] = Affinity(servers[name], cached, updated_ms)
 
 
 def _load_server_row(policy: Policy, table: str, row: list[Any]) -> None:
     match table, row:
-        case "servers", [name, started_ms, mean, at_ms, ratio_sum, count, credit, credit_ms, warming_ms]:
-            server = policy.servers.get(name)
+        case "servers", [name, started_ms, mean, updated_ms, ratio_sum, count, credit, credit_ms, warming_ms]:
+            server = policy.fleet.servers.get(name)
             if server is not None and server.entry.started_ms == started_ms:
-                server.delay = DecayingMean(mean, at_ms)
-                server.stream_ratio_sum, server.stream_count = ratio_sum, count
-                server.start_credit, server.start_credit_ms = credit, credit_ms
+                server.delay = DecayingMean(mean, updated_ms)
+                server.stream_ratio_sum = ratio_sum
+                server.stream_count = count
+                server.start_credit = credit
+                server.start_credit_ms = credit_ms
                 server.warming_since_ms = warming_ms
-        case "in_place", [name, mean, at_ms]:
-            _known_server(policy, name).in_place_delay = DecayingMean(mean, at_ms)
-        case "blame", [name, scope, mean, at_ms]:
-            failures = _known_server(policy, name).failures[scope]
-            failures.mean, failures.updated_ms = mean, at_ms
-        case "prefixes", [name, key, at_ms]:
-            _known_server(policy, name).cached_prefixes[int(key, 16)] = at_ms
+        case "in_place", [name, mean, updated_ms]:
+            _known_server(policy, name).in_place_delay = DecayingMean(mean, updated_ms)
+        case "blame", [name, scope, mean, updated_ms]:
+            failures = _known_server(policy, name).failures[FailureScope(scope)]
+            failures.mean, failures.updated_ms = mean, updated_ms
+        case "prefixes", [name, key, updated_ms]:
+            _known_server(policy, name).cached_prefixes[int(key, 16)] = updated_ms
 
 
 def _known_server(policy: Policy, name: str) -> Server:
-    """The server of that name; what is told of one that isn't listed goes nowhere."""
+    """The server of that name; rows of one that isn't listed are dropped with a stand-in."""
     unlisted = ServerEntry(name, 0, 0, 0, Availability.REMOVED)
-    return policy.servers.get(name) or Server(unlisted, Role.MIXED)
+    return policy.fleet.servers.get(name) or Server(unlisted, Role.MIXED)
--- a/tests/compatibility/test_formats.py
+++ b/tests/compatibility/test_formats.py
@@ -58,14 +58,14 @@
     """A new policy that lists the same servers knows after loading what the older one knew."""
     script = learned(seed)
     fresh = Policy(script.settings, seed)
-    entries = tuple(server.entry for server in script.policy.servers.values())
+    entries = tuple(server.entry for server in script.policy.fleet.servers.values())
     fresh.handle(script.now_ms, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, entries))
     for part in golden_parts(seed):
         snapshot.load(fresh, part)
     expected = [part for part in golden_parts(seed) if "peak" not in part]  # the larger count of both stays
     for part in expected:  # an affinity to a server that is listed no more is forgotten
         if "homes" in part:
-            part["homes"] = [row for row in part["homes"] if row[1] in script.policy.servers]
+            part["homes"] = [row for row in part["homes"] if row[1] in script.policy.fleet.servers]
     assert [part for part in snapshot.dump(fresh) if "peak" not in part] == [
         part for part in expected if any(part.values())
     ]
--- a/tests/compatibility/test_traces.py
+++ b/tests/compatibility/test_traces.py
@@ -19,7 +19,7 @@
 
 # A constant of each subsystem with another value: module, name, value.
 MUTANTS: dict[str, tuple[str, str, object]] = {
-    "policy": ("ringledge.routing.policy", "RETRY_AFTER_SHARE", 0.26),
+    "policy": ("ringledge.routing.termination", "RETRY_AFTER_SHARE", 0.26),
     "overload": ("ringledge.decide.overload.admission", "REJECTING_WEIGHT", 0.41),
     "gate": ("ringledge.core.gate", "GIVE_UP_PART", 0.11),
     "leases": ("ringledge.decide.leases.proposer", "EXTEND", 0.26),
--- a/tests/conformance/play.py
+++ b/tests/conformance/play.py
@@ -50,7 +50,7 @@
         for step in row.steps:
             self._take(step)
             self._look()
-        self.seen.entries = len(self.world.policy.affinities)
+        self.seen.entries = len(self.world.policy.affinities.by_session)
 
     def _look(self) -> None:
         """Take down where each request is now."""
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -5,10 +5,10 @@
 from functools import partial
 from typing import Any
 
+from ringledge.routing.endpoint_registry import AFFINITY_TTL_MS, EXPIRY_CHECK_MS
 from ringledge.routing.interface import (
     ServerEntry,
 )
-from ringledge.routing.membership import AFFINITY_TTL_MS, EXPIRY_CHECK_MS
 from tests.world import FLEET, MIXED, READER, WRITER, entry
 
 
--- a/tests/conformance/test_policy.py
+++ b/tests/conformance/test_policy.py
@@ -5,16 +5,20 @@
 
 import pytest
 
+from ringledge.routing.affinity import SessionAffinities
+from ringledge.routing.decode import DecodeSelector
+from ringledge.routing.endpoint_registry import EndpointRegistry
+from ringledge.routing.estimates import Estimates
 from ringledge.routing.interface import (
     Request,
 )
-from ringledge.routing.policy import Policy
-from ringledge.routing.prefill import random_weight
-from ringledge.routing.state import Job, Server
+from ringledge.routing.prefill import PrefillSelector, random_weight
+from ringledge.routing.request_lifecycle import RequestLifecycle
+from ringledge.routing.state import RequestState, Server
 from tests.conformance.play import play
 from tests.conformance.rows import BY_ID, ROWS, Row
 
-bind, choose, arrive = Policy._bind, Policy._choose_decode, Policy._accept
+bind, choose, arrive = SessionAffinities.bind, DecodeSelector.select, RequestLifecycle.accept
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.id)
@@ -22,12 +26,12 @@
     assert not play(row), row.says
 
 
-def bound_once(self: Any, job: Job, server: Server) -> None:
+def bound_once(self: Any, request: Request, server: Server, now_ms: float) -> None:
     """The age does not begin anew."""
-    before = self.affinities.get(job.request.session)
-    bind(self, job, server)
+    before = self.get(request.session)
+    bind(self, request, server, now_ms)
     if before is not None:
-        self.affinities[job.request.session] = before
+        self.by_session[request.session] = before
 
 
 def by(key: Callable[[Any, Request], Any]) -> Any:
@@ -35,57 +39,68 @@
 
     def ranking(self: Any, request: Request) -> list[Server]:
         text = f"{key(self, request)}"
-        return sorted(self.prefill_servers, key=lambda server: random_weight(text, server))
+        return sorted(self.fleet.prefill_servers, key=lambda server: random_weight(text, server))
 
     return ranking
 
 
 def by_remainder(self: Any, request: Request) -> list[Server]:
     """In place of the highest random weight."""
-    first = (request.prefix or request.session or 0) % len(self.prefill_servers)
-    return [*self.prefill_servers[first:], *self.prefill_servers[:first]]
+    first = (request.prefix or request.session or 0) % len(self.fleet.prefill_servers)
+    return [*self.fleet.prefill_servers[first:], *self.fleet.prefill_servers[:first]]
 
 
 def chosen_ahead(self: Any, request: Request) -> None:
     """The writer is chosen when the request comes, and kept to."""
     arrive(self, request)
-    job = self.jobs[request.request]
-    self.__dict__.setdefault("chosen", {})[request] = choose(self, job, job.server or self.prefill_servers[0])
+    state, selector = self.requests[request.request], self.decode_selector
+    chosen = choose(selector, state, state.server or self.fleet.prefill_servers[0])
+    selector.__dict__.setdefault("chosen", {})[request] = chosen
 
 
-def in_cell(self: Any, _: Job, reader: Server) -> Server | None:
-    return next((server for server in self.decode_servers if server.entry.cell == reader.entry.cell), None)
+def in_cell(self: Any, _: RequestState, reader: Server) -> Server | None:
+    return next(
+        (server for server in self.fleet.decode_servers if server.entry.cell == reader.entry.cell), None
+    )
 
 
 def least_pending(self: Any, *_: Any) -> Any:
-    return min(self.decode_servers, key=lambda server: server.pending_tokens)
+    return min(self.fleet.decode_servers, key=lambda server: server.pending_tokens)
 
 
-MUTANTS: tuple[tuple[str, dict[str, Any]], ...] = (
-    ("home-holds mixed-home", {"_bind": lambda *_: None}),
-    ("home-slides", {"_bind": bound_once}),
-    ("home-ages home-reaped", {"_expire": lambda self: None}),
-    ("hash-beginning", {"_ranking": by(lambda _, request: request.session)}),
-    ("hash-agrees", {"_ranking": by(lambda self, request: (self.settings.router, request.prefix))}),
-    ("hash-session", {"_ranking": by(lambda self, request: (self.settings.router, request.session))}),
-    ("hash-leaver hash-comer", {"_ranking": by_remainder}),
+MUTANTS: tuple[tuple[str, dict[tuple[type, str], Any]], ...] = (
+    ("home-holds mixed-home", {(SessionAffinities, "bind"): lambda *_: None}),
+    ("home-slides", {(SessionAffinities, "bind"): bound_once}),
+    ("home-ages home-reaped", {(EndpointRegistry, "expire"): lambda self: []}),
+    ("hash-beginning", {(PrefillSelector, "ranking"): by(lambda _, request: request.session)}),
+    (
+        "hash-agrees",
+        {(PrefillSelector, "ranking"): by(lambda self, request: (self.settings.router, request.prefix))},
+    ),
+    (
+        "hash-session",
+        {(PrefillSelector, "ranking"): by(lambda self, request: (self.settings.router, request.session))},
+    ),
+    ("hash-leaver hash-comer", {(PrefillSelector, "ranking"): by_remainder}),
     (
         "late-leaver late-comer",
         {
-            "_accept": chosen_ahead,
-            "_choose_decode": lambda self, job, _: self.chosen[job.request],
+            (RequestLifecycle, "accept"): chosen_ahead,
+            (DecodeSelector, "select"): lambda self, state, _: self.chosen[state.request],
         },
     ),
-    ("near-alike", {"_choose_decode": lambda self, *_: self.rng.choice(self.decode_servers)}),
-    ("near-slightly", {"_choose_decode": least_pending}),
-    ("far-clearly far-else-any", {"_choose_decode": in_cell}),
-    ("tokens-bound", {"_decode_tokens": lambda _, job: job.request.prompt_tokens}),
-    ("tokens-hint", {"_decode_tokens": lambda _, job: job.request.max_output_tokens / 2}),
+    ("near-alike", {(DecodeSelector, "select"): lambda self, *_: self.rng.choice(self.fleet.decode_servers)}),
+    ("near-slightly", {(DecodeSelector, "select"): least_pending}),
+    ("far-clearly far-else-any", {(DecodeSelector, "select"): in_cell}),
+    ("tokens-bound", {(Estimates, "decode_tokens"): lambda _, state: state.request.prompt_tokens}),
+    ("tokens-hint", {(Estimates, "decode_tokens"): lambda _, state: state.request.max_output_tokens / 2}),
 )
 
 
 @pytest.mark.parametrize(("rows", "broken"), MUTANTS, ids=[rows for rows, _ in MUTANTS])
-def test_a_broken_claim_is_caught(monkeypatch: pytest.MonkeyPatch, rows: str, broken: dict[str, Any]) -> None:
-    for name, function in broken.items():
-        monkeypatch.setattr(Policy, name, function)
+def test_a_broken_claim_is_caught(
+    monkeypatch: pytest.MonkeyPatch, rows: str, broken: dict[tuple[type, str], Any]
+) -> None:
+    for (component, name), function in broken.items():
+        monkeypatch.setattr(component, name, function)
     assert all(play(BY_ID[row]) for row in rows.split())
--- a/tests/core/test_send_guard.py
+++ b/tests/core/test_send_guard.py
@@ -156,7 +156,7 @@
     asked.world.outcome("a", AttemptStatus.CONNECT_FAILED)
     asked.attempt = asked.next()
     policy = asked.world.policy
-    policy.jobs["a"].possible_runs.append(PossibleRun(policy.servers["w0"], asked.now_ms))
+    policy.requests["a"].possible_runs.append(PossibleRun(policy.fleet.servers["w0"], asked.now_ms))
     assert asked.refusal() is SendRefusal.REPEAT_LATE
 
 
--- a/tests/routing/test_batching_servers.py
+++ b/tests/routing/test_batching_servers.py
@@ -38,15 +38,15 @@
 
 def warmed(w: World, pace_ms: float = 0.05) -> World:
     """Let a router know the pace, and that all roles have got work done."""
-    w.policy.prefill_ms_per_token = pace_ms
+    w.policy.estimates.prefill_ms_per_token = pace_ms
     for role in Role:
-        w.policy.completions[role].extend([w.now_ms] * 8)
+        w.policy.estimates.completions[role].extend([w.now_ms] * 8)
     return w
 
 
 def finish(w: World, name: str, load: LoadReport | None = None) -> None:
     """Answer for whatever servers a request is sent to, to its end."""
-    if w.policy.servers[w.at[name]].role == Role.PREFILL:
+    if w.policy.fleet.servers[w.at[name]].role == Role.PREFILL:
         w.outcome(name, AttemptStatus.PREFILLED, load=load)
     w.first(name)
     w.outcome(name, AttemptStatus.OK, request_ended=True, load=load)
@@ -86,7 +86,7 @@
 def test_a_mixed_server_whose_memory_is_full_gets_no_state_while_its_queue_is_empty() -> None:
     kinds = tuple(ServerKind(role, 100_000.0) for role in (Role.PREFILL, Role.DECODE, Role.MIXED))
     w = warmed(World((entry("r0", READER), entry("m0", MIXED), entry("m1", MIXED)), kinds=kinds, routers=1))
-    w.policy.servers["m0"].pending_tokens = 120_000.0
+    w.policy.fleet.servers["m0"].pending_tokens = 120_000.0
     for number in range(12):
         w.read(f"q{number}", session=number, prompt_tokens=3_000)
         assert w.at[f"q{number}"] == "m1"
@@ -100,7 +100,7 @@
     w = warmed(World(BOTH, seed, classes=(patient,)))
     w.request("long", session=1, prompt_tokens=60_000, expires_in_ms=15_000)
     behind = w.at["long"]
-    assert w.policy.servers[behind].role == Role.PREFILL
+    assert w.policy.fleet.servers[behind].role == Role.PREFILL
     for number in range(20):
         w.request(f"q{number}", session=100 + number, prompt_tokens=600)
         assert w.at[f"q{number}"] != behind
@@ -125,7 +125,7 @@
     refused = Counter[int]()
     for seed in range(40):
         w = warmed(World(seed=seed, classes=(SAFE, WORTHY)))
-        for server in w.policy.servers.values():
+        for server in w.policy.fleet.servers.values():
             server.delay.add(w.now_ms, 0.0)
             server.delay.mean = 850.0
         for index in (0, 1):
@@ -175,7 +175,7 @@
         known = {"prefix": number % 5 + 1, "prefix_tokens": 500 if length == 600 else 5_000}
         w.request(name, session=number % 30, prompt_tokens=length, expires_in_ms=times * 5000, **known)
         went.append(w.at[name])
-        if w.policy.servers[w.at[name]].role == Role.PREFILL:
+        if w.policy.fleet.servers[w.at[name]].role == Role.PREFILL:
             w.outcome(name, AttemptStatus.PREFILLED, latency_ms=times * rng.uniform(20, 120))
             went.append(w.at[name])
         w.give(FirstToken(name, w.attempts[name], w.at[name], times * rng.uniform(20, 60)))
--- a/tests/routing/test_mixed_prefill.py
+++ b/tests/routing/test_mixed_prefill.py
@@ -19,7 +19,7 @@
 
 
 def first_in_rank(key: int) -> str:
-    servers = World(FLEET).policy.servers
+    servers = World(FLEET).policy.fleet.servers
     return max(NAMES, key=lambda name: random_weight(f"p{key}", servers[name]))
 
 
@@ -30,10 +30,10 @@
 def world(seed: int = 1) -> World:
     """A router that knows the pace, and that the mixed server, which alone decodes, caches the prefix."""
     w = World(FLEET, seed)
-    w.policy.prefill_ms_per_token = 0.05
+    w.policy.estimates.prefill_ms_per_token = 0.05
     for role in Role:
-        w.policy.completions[role].extend([w.now_ms] * 8)
-    w.policy.servers["m0"].cached_prefixes[HOMED] = w.now_ms
+        w.policy.estimates.completions[role].extend([w.now_ms] * 8)
+    w.policy.fleet.servers["m0"].cached_prefixes[HOMED] = w.now_ms
     return w
 
 
@@ -59,7 +59,7 @@
 
 def test_what_is_prefilled_in_place_is_a_queue_until_its_first_token() -> None:
     w = world()
-    m0 = w.policy.servers["m0"]
+    m0 = w.policy.fleet.servers["m0"]
     w.request("q", session=1, **PREFIX)
     assert (w.at["q"], m0.prefill_tokens) == ("m0", 1_000)
     w.first("q")
@@ -73,7 +73,7 @@
     """Three prefills of 250 ms each: the last is not called silent after half of the target of 1 s."""
     w = world()
     for name in ("r0", "r1"):
-        w.policy.servers[name].delay.add(w.now_ms, 5_000)
+        w.policy.fleet.servers[name].delay.add(w.now_ms, 5_000)
     for number in range(3):
         w.request(f"q{number}", session=number, **(PREFIX | {"prompt_tokens": 9_000}))
     assert {w.at[f"q{number}"] for number in range(3)} == {"m0"}
@@ -85,7 +85,7 @@
 
 def test_first_tokens_after_a_fetch_do_not_tell_how_long_prefills_wait() -> None:
     w = world()
-    m0 = w.policy.servers["m0"]
+    m0 = w.policy.fleet.servers["m0"]
     w.request("q", session=1, **PREFIX)
     w.now_ms += 700
     w.give(FirstToken("q", 0, "m0", 700))
@@ -99,8 +99,8 @@
 def test_a_further_try_after_a_lost_connection_is_counted_once() -> None:
     w = world()
     for name in ("r0", "r1"):
-        w.policy.servers[name].cached_prefixes[HOMED] = w.now_ms
+        w.policy.fleet.servers[name].cached_prefixes[HOMED] = w.now_ms
     w.request("q", session=1, **PREFIX)
     assert sends(w.outcome("q", AttemptStatus.CONNECT_FAILED, latency_ms=2))
-    counted = {name: server.prefill_tokens for name, server in w.policy.servers.items()}
+    counted = {name: server.prefill_tokens for name, server in w.policy.fleet.servers.items()}
     assert counted == {name: 1_000 if name == w.at["q"] else 0 for name in counted}
--- a/tests/routing/test_shared_queue.py
+++ b/tests/routing/test_shared_queue.py
@@ -18,8 +18,8 @@
     for number in range(20):
         w.serve(f"a{number}", session=number)
     for name in ("r0", "r1", "r2", "r3"):
-        w.policy.servers[name].delay.add(w.now_ms, 10 * wait_ms)
-        w.policy.servers[name].delay.mean = wait_ms
+        w.policy.fleet.servers[name].delay.add(w.now_ms, 10 * wait_ms)
+        w.policy.fleet.servers[name].delay.mean = wait_ms
     return bool(finals(w.request("q", class_index=index, session=99)))
 
 
--- a/tests/routing/test_shedding.py
+++ b/tests/routing/test_shedding.py
@@ -59,7 +59,7 @@
         world.outcome(f"a{number}", AttemptStatus.PREFILLED, latency_ms=latency_ms)
         world.first(f"a{number}")
         world.outcome(f"a{number}", AttemptStatus.OK, request_ended=True)
-    assert world.policy.prefill_ms_per_token < 0.1
+    assert world.policy.estimates.prefill_ms_per_token < 0.1
 
 
 def test_a_tenant_keeps_its_part_of_what_comes_while_peers_are_down() -> None:
@@ -72,7 +72,7 @@
         for number in range(48):  # 16 a second are the quotas of both routers together; this one gets all
             world.now_ms += 62.5
             world.request(f"a{number}", session=number, tenant=number % 2 if both else 0)
-            judged.append(world.policy.jobs[f"a{number}"].value < 1)
+            judged.append(world.policy.requests[f"a{number}"].priority < 1)
             world.end(f"a{number}")
         over[both] = sum(judged)
     assert over[True] <= 8 and over[False] >= 16
@@ -82,9 +82,9 @@
     world = World()
     for number in range(8):
         world.serve(f"a{number}", session=number)
-    before = world.policy.prefill_ms_per_token
+    before = world.policy.estimates.prefill_ms_per_token
     for number in range(10):
         world.request(f"b{number}", session=100 + number)
         world.outcome(f"b{number}", AttemptStatus.PREFILLED, latency_ms=1000, note=1000)  # all was cached
         world.end(f"b{number}")
-    assert world.policy.prefill_ms_per_token < 1.5 * before
+    assert world.policy.estimates.prefill_ms_per_token < 1.5 * before
--- a/tests/routing/test_slow_servers.py
+++ b/tests/routing/test_slow_servers.py
@@ -129,9 +129,15 @@
             world.serve(f"a{day}-{number}", session=100 * day + number, prefix=1000 * day + number)
         world.wait(70_000)
         policy = world.policy
-        kept = len(policy.servers) + len(policy.affinities) + len(policy.jobs) + len(policy.rankings)
-        kept += len(policy.fetch_delays) + len(policy.spill_chance)
-        sizes.append(kept + sum(len(each.cached_prefixes) for each in policy.servers.values()))
+        kept = (
+            len(policy.fleet.servers)
+            + len(policy.affinities.by_session)
+            + len(policy.requests)
+            + len(policy.fleet.rankings)
+        )
+        spill_chance = policy.fleet.spill_chance
+        kept += len(policy.estimates.fetch_delays) + len(spill_chance.by_cell) + len(spill_chance.by_zone)
+        sizes.append(kept + sum(len(each.cached_prefixes) for each in policy.fleet.servers.values()))
     assert max(sizes) < 1.5 * sizes[0]
 
 
--- a/tests/routing/test_snapshot.py
+++ b/tests/routing/test_snapshot.py
@@ -18,10 +18,10 @@
 
 def taken_over(old: World, **settings: int) -> World:
     """A fresh router that was told what the old one knows."""
-    new = World(tuple(each.entry for each in old.policy.servers.values()), seed=2, **settings)
+    new = World(tuple(each.entry for each in old.policy.fleet.servers.values()), seed=2, **settings)
     new.now_ms = old.now_ms
     for part in snapshot.dump(old.policy):
-        new.policy.now_ms = new.now_ms
+        new.policy.clock.now_ms = new.now_ms
         snapshot.load(new.policy, orjson.loads(orjson.dumps(part)))
     return new
 
@@ -34,7 +34,7 @@
     old.read("b1")
     old.outcome("b1", AttemptStatus.RESET)
     new = taken_over(old)
-    assert new.policy.prefill_ms_per_token == old.policy.prefill_ms_per_token > 0
+    assert new.policy.estimates.prefill_ms_per_token == old.policy.estimates.prefill_ms_per_token > 0
     assert server_views(new.policy, new.now_ms) == server_views(old.policy, old.now_ms)
     assert {new.read(f"c{session}", session=session) == home for session, home in homes.items()} == {True}
 
@@ -46,7 +46,7 @@
         old.serve(f"a{number}", session=number)
     cold = tuple(replace(each, started_ms=old.now_ms) for each in FLEET if each.server == "r0")
     old.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
-    fleet = tuple(each.entry for each in old.policy.servers.values())
+    fleet = tuple(each.entry for each in old.policy.fleet.servers.values())
     news = [taken_over(old, routers=8), World(fleet, seed=2, routers=8)]
     used = []
     for new in news:
@@ -69,4 +69,4 @@
     world = World()
     before = server_views(world.policy, world.now_ms)
     snapshot.load(world.policy, part)
-    assert server_views(world.policy, world.now_ms) == before and not world.policy.affinities
+    assert server_views(world.policy, world.now_ms) == before and not world.policy.affinities.by_session
--- a/tests/routing/test_writers_memory.py
+++ b/tests/routing/test_writers_memory.py
@@ -44,18 +44,18 @@
     w = world(seed)
     w.request("q", **BIG, class_index=1)
     for n in range(4):
-        near = w.policy.servers[f"w{n}"].entry.cell == w.policy.servers[w.at["q"]].entry.cell
-        w.policy.servers[f"w{n}"].pending_tokens = (1.1 if near else 0.8) * MEMORY
-    reader = w.policy.servers[w.at["q"]]
+        near = w.policy.fleet.servers[f"w{n}"].entry.cell == w.policy.fleet.servers[w.at["q"]].entry.cell
+        w.policy.fleet.servers[f"w{n}"].pending_tokens = (1.1 if near else 0.8) * MEMORY
+    reader = w.policy.fleet.servers[w.at["q"]]
     w.outcome("q", AttemptStatus.PREFILLED)
-    assert w.policy.servers[w.at["q"]].entry.cell != reader.entry.cell
+    assert w.policy.fleet.servers[w.at["q"]].entry.cell != reader.entry.cell
 
 
 def test_where_none_has_room_states_still_go_somewhere() -> None:
     w = world()
     w.request("q", **BIG, class_index=1)
     for n in range(4):
-        w.policy.servers[f"w{n}"].pending_tokens = 2 * MEMORY
+        w.policy.fleet.servers[f"w{n}"].pending_tokens = 2 * MEMORY
     assert sends(w.outcome("q", AttemptStatus.PREFILLED))
 
 
@@ -65,13 +65,13 @@
     held: dict[int, int] = {}
     for share in range(80, 121, 2):
         for n in range(4):
-            w.policy.servers[f"w{n}"].pending_tokens = share / 100 * MEMORY
+            w.policy.fleet.servers[f"w{n}"].pending_tokens = share / 100 * MEMORY
         for index in (0, 1):
             if finals(w.request(f"{share}.{index}", class_index=index)):
                 held.setdefault(index, share)
             w.give(ClientDisconnected(f"{share}.{index}"))
-            w.policy.jobs.clear()
-            for server in w.policy.servers.values():
+            w.policy.requests.clear()
+            for server in w.policy.fleet.servers.values():
                 server.in_flight.clear()
     assert 90 <= held[0] < held[1] <= 110
 
@@ -79,7 +79,7 @@
 def test_nobody_is_turned_away_for_a_memory_that_is_not_told() -> None:
     w = World(classes=(SAFE, WORTHY), routers=1)
     for n in range(4):
-        w.policy.servers[f"w{n}"].pending_tokens = 100 * MEMORY
+        w.policy.fleet.servers[f"w{n}"].pending_tokens = 100 * MEMORY
     assert sends(w.request("q", **BIG))
 
 
@@ -102,8 +102,8 @@
 
 def test_a_cell_whose_writer_is_behind_is_left() -> None:
     w = World(LOPSIDED, kinds=KINDS, classes=(SAFE, WORTHY), routers=1)
-    w.policy.servers["w0"].delay.add(w.now_ms, 3_000)
-    w.policy.servers["w0"].pending_tokens = 20_000
+    w.policy.fleet.servers["w0"].delay.add(w.now_ms, 3_000)
+    w.policy.fleet.servers["w0"].pending_tokens = 20_000
     assert {streaming(w, f"q{n}") for n in range(6)} & {"w1", "w2", "w3", "w4"}
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -5,11 +5,13 @@
 import sys
 import tomllib
 from pathlib import Path
+from types import FunctionType
 
 import pytest
 
 from ringledge.routing.policy import Policy
 from ringledge.routing.simulator_adapter import serve
+from tests.world import SETTINGS
 
 ROOT = Path(__file__).parent.parent
 START = """ROUND wall_ms=1000
@@ -106,9 +108,33 @@
     assert all(len(text.splitlines()) <= 250 for text in texts)
 
 
+# Modules of the decision package that choose nothing: types, state, estimates and translations.
+NO_DECISIONS = {
+    "__init__", "actions", "affinity", "concurrency_limit", "context", "control_events", "endpoints",
+    "estimates", "events", "fleet", "interface", "observations", "server_views", "settings",
+    "simulator_adapter", "simulator_decoder", "simulator_encoder", "snapshot", "state",
+}  # fmt: skip
+
+
+def modules_in_use(component: object) -> set[str]:
+    """The decision modules of a component: its classes', its functions', and those of what it holds."""
+    if not type(component).__module__.startswith("ringledge.routing."):
+        return set()
+    modules = {each.__module__ for each in type(component).__mro__}
+    own = vars(sys.modules[type(component).__module__]).values()
+    modules |= {each.__module__ for each in own if isinstance(each, FunctionType)}
+    found = {
+        module.removeprefix("ringledge.routing.") for module in modules if "ringledge.routing." in module
+    }
+    held = vars(component).values() if hasattr(component, "__dict__") else ()
+    return found.union(*map(modules_in_use, held))
+
+
 def test_every_module_that_chooses_is_named_among_the_decisions() -> None:
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    loaded = {
-        f"ringledge/routing/{cls.__module__.split('.')[-1]}.py" for cls in Policy.__mro__ if cls is not object
-    }
-    assert loaded - {"ringledge/routing/estimates.py"} == set(named)  # what is learned is no choice
+    decisions = {Path(name).stem for name in named}
+    files = {path.stem for path in (ROOT / "ringledge" / "routing").glob("*.py")}
+    assert all(name == f"ringledge/routing/{Path(name).name}" for name in named)
+    assert files - NO_DECISIONS == decisions
+    assert files > NO_DECISIONS
+    assert modules_in_use(Policy(SETTINGS, 1)) - NO_DECISIONS == decisions
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -28,7 +28,7 @@
     home = world.serve("a", session=7)
     other = next(key for key in range(1, 100) if World().serve("x", session=1, prefix=key) != home)
     world.wait(67_000)
-    assert not world.policy.affinities  # the reaper has been
+    assert not world.policy.affinities.by_session  # the reaper has been
     assert world.serve("b", session=7, prefix=other) != home
 
 
@@ -96,13 +96,13 @@
     world = World(fleet)
     for name, hint_ms in (("a", None), ("b", 500.0)):
         world.read(name, session=1, hint_ms=hint_ms)
-    assert world.policy.servers["w"].pending_tokens == (1000 + 200) + (1000 + 10)
+    assert world.policy.fleet.servers["w"].pending_tokens == (1000 + 200) + (1000 + 10)
     world.first("a")
     world.outcome("a", AttemptStatus.OK, request_ended=True)
     world.give(ClientDisconnected("b"))
     world.outcome("b", AttemptStatus.CANCELLED)
-    assert all(server.pending_tokens == 0 for server in world.policy.servers.values())
-    assert not world.policy.jobs
+    assert all(server.pending_tokens == 0 for server in world.policy.fleet.servers.values())
+    assert not world.policy.requests
 
 
 def test_mixed_server_answers_in_place_but_long_unkept_prompts_go_to_readers() -> None:
@@ -130,7 +130,7 @@
         world = World(fleet, seed=session)
         for number in range(4):  # the pace of reads is known
             world.serve(f"p{number}", session=1000 + number)
-        world.policy.servers["r0"].delay.add(world.now_ms, 5_000)  # it is jammed
+        world.policy.fleet.servers["r0"].delay.add(world.now_ms, 5_000)  # it is jammed
         world.request("b", session=5_000 + session, prompt_tokens=3_000)
         assert world.at["b"] == ("m" if helps else "r1")
 
@@ -152,7 +152,7 @@
     chosen = []
     for seed in range(400):
         world = World(fleet, seed=seed)
-        world.policy.servers["w1"].start_credit = 1.0  # it has room, as far as the rule goes
+        world.policy.fleet.servers["w1"].start_credit = 1.0  # it has room, as far as the rule goes
         world.read("a", session=1)
         chosen.append(world.at["a"])
     share = chosen.count("w1") / len(chosen)
@@ -164,9 +164,9 @@
     start = 1_000_000.0 - 1
     fleet = tuple(replace(each, zone=0, started_ms=start * (each.server in fresh)) for each in FLEET)
     world = World(fleet)
-    leave = world.policy.spill_chance
-    assert leave["cell 0"] > 0.3 and leave["cell 1"] < 0  # 0.6 of 2.6 of the writing, half of the reading
+    leave = world.policy.fleet.spill_chance.by_cell
+    assert leave[0] > 0.3 and leave[1] < 0  # 0.6 of 2.6 of the writing, half of the reading
     world.wait(5_000)
-    assert 0.1 < world.policy.spill_chance["cell 0"] < leave["cell 0"]  # they warm
+    assert 0.1 < world.policy.fleet.spill_chance.by_cell[0] < leave[0]  # they warm
     world.wait(6_000)
-    assert abs(world.policy.spill_chance["cell 0"]) < 0.01
+    assert abs(world.policy.fleet.spill_chance.by_cell[0]) < 0.01
--- a/tests/wire/discovery/test_wall_clock.py
+++ b/tests/wire/discovery/test_wall_clock.py
@@ -57,8 +57,7 @@
 
     def warmth(self, server: str) -> float:
         policy = self.conductor.policy
-        policy.now_ms = self.conductor.clock.now_ms()
-        return policy.warmth(policy.servers[server])
+        return policy.fleet.warmth(policy.fleet.servers[server], self.conductor.clock.now_ms())
 
 
 def true_ms() -> float:
