--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -17,7 +17,7 @@
 from ringledge.lifecycle.fingerprint import fingerprint
 from ringledge.memory.endpoint_list import ListError, Listing, convert
 from ringledge.memory.names import Names as Names
-from ringledge.routing import simulator_adapter as wirehost
+from ringledge.routing import simulator_decoder
 from ringledge.routing.interface import (
     RouterSettings,
 )
@@ -175,7 +175,7 @@
             float(told.get("limits", {}).get("cores", 1.0)),
             Path(environ.get("TMPDIR") or tempfile.gettempdir()),
             _known(told.get("known") or {"index": 0, "snapshot": True, "endpoints": []}),
-            wirehost.settings(fields),
+            simulator_decoder.router_settings(fields),
             names,
             extras(environ),
             {key: told[key] for key in PEERS if key in told},
--- a/ringledge/routing/actions.py
+++ b/ringledge/routing/actions.py
@@ -1,4 +1,4 @@
-"""What the decisions ask for; all times are milliseconds (``_ms``)."""
+"""Actions: what the decisions have the caller do; all times are milliseconds (``_ms``)."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class TimerName(StrEnum):
-    """What a timer of the decisions is for: its token begins with the name."""
+    """The purpose of a timer: its token begins with the name."""
 
     WATCH = "look"  # check on a request: followed by a colon and its id
-    MEMBERS = "members"  # ask for the list of servers again
-    EXPIRE = "reap"  # drop what is old
+    MEMBERS = "members"  # request the list of servers again
+    EXPIRE = "reap"  # delete what is old
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,10 +45,10 @@
 
 
 class GiveUpReason(StrEnum):
-    """Why a request was refused or failed."""
+    """Why a request was rejected or failed."""
 
     UNKNOWN_CLASS = "unknown_class"
-    NO_SERVER = "no_server"  # none that is up may get it: none listed, all cold, or all have failed it
+    NO_SERVER = "no_server"  # none is eligible: none listed, all cold, or all have failed it
     MEMORY_SHORT = "memory_short"  # of the decode servers
     TOKENS_IN_FLIGHT = "tokens_in_flight"  # the concurrency limit
     WAIT_TOO_LONG = "wait_too_long"  # at the prefill servers
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `Timer` event at a clock reading."""
+    """Have a `TimerFired` event delivered at a clock reading."""
 
     at_ms: float
     token: str
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: refused, and a retry does no harm; where a time is told, it is for after that."""
+    """Final answer: rejected, and a retry does no harm, after `retry_after_ms` where that is set."""
 
     request: str
     retry_after_ms: float | None = None
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer: failed, with nothing promised about the effect."""
+    """Final answer: failed; the request may or may not have taken effect."""
 
     request: str
     reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for the log alone
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt; its outcome still comes."""
 
     request: str
     attempt: int
@@ -99,26 +99,26 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbeServer:
-    """Ask a server for its load."""
+    """Probe a server for its load report."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
 class PollEndpoints:
-    """Ask for the whole list of servers once."""
+    """Request the complete list of servers once."""
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Ask for changes of the list from now on."""
+    """Subscribe to changes of the list, or with `active` false end that."""
 
     active: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """A line for the operators."""
+    """A log message for the operators."""
 
     text: str
 
--- a/ringledge/routing/concurrency_limit.py
+++ b/ringledge/routing/concurrency_limit.py
@@ -17,11 +17,11 @@
 DECREASE_FACTOR = 0.7  # of the limit, or of what is in flight if less, that a wait leaves: as on networks
 INCREASE_TOKENS = 600.0  # by which a prefill without a wait raises the limit: about a short prefill
 LIFT_AFTER_MS = 3_000.0  # ms without congestion after which nothing is limited: a few times a congested wait
-BASE_VALUE = 0.3  # added to each request's value: the least worth is turned away first, not alone
+BASE_PRIORITY = 0.3  # added to each request's priority: the lowest is rejected first, not alone
 
 
 class ConcurrencyLimit:
-    """The limit of one router."""
+    """The limit of one router: `inf` while there is none."""
 
     def __init__(self) -> None:
         self.limit_tokens = inf
@@ -30,7 +30,7 @@
         self.uncongested_ms = -inf  # last prefill without a wait
 
     def observe_wait(self, now_ms: float, wait_share: float, sent_ms: float) -> bool:
-        """Record a prefill that ended, or was given up, after a wait beyond its own work.
+        """Record a prefill that ended, or was cancelled, after a wait beyond its own work.
 
         `wait_share` is that wait as a share of the target time. Returns whether it calls for a decrease.
         """
@@ -44,15 +44,15 @@
             return sent_ms >= self.decreased_ms  # sent before the last decrease, it tells of its cause
         return False
 
-    def decrease(self, now_ms: float, in_flight: float, floor: float) -> None:
-        """Limit what is in flight; `floor` is no congestion even if all routers have as much in flight."""
-        self.limit_tokens = max(floor, DECREASE_FACTOR * min(self.limit_tokens, in_flight))
+    def decrease(self, now_ms: float, in_flight_tokens: float, floor_tokens: float) -> None:
+        """Limit what is in flight; `floor_tokens` congest nothing, even at every router at once."""
+        self.limit_tokens = max(floor_tokens, DECREASE_FACTOR * min(self.limit_tokens, in_flight_tokens))
         self.decreased_ms = now_ms
 
-    def admits(self, in_flight: float, tokens: float, value: float, chance: float) -> bool:
-        """Whether a prefill of that many tokens and a value of at most 1 may be sent.
+    def admits(self, in_flight_tokens: float, tokens: float, priority: float, draw: float) -> bool:
+        """Whether a prefill of that many tokens, at a priority of at most 1, may be sent.
 
-        `chance` is drawn evenly from 0 to 1: were all routers to hold a prefill back at once, nothing would
-        tell when the congestion is over.
+        `draw` is uniform from 0 to 1: were all routers to hold a prefill back at once, nothing would tell
+        when the congestion is over.
         """
-        return in_flight + chance * tokens / (BASE_VALUE + value) < self.limit_tokens
+        return in_flight_tokens + draw * tokens / (BASE_PRIORITY + priority) < self.limit_tokens
--- a/ringledge/routing/control_events.py
+++ b/ringledge/routing/control_events.py
@@ -1,4 +1,4 @@
-"""What operators and the process itself tell the decisions."""
+"""Events from operators, from the role planner and from the process itself."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Shutdown:
-    """The process is about to end: what has not begun by now has no time left."""
+    """Graceful shutdown ends: what has not begun by now has no time left."""
 
 
 @dataclass(slots=True, frozen=True)
 class UnreachableServers:
-    """The servers that no connection reaches just now; it replaces what was said before."""
+    """The servers that no connection reaches now; it replaces the previous set."""
 
     servers: frozenset[str]
 
 
 @dataclass(slots=True, frozen=True)
 class RolePlan:
-    """Servers of mixed kinds that get nothing new of one role; it replaces what was said before."""
+    """Servers of mixed kinds that get nothing new of one role; it replaces the previous plan."""
 
     no_prefill: frozenset[str] = frozenset()
     no_decode: frozenset[str] = frozenset()
--- a/ringledge/routing/endpoints.py
+++ b/ringledge/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""The list of servers, and how the decisions see each of them; all times are milliseconds (``_ms``)."""
+"""The list of servers and its updates; all times are milliseconds (``_ms``)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What a membership event holds: changes, the whole list, the persisted list, or a failure."""
+    """What an update holds: changes, the complete list, the persisted list, or a failure to read it."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -35,13 +35,13 @@
     cell: int
     availability: Availability
     weight: float = 1.0
-    started_ms: float = 0.0  # clock reading, as it is told; 0: long ago
+    started_ms: float = 0.0  # clock reading of whoever wrote the list; 0: long ago
     started_here_ms: float | None = None  # the same on the router's own clock, where that differs
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """News about the list of servers."""
+    """An update of the list of servers."""
 
     kind: EndpointUpdateKind
     version: int = 0
@@ -58,6 +58,6 @@
     cell: int
     availability: Availability
     weight: float
-    warmth: float  # 1: warm; less: the part of its capacity that it is trusted with
-    failure_probability: float  # how likely it fails what it is sent
-    avoided: bool  # it gets nothing new, or hardly
+    warmth: float  # 1: warm; less while it warms up: the part of its capacity that it is trusted with
+    failure_probability: float  # of an attempt there
+    avoided: bool  # it gets few new requests or none
--- a/ringledge/routing/events.py
+++ b/ringledge/routing/events.py
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request; exactly one final answer is owed."""
+    """A client's request, which gets exactly one final answer. `request` is its id."""
 
     request: str
     expires_in_ms: float
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FirstToken:
-    """The answer has started: the attempt is the client's now."""
+    """The answer of an attempt has started; it is forwarded to the client."""
 
     request: str
     attempt: int
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has left; nothing more is owed."""
+    """The client has disconnected; no answer is needed any more."""
 
     request: str
 
@@ -132,6 +132,6 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer has fallen due."""
+    """A timer has fired; the token is the one that it was set with."""
 
     token: str
--- a/ringledge/routing/interface.py
+++ b/ringledge/routing/interface.py
@@ -1,7 +1,7 @@
-"""What goes into and comes out of the decision module: settings, events and actions.
+"""The interface of the decision module: settings, events in, and actions out.
 
 Nothing is decided here. All times are milliseconds (``_ms``): clock readings where the name says so,
-else lengths. A field that a deployment does not tell is ``None`` or empty.
+else durations. A field that a deployment does not set is ``None`` or empty.
 """
 
 from __future__ import annotations
--- a/ringledge/routing/settings.py
+++ b/ringledge/routing/settings.py
@@ -1,4 +1,4 @@
-"""What a router is told once, at its start; a field that a deployment does not tell is ``None`` or empty."""
+"""The settings of a router; a field that a deployment does not set is ``None`` or empty."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class MembershipMode(Enum):
-    """How the list of servers comes: by itself, or only when asked or subscribed to."""
+    """How the list of servers comes: pushed, or only when polled or subscribed to."""
 
     PUSH = "push"
     POLL = "ask"
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant and its share."""
+    """One tenant: its expected fraction of the requests, and its quota in requests a second."""
 
     fraction: float = 1.0
     quota_per_s: float | None = None
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerKind:
-    """One kind of machine."""
+    """One kind of server."""
 
     role: Role
     memory_tokens: float | None = None
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterSettings:
-    """What a router is told once, at its start."""
+    """The settings of one router, fixed from its start."""
 
     classes: tuple[RequestClass, ...]
     kinds: tuple[ServerKind, ...]
--- a/ringledge/routing/simulator_decoder.py
+++ b/ringledge/routing/simulator_decoder.py
@@ -30,14 +30,14 @@
 
 Fields = dict[str, str]
 
-FORMS = {
+UPDATE_KINDS = {
     "Partial": EndpointUpdateKind.CHANGES,
     "Complete": EndpointUpdateKind.FULL,
     "Persisted": EndpointUpdateKind.PERSISTED,
     "Error": EndpointUpdateKind.FAILED,
 }
-AVAILABILITY = {"on": Availability.UP, "fading": Availability.DRAINING, "off": Availability.REMOVED}
-STATUS = {
+AVAILABILITIES = {"on": Availability.UP, "fading": Availability.DRAINING, "off": Availability.REMOVED}
+STATUSES = {
     "1": AttemptStatus.OK,
     "0": AttemptStatus.ERROR,
     "2": AttemptStatus.FULL,
@@ -49,19 +49,19 @@
     "100": AttemptStatus.PREFILLED,
 }
 ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.MIXED}
-EFFECTS = {
+IDEMPOTENCIES = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
 DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
-MEMBERSHIP = {"automatic": MembershipMode.PUSH, "subscribe": MembershipMode.POLL}
-REPORTS = {
+MEMBERSHIP_MODES = {"automatic": MembershipMode.PUSH, "subscribe": MembershipMode.POLL}
+REPORT_SOURCES = {
     "piggyback": LoadReportSource.RESPONSES,
     "pull": LoadReportSource.PROBES,
     "silent": LoadReportSource.NONE,
 }
-LOAD = {
+LOAD_FIELDS = {
     "busy_reqs": "in_flight",
     "pending": "queued",
     "cpu_share": "utilisation",
@@ -71,7 +71,7 @@
 }
 
 
-def flag(text: str) -> bool:
+def boolean(text: str) -> bool:
     """Read a bool, which settings spell as words and fields as digits."""
     values = {"1": True, "true": True, "0": False, "false": False}
     if text not in values:
@@ -84,13 +84,13 @@
     return text.split(",") if text else []
 
 
-def pick(fields: Fields, names: dict[str, tuple[str, Callable[[str], Any]]]) -> dict[str, Any]:
-    """Translate the fields that are there; the rest keeps the interface's 'not told'."""
-    return {ours: read(fields[theirs]) for ours, (theirs, read) in names.items() if theirs in fields}
+def translate(fields: Fields, names: dict[str, tuple[str, Callable[[str], Any]]]) -> dict[str, Any]:
+    """Translate the fields that are there; the others get the interface's defaults."""
+    return {ours: parse(fields[theirs]) for ours, (theirs, parse) in names.items() if theirs in fields}
 
 
-def numbered(fields: Fields, name: str) -> Iterator[Fields]:
-    """The objects of a settings list, each with its own paths."""
+def indexed_objects(fields: Fields, name: str) -> Iterator[Fields]:
+    """The objects of a list in the settings, each with its fields by the rest of their paths."""
     for index in range(int(fields.get(f"{name}.count", 0))):
         start = f"{name}.{index}."
         yield {path[len(start) :]: value for path, value in fields.items() if path.startswith(start)}
@@ -99,12 +99,12 @@
 CLASS_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "target_ms": ("goal_time_ms", float),
     "deadline_ms": ("deadline_ms", float),
-    "idempotency": ("effect", EFFECTS.__getitem__),
+    "idempotency": ("effect", IDEMPOTENCIES.__getitem__),
     "priority_weight": ("worth", float),
     "late_priority_weight": ("late_worth", float),
     "dedup_scope": ("group", DEDUP_SCOPES.__getitem__),
     "dedup_window_ms": ("window_ms", float),
-    "streamed": ("stream", flag),
+    "streamed": ("stream", boolean),
 }
 TENANT_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "fraction": ("fraction", float),
@@ -114,12 +114,12 @@
     "zone": ("zone", int),
     "router": ("position", int),
     "routers": ("replicas_of_me", int),
-    "membership": ("membership_mode", MEMBERSHIP.__getitem__),
-    "reports": ("stats.how", REPORTS.__getitem__),
-    "may_probe": ("caps.may_probe", flag),
-    "may_cancel": ("caps.cancel", flag),
-    "hedging_allowed": ("caps.second_copies", flag),
-    "retry_after": ("caps.retry_after", flag),
+    "membership": ("membership_mode", MEMBERSHIP_MODES.__getitem__),
+    "reports": ("stats.how", REPORT_SOURCES.__getitem__),
+    "may_probe": ("caps.may_probe", boolean),
+    "may_cancel": ("caps.cancel", boolean),
+    "hedging_allowed": ("caps.second_copies", boolean),
+    "retry_after": ("caps.retry_after", boolean),
     "max_retry_after_ms": ("caps.max_retry_after_ms", float),
     "max_attempts": ("caps.max_attempts", int),
     "tick_ms": ("tick_ms", float),
@@ -131,7 +131,7 @@
     "overload_multiple": ("safety.fall_multiple", float),
     "overload_window_ms": ("safety.overload_for_ms", float),
     "release_within_ms": ("specifics.let_go_by_ms", float),
-    "decode_may_prefill": ("specifics.read_in_place", flag),
+    "decode_may_prefill": ("specifics.read_in_place", boolean),
     "over_quota_weight": ("over_share_worth", float),
 }
 REQUEST_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
@@ -145,59 +145,72 @@
     "prompt_tokens": ("prompt_len", float),
     "max_output_tokens": ("n_max", float),
     "hint_ms": ("predicted_ms", float),
-    "retry": ("retry", flag),
-    "reconnect": ("reconnect", flag),
+    "retry": ("retry", boolean),
+    "reconnect": ("reconnect", boolean),
 }
 ENTRY_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "server": ("host", str),
     "zone": ("hall", int),
     "kind": ("hw", int),
     "cell": ("pod", int),
-    "availability": ("availability", AVAILABILITY.__getitem__),
+    "availability": ("availability", AVAILABILITIES.__getitem__),
     "weight": ("scale", float),
     "started_ms": ("launched_ms", float),
 }
 
 
-def settings(fields: Fields) -> RouterSettings:
+def router_settings(fields: Fields) -> RouterSettings:
     """Translate the settings that an instance starts with."""
-    aims = [float(us) / 1000 for us in comma_list(fields.get("specifics.aim_us_per_1000_prompt_tokens", ""))]
-    paces = [float(ms) for ms in comma_list(fields.get("specifics.token_aim_ms", ""))]
-    classes = []
-    for index, entry in enumerate(numbered(fields, "classes")):
-        told = pick(entry, CLASS_FIELDS)
-        if index < len(aims):
-            told["target_per_1000_tokens_ms"] = aims[index]
-        if index < len(paces):
-            told["target_token_ms"] = paces[index]
-        classes.append(RequestClass(**told))
-    memory = [float(tokens) for tokens in comma_list(fields.get("specifics.kind_memory_tokens", ""))]
-    kinds = []
+    classes = tuple(_request_classes(fields))
+    kinds = tuple(_server_kinds(fields))
+    tenants = tuple(Tenant(**translate(entry, TENANT_FIELDS)) for entry in indexed_objects(fields, "tenants"))
+    return RouterSettings(classes, kinds, tenants, **translate(fields, SETTINGS_FIELDS))
+
+
+def _request_classes(fields: Fields) -> Iterator[RequestClass]:
+    """The classes, with the latency objectives that come as lists of their own."""
+    per_1000_tokens_us = _numbers(fields, "specifics.aim_us_per_1000_prompt_tokens")
+    per_token_ms = _numbers(fields, "specifics.token_aim_ms")
+    for index, entry in enumerate(indexed_objects(fields, "classes")):
+        values = translate(entry, CLASS_FIELDS)
+        if index < len(per_1000_tokens_us):
+            values["target_per_1000_tokens_ms"] = per_1000_tokens_us[index] / 1000
+        if index < len(per_token_ms):
+            values["target_token_ms"] = per_token_ms[index]
+        yield RequestClass(**values)
+
+
+def _server_kinds(fields: Fields) -> Iterator[ServerKind]:
+    """The kinds by their roles; memory is known of the first ones, or of none."""
+    memory_tokens = _numbers(fields, "specifics.kind_memory_tokens")
     for index, role in enumerate(comma_list(fields.get("specifics.role_by_kind", ""))):
-        kinds.append(ServerKind(ROLES[role], memory[index] if index < len(memory) else None))
-    tenants = [Tenant(**pick(entry, TENANT_FIELDS)) for entry in numbered(fields, "tenants")]
-    return RouterSettings(tuple(classes), tuple(kinds), tuple(tenants), **pick(fields, SETTINGS_FIELDS))
+        yield ServerKind(ROLES[role], memory_tokens[index] if index < len(memory_tokens) else None)
 
 
-def load(fields: Fields) -> LoadReport | None:
-    """Translate a load report, where one came along."""
+def _numbers(fields: Fields, name: str) -> list[float]:
+    """A list of numbers; empty where there is none."""
+    return [float(text) for text in comma_list(fields.get(name, ""))]
+
+
+def load_report(fields: Fields) -> LoadReport | None:
+    """Translate the load report that came with an event, if any."""
     if "server_stats" not in fields:
         return None
     pairs = [pair.split(":") for pair in comma_list(fields["server_stats"])]
-    return LoadReport(**{LOAD[name]: float(value) for name, value in pairs if name in LOAD})
+    return LoadReport(**{LOAD_FIELDS[name]: float(value) for name, value in pairs if name in LOAD_FIELDS})
 
 
-def outcome(fields: Fields) -> AttemptOutcome:
+def attempt_outcome(fields: Fields) -> AttemptOutcome:
     """Translate the end of an attempt."""
     return AttemptOutcome(
         fields["op_id"],
         int(fields["shot"]),
         fields["host"],
-        STATUS[fields["outcome"]],
+        STATUSES[fields["outcome"]],
         float(fields.get("cost_time_ms", 0)),
-        flag(fields.get("over", "0")),
+        boolean(fields.get("over", "0")),
         int(float(fields.get("note", 0))),
-        load(fields),
+        load_report(fields),
     )
 
 
@@ -207,18 +220,18 @@
     return FirstToken(fields["op_id"], int(fields["shot"]), fields["host"], latency_ms)
 
 
-def probed(fields: Fields) -> ProbeResult:
+def probe_result(fields: Fields) -> ProbeResult:
     """Translate the result of a probe."""
     latency_ms = float(fields.get("cost_time_ms", 0))
-    return ProbeResult(fields["host"], STATUS[fields["outcome"]], latency_ms, load(fields))
+    return ProbeResult(fields["host"], STATUSES[fields["outcome"]], latency_ms, load_report(fields))
 
 
 EVENTS: dict[str, Callable[[Fields], RoutingEvent]] = {
-    "NEW_REQUEST": lambda fields: Request(**pick(fields, REQUEST_FIELDS)),
-    "RESOLVED": outcome,
+    "NEW_REQUEST": lambda fields: Request(**translate(fields, REQUEST_FIELDS)),
+    "RESOLVED": attempt_outcome,
     "STARTED": first_token,
     "CLIENT_GONE": lambda fields: ClientDisconnected(fields["op_id"]),
-    "PING_RESULT": probed,
+    "PING_RESULT": probe_result,
     "RING": lambda fields: TimerFired(fields["cookie"]),
 }
-UNUSED_EVENTS = ("MEMO", "SEAT_NEWS")  # answers to actions that no policy here takes
+IGNORED_EVENTS = ("MEMO", "SEAT_NEWS")  # responses to actions that no policy here takes
--- a/ringledge/routing/snapshot.py
+++ b/ringledge/routing/snapshot.py
@@ -21,69 +21,69 @@
 SERVER_TABLES = ("servers", "in_place", "blame", "prefixes")  # whose rows begin with a server's name
 
 
+Row = list[Any]
+
+
 def _mean_fields(mean: DecayingMean) -> list[float]:
     return [mean.mean, mean.updated_ms]
 
 
-def _tables(policy: Policy) -> Iterator[tuple[str, Iterator[list[Any]]]]:
+def _tables(policy: Policy) -> Iterator[tuple[str, Iterator[Row]]]:
     """Each table's name and rows; keys of 64 bits and more go as hex digits."""
-    estimates, servers = policy.estimates, policy.fleet.servers.items()
+    yield from _estimate_tables(policy)
+    servers = list(policy.fleet.servers.values())
+    yield "servers", map(_server_row, servers)
+    yield "in_place", ([each.entry.server, *_mean_fields(each.in_place_delay)] for each in servers)
+    yield "blame", (row for each in servers for row in _failure_rows(each))
+    yield "prefixes", (row for each in servers for row in _prefix_rows(each))
+    yield "homes", _affinity_rows(policy)
+
+
+def _estimate_tables(policy: Policy) -> Iterator[tuple[str, Iterator[Row]]]:
+    """The tables of estimates that are of no single server."""
+    estimates, buckets = policy.estimates, policy.quotas.buckets.items()
     yield "done", ([role.value, at_ms] for role, times in estimates.completions.items() for at_ms in times)
     yield "work", ([role.value, tokens] for role, tokens in estimates.mean_work.items())
     yield "usual", ([role.value, *_mean_fields(value)] for role, value in estimates.usual_delay.items())
     yield "peak", ([role.value, peak] for role, peak in policy.fleet.peak_servers.items())
-    yield "streams", ([index, lasts_ms] for index, lasts_ms in estimates.class_stream_ms.items())
+    yield "streams", ([index, stream_ms] for index, stream_ms in estimates.class_stream_ms.items())
     yield "fetches", ([*key, *_mean_fields(value)] for key, value in estimates.fetch_delays.items())
-    yield (
-        "room",
-        ([tenant, bucket.tokens, bucket.updated_ms] for tenant, bucket in policy.quotas.buckets.items()),
-    )
+    yield "room", ([tenant, bucket.tokens, bucket.updated_ms] for tenant, bucket in buckets)
     yield "recalled", ([name] for name in policy.fleet.readmitted)
-    yield (
-        "servers",
-        (
-            [
-                name,
-                server.entry.started_ms,
-                *_mean_fields(server.delay),
-                server.stream_ratio_sum,
-                server.stream_count,
-                server.start_credit,
-                server.start_credit_ms,
-                server.warming_since_ms,
-            ]
-            for name, server in servers
-        ),
-    )
-    yield "in_place", ([name, *_mean_fields(server.in_place_delay)] for name, server in servers)
-    yield (
-        "blame",
-        (
-            [name, str(scope), *_mean_fields(mean)]
-            for name, server in servers
-            for scope, mean in server.failures.items()
-        ),
-    )
-    yield (
-        "prefixes",
-        (
-            [name, f"{prefix:x}", used_ms]
-            for name, server in servers
-            for prefix, used_ms in server.cached_prefixes.items()
-        ),
-    )
-    yield (
-        "homes",
-        (
-            [f"{session:x}", affinity.server.entry.server, affinity.cached_tokens, affinity.used_ms]
-            for session, affinity in policy.affinities.by_session.items()
-            if session is not None
-        ),
-    )
+
+
+def _server_row(server: Server) -> Row:
+    return [
+        server.entry.server,
+        server.entry.started_ms,
+        *_mean_fields(server.delay),
+        server.stream_ratio_sum,
+        server.stream_count,
+        server.start_credit,
+        server.start_credit_ms,
+        server.warming_since_ms,
+    ]
+
+
+def _failure_rows(server: Server) -> Iterator[Row]:
+    name = server.entry.server
+    return ([name, str(scope), *_mean_fields(mean)] for scope, mean in server.failures.items())
+
+
+def _prefix_rows(server: Server) -> Iterator[Row]:
+    name = server.entry.server
+    return ([name, f"{prefix:x}", used_ms] for prefix, used_ms in server.cached_prefixes.items())
+
+
+def _affinity_rows(policy: Policy) -> Iterator[Row]:
+    for session, affinity in policy.affinities.by_session.items():
+        if session is not None:
+            name = affinity.server.entry.server
+            yield [f"{session:x}", name, affinity.cached_tokens, affinity.used_ms]
 
 
 def dump(policy: Policy) -> Iterator[dict[str, Any]]:
-    """All that it has learned, in parts: a table's name and some of its rows."""
+    """All estimates, in parts: a table's name and at most `ROWS_PER_PART` of its rows."""
     arrivals = policy.quotas.recent_arrivals
     yield {"pace": [[policy.estimates.prefill_ms_per_token, arrivals.requests, arrivals.updated_ms]]}
     for name, rows in _tables(policy):
@@ -101,7 +101,7 @@
                 _load_row(policy, name, row)
 
 
-def _load_row(policy: Policy, table: str, row: list[Any]) -> None:
+def _load_row(policy: Policy, table: str, row: Row) -> None:
     estimates = policy.estimates
     match table, row:
         case "pace", [ms_per_token, requests, updated_ms]:
@@ -130,7 +130,7 @@
                 policy.affinities.by_session[int(key, 16)] = Affinity(servers[name], cached, updated_ms)
 
 
-def _load_server_row(policy: Policy, table: str, row: list[Any]) -> None:
+def _load_server_row(policy: Policy, table: str, row: Row) -> None:
     match table, row:
         case "servers", [name, started_ms, mean, updated_ms, ratio_sum, count, credit, credit_ms, warming_ms]:
             server = policy.fleet.servers.get(name)
--- a/ringledge/wire/servers/responses.py
+++ b/ringledge/wire/servers/responses.py
@@ -11,7 +11,7 @@
 from ringledge.routing.interface import (
     LoadReport,
 )
-from ringledge.routing.simulator_adapter import LOAD
+from ringledge.routing.simulator_decoder import LOAD_FIELDS
 from ringledge.wire.http.connection import Connection
 
 MAX_CHUNK = 64 * 1024  # bytes of a chunk, and of an opening without an event: events are far shorter
@@ -65,9 +65,9 @@
     """A load report in the names that the settings give."""
     report = as_object(text) if text else {}
     known = {
-        LOAD[name]: float(value)
+        LOAD_FIELDS[name]: float(value)
         for name, value in report.items()
-        if name in LOAD and isinstance(value, int | float) and 0 <= value < MAX_FIGURE
+        if name in LOAD_FIELDS and isinstance(value, int | float) and 0 <= value < MAX_FIGURE
     }
     return LoadReport(**known) if known else None
 
