--- a/tests/conformance/play.py
+++ b/tests/conformance/play.py
@@ -12,7 +12,7 @@
     ServerEntry,
 )
 from tests.conformance.rows import At, Off, Row, Step
-from tests.world import MIXED, WRITER, World
+from tests.router_harness import DECODE_KIND, MIXED_KIND, RouterHarness
 
 SEEDS = 12  # plays of a row, each at another router with a seed of its own
 LISTED = {"leaves": Availability.REMOVED, "drains": Availability.DRAINING, "up": Availability.UP}
@@ -33,9 +33,13 @@
     if not isinstance(told, At | Off):
         return told
     for key in range(1, 200):
-        world = World(fleet)
+        world = RouterHarness(fleet)
         world.request("x", **{what: key})
-        if (world.at["x"] == told.server) if isinstance(told, At) else (world.at["x"] != reads[told.request]):
+        if (
+            (world.server_of["x"] == told.server)
+            if isinstance(told, At)
+            else (world.server_of["x"] != reads[told.request])
+        ):
             return key
     raise AssertionError(f"the hash puts no key there: {told}")
 
@@ -45,7 +49,7 @@
 
     def __init__(self, row: Row, seed: int) -> None:
         self.row, self.seen = row, Seen()
-        self.world = World(row.fleet, seed=seed, router=seed, routers=SEEDS)
+        self.world = RouterHarness(row.fleet, seed=seed, router=seed, routers=SEEDS)
         self.entries = {each.server: each for each in row.fleet}
         for step in row.steps:
             self._take(step)
@@ -54,10 +58,10 @@
 
     def _look(self) -> None:
         """Take down where each request is now."""
-        for name, server in self.world.at.items():
-            if (kind := self.entries[server].kind) != WRITER:
+        for name, server in self.world.server_of.items():
+            if (kind := self.entries[server].kind) != DECODE_KIND:
                 self.seen.reads[name] = server
-            if kind in (WRITER, MIXED):
+            if kind in (DECODE_KIND, MIXED_KIND):
                 self.seen.writes[name] = server
             self.seen.sends[name] = self.world.attempts[name] + 1
 
@@ -71,7 +75,7 @@
             case "read":
                 world.outcome(name, AttemptStatus.PREFILLED)
             case "ends":
-                world.first(name)
+                world.first_token(name)
                 world.outcome(name, AttemptStatus.OK, request_ended=True)
             case "serve":
                 for what in ("ask", "read", "ends"):
@@ -79,18 +83,18 @@
             case "cancelled":
                 world.outcome(name, AttemptStatus.CANCELLED)
             case "rest":
-                world.wait(step.told["ms"])
+                world.advance(step.told["ms"])
             case _:
                 server = self.seen.reads[name[1:]] if name.startswith("@") else name  # who read that
                 entry = replace(self.entries[server], availability=LISTED[step.what])
-                world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,)))
+                world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,)))
 
 
 def failed(row: Row, seen: Seen) -> list[str]:
     """The wants of a row that do not hold in a play."""
     reads, writes = seen.reads, seen.writes
     at_one = [{reads[one], reads[other]} for one, other in row.unless[1]]
-    half = sum(each.kind != WRITER for each in row.fleet) / 2
+    half = sum(each.kind != DECODE_KIND for each in row.fleet) / 2
     wants = {
         "same": all(len({reads[name] for name in names}) == 1 for names in row.same),
         "differ": all(reads[one] != reads[other] for one, other in row.differ),
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -9,7 +9,7 @@
 from ringledge.routing.interface import (
     ServerEntry,
 )
-from tests.world import FLEET, MIXED, READER, WRITER, entry
+from tests.router_harness import DECODE_KIND, FLEET, MIXED_KIND, PREFILL_KIND, server_entry
 
 
 @dataclass(frozen=True)
@@ -70,12 +70,15 @@
 KNOWN = tuple(serve(f"k{n}", session=5000 + n) for n in range(8))  # from here on the pace of reads is known
 READERS = {"r0", "r1", "r2", "r3"}
 KEYS = range(1, 31)
-ONE_MIXED = (entry("m", MIXED), entry("r", READER), entry("w", WRITER))
+ONE_MIXED = (server_entry("m", MIXED_KIND), server_entry("r", PREFILL_KIND), server_entry("w", DECODE_KIND))
 LONG = 100_000
 
 
 def place(cell: int, zone: int, reader: str, writer: str) -> tuple[ServerEntry, ...]:
-    return tuple(replace(entry(n, kind, cell), zone=zone) for n, kind in ((reader, READER), (writer, WRITER)))
+    return tuple(
+        replace(server_entry(n, kind, cell), zone=zone)
+        for n, kind in ((reader, PREFILL_KIND), (writer, DECODE_KIND))
+    )
 
 
 NEAR, MATE, ABROAD = place(0, 0, "r", "near"), place(1, 0, "s", "mate"), place(2, 1, "t", "abroad")
@@ -91,7 +94,7 @@
 
 def beside(**told: Any) -> tuple[Step, ...]:
     """A stream runs at the writer near the reader, as only that one was up; then a request is read there."""
-    others = [each.server for each in PLACES if each.kind == WRITER and each.server != "near"]
+    others = [each.server for each in PLACES if each.kind == DECODE_KIND and each.server != "near"]
     key = {"session": At("r")}
     before = (*(drains(each) for each in others), ask("h", **key, **told), read("h"))
     return (*before, *(up(each) for each in others), ask("a", **key), read("a"))
--- a/tests/core/test_send_guard.py
+++ b/tests/core/test_send_guard.py
@@ -22,17 +22,17 @@
     RequestClass,
 )
 from ringledge.routing.state import PossibleRun
-from tests.world import FLEET, SAFE, UNSAFE, World
+from tests.router_harness import FLEET, IDEMPOTENT, NON_IDEMPOTENT, RouterHarness
 
-KEYED = replace(SAFE, idempotency=Idempotency.KEYED, dedup_window_ms=300.0)
+KEYED = replace(IDEMPOTENT, idempotency=Idempotency.KEYED, dedup_window_ms=300.0)
 
 
 class Asked:
     """A request whose decode attempt has a connection now; in a policy's world."""
 
-    def __init__(self, request_class: RequestClass = SAFE) -> None:
-        self.world = World(classes=(request_class,))
-        self.world.read("a")
+    def __init__(self, request_class: RequestClass = IDEMPOTENT) -> None:
+        self.world = RouterHarness(classes=(request_class,))
+        self.world.prefill("a")
         self.gone = False
         caller: Any = SimpleNamespace(is_disconnected=lambda: self.gone)
         self.record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), caller, self.now_ms)
@@ -44,7 +44,7 @@
 
     def next(self) -> Attempt:
         """The attempt that the policy has chosen last."""
-        server, number = self.world.at["a"], len(self.record.attempts)
+        server, number = self.world.server_of["a"], len(self.record.attempts)
         attempt = Attempt(self.record, number, server, False, True, self.now_ms, self.record.deadline_ms)
         self.record.attempts.append(attempt)
         return attempt
@@ -57,7 +57,7 @@
     def list_says(self, **changed: Any) -> None:
         """News of the server that the attempt goes to."""
         told = next(each for each in FLEET if each.server == self.attempt.server)
-        self.world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (replace(told, **changed),)))
+        self.world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (replace(told, **changed),)))
 
 
 def test_one_that_nothing_speaks_against_may_begin() -> None:
@@ -104,9 +104,9 @@
 
 def test_one_to_a_server_that_operators_excluded_may_not_until_it_is_back() -> None:
     asked = Asked()
-    asked.world.give(OperatorOverride(asked.attempt.server, True))
+    asked.world.deliver(OperatorOverride(asked.attempt.server, True))
     assert asked.refusal() is SendRefusal.SERVER_CLOSED
-    asked.world.give(OperatorOverride(asked.attempt.server, False))
+    asked.world.deliver(OperatorOverride(asked.attempt.server, False))
     assert asked.refusal() is None
 
 
@@ -142,17 +142,17 @@
 
 
 @pytest.mark.parametrize("outcome", [AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT])
-@pytest.mark.parametrize("request_class", [KEYED, UNSAFE])
+@pytest.mark.parametrize("request_class", [KEYED, NON_IDEMPOTENT])
 def test_what_never_ran_is_no_repeat(request_class: RequestClass, outcome: AttemptStatus) -> None:
     assert repeat(request_class, outcome, 2 * KEYED.dedup_window_ms) is None
 
 
 def test_what_may_run_twice_has_no_window() -> None:
-    assert repeat(SAFE, AttemptStatus.RESET, 2 * KEYED.dedup_window_ms) is None
+    assert repeat(IDEMPOTENT, AttemptStatus.RESET, 2 * KEYED.dedup_window_ms) is None
 
 
 def test_what_must_not_run_twice_may_not_begin_again_whoever_chose_it() -> None:
-    asked = Asked(UNSAFE)
+    asked = Asked(NON_IDEMPOTENT)
     asked.world.outcome("a", AttemptStatus.CONNECT_FAILED)
     asked.attempt = asked.next()
     policy = asked.world.policy
@@ -171,7 +171,7 @@
     "outcome", [AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED, AttemptStatus.ERROR]
 )
 def test_one_behind_what_may_have_run_may_not_whatever_the_decisions_say(outcome: AttemptStatus) -> None:
-    asked = Asked(UNSAFE)
+    asked = Asked(NON_IDEMPOTENT)
     asked.attempt.written, asked.attempt.outcome = True, outcome
     asked.attempt = asked.next()
     assert asked.refusal() is SendRefusal.MAY_HAVE_RUN
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("outcome", [AttemptStatus.CONNECT_FAILED, AttemptStatus.FULL])
 def test_one_behind_what_never_ran_may(outcome: AttemptStatus) -> None:
-    asked = Asked(UNSAFE)
+    asked = Asked(NON_IDEMPOTENT)
     asked.attempt.written, asked.attempt.outcome = outcome is AttemptStatus.FULL, outcome
     asked.attempt = asked.next()
     assert asked.refusal() is None
--- a/tests/routing/cold_fleet.py
+++ b/tests/routing/cold_fleet.py
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from ringledge.routing.policy import Policy
-from tests.world import READER, SETTINGS, WRITER, entry
+from tests.router_harness import DECODE_KIND, PREFILL_KIND, SETTINGS, server_entry
 
 START_MS = 1_000_000.0
 LEARN_MS = 50.0  # within which all routers are told of the cold server
@@ -112,14 +112,16 @@
         self.policies = [Policy(settings, 1_000 * seed + n) for n in range(case.routers)]
         traffic = [UNEVEN[n % len(UNEVEN)] for n in range(case.routers)]
         self.parts = [part / sum(traffic) for part in traffic]
-        fleet = [entry(f"r{n}", READER) for n in range(PEERS)] + [
-            entry(f"w{n}", WRITER) for n in range(PEERS)
+        fleet = [server_entry(f"r{n}", PREFILL_KIND) for n in range(PEERS)] + [
+            server_entry(f"w{n}", DECODE_KIND) for n in range(PEERS)
         ]
         self.attempts, self.at = defaultdict[str, int](int), dict[str, str]()
         self.kinds = dict[str, int]()
         for router in range(case.routers):
             self.give(router, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
-            fresh = entry(self.cold, WRITER if case.writers else READER, started_ms=self.cold_ms)
+            fresh = server_entry(
+                self.cold, DECODE_KIND if case.writers else PREFILL_KIND, started_ms=self.cold_ms
+            )
             told = EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (fresh,))
             self.at_ms(self.cold_ms + self.rng.uniform(0, LEARN_MS), partial(self.give, router, told))
             self._next(router)
@@ -244,7 +246,7 @@
             )
 
 
-def nearest_to_fall(case: Case, sent: list[Sent], weighted: bool) -> float:
+def max_overload_ratio(case: Case, sent: list[Sent], weighted: bool) -> float:
     """How much of what pushes it over the fullest window got: over 1 it falls."""
     nearest, first, total, window_ms = 0.0, 0, 0.0, case.overload_for_ms
     for each in sent:
@@ -258,7 +260,7 @@
     return nearest
 
 
-def used(case: Case, sent: list[Sent]) -> float:
+def share_used(case: Case, sent: list[Sent]) -> float:
     """What it was sent while it warmed against all the work that it could do meanwhile."""
     can = case.capacity_per_ms * case.warm_after_ms * (1 + case.cold_share) / 2
     return sum(each.weight for each in sent) / can
--- a/tests/routing/sized_fleet.py
+++ b/tests/routing/sized_fleet.py
@@ -27,7 +27,7 @@
     TimerFired,
 )
 from ringledge.routing.policy import Policy
-from tests.world import READER, SETTINGS, WRITER, entry
+from tests.router_harness import DECODE_KIND, PREFILL_KIND, SETTINGS, server_entry
 
 PREFILL_SERVERS, DECODE_SERVERS = 3, 6
 TOKENS_PER_MS = 15.0
@@ -52,8 +52,8 @@
         classes = (replace(asked, target_per_1000_tokens_ms=60),)
         settings = replace(SETTINGS, classes=classes, routers=routers)
         self.policies = [Policy(settings, 100 * seed + number) for number in range(routers)]
-        fleet = [entry(f"r{n}", READER) for n in range(PREFILL_SERVERS)]
-        fleet += [entry(f"w{n}", WRITER) for n in range(DECODE_SERVERS)]
+        fleet = [server_entry(f"r{n}", PREFILL_KIND) for n in range(PREFILL_SERVERS)]
+        fleet += [server_entry(f"w{n}", DECODE_KIND) for n in range(DECODE_SERVERS)]
         for router in range(routers):
             self.give(router, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
         mean_tokens = sum(self._draw_tokens() for _ in range(5_000)) / 5_000 + OVERHEAD_TOKENS
--- a/tests/routing/test_batching_servers.py
+++ b/tests/routing/test_batching_servers.py
@@ -21,12 +21,22 @@
     ServerEntry,
     ServerKind,
 )
-from tests.world import FLEET, MIXED, READER, SAFE, WRITER, World, entry, finals, sends
+from tests.router_harness import (
+    DECODE_KIND,
+    FLEET,
+    IDEMPOTENT,
+    MIXED_KIND,
+    PREFILL_KIND,
+    RouterHarness,
+    final_answers,
+    sent_to,
+    server_entry,
+)
 
 PREFIX = {"prefix": 11, "prefix_tokens": 5_000, "prompt_tokens": 6_000}
-MIXED_FLEET = tuple(entry(f"m{n}", MIXED, n // 2) for n in range(4))
+MIXED_FLEET = tuple(server_entry(f"m{n}", MIXED_KIND, n // 2) for n in range(4))
 BOTH = (*FLEET[:4], *MIXED_FLEET)
-WORTHY = replace(SAFE, priority_weight=3.0, idempotency=Idempotency.NON_IDEMPOTENT)
+WORTHY = replace(IDEMPOTENT, priority_weight=3.0, idempotency=Idempotency.NON_IDEMPOTENT)
 NONSENSE = (
     None,
     LoadReport(),
@@ -36,7 +46,7 @@
 )
 
 
-def warmed(w: World, pace_ms: float = 0.05) -> World:
+def warmed(w: RouterHarness, pace_ms: float = 0.05) -> RouterHarness:
     """Let a router know the pace, and that all roles have got work done."""
     w.policy.estimates.prefill_ms_per_token = pace_ms
     for role in Role:
@@ -44,40 +54,40 @@
     return w
 
 
-def finish(w: World, name: str, load: LoadReport | None = None) -> None:
+def finish(w: RouterHarness, name: str, load: LoadReport | None = None) -> None:
     """Answer for whatever servers a request is sent to, to its end."""
-    if w.policy.fleet.servers[w.at[name]].role == Role.PREFILL:
+    if w.policy.fleet.servers[w.server_of[name]].role == Role.PREFILL:
         w.outcome(name, AttemptStatus.PREFILLED, load=load)
-    w.first(name)
+    w.first_token(name)
     w.outcome(name, AttemptStatus.OK, request_ended=True, load=load)
 
 
 def test_a_prefix_hot_within_a_second_is_prefilled_at_one_or_two_servers_from_all_routers() -> None:
-    routers = [warmed(World(BOTH, seed, router=seed, routers=4)) for seed in range(4)]
+    routers = [warmed(RouterHarness(BOTH, seed, router=seed, routers=4)) for seed in range(4)]
     went = Counter[str]()
     for number in range(20):
         for w in routers:
             w.now_ms += 50
             w.request(f"q{number}", session=number, **PREFIX)
-            went[w.at[f"q{number}"]] += 1
+            went[w.server_of[f"q{number}"]] += 1
             finish(w, f"q{number}")
     assert len(went) <= 2
     assert went.total() == 80
 
 
 def test_a_home_replaced_cold_gets_no_more_than_it_bears_and_nothing_is_refused() -> None:
-    w = warmed(World())
+    w = warmed(RouterHarness())
     w.request("first", session=0, **PREFIX)
-    home = w.at["first"]
+    home = w.server_of["first"]
     finish(w, "first")
     old = next(each for each in FLEET if each.server == home)
     cold = replace(old, started_ms=w.now_ms)
-    w.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold,)))
+    w.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold,)))
     went = Counter[str]()
     for number in range(60):  # in 600 ms, beside another router
         w.now_ms += 10
-        assert not finals(w.request(f"q{number}", session=number, **PREFIX))
-        went[w.at[f"q{number}"]] += 1
+        assert not final_answers(w.request(f"q{number}", session=number, **PREFIX))
+        went[w.server_of[f"q{number}"]] += 1
         finish(w, f"q{number}")
     assert went[home] < 20
     assert len(went) > 1
@@ -85,25 +95,35 @@
 
 def test_a_mixed_server_whose_memory_is_full_gets_no_state_while_its_queue_is_empty() -> None:
     kinds = tuple(ServerKind(role, 100_000.0) for role in (Role.PREFILL, Role.DECODE, Role.MIXED))
-    w = warmed(World((entry("r0", READER), entry("m0", MIXED), entry("m1", MIXED)), kinds=kinds, routers=1))
+    w = warmed(
+        RouterHarness(
+            (
+                server_entry("r0", PREFILL_KIND),
+                server_entry("m0", MIXED_KIND),
+                server_entry("m1", MIXED_KIND),
+            ),
+            kinds=kinds,
+            routers=1,
+        )
+    )
     w.policy.fleet.servers["m0"].pending_tokens = 120_000.0
     for number in range(12):
-        w.read(f"q{number}", session=number, prompt_tokens=3_000)
-        assert w.at[f"q{number}"] == "m1"
-        w.first(f"q{number}")
+        w.prefill(f"q{number}", session=number, prompt_tokens=3_000)
+        assert w.server_of[f"q{number}"] == "m1"
+        w.first_token(f"q{number}")
         w.outcome(f"q{number}", AttemptStatus.OK, request_ended=True)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_prompt_of_60_000_tokens_stalls_no_streams_and_short_ones_go_round_it(seed: int) -> None:
-    patient = replace(SAFE, target_per_1000_tokens_ms=85)
-    w = warmed(World(BOTH, seed, classes=(patient,)))
+    patient = replace(IDEMPOTENT, target_per_1000_tokens_ms=85)
+    w = warmed(RouterHarness(BOTH, seed, classes=(patient,)))
     w.request("long", session=1, prompt_tokens=60_000, expires_in_ms=15_000)
-    behind = w.at["long"]
+    behind = w.server_of["long"]
     assert w.policy.fleet.servers[behind].role == Role.PREFILL
     for number in range(20):
         w.request(f"q{number}", session=100 + number, prompt_tokens=600)
-        assert w.at[f"q{number}"] != behind
+        assert w.server_of[f"q{number}"] != behind
         finish(w, f"q{number}")
 
 
@@ -111,11 +131,11 @@
 def test_a_report_that_is_missing_or_nonsense_changes_no_choice(load: LoadReport | None) -> None:
     plays = []
     for told in (LoadReport(memory_share=0.2, pending_kilotokens=3.0), load):
-        w, went = warmed(World(BOTH, reports=LoadReportSource.RESPONSES)), []
+        w, went = warmed(RouterHarness(BOTH, reports=LoadReportSource.RESPONSES)), []
         for number in range(40):
             w.now_ms += 30
             w.request(f"q{number}", session=number // 2, **PREFIX)
-            went.append(w.at[f"q{number}"])
+            went.append(w.server_of[f"q{number}"])
             finish(w, f"q{number}", told)
         plays.append(went)
     assert plays[0] == plays[1]
@@ -124,61 +144,63 @@
 def test_of_two_classes_with_equal_targets_the_less_worthy_is_shed_first() -> None:
     refused = Counter[int]()
     for seed in range(40):
-        w = warmed(World(seed=seed, classes=(SAFE, WORTHY)))
+        w = warmed(RouterHarness(seed=seed, classes=(IDEMPOTENT, WORTHY)))
         for server in w.policy.fleet.servers.values():
             server.delay.add(w.now_ms, 0.0)
             server.delay.mean = 850.0
         for index in (0, 1):
-            refused[index] += bool(finals(w.request(f"q{index}", class_index=index, session=index)))
+            refused[index] += bool(final_answers(w.request(f"q{index}", class_index=index, session=index)))
     assert refused[0] > 10 > refused[1]
 
 
-@pytest.mark.parametrize("fleet", [FLEET, MIXED_FLEET, tuple(entry(f"w{n}", WRITER) for n in range(3))])
+@pytest.mark.parametrize(
+    "fleet", [FLEET, MIXED_FLEET, tuple(server_entry(f"w{n}", DECODE_KIND) for n in range(3))]
+)
 @pytest.mark.parametrize("decode_may_prefill", [False, True])
 def test_any_mix_of_kinds_serves_what_it_can(
     fleet: tuple[ServerEntry, ...], decode_may_prefill: bool
 ) -> None:
-    w = warmed(World(fleet, decode_may_prefill=decode_may_prefill))
-    can = fleet[0].kind != WRITER or decode_may_prefill
+    w = warmed(RouterHarness(fleet, decode_may_prefill=decode_may_prefill))
+    can = fleet[0].kind != DECODE_KIND or decode_may_prefill
     for number in range(30):
         w.now_ms += 40
         w.request(f"q{number}", session=number, **PREFIX)
-        assert bool(sends(w.last)) == can
+        assert bool(sent_to(w.last_actions)) == can
         if can:
-            assert can and (fleet != FLEET or w.at[f"q{number}"].startswith("r"))
+            assert can and (fleet != FLEET or w.server_of[f"q{number}"].startswith("r"))
             finish(w, f"q{number}")
 
 
 def test_an_answer_cap_far_above_the_usual_length_sheds_nothing_while_little_is_held() -> None:
     kinds = tuple(ServerKind(role, 450_000.0) for role in (Role.PREFILL, Role.DECODE, Role.MIXED))
-    w = warmed(World(BOTH, kinds=kinds, routers=3))
+    w = warmed(RouterHarness(BOTH, kinds=kinds, routers=3))
     for number in range(10):
         w.request(f"q{number}", session=number, prompt_tokens=1_000, max_output_tokens=60_000)
-        assert sends(w.last)
+        assert sent_to(w.last_actions)
         finish(w, f"q{number}")
 
 
 def scaled_play(times: float) -> list[str]:
     """Where requests go when all times, paces, targets and deadlines too, are so many times as long."""
     slow = replace(
-        SAFE,
+        IDEMPOTENT,
         target_ms=times * 1000,
         deadline_ms=times * 5000,
         target_token_ms=times * 50,
         target_per_1000_tokens_ms=times * 85,
     )
-    w = warmed(World(BOTH, classes=(slow,), tick_ms=times * 2), times * 0.05)
+    w = warmed(RouterHarness(BOTH, classes=(slow,), tick_ms=times * 2), times * 0.05)
     rng, went = random.Random(5), list[str]()
     for number in range(120):
         w.now_ms += times * rng.uniform(2, 8)  # within a second in all: nothing has faded by then
         name, length = f"q{number}", rng.choice([600, 6_000, 20_000])
         known = {"prefix": number % 5 + 1, "prefix_tokens": 500 if length == 600 else 5_000}
         w.request(name, session=number % 30, prompt_tokens=length, expires_in_ms=times * 5000, **known)
-        went.append(w.at[name])
-        if w.policy.fleet.servers[w.at[name]].role == Role.PREFILL:
+        went.append(w.server_of[name])
+        if w.policy.fleet.servers[w.server_of[name]].role == Role.PREFILL:
             w.outcome(name, AttemptStatus.PREFILLED, latency_ms=times * rng.uniform(20, 120))
-            went.append(w.at[name])
-        w.give(FirstToken(name, w.attempts[name], w.at[name], times * rng.uniform(20, 60)))
+            went.append(w.server_of[name])
+        w.deliver(FirstToken(name, w.attempts[name], w.server_of[name], times * rng.uniform(20, 60)))
         if rng.random() < 0.7:
             w.outcome(name, AttemptStatus.OK, request_ended=True)
     return went
--- a/tests/routing/test_cold_servers.py
+++ b/tests/routing/test_cold_servers.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.routing.cold_fleet import Case, ColdFleet, nearest_to_fall, used
+from tests.routing.cold_fleet import Case, ColdFleet, max_overload_ratio, share_used
 
 BURST: dict[str, Any] = {"load": 1.0, "burst": 3.0}
 LARGER: dict[str, Any] = {
@@ -52,8 +52,8 @@
     """It answers at once, so nothing but the slow start holds the routers back."""
     for seed in (1, 2, 3):
         sent = ColdFleet(replace(case, tireless=True), seed).play()
-        assert nearest_to_fall(case, sent, weighted=True) <= 1.0
-        assert nearest_to_fall(case, sent, weighted=False) <= 1.0
+        assert max_overload_ratio(case, sent, weighted=True) <= 1.0
+        assert max_overload_ratio(case, sent, weighted=False) <= 1.0
 
 
 @pytest.mark.parametrize(
@@ -62,4 +62,4 @@
 )
 def test_a_cold_reader_is_not_starved(name: str, least: float) -> None:
     case = CASES[name]
-    assert sum(used(case, ColdFleet(case, seed).play()) for seed in (1, 2, 3)) / 3 >= least
+    assert sum(share_used(case, ColdFleet(case, seed).play()) for seed in (1, 2, 3)) / 3 >= least
--- a/tests/routing/test_concurrency_limit.py
+++ b/tests/routing/test_concurrency_limit.py
@@ -10,10 +10,20 @@
 from ringledge.routing.interface import (
     AttemptStatus,
 )
-from tests.world import READER, WRITER, World, entry, finals, sends
+from tests.router_harness import (
+    DECODE_KIND,
+    PREFILL_KIND,
+    RouterHarness,
+    final_answers,
+    sent_to,
+    server_entry,
+)
 
 START_MS = 10_000.0
-FLEET = (*(entry(f"r{n}", READER) for n in range(12)), *(entry(f"w{n}", WRITER) for n in range(4)))
+FLEET = (
+    *(server_entry(f"r{n}", PREFILL_KIND) for n in range(12)),
+    *(server_entry(f"w{n}", DECODE_KIND) for n in range(4)),
+)
 
 
 def congested(out: float = 4_000.0, least: float = 500.0) -> ConcurrencyLimit:
@@ -72,14 +82,14 @@
 
 def refused(slow_ms: float, quick: bool) -> tuple[int, int]:
     """Of 60 requests beside 8 reads that wait: those refused, and sends; `quick` tells of one good reader."""
-    world = World(FLEET, routers=40, max_attempts=6)
+    world = RouterHarness(FLEET, routers=40, max_attempts=6)
     for n in range(20):
-        world.wait(400)
+        world.advance(400)
         world.serve(f"a{n}", session=n)
-    world.wait(2 * RECENT_MS)
+    world.advance(2 * RECENT_MS)
     for n in range(8):
         world.request(f"b{n}", session=100 + n)
-    world.wait(slow_ms)
+    world.advance(slow_ms)
     for n in range(8):
         world.outcome(f"b{n}", AttemptStatus.PREFILLED, latency_ms=slow_ms)
     if quick:
@@ -87,8 +97,8 @@
     noes = sent = 0
     for n in range(60):  # at readers of which nothing is known, or long ago
         world.request(f"c{n}", session=1000 + n)
-        noes += len(finals(world.last))
-        sent += len(sends(world.last))
+        noes += len(final_answers(world.last_actions))
+        sent += len(sent_to(world.last_actions))
     return noes, sent
 
 
@@ -105,10 +115,10 @@
 
 
 def test_a_read_given_up_at_once_is_no_sign_of_calm() -> None:
-    world = World(FLEET, routers=40)
+    world = RouterHarness(FLEET, routers=40)
     world.serve("a")
-    world.wait(2 * RECENT_MS)
+    world.advance(2 * RECENT_MS)
     soon_ms = world.policy.concurrency_limit.uncongested_ms
     world.request("b", session=1)
-    world.end("b")
+    world.abandon("b")
     assert world.policy.concurrency_limit.uncongested_ms == soon_ms
--- a/tests/routing/test_drains.py
+++ b/tests/routing/test_drains.py
@@ -12,46 +12,48 @@
     MembershipMode,
     WatchEndpoints,
 )
-from tests.world import FLEET, World
+from tests.router_harness import FLEET, RouterHarness
 
 
 @pytest.mark.parametrize("state", [Availability.DRAINING, Availability.REMOVED])
 def test_nothing_new_to_a_server_that_drains_or_is_gone(state: Availability) -> None:
-    world = World()
+    world = RouterHarness()
     home = world.serve("a", session=1)
     told = replace(next(each for each in FLEET if each.server == home), availability=state)
-    world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (told,)))
+    world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (told,)))
     assert world.serve("b", session=1) != home
 
 
 def test_a_full_list_without_a_server_means_it_is_gone_and_a_failed_one_changes_nothing() -> None:
-    world = World()
+    world = RouterHarness()
     home = world.serve("a", session=1)
-    world.give(EndpointUpdate(EndpointUpdateKind.FAILED))
+    world.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
     assert world.serve("b", session=1) == home
-    world.give(
+    world.deliver(
         EndpointUpdate(EndpointUpdateKind.FULL, 2, tuple(each for each in FLEET if each.server != home))
     )
     assert world.serve("c", session=1) != home
 
 
 def test_what_waits_for_a_server_that_is_gone_is_taken_back() -> None:
-    world = World()
+    world = RouterHarness()
     world.request("a", session=1)
-    gone = replace(next(e for e in FLEET if e.server == world.at["a"]), availability=Availability.REMOVED)
-    assert world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (gone,))) == [CancelAttempt("a", 0)]
+    gone = replace(
+        next(e for e in FLEET if e.server == world.server_of["a"]), availability=Availability.REMOVED
+    )
+    assert world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (gone,))) == [CancelAttempt("a", 0)]
 
 
 def test_asked_list_is_subscribed_at_start_and_again_after_a_failure() -> None:
-    world = World(membership=MembershipMode.POLL)
-    assert WatchEndpoints() in world.last
-    world.give(EndpointUpdate(EndpointUpdateKind.FAILED))
-    assert WatchEndpoints() in world.wait(2500)
+    world = RouterHarness(membership=MembershipMode.POLL)
+    assert WatchEndpoints() in world.last_actions
+    world.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
+    assert WatchEndpoints() in world.advance(2500)
 
 
 def test_what_waits_at_a_server_that_is_gone_is_cancelled_once() -> None:
-    world = World()
+    world = RouterHarness()
     world.request("a", session=1)
-    rest = tuple(each for each in FLEET if each.server != world.at["a"])
-    assert world.give(EndpointUpdate(EndpointUpdateKind.FULL, 2, rest)) == [CancelAttempt("a", 0)]
-    assert world.give(EndpointUpdate(EndpointUpdateKind.FULL, 3, rest)) == []
+    rest = tuple(each for each in FLEET if each.server != world.server_of["a"])
+    assert world.deliver(EndpointUpdate(EndpointUpdateKind.FULL, 2, rest)) == [CancelAttempt("a", 0)]
+    assert world.deliver(EndpointUpdate(EndpointUpdateKind.FULL, 3, rest)) == []
--- a/tests/routing/test_failing_servers.py
+++ b/tests/routing/test_failing_servers.py
@@ -12,118 +12,126 @@
     Tenant,
     UnreachableServers,
 )
-from tests.world import FLEET, SAFE, World, cancelled, finals, sends, used
+from tests.router_harness import (
+    FLEET,
+    IDEMPOTENT,
+    RouterHarness,
+    cancels_attempt,
+    final_answers,
+    prefill_servers_used,
+    sent_to,
+)
 
 
 def test_silent_reader_loses_its_waiting_reads_and_its_sessions() -> None:
-    world = World()
+    world = RouterHarness()
     home = world.serve("a", session=1)
-    world.wait(5000)
+    world.advance(5000)
     world.request("b", session=1)
-    assert world.at["b"] == home and cancelled(world.wait(1500))
-    other = sends(world.outcome("b", AttemptStatus.CANCELLED))[0]
+    assert world.server_of["b"] == home and cancels_attempt(world.advance(1500))
+    other = sent_to(world.outcome("b", AttemptStatus.CANCELLED))[0]
     assert other != home
     world.outcome("b", AttemptStatus.PREFILLED)
     assert world.serve("c", session=1) == other
 
 
 def test_a_broken_server_is_left_by_most_and_tried_again_by_chance_as_the_evidence_fades() -> None:
-    world = World()
-    before = used(world, "a", 40, prefix=5)
+    world = RouterHarness()
+    before = prefill_servers_used(world, "a", 40, prefix=5)
     home = before[0]
     for name in ("b", "c"):
         world.request(name, session=1000, prefix=5)
-        if world.at[name] == home:
+        if world.server_of[name] == home:
             world.outcome(name, AttemptStatus.CONNECT_FAILED)
-        world.end(name)
-    after = used(world, "d", 40, prefix=5)
+        world.abandon(name)
+    after = prefill_servers_used(world, "d", 40, prefix=5)
     assert after.count(home) < before.count(home) / 2
     world.now_ms += 60_000
-    assert used(world, "e", 40, prefix=5) == before
+    assert prefill_servers_used(world, "e", 40, prefix=5) == before
 
 
 def test_one_class_refused_moves_that_class_only_and_other_answers_do_not_hide_it() -> None:
-    world = World(classes=(SAFE, SAFE))
-    home = used(world, "a", 1, prefix=5, class_index=1)[0]
+    world = RouterHarness(classes=(IDEMPOTENT, IDEMPOTENT))
+    home = prefill_servers_used(world, "a", 1, prefix=5, class_index=1)[0]
     for number in range(4):
         world.request(f"b{number}", session=1000, prefix=5, class_index=0)
-        if world.at[f"b{number}"] == home:
+        if world.server_of[f"b{number}"] == home:
             world.outcome(f"b{number}", AttemptStatus.FULL)
-        world.end(f"b{number}")
+        world.abandon(f"b{number}")
         world.request(f"c{number}", session=1000, prefix=5, class_index=1)
-        assert world.at[f"c{number}"] == home
+        assert world.server_of[f"c{number}"] == home
         world.outcome(f"c{number}", AttemptStatus.PREFILLED)
-        world.end(f"c{number}")
-    refused = used(world, "d", 30, prefix=5, class_index=0).count(home)
-    others = used(world, "e", 30, prefix=5, class_index=1).count(home)
+        world.abandon(f"c{number}")
+    refused = prefill_servers_used(world, "d", 30, prefix=5, class_index=0).count(home)
+    others = prefill_servers_used(world, "e", 30, prefix=5, class_index=1).count(home)
     assert refused < others / 2
 
 
 def test_one_class_left_unanswered_moves_that_class_only() -> None:
-    world = World(classes=(SAFE, SAFE))
-    home = used(world, "a", 1, prefix=5)[0]
+    world = RouterHarness(classes=(IDEMPOTENT, IDEMPOTENT))
+    home = prefill_servers_used(world, "a", 1, prefix=5)[0]
     for name in ("b", "c"):
         world.request(name, session=1000, prefix=5)
-        if world.at[name] == home:
-            assert cancelled(world.wait(1500))
+        if world.server_of[name] == home:
+            assert cancels_attempt(world.advance(1500))
             world.outcome(name, AttemptStatus.CANCELLED, latency_ms=0)
-        world.end(name)
-    refused = used(world, "d", 30, prefix=5, class_index=0).count(home)
-    assert refused < used(world, "e", 30, prefix=5, class_index=1).count(home) / 2
+        world.abandon(name)
+    refused = prefill_servers_used(world, "d", 30, prefix=5, class_index=0).count(home)
+    assert refused < prefill_servers_used(world, "e", 30, prefix=5, class_index=1).count(home) / 2
 
 
 def test_one_tenant_refused_moves_that_tenant_only() -> None:
-    world = World(tenants=(Tenant(), Tenant()))
-    home = used(world, "a", 1, prefix=5)[0]
+    world = RouterHarness(tenants=(Tenant(), Tenant()))
+    home = prefill_servers_used(world, "a", 1, prefix=5)[0]
     for number in range(4):  # the other tenant's answers tell that it isn't the server
         world.request(f"b{number}", session=1000, prefix=5, tenant=1)
-        if world.at[f"b{number}"] == home:
+        if world.server_of[f"b{number}"] == home:
             world.outcome(f"b{number}", AttemptStatus.PREFILLED, latency_ms=0)
-        world.end(f"b{number}")
+        world.abandon(f"b{number}")
         world.request(f"c{number}", session=1000, prefix=5, tenant=0)
-        if world.at[f"c{number}"] == home:
+        if world.server_of[f"c{number}"] == home:
             world.outcome(f"c{number}", AttemptStatus.FULL, latency_ms=0)
-        world.end(f"c{number}")
-    others = used(world, "e", 60, prefix=5, tenant=1).count(home)
-    assert used(world, "d", 60, prefix=5, tenant=0).count(home) < 0.7 * others
+        world.abandon(f"c{number}")
+    others = prefill_servers_used(world, "e", 60, prefix=5, tenant=1).count(home)
+    assert prefill_servers_used(world, "d", 60, prefix=5, tenant=0).count(home) < 0.7 * others
 
 
 def test_when_all_fail_some_are_still_used() -> None:
-    world = World()
+    world = RouterHarness()
     for number in range(12):
         world.request(f"a{number}", session=number)
-        while not finals(world.last):
+        while not final_answers(world.last_actions):
             world.outcome(f"a{number}", AttemptStatus.CONNECT_FAILED)
-    assert len(sends(world.request("z", session=99))) == 1
+    assert len(sent_to(world.request("z", session=99))) == 1
 
 
 def test_without_cancel_silence_is_bounded_by_the_attempts_time_out() -> None:
-    world = World(may_cancel=False)
+    world = RouterHarness(may_cancel=False)
     send = world.request("a", session=1)[0]
     assert isinstance(send, SendAttempt) and send.timeout_ms is not None and send.timeout_ms < 1000
-    assert not cancelled(world.wait(4000))
+    assert not cancels_attempt(world.advance(4000))
 
 
 def test_a_booking_at_a_silent_writer_is_left_to_answer_and_a_query_is_moved() -> None:
-    unsafe = replace(SAFE, idempotency=Idempotency.NON_IDEMPOTENT)
-    world = World(classes=(SAFE, unsafe))
-    world.read("a", class_index=1)
-    assert not cancelled(world.wait(4000))  # cancelled, it could only be failed
-    world.first("a")
-    world.read("b", class_index=0)
-    assert cancelled(world.wait(4000))
+    unsafe = replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT)
+    world = RouterHarness(classes=(IDEMPOTENT, unsafe))
+    world.prefill("a", class_index=1)
+    assert not cancels_attempt(world.advance(4000))  # cancelled, it could only be failed
+    world.first_token("a")
+    world.prefill("b", class_index=0)
+    assert cancels_attempt(world.advance(4000))
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED])
 def test_a_kept_connection_that_breaks_says_nothing_of_its_reader(status: AttemptStatus) -> None:
-    world = World()
+    world = RouterHarness()
     home = world.serve("a", session=1)
     for number in range(20):
         world.request(f"b{number}", session=1)
-        assert world.at[f"b{number}"] == home
+        assert world.server_of[f"b{number}"] == home
         world.outcome(f"b{number}", status, note=1)
-        assert world.at[f"b{number}"] == home
-        world.end(f"b{number}")
+        assert world.server_of[f"b{number}"] == home
+        world.abandon(f"b{number}")
 
 
 @pytest.mark.parametrize(
@@ -138,47 +146,47 @@
     effect: Idempotency, errors: int, left: bool
 ) -> None:
     fleet = tuple(each for each in FLEET if each.server in ("r0", "w0", "w1"))
-    world = World(fleet, classes=(SAFE, replace(SAFE, idempotency=effect)))
+    world = RouterHarness(fleet, classes=(IDEMPOTENT, replace(IDEMPOTENT, idempotency=effect)))
     number = 0
     while errors:
         number += 1
-        world.read(f"a{number}", session=number)
-        if world.at[f"a{number}"] == "w0":
+        world.prefill(f"a{number}", session=number)
+        if world.server_of[f"a{number}"] == "w0":
             world.outcome(f"a{number}", AttemptStatus.ERROR)
             errors -= 1
-        world.end(f"a{number}")
+        world.abandon(f"a{number}")
     chosen = []
     for number in range(40):
-        world.read(f"b{number}", session=number, class_index=1)
-        chosen.append(world.at[f"b{number}"])
-        world.end(f"b{number}")
+        world.prefill(f"b{number}", session=number, class_index=1)
+        chosen.append(world.server_of[f"b{number}"])
+        world.abandon(f"b{number}")
     assert ("w0" not in chosen) == left and "w1" in chosen
 
 
 def test_a_tier_of_many_quiet_routers_remembers_a_failing_writer_together() -> None:
     """Each forgot it in the seconds until its next request there: together they failed some all the time."""
     fleet = tuple(each for each in FLEET if each.server[0] == "w" or each.server == "r0")
-    worlds = [World(fleet, seed=seed, routers=40, router=seed) for seed in range(40)]
+    worlds = [RouterHarness(fleet, seed=seed, routers=40, router=seed) for seed in range(40)]
     failed = Counter[int]()
     for second in range(40):
         for world in worlds:
-            world.wait(1000)
-            world.read(f"a{second}", session=second)
-            while world.at[f"a{second}"] == "w0":
+            world.advance(1000)
+            world.prefill(f"a{second}", session=second)
+            while world.server_of[f"a{second}"] == "w0":
                 failed[second // 20] += 1
                 world.outcome(f"a{second}", AttemptStatus.ERROR)
-            world.first(f"a{second}")
+            world.first_token(f"a{second}")
             world.outcome(f"a{second}", AttemptStatus.OK, request_ended=True)
     assert failed[1] <= 85  # of 800 requests; 119 where all forgot in ten seconds
 
 
 def test_servers_that_no_connection_reaches_get_nothing_unless_there_are_no_others() -> None:
-    world = World()
-    world.give(UnreachableServers(frozenset({"r0", "r1", "w0", "w1"})))
+    world = RouterHarness()
+    world.deliver(UnreachableServers(frozenset({"r0", "r1", "w0", "w1"})))
     for number in range(20):
-        assert world.read(f"a{number}", session=number) in ("r2", "r3")
-        assert world.at[f"a{number}"] in ("w2", "w3")
-    world.give(UnreachableServers(frozenset({"r0", "r1", "r2", "r3"})))
-    assert world.read("b", session=99) in ("r0", "r1", "r2", "r3")
-    world.give(UnreachableServers(frozenset()))
-    assert {world.read(f"c{number}", session=100 + number) for number in range(20)} > {"r2"}
+        assert world.prefill(f"a{number}", session=number) in ("r2", "r3")
+        assert world.server_of[f"a{number}"] in ("w2", "w3")
+    world.deliver(UnreachableServers(frozenset({"r0", "r1", "r2", "r3"})))
+    assert world.prefill("b", session=99) in ("r0", "r1", "r2", "r3")
+    world.deliver(UnreachableServers(frozenset()))
+    assert {world.prefill(f"c{number}", session=100 + number) for number in range(20)} > {"r2"}
--- a/tests/routing/test_final_answers.py
+++ b/tests/routing/test_final_answers.py
@@ -11,73 +11,83 @@
     Shutdown,
     TimerFired,
 )
-from tests.world import FLEET, SAFE, UNSAFE, World, cancelled, entry, finals, released, sends
+from tests.router_harness import (
+    FLEET,
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    RouterHarness,
+    cancels_attempt,
+    final_answers,
+    releases_cache,
+    sent_to,
+    server_entry,
+)
 
 
 def test_silent_servers_end_in_one_answer_before_the_deadline() -> None:
-    world = World()
+    world = RouterHarness()
     world.request("a", session=1)
-    done = world.wait(6000)
-    assert len(finals(done)) == 1
-    assert not finals(world.wait(10_000))
+    done = world.advance(6000)
+    assert len(final_answers(done)) == 1
+    assert not final_answers(world.advance(10_000))
 
 
 def test_answer_is_given_at_the_deadline_even_while_an_attempt_is_out() -> None:
-    world = World()
+    world = RouterHarness()
     world.request("a", session=1, expires_in_ms=100)
-    assert finals(world.wait(100)) == [RejectRequest("a", 250)]
-    assert cancelled(world.last)
-    assert not sends(world.outcome("a", AttemptStatus.CANCELLED, request_ended=True))
+    assert final_answers(world.advance(100)) == [RejectRequest("a", 250)]
+    assert cancels_attempt(world.last_actions)
+    assert not sent_to(world.outcome("a", AttemptStatus.CANCELLED, request_ended=True))
 
 
 def test_a_started_stream_has_no_deadline() -> None:
-    world = World()
-    world.read("a", session=1)
-    world.first("a")
-    assert not finals(world.wait(60_000))
+    world = RouterHarness()
+    world.prefill("a", session=1)
+    world.first_token("a")
+    assert not final_answers(world.advance(60_000))
 
 
 def test_empty_list_gives_an_answer_at_once() -> None:
-    assert finals(World(()).request("a", session=1)) == [RejectRequest("a", 250)]
+    assert final_answers(RouterHarness(()).request("a", session=1)) == [RejectRequest("a", 250)]
 
 
 def test_nothing_follows_the_end_of_a_request() -> None:
-    world = World()
+    world = RouterHarness()
     world.request("a", session=1)
-    world.give(ClientDisconnected("a"))
-    assert not sends(world.outcome("a", AttemptStatus.ERROR, request_ended=True))
-    assert not finals(world.wait(10_000))
+    world.deliver(ClientDisconnected("a"))
+    assert not sent_to(world.outcome("a", AttemptStatus.ERROR, request_ended=True))
+    assert not final_answers(world.advance(10_000))
 
 
 def test_strange_names_change_nothing() -> None:
-    world = World()
+    world = RouterHarness()
     world.request("a", session=1)
-    assert world.give(AttemptOutcome("nobody", 0, "r0", AttemptStatus.OK)) == []
-    assert world.give(AttemptOutcome("a", 5, "nowhere", AttemptStatus.OK)) == []
-    assert world.give(FirstToken("nobody", 0, "nowhere")) == []
-    assert world.give(ClientDisconnected("nobody")) == []
-    assert world.give(ProbeResult("nowhere", AttemptStatus.OK)) == []
-    assert world.give(TimerFired("look:nobody")) == []
+    assert world.deliver(AttemptOutcome("nobody", 0, "r0", AttemptStatus.OK)) == []
+    assert world.deliver(AttemptOutcome("a", 5, "nowhere", AttemptStatus.OK)) == []
+    assert world.deliver(FirstToken("nobody", 0, "nowhere")) == []
+    assert world.deliver(ClientDisconnected("nobody")) == []
+    assert world.deliver(ProbeResult("nowhere", AttemptStatus.OK)) == []
+    assert world.deliver(TimerFired("look:nobody")) == []
 
 
 def test_unknown_class_tenant_or_kind_leads_to_an_answer() -> None:
-    world = World((*FLEET, entry("odd", 99)))
-    assert finals(world.request("a", session=1, class_index=9)) == [RejectRequest("a")]
-    assert sends(world.request("b", session=1, tenant=77))
+    world = RouterHarness((*FLEET, server_entry("odd", 99)))
+    assert final_answers(world.request("a", session=1, class_index=9)) == [RejectRequest("a")]
+    assert sent_to(world.request("b", session=1, tenant=77))
 
 
 def test_at_the_last_call_what_has_not_begun_is_answered_and_let_go() -> None:
-    world = World(classes=(SAFE, UNSAFE), retry_after=True)
-    world.read("begun")
-    world.first("begun")
+    world = RouterHarness(classes=(IDEMPOTENT, NON_IDEMPOTENT), retry_after=True)
+    world.prefill("begun")
+    world.first_token("begun")
     world.request("reading")
-    world.read("writing", class_index=1)
-    last = world.give(Shutdown())
+    world.prefill("writing", class_index=1)
+    last = world.deliver(Shutdown())
     refused = [action for action in last if isinstance(action, RejectRequest)]
     assert [each.request for each in refused] == ["reading"] and refused[0].retry_after_ms
     assert [action.request for action in last if isinstance(action, FailRequest)] == [
         "writing"
     ]  # it may have run
     world.outcome("reading", AttemptStatus.PREFILLED, request_ended=True)
-    assert released(world.last)
-    assert world.give(Shutdown()) == []
+    assert releases_cache(world.last_actions)
+    assert world.deliver(Shutdown()) == []
--- a/tests/routing/test_hard_cases.py
+++ b/tests/routing/test_hard_cases.py
@@ -20,19 +20,21 @@
     ServerEntry,
     ServerKind,
 )
-from tests.world import FLEET, SAFE, World, entry, sends
+from tests.router_harness import FLEET, IDEMPOTENT, RouterHarness, sent_to, server_entry
 
 KINDS = (ServerKind(Role.PREFILL, 200_000.0), ServerKind(Role.DECODE, 200_000.0))
 ONCE = RequestClass(2500, 10_000, Idempotency.NON_IDEMPOTENT, priority_weight=3, target_token_ms=80)
 
 
-def world(seed: int = 1, fleet: tuple[ServerEntry, ...] = FLEET) -> World:
-    return World(fleet, seed, kinds=KINDS, classes=(SAFE, ONCE), hedging_allowed=True, may_probe=True)
+def world(seed: int = 1, fleet: tuple[ServerEntry, ...] = FLEET) -> RouterHarness:
+    return RouterHarness(
+        fleet, seed, kinds=KINDS, classes=(IDEMPOTENT, ONCE), hedging_allowed=True, may_probe=True
+    )
 
 
-def outcome(w: World, name: str, rng: random.Random) -> bool:
+def outcome(w: RouterHarness, name: str, rng: random.Random) -> bool:
     """End the attempt that is out in any of the ways that its server may; say whether it may have run."""
-    reads = w.at[name].startswith("r")
+    reads = w.server_of[name].startswith("r")
     ways = [AttemptStatus.PREFILLED] * 4 if reads else [AttemptStatus.OK] * 2
     status = rng.choice(
         [*ways, AttemptStatus.ERROR, AttemptStatus.FULL, AttemptStatus.TIMEOUT, AttemptStatus.RESET]
@@ -56,7 +58,7 @@
                 out.add(action.request)
 
     for number in range(600):
-        follow(w.wait(rng.expovariate(1 / 60)))
+        follow(w.advance(rng.expovariate(1 / 60)))
         if rng.random() < 0.4 or not out:
             kinds[f"q{number}"] = rng.randrange(2)
             follow(w.request(f"q{number}", class_index=kinds[f"q{number}"], session=rng.randrange(30)))
@@ -65,7 +67,7 @@
             out.discard(name)
             if outcome(w, name, rng):
                 ran.add(name)
-            follow(w.last)
+            follow(w.last_actions)
     assert len(kinds) > 200
 
 
@@ -74,11 +76,11 @@
     slow, went = "r0", Counter[str]()
     for number in range(240):
         w.request(f"q{number}", session=1000 + number)
-        server = w.at[f"q{number}"]
+        server = w.server_of[f"q{number}"]
         went[server] += number >= 120
         w.now_ms += 100
         w.outcome(f"q{number}", AttemptStatus.PREFILLED, latency_ms=500 if server == slow else 100)
-        w.first(f"q{number}")
+        w.first_token(f"q{number}")
         w.outcome(f"q{number}", AttemptStatus.OK, request_ended=True)
     assert went[slow] < 0.6 * went.total() / 4
 
@@ -91,17 +93,17 @@
         name = f"q{number}"
         w.request(name, session=number)
         for _ in range(4):
-            server = w.at[name]
+            server = w.server_of[name]
             if server in gone:
                 w.outcome(name, AttemptStatus.CONNECT_FAILED, latency_ms=4)
             elif server.startswith("r"):
                 w.outcome(name, AttemptStatus.PREFILLED)
             else:
-                w.first(name)
+                w.first_token(name)
                 w.outcome(name, AttemptStatus.OK, request_ended=True)
                 finals["served"] += 1
                 break
-            finals["lost"] += not sends(w.last)
+            finals["lost"] += not sent_to(w.last_actions)
     assert finals == {"served": 40, "lost": 0}
 
 
@@ -110,7 +112,7 @@
     for number in range(80):
         w.now_ms += 50
         w.request(f"q{number}", session=number)
-        while w.at[f"q{number}"] == "r0":
+        while w.server_of[f"q{number}"] == "r0":
             tried[number // 20] += 1
             w.outcome(f"q{number}", AttemptStatus.CONNECT_FAILED, latency_ms=4)
     assert sum(tried[k] for k in (1, 2, 3)) <= 6
@@ -122,9 +124,9 @@
         first.serve(f"a{number}", session=number)
     again = world(seed=2)  # the list of before: one server has gone since, one has come back cold
     again.request("b", session=3)
-    assert sends(again.last)
-    cold = replace(entry("w0", 1, 0), started_ms=again.now_ms - 500)
+    assert sent_to(again.last_actions)
+    cold = replace(server_entry("w0", 1, 0), started_ms=again.now_ms - 500)
     left = tuple(each for each in FLEET if each.server not in ("r0", "w0"))
-    again.give(EndpointUpdate(EndpointUpdateKind.FULL, 2, (*left, cold)))
-    assert {again.read(f"c{number}", session=number) for number in range(20)} <= {"r1", "r2", "r3"}
-    assert [again.at[f"c{number}"] for number in range(20)].count("w0") < 5
+    again.deliver(EndpointUpdate(EndpointUpdateKind.FULL, 2, (*left, cold)))
+    assert {again.prefill(f"c{number}", session=number) for number in range(20)} <= {"r1", "r2", "r3"}
+    assert [again.server_of[f"c{number}"] for number in range(20)].count("w0") < 5
--- a/tests/routing/test_mixed_prefill.py
+++ b/tests/routing/test_mixed_prefill.py
@@ -12,14 +12,25 @@
     TimerName,
 )
 from ringledge.routing.prefill import random_weight
-from tests.world import MIXED, READER, World, cancelled, entry, sends
+from tests.router_harness import (
+    MIXED_KIND,
+    PREFILL_KIND,
+    RouterHarness,
+    cancels_attempt,
+    sent_to,
+    server_entry,
+)
 
-FLEET = (entry("m0", MIXED), entry("r0", READER), entry("r1", READER, 1))
+FLEET = (
+    server_entry("m0", MIXED_KIND),
+    server_entry("r0", PREFILL_KIND),
+    server_entry("r1", PREFILL_KIND, 1),
+)
 NAMES = ("m0", "r0", "r1")
 
 
 def first_in_rank(key: int) -> str:
-    servers = World(FLEET).policy.fleet.servers
+    servers = RouterHarness(FLEET).policy.fleet.servers
     return max(NAMES, key=lambda name: random_weight(f"p{key}", servers[name]))
 
 
@@ -27,9 +38,9 @@
 PREFIX = {"prefix": HOMED, "prefix_tokens": 4_000, "prompt_tokens": 5_000}
 
 
-def world(seed: int = 1) -> World:
+def world(seed: int = 1) -> RouterHarness:
     """A router that knows the pace, and that the mixed server, which alone decodes, caches the prefix."""
-    w = World(FLEET, seed)
+    w = RouterHarness(FLEET, seed)
     w.policy.estimates.prefill_ms_per_token = 0.05
     for role in Role:
         w.policy.estimates.completions[role].extend([w.now_ms] * 8)
@@ -37,15 +48,15 @@
     return w
 
 
-def stream(w: World, streams: int) -> None:
+def stream(w: RouterHarness, streams: int) -> None:
     """Start streams at the mixed server whose prompts were prefilled elsewhere."""
     for number in range(streams):
         name = f"s{number}"
         w.request(name, session=5_000 + number, prompt_tokens=3_000, max_output_tokens=200)
-        assert w.at[name] != "m0"  # long and not cached
+        assert w.server_of[name] != "m0"  # long and not cached
         w.outcome(name, AttemptStatus.PREFILLED)
-        w.first(name)
-        assert w.at[name] == "m0"
+        w.first_token(name)
+        assert w.server_of[name] == "m0"
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -54,15 +65,15 @@
     w = world(seed)
     stream(w, 3)
     w.request("q", session=1, **PREFIX)
-    assert w.at["q"] == "m0"
+    assert w.server_of["q"] == "m0"
 
 
 def test_what_is_prefilled_in_place_is_a_queue_until_its_first_token() -> None:
     w = world()
     m0 = w.policy.fleet.servers["m0"]
     w.request("q", session=1, **PREFIX)
-    assert (w.at["q"], m0.prefill_tokens) == ("m0", 1_000)
-    w.first("q")
+    assert (w.server_of["q"], m0.prefill_tokens) == ("m0", 1_000)
+    w.first_token("q")
     assert m0.prefill_tokens == 0
     assert m0.pending_tokens == 5_200  # prompt and half of the most that it may answer: memory held
     w.outcome("q", AttemptStatus.OK, request_ended=True)
@@ -76,11 +87,11 @@
         w.policy.fleet.servers[name].delay.add(w.now_ms, 5_000)
     for number in range(3):
         w.request(f"q{number}", session=number, **(PREFIX | {"prompt_tokens": 9_000}))
-    assert {w.at[f"q{number}"] for number in range(3)} == {"m0"}
+    assert {w.server_of[f"q{number}"] for number in range(3)} == {"m0"}
     w.now_ms += 700
-    assert not cancelled(w.give(TimerFired(f"{TimerName.WATCH}:q2")))
+    assert not cancels_attempt(w.deliver(TimerFired(f"{TimerName.WATCH}:q2")))
     w.now_ms += 4_000
-    assert cancelled(w.give(TimerFired(f"{TimerName.WATCH}:q2")))
+    assert cancels_attempt(w.deliver(TimerFired(f"{TimerName.WATCH}:q2")))
 
 
 def test_first_tokens_after_a_fetch_do_not_tell_how_long_prefills_wait() -> None:
@@ -88,7 +99,7 @@
     m0 = w.policy.fleet.servers["m0"]
     w.request("q", session=1, **PREFIX)
     w.now_ms += 700
-    w.give(FirstToken("q", 0, "m0", 700))
+    w.deliver(FirstToken("q", 0, "m0", 700))
     slow_ms = m0.prefill_delay.value(w.now_ms)
     assert slow_ms > 300
     stream(w, 10)
@@ -101,6 +112,6 @@
     for name in ("r0", "r1"):
         w.policy.fleet.servers[name].cached_prefixes[HOMED] = w.now_ms
     w.request("q", session=1, **PREFIX)
-    assert sends(w.outcome("q", AttemptStatus.CONNECT_FAILED, latency_ms=2))
+    assert sent_to(w.outcome("q", AttemptStatus.CONNECT_FAILED, latency_ms=2))
     counted = {name: server.prefill_tokens for name, server in w.policy.fleet.servers.items()}
-    assert counted == {name: 1_000 if name == w.at["q"] else 0 for name in counted}
+    assert counted == {name: 1_000 if name == w.server_of["q"] else 0 for name in counted}
--- a/tests/routing/test_releases.py
+++ b/tests/routing/test_releases.py
@@ -5,39 +5,49 @@
     Availability,
     ClientDisconnected,
 )
-from tests.world import READER, WRITER, World, entry, finals, released, sends
+from tests.router_harness import (
+    DECODE_KIND,
+    PREFILL_KIND,
+    RouterHarness,
+    final_answers,
+    releases_cache,
+    sent_to,
+    server_entry,
+)
 
 
 def test_state_is_released_when_the_request_ended_during_the_read() -> None:
-    world = World()
+    world = RouterHarness()
     world.request("a", session=1)
-    world.give(ClientDisconnected("a"))
-    assert released(world.outcome("a", AttemptStatus.PREFILLED, request_ended=True))
+    world.deliver(ClientDisconnected("a"))
+    assert releases_cache(world.outcome("a", AttemptStatus.PREFILLED, request_ended=True))
 
 
 def test_state_is_released_when_no_writer_is_left() -> None:
-    world = World((entry("r", READER), entry("w", WRITER, availability=Availability.DRAINING)))
+    world = RouterHarness(
+        (server_entry("r", PREFILL_KIND), server_entry("w", DECODE_KIND, availability=Availability.DRAINING))
+    )
     world.request("a", session=1)
     done = world.outcome("a", AttemptStatus.PREFILLED)
-    assert released(done) and len(finals(done)) == 1
+    assert releases_cache(done) and len(final_answers(done)) == 1
 
 
 def test_state_is_released_after_a_cancelled_write_and_at_the_last_attempt() -> None:
-    world = World()
-    world.read("a", session=1)
-    world.give(ClientDisconnected("a"))
-    assert released(world.outcome("a", AttemptStatus.CANCELLED, request_ended=True))
-    world.read("b", session=1)
+    world = RouterHarness()
+    world.prefill("a", session=1)
+    world.deliver(ClientDisconnected("a"))
+    assert releases_cache(world.outcome("a", AttemptStatus.CANCELLED, request_ended=True))
+    world.prefill("b", session=1)
     for _ in range(2):
-        assert len(sends(world.outcome("b", AttemptStatus.FULL))) == 1
+        assert len(sent_to(world.outcome("b", AttemptStatus.FULL))) == 1
     done = world.outcome("b", AttemptStatus.FULL)
-    assert released(done) and len(finals(done)) == 1
+    assert releases_cache(done) and len(final_answers(done)) == 1
 
 
 def test_a_lost_state_is_read_anew_and_a_started_one_needs_no_release() -> None:
-    world = World()
-    world.read("a", session=1)
-    assert sends(world.outcome("a", AttemptStatus.FULL, note=1))[0].startswith("r")
+    world = RouterHarness()
+    world.prefill("a", session=1)
+    assert sent_to(world.outcome("a", AttemptStatus.FULL, note=1))[0].startswith("r")
     world.outcome("a", AttemptStatus.PREFILLED)
-    world.first("a")
-    assert not released(world.outcome("a", AttemptStatus.OK, request_ended=True))
+    world.first_token("a")
+    assert not releases_cache(world.outcome("a", AttemptStatus.OK, request_ended=True))
--- a/tests/routing/test_shared_queue.py
+++ b/tests/routing/test_shared_queue.py
@@ -8,25 +8,25 @@
     Idempotency,
     RequestClass,
 )
-from tests.world import SAFE, World, finals
+from tests.router_harness import IDEMPOTENT, RouterHarness, final_answers
 
 PATIENT = RequestClass(2500, 10_000, Idempotency.NON_IDEMPOTENT, target_token_ms=80)
 
 
 def refused(classes: tuple[RequestClass, ...], index: int, wait_ms: float, seed: int) -> bool:
-    w = World(seed=seed, classes=classes)
+    w = RouterHarness(seed=seed, classes=classes)
     for number in range(20):
         w.serve(f"a{number}", session=number)
     for name in ("r0", "r1", "r2", "r3"):
         w.policy.fleet.servers[name].delay.add(w.now_ms, 10 * wait_ms)
         w.policy.fleet.servers[name].delay.mean = wait_ms
-    return bool(finals(w.request("q", class_index=index, session=99)))
+    return bool(final_answers(w.request("q", class_index=index, session=99)))
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_patient_request_is_turned_away_where_its_wait_would_make_urgent_ones_late(seed: int) -> None:
-    assert refused((SAFE, PATIENT), 1, 2_300, seed)
-    assert not refused((SAFE, PATIENT), 1, 700, seed)
+    assert refused((IDEMPOTENT, PATIENT), 1, 2_300, seed)
+    assert not refused((IDEMPOTENT, PATIENT), 1, 700, seed)
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -11,7 +11,15 @@
     EndpointUpdateKind,
     RejectRequest,
 )
-from tests.world import FLEET, READER, WRITER, World, entry, finals, sends
+from tests.router_harness import (
+    DECODE_KIND,
+    FLEET,
+    PREFILL_KIND,
+    RouterHarness,
+    final_answers,
+    sent_to,
+    server_entry,
+)
 
 
 @pytest.mark.parametrize("routers", [3, 60, 200])
@@ -19,31 +27,31 @@
     """Each router knows nothing of its peers; each second it has one request for the cold server."""
     start = 1_000_000.0
     fleet = tuple(replace(each, started_ms=start) if each.server == "r0" else each for each in FLEET)
-    worlds = [World(fleet, seed=seed, routers=routers, router=seed) for seed in range(routers)]
-    prefix = next(key for key in range(1, 99) if World().serve("x", session=1, prefix=key) == "r0")
+    worlds = [RouterHarness(fleet, seed=seed, routers=routers, router=seed) for seed in range(routers)]
+    prefix = next(key for key in range(1, 99) if RouterHarness().serve("x", session=1, prefix=key) == "r0")
     windows = []
     for second in range(9):
         sent = 0
         for world in worlds:
             world.now_ms = start + 1000 * second
-            reader = sends(world.request(f"a{second}", session=1, prefix=prefix, prompt_tokens=100))
+            reader = sent_to(world.request(f"a{second}", session=1, prefix=prefix, prompt_tokens=100))
             sent += reader == ["r0"]
-            world.end(f"a{second}")
+            world.abandon(f"a{second}")
         windows.append(sent)
     assert max(windows) <= 6  # of a budget of four times what it can do: a warm one does some a second
     assert sum(windows) >= 3  # and it is not starved
 
 
 def test_a_busy_router_paces_a_cold_server_by_all_the_work_it_gets_done() -> None:
-    world = World(routers=8)
+    world = RouterHarness(routers=8)
     for number in range(200):  # 20 a second while a server would warm, about 5 at each of four readers
-        world.wait(50)
+        world.advance(50)
         world.serve(f"a{number}", session=number)
     cold = tuple(replace(each, started_ms=world.now_ms) for each in FLEET if each.server == "r0")
-    world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
+    world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     used = 0
     for number in range(60):
-        world.wait(50)
+        world.advance(50)
         used += world.serve(f"b{number}", session=1000 + number) == "r0"
     assert used >= 4  # 0.3 of 5 a second and rising, for 3 s; a quarter of the work tells a quarter
 
@@ -51,19 +59,19 @@
 def test_many_quiet_routers_together_give_a_cold_reader_what_it_can_read_and_no_more() -> None:
     """Of 40 routers each sees little done: by that alone a fresh reader got next to nothing while cold."""
     routers, start = 40, 1_000_000.0
-    worlds = [World(seed=seed, routers=routers, router=seed) for seed in range(routers)]
+    worlds = [RouterHarness(seed=seed, routers=routers, router=seed) for seed in range(routers)]
     cold = tuple(replace(each, started_ms=start + 1000) for each in FLEET if each.server == "r0")
     sent = Counter[int]()
     for world in worlds:
         world.serve("first", session=1, prompt_tokens=900)  # 50 ms for 1,200 with the fixed ones: the pace
         world.now_ms = start + 1000
-        world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
+        world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     for step in range(160):  # 4 s of 0.3 of a reader's capacity; in each all ask for it
         for world in worlds:
-            world.wait(25)
-            reader = sends(world.request(f"a{step}", session=step, prompt_tokens=900))
+            world.advance(25)
+            reader = sent_to(world.request(f"a{step}", session=step, prompt_tokens=900))
             sent[step // 40] += reader == ["r0"]
-            world.end(f"a{step}")
+            world.abandon(f"a{step}")
     can = 0.3 * 1000 / 50
     assert all(can <= sent[second] <= 4 * can for second in range(1, 4))
 
@@ -71,62 +79,64 @@
 def test_a_tier_whose_fleet_is_mostly_fresh_gives_cold_writers_more_than_their_usual_part() -> None:
     """Three in four writers are cold: by their part of the usual alone the last warm one got nearly all."""
     routers, start = 40, 1_000_000.0
-    worlds = [World(seed=seed, routers=routers, router=seed) for seed in range(routers)]
+    worlds = [RouterHarness(seed=seed, routers=routers, router=seed) for seed in range(routers)]
     for world in worlds:
         for number in range(40):  # two a second, for as long as a server warms
-            world.wait(500)
+            world.advance(500)
             world.serve(f"a{number}", session=number)
     cold = tuple(replace(e, started_ms=start + 20_000) for e in FLEET if e.server in ("w1", "w2", "w3"))
     sent = Counter[str]()
     for world in worlds:
-        world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
+        world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     for number in range(12):  # 6 s
         for world in worlds:
-            world.wait(500)
+            world.advance(500)
             world.serve(f"b{number}", session=1000 + number)
-            sent[world.at[f"b{number}"]] += 1
+            sent[world.server_of[f"b{number}"]] += 1
     usual = routers * 12 / 4  # what each of four writers got in as long
     assert all(0.4 * usual < sent[server] <= usual for server in ("w1", "w2", "w3"))  # at 0.3 to 0.7
     assert sent["w0"] < 0.62 * sent.total()  # 0.72 when they got their warmth's part of the usual at most
 
 
 def test_all_cold_and_spent_means_a_refusal_not_a_push() -> None:
-    world = World((entry("r", READER, started_ms=1_000_000.0), entry("w", WRITER)))
-    sent = [sends(world.request(f"a{n}", session=n)) for n in range(4)]
-    assert sent.count(["r"]) <= 1 and finals(world.last) == [RejectRequest("a3", 250)]
-    world.wait(2000)
-    assert sends(world.request("c", session=3)) == ["r"]
+    world = RouterHarness(
+        (server_entry("r", PREFILL_KIND, started_ms=1_000_000.0), server_entry("w", DECODE_KIND))
+    )
+    sent = [sent_to(world.request(f"a{n}", session=n)) for n in range(4)]
+    assert sent.count(["r"]) <= 1 and final_answers(world.last_actions) == [RejectRequest("a3", 250)]
+    world.advance(2000)
+    assert sent_to(world.request("c", session=3)) == ["r"]
 
 
 def test_a_fleet_that_comes_back_cold_is_not_stormed_by_failed_sends() -> None:
-    world = World()
+    world = RouterHarness()
     for number in range(60):  # all are down: connections fail, which is no evidence of what a server can do
         world.request(f"a{number}", session=number)
-        while not finals(world.last):
+        while not final_answers(world.last_actions):
             world.outcome(f"a{number}", AttemptStatus.CONNECT_FAILED)
     world.now_ms += 1100
     again = tuple(replace(each, started_ms=world.now_ms) for each in FLEET)
-    world.give(EndpointUpdate(EndpointUpdateKind.FULL, 2, again))
-    reads = [server for n in range(60) for server in sends(world.request(f"b{n}", session=n))]
+    world.deliver(EndpointUpdate(EndpointUpdateKind.FULL, 2, again))
+    reads = [server for n in range(60) for server in sent_to(world.request(f"b{n}", session=n))]
     assert all(reads.count(server) <= 1 for server in ("r0", "r1", "r2", "r3"))
     world.now_ms += 2000
-    assert any(sends(world.request(f"c{n}", session=n)) for n in range(20))
+    assert any(sent_to(world.request(f"c{n}", session=n)) for n in range(20))
 
 
 def test_a_router_that_has_just_begun_gives_cold_decode_servers_their_part() -> None:
     """Two seconds of completions were spread over the time that a server warms: cold ones starved."""
-    world = World(routers=4, warm_after_ms=10_000, overload_window_ms=1000)
+    world = RouterHarness(routers=4, warm_after_ms=10_000, overload_window_ms=1000)
     for number in range(40):  # 20 a second, 5 at each of four decode servers
-        world.wait(50)
+        world.advance(50)
         world.serve(f"a{number}", session=number)
     cold = tuple(replace(each, started_ms=world.now_ms) for each in FLEET if each.server == "w0")
-    world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
+    world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     used = 0
     for number in range(40):  # 2 s
-        world.wait(50)
-        world.read(f"b{number}", session=1000 + number)
-        used += world.at[f"b{number}"] == "w0"
-        world.first(f"b{number}")
+        world.advance(50)
+        world.prefill(f"b{number}", session=1000 + number)
+        used += world.server_of[f"b{number}"] == "w0"
+        world.first_token(f"b{number}")
         world.outcome(f"b{number}", AttemptStatus.OK, request_ended=True)
     assert used >= 4  # of 10 that a warm one gets, and 0.75 x 4 x 0.3 x 5 a second that it may
 
@@ -135,11 +145,11 @@
 def test_a_request_does_not_hammer_the_only_decode_server(status: AttemptStatus) -> None:
     """One server was left that was not cold, and each request tried it six times within milliseconds."""
     fleet = tuple(each for each in FLEET if each.server in ("r0", "w0"))
-    world = World(fleet, max_attempts=6)
-    world.read("a")
+    world = RouterHarness(fleet, max_attempts=6)
+    world.prefill("a")
     attempts = 0
-    while world.at["a"] == "w0" and not finals(world.last):
+    while world.server_of["a"] == "w0" and not final_answers(world.last_actions):
         attempts += 1
         world.outcome("a", status)
     assert attempts == 2
-    assert isinstance(finals(world.last)[0], RejectRequest)  # at once: it has never run
+    assert isinstance(final_answers(world.last_actions)[0], RejectRequest)  # at once: it has never run
--- a/tests/routing/test_snapshot.py
+++ b/tests/routing/test_snapshot.py
@@ -13,12 +13,12 @@
     OperatorOverride,
 )
 from ringledge.routing.server_views import server_views
-from tests.world import FLEET, World
+from tests.router_harness import FLEET, RouterHarness
 
 
-def taken_over(old: World, **settings: int) -> World:
+def taken_over(old: RouterHarness, **settings: int) -> RouterHarness:
     """A fresh router that was told what the old one knows."""
-    new = World(tuple(each.entry for each in old.policy.fleet.servers.values()), seed=2, **settings)
+    new = RouterHarness(tuple(each.entry for each in old.policy.fleet.servers.values()), seed=2, **settings)
     new.now_ms = old.now_ms
     for part in snapshot.dump(old.policy):
         new.policy.clock.now_ms = new.now_ms
@@ -27,35 +27,35 @@
 
 
 def test_homes_pace_and_doubt_are_taken_over() -> None:
-    old = World()
+    old = RouterHarness()
     homes = {session: old.serve(f"a{session}", session=session, prefix=2**200) for session in range(20)}
-    old.give(OperatorOverride("w0", True))
-    old.give(OperatorOverride("w0", False))
-    old.read("b1")
+    old.deliver(OperatorOverride("w0", True))
+    old.deliver(OperatorOverride("w0", False))
+    old.prefill("b1")
     old.outcome("b1", AttemptStatus.RESET)
     new = taken_over(old)
     assert new.policy.estimates.prefill_ms_per_token == old.policy.estimates.prefill_ms_per_token > 0
     assert server_views(new.policy, new.now_ms) == server_views(old.policy, old.now_ms)
-    assert {new.read(f"c{session}", session=session) == home for session, home in homes.items()} == {True}
+    assert {new.prefill(f"c{session}", session=session) == home for session, home in homes.items()} == {True}
 
 
 def test_a_cold_server_is_paced_by_the_work_that_the_old_one_got_done() -> None:
-    old = World(routers=8)
+    old = RouterHarness(routers=8)
     for number in range(60):
-        old.wait(100)
+        old.advance(100)
         old.serve(f"a{number}", session=number)
     cold = tuple(replace(each, started_ms=old.now_ms) for each in FLEET if each.server == "r0")
-    old.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
+    old.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     fleet = tuple(each.entry for each in old.policy.fleet.servers.values())
-    news = [taken_over(old, routers=8), World(fleet, seed=2, routers=8)]
+    news = [taken_over(old, routers=8), RouterHarness(fleet, seed=2, routers=8)]
     used = []
     for new in news:
         new.now_ms = old.now_ms
         reads = 0
         for number in range(60):
-            new.wait(50)
+            new.advance(50)
             new.request(f"b{number}", session=1000 + number)
-            reads += new.at[f"b{number}"] == "r0"
+            reads += new.server_of[f"b{number}"] == "r0"
         used.append(reads)
     assert used[0] > used[1]
 
@@ -66,7 +66,7 @@
      {"blame": [["nobody", "all", 1, 1]]}, {"usual": [["reader", 1, 2, 3, 4]]}],
 )  # fmt: skip
 def test_what_is_not_known_here_changes_nothing(part: dict[str, list[list[object]]]) -> None:
-    world = World()
+    world = RouterHarness()
     before = server_views(world.policy, world.now_ms)
     snapshot.load(world.policy, part)
     assert server_views(world.policy, world.now_ms) == before and not world.policy.affinities.by_session
--- a/tests/routing/test_writers_memory.py
+++ b/tests/routing/test_writers_memory.py
@@ -15,24 +15,28 @@
     Role,
     ServerKind,
 )
-from tests.world import FLEET, SAFE, World, entry, finals, sends
+from tests.router_harness import FLEET, IDEMPOTENT, RouterHarness, final_answers, sent_to, server_entry
 
 MEMORY = 100_000.0
 KINDS = (ServerKind(Role.PREFILL, MEMORY), ServerKind(Role.DECODE, MEMORY))
 WORTHY = RequestClass(1000, 5000, Idempotency.NON_IDEMPOTENT, priority_weight=3, target_token_ms=50)
-LOPSIDED = (entry("r0", 0, 0), entry("w0", 1, 0), *(entry(f"w{n}", 1, 1) for n in range(1, 5)))
+LOPSIDED = (
+    server_entry("r0", 0, 0),
+    server_entry("w0", 1, 0),
+    *(server_entry(f"w{n}", 1, 1) for n in range(1, 5)),
+)
 BIG = {"prompt_tokens": 9_000, "max_output_tokens": 2_000}  # 10,000 tokens under way at its writer
 
 
-def world(seed: int = 1, **settings: Any) -> World:
-    return World(FLEET, seed, kinds=KINDS, classes=(SAFE, WORTHY), routers=1, **settings)
+def world(seed: int = 1, **settings: Any) -> RouterHarness:
+    return RouterHarness(FLEET, seed, kinds=KINDS, classes=(IDEMPOTENT, WORTHY), routers=1, **settings)
 
 
-def streaming(w: World, name: str, **fields: Any) -> str:
+def streaming(w: RouterHarness, name: str, **fields: Any) -> str:
     """Bring a request to its first token; give the writer's name."""
-    w.read(name, **(BIG | {"session": hash_of(name)} | fields))
-    w.first(name)
-    return w.at[name]
+    w.prefill(name, **(BIG | {"session": hash_of(name)} | fields))
+    w.first_token(name)
+    return w.server_of[name]
 
 
 def hash_of(name: str) -> int:
@@ -44,11 +48,13 @@
     w = world(seed)
     w.request("q", **BIG, class_index=1)
     for n in range(4):
-        near = w.policy.fleet.servers[f"w{n}"].entry.cell == w.policy.fleet.servers[w.at["q"]].entry.cell
+        near = (
+            w.policy.fleet.servers[f"w{n}"].entry.cell == w.policy.fleet.servers[w.server_of["q"]].entry.cell
+        )
         w.policy.fleet.servers[f"w{n}"].pending_tokens = (1.1 if near else 0.8) * MEMORY
-    reader = w.policy.fleet.servers[w.at["q"]]
+    reader = w.policy.fleet.servers[w.server_of["q"]]
     w.outcome("q", AttemptStatus.PREFILLED)
-    assert w.policy.fleet.servers[w.at["q"]].entry.cell != reader.entry.cell
+    assert w.policy.fleet.servers[w.server_of["q"]].entry.cell != reader.entry.cell
 
 
 def test_where_none_has_room_states_still_go_somewhere() -> None:
@@ -56,7 +62,7 @@
     w.request("q", **BIG, class_index=1)
     for n in range(4):
         w.policy.fleet.servers[f"w{n}"].pending_tokens = 2 * MEMORY
-    assert sends(w.outcome("q", AttemptStatus.PREFILLED))
+    assert sent_to(w.outcome("q", AttemptStatus.PREFILLED))
 
 
 def test_the_less_worthy_are_turned_away_first_when_writers_are_short_of_memory() -> None:
@@ -67,9 +73,9 @@
         for n in range(4):
             w.policy.fleet.servers[f"w{n}"].pending_tokens = share / 100 * MEMORY
         for index in (0, 1):
-            if finals(w.request(f"{share}.{index}", class_index=index)):
+            if final_answers(w.request(f"{share}.{index}", class_index=index)):
                 held.setdefault(index, share)
-            w.give(ClientDisconnected(f"{share}.{index}"))
+            w.deliver(ClientDisconnected(f"{share}.{index}"))
             w.policy.requests.clear()
             for server in w.policy.fleet.servers.values():
                 server.in_flight.clear()
@@ -77,31 +83,33 @@
 
 
 def test_nobody_is_turned_away_for_a_memory_that_is_not_told() -> None:
-    w = World(classes=(SAFE, WORTHY), routers=1)
+    w = RouterHarness(classes=(IDEMPOTENT, WORTHY), routers=1)
     for n in range(4):
         w.policy.fleet.servers[f"w{n}"].pending_tokens = 100 * MEMORY
-    assert sends(w.request("q", **BIG))
+    assert sent_to(w.request("q", **BIG))
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_one_router_of_two_hundred_does_not_take_its_one_stream_for_a_full_fleet(seed: int) -> None:
-    fleet = [entry(f"r{n}", 0, n // 4) for n in range(40)] + [entry(f"w{n}", 1, n // 4) for n in range(40)]
-    w = World(tuple(fleet), seed, kinds=KINDS, classes=(SAFE, WORTHY), routers=200)
+    fleet = [server_entry(f"r{n}", 0, n // 4) for n in range(40)] + [
+        server_entry(f"w{n}", 1, n // 4) for n in range(40)
+    ]
+    w = RouterHarness(tuple(fleet), seed, kinds=KINDS, classes=(IDEMPOTENT, WORTHY), routers=200)
     for n in range(4):  # 200 such routers would hold as much as all writers have, twice
         streaming(w, f"q{n}")
-    assert sends(w.request("last", **BIG))
+    assert sent_to(w.request("last", **BIG))
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_calm_cell_is_not_left(seed: int) -> None:
     """One writer in the cell and four outside: chance differences move no state."""
-    w = World(LOPSIDED, seed, kinds=KINDS, classes=(SAFE, WORTHY), routers=1)
+    w = RouterHarness(LOPSIDED, seed, kinds=KINDS, classes=(IDEMPOTENT, WORTHY), routers=1)
     went = Counter(streaming(w, f"q{n}", prompt_tokens=1_000) for n in range(12))
     assert went == {"w0": 12}
 
 
 def test_a_cell_whose_writer_is_behind_is_left() -> None:
-    w = World(LOPSIDED, kinds=KINDS, classes=(SAFE, WORTHY), routers=1)
+    w = RouterHarness(LOPSIDED, kinds=KINDS, classes=(IDEMPOTENT, WORTHY), routers=1)
     w.policy.fleet.servers["w0"].delay.add(w.now_ms, 3_000)
     w.policy.fleet.servers["w0"].pending_tokens = 20_000
     assert {streaming(w, f"q{n}") for n in range(6)} & {"w1", "w2", "w3", "w4"}
@@ -109,9 +117,9 @@
 
 def test_inside_a_cell_the_lighter_of_two_is_taken() -> None:
     """60 streams each time; by a single draw the two would differ by 7 in the root mean square."""
-    fleet, squares = (entry("r0", 0, 0), entry("w0", 1, 0), entry("w1", 1, 0)), []
+    fleet, squares = (server_entry("r0", 0, 0), server_entry("w0", 1, 0), server_entry("w1", 1, 0)), []
     for seed in range(20):
-        w = World(fleet, seed, kinds=KINDS, classes=(SAFE, WORTHY), routers=1)
+        w = RouterHarness(fleet, seed, kinds=KINDS, classes=(IDEMPOTENT, WORTHY), routers=1)
         went = [streaming(w, f"q{n}", prompt_tokens=500, max_output_tokens=100) for n in range(60)]
         squares.append((went.count("w0") - went.count("w1")) ** 2)
     assert (sum(squares) / len(squares)) ** 0.5 < 4
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,7 +11,7 @@
 
 from ringledge.routing.policy import Policy
 from ringledge.routing.simulator_adapter import serve
-from tests.world import SETTINGS
+from tests.router_harness import SETTINGS
 
 ROOT = Path(__file__).parent.parent
 START = """ROUND wall_ms=1000
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -9,43 +9,51 @@
     ClientDisconnected,
     RejectRequest,
 )
-from tests.world import FLEET, MIXED, READER, WRITER, World, entry, sends
+from tests.router_harness import (
+    DECODE_KIND,
+    FLEET,
+    MIXED_KIND,
+    PREFILL_KIND,
+    RouterHarness,
+    sent_to,
+    server_entry,
+)
 
 
 def test_session_returns_to_its_reader_and_the_binding_slides() -> None:
-    world = World()
+    world = RouterHarness()
     home = world.serve("a0", session=7, prefix=None)
     key_home = world.serve("b0", session=8, prefix=3)
-    other = next(key for key in range(1, 100) if World().serve("x", session=1, prefix=key) != home)
+    other = next(key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != home)
     for turn in range(4):  # 40 s apart: the whole outlives one time-to-live
-        world.wait(40_000)
+        world.advance(40_000)
         assert world.serve(f"a{turn + 1}", session=7, prefix=other) == home
         assert world.serve(f"b{turn + 1}", session=8, prefix=3) == key_home
 
 
 def test_idle_binding_ends_with_its_time_to_live() -> None:
-    world = World()
+    world = RouterHarness()
     home = world.serve("a", session=7)
-    other = next(key for key in range(1, 100) if World().serve("x", session=1, prefix=key) != home)
-    world.wait(67_000)
+    other = next(key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != home)
+    world.advance(67_000)
     assert not world.policy.affinities.by_session  # the reaper has been
     assert world.serve("b", session=7, prefix=other) != home
 
 
 def test_hash_is_the_same_on_every_router_and_goes_by_the_shared_prefix() -> None:
     for prefix in range(1, 11):
-        first, second = World(seed=1), World(seed=2, router=1, zone=1)
+        first, second = RouterHarness(seed=1), RouterHarness(seed=2, router=1, zone=1)
         for session in range(4):
             reader = first.serve(f"a{session}", session=session, prefix=prefix)
             assert second.serve(f"b{session}", session=session, prefix=prefix) == reader
-    readers = {World().serve("a", session=session) for session in range(40)}
+    readers = {RouterHarness().serve("a", session=session) for session in range(40)}
     assert readers == {"r0", "r1", "r2", "r3"}
 
 
 def test_a_reader_that_leaves_moves_only_keys_that_it_shared() -> None:
-    before = {prefix: World().serve("a", session=1, prefix=prefix) for prefix in range(1, 41)}
+    before = {prefix: RouterHarness().serve("a", session=1, prefix=prefix) for prefix in range(1, 41)}
     fleet = tuple(each for each in FLEET if each.server != "r1")
-    after = {prefix: World(fleet).serve("a", session=1, prefix=prefix) for prefix in before}
+    after = {prefix: RouterHarness(fleet).serve("a", session=1, prefix=prefix) for prefix in before}
     moved = [prefix for prefix in before if before[prefix] not in ("r1", after[prefix])]
     assert len(moved) < 14  # where it was the other of the first two, the session may draw the new one
 
@@ -53,108 +61,128 @@
 def test_a_beginning_is_read_by_the_first_in_rank_until_that_one_is_behind() -> None:
     """Kept at two readers it is read twice: a fleet whose caches were lost has no time for that."""
     for prefix in range(1, 11):
-        world = World()
+        world = RouterHarness()
         first = world.serve("a", session=1, prefix=prefix, prefix_tokens=900)
         calm = {world.serve(f"b{n}", session=10 + n, prefix=prefix, prefix_tokens=900) for n in range(12)}
         assert calm == {first}
         for number in range(6):  # they wait there, so it falls behind
             world.request(f"c{number}", session=100 + number, prefix=prefix, prefix_tokens=0)
-        others = {world.at[f"c{number}"] for number in range(6)} - {first}
+        others = {world.server_of[f"c{number}"] for number in range(6)} - {first}
         assert len(others) == 1  # and the same second one helps out
 
 
 def test_a_beginning_is_read_at_few_readers() -> None:
     for prefix in range(1, 11):
-        assert len({World().serve("a", session=session, prefix=prefix) for session in range(12)}) <= 2
+        assert len({RouterHarness().serve("a", session=session, prefix=prefix) for session in range(12)}) <= 2
 
 
 def test_writer_is_chosen_when_the_read_ends_and_near() -> None:
     near = 0
     for seed in range(50):
-        world = World(seed=seed)
-        assert len(sends(world.request("a", session=1))) == 1
-        reader = world.at["a"]
+        world = RouterHarness(seed=seed)
+        assert len(sent_to(world.request("a", session=1))) == 1
+        reader = world.server_of["a"]
         world.outcome("a", AttemptStatus.PREFILLED)
-        near += world.at["a"] in (("w0", "w1") if reader in ("r0", "r1") else ("w2", "w3"))
+        near += world.server_of["a"] in (("w0", "w1") if reader in ("r0", "r1") else ("w2", "w3"))
     assert near == 50  # nobody is loaded, so the far writer is never clearly lighter
 
 
 def test_far_writer_only_with_clearly_fewer_tokens() -> None:
-    fleet = (entry("r", READER, 0), entry("s", READER, 1), entry("near", WRITER, 0), entry("far", WRITER, 1))
-    session = next(key for key in range(100) if World(fleet).serve("x", session=key) == "r")
-    world = World(fleet)
+    fleet = (
+        server_entry("r", PREFILL_KIND, 0),
+        server_entry("s", PREFILL_KIND, 1),
+        server_entry("near", DECODE_KIND, 0),
+        server_entry("far", DECODE_KIND, 1),
+    )
+    session = next(key for key in range(100) if RouterHarness(fleet).serve("x", session=key) == "r")
+    world = RouterHarness(fleet)
     for name in ("a", "b"):
-        world.read(name, session=session, prompt_tokens=100)
-    assert world.at in ({"a": "near", "b": "near"}, {"a": "near", "b": "far"})
+        world.prefill(name, session=session, prompt_tokens=100)
+    assert world.server_of in ({"a": "near", "b": "near"}, {"a": "near", "b": "far"})
     for number in range(6):
-        world.read(f"c{number}", session=session, prompt_tokens=100)
-    assert 3 <= list(world.at.values()).count("near") <= 5  # with some there, the far one is clearly lighter
+        world.prefill(f"c{number}", session=session, prompt_tokens=100)
+    assert (
+        3 <= list(world.server_of.values()).count("near") <= 5
+    )  # with some there, the far one is clearly lighter
 
 
 def test_tokens_under_way_take_the_hint_else_half_of_the_most_and_do_not_leak() -> None:
-    fleet = (entry("r", READER, 0), entry("w", WRITER, 0))
-    world = World(fleet)
+    fleet = (server_entry("r", PREFILL_KIND, 0), server_entry("w", DECODE_KIND, 0))
+    world = RouterHarness(fleet)
     for name, hint_ms in (("a", None), ("b", 500.0)):
-        world.read(name, session=1, hint_ms=hint_ms)
+        world.prefill(name, session=1, hint_ms=hint_ms)
     assert world.policy.fleet.servers["w"].pending_tokens == (1000 + 200) + (1000 + 10)
-    world.first("a")
+    world.first_token("a")
     world.outcome("a", AttemptStatus.OK, request_ended=True)
-    world.give(ClientDisconnected("b"))
+    world.deliver(ClientDisconnected("b"))
     world.outcome("b", AttemptStatus.CANCELLED)
     assert all(server.pending_tokens == 0 for server in world.policy.fleet.servers.values())
     assert not world.policy.requests
 
 
 def test_mixed_server_answers_in_place_but_long_unkept_prompts_go_to_readers() -> None:
-    world = World((entry("m", MIXED), entry("r", READER), entry("w", WRITER)))
+    world = RouterHarness(
+        (server_entry("m", MIXED_KIND), server_entry("r", PREFILL_KIND), server_entry("w", DECODE_KIND))
+    )
     key = next(
         key
         for key in range(100)
-        if World((entry("m", MIXED), entry("r", READER))).serve("x", session=key) == "m"
+        if RouterHarness((server_entry("m", MIXED_KIND), server_entry("r", PREFILL_KIND))).serve(
+            "x", session=key
+        )
+        == "m"
     )
     world.request("a", session=key)
-    assert world.at["a"] == "m"
-    world.first("a")
+    assert world.server_of["a"] == "m"
+    world.first_token("a")
     world.outcome("a", AttemptStatus.OK, request_ended=True)
     world.request("b", session=key, prompt_tokens=30_000)
-    assert world.at["b"] == "m"  # bound by a: most is kept or it is its home
+    assert world.server_of["b"] == "m"  # bound by a: most is kept or it is its home
     world.request("c", session=None, prefix=key, prompt_tokens=30_000)
-    assert world.at["c"] == "r"
+    assert world.server_of["c"] == "r"
 
 
 @pytest.mark.parametrize(("readers", "helps"), [(2, False), (1, True)])
 def test_a_mixed_server_reads_long_prompts_only_once_no_reader_is_calm(readers: int, helps: bool) -> None:
     """A fleet whose readers are mostly fresh was short of reads while those that can read idled."""
-    fleet = (*(entry(f"r{n}", READER) for n in range(readers)), entry("m", MIXED), entry("w", WRITER))
+    fleet = (
+        *(server_entry(f"r{n}", PREFILL_KIND) for n in range(readers)),
+        server_entry("m", MIXED_KIND),
+        server_entry("w", DECODE_KIND),
+    )
     for session in range(20):
-        world = World(fleet, seed=session)
+        world = RouterHarness(fleet, seed=session)
         for number in range(4):  # the pace of reads is known
             world.serve(f"p{number}", session=1000 + number)
         world.policy.fleet.servers["r0"].delay.add(world.now_ms, 5_000)  # it is jammed
         world.request("b", session=5_000 + session, prompt_tokens=3_000)
-        assert world.at["b"] == ("m" if helps else "r1")
+        assert world.server_of["b"] == ("m" if helps else "r1")
 
 
 def test_a_writer_that_reads_serves_where_there_is_no_reader() -> None:
-    alone = (entry("w", WRITER),)
-    assert sends(World(alone, decode_may_prefill=True).request("a", session=1)) == ["w"]
-    assert isinstance(World(alone).request("a", session=1)[0], RejectRequest)
+    alone = (server_entry("w", DECODE_KIND),)
+    assert sent_to(RouterHarness(alone, decode_may_prefill=True).request("a", session=1)) == ["w"]
+    assert isinstance(RouterHarness(alone).request("a", session=1)[0], RejectRequest)
 
 
 def test_missing_keys_and_resumed_streams_are_served() -> None:
-    world = World()
-    assert len(sends(world.request("a"))) == 1
-    assert len(sends(world.request("b", session=3, reconnect=True, retry=True))) == 1
+    world = RouterHarness()
+    assert len(sent_to(world.request("a"))) == 1
+    assert len(sent_to(world.request("b", session=3, reconnect=True, retry=True))) == 1
 
 
 def test_a_cold_writer_is_chosen_by_its_warmth() -> None:
-    fleet = (entry("r", READER), entry("w0", WRITER), entry("w1", WRITER, started_ms=1_000_000.0 - 5_000))
+    fleet = (
+        server_entry("r", PREFILL_KIND),
+        server_entry("w0", DECODE_KIND),
+        server_entry("w1", DECODE_KIND, started_ms=1_000_000.0 - 5_000),
+    )
     chosen = []
     for seed in range(400):
-        world = World(fleet, seed=seed)
+        world = RouterHarness(fleet, seed=seed)
         world.policy.fleet.servers["w1"].start_credit = 1.0  # it has room, as far as the rule goes
-        world.read("a", session=1)
-        chosen.append(world.at["a"])
+        world.prefill("a", session=1)
+        chosen.append(world.server_of["a"])
     share = chosen.count("w1") / len(chosen)
     assert 0.32 < share < 0.47  # 0.65 of a warm one's; evenly it would be half
 
@@ -163,10 +191,10 @@
     fresh = {"w0", "w1"}
     start = 1_000_000.0 - 1
     fleet = tuple(replace(each, zone=0, started_ms=start * (each.server in fresh)) for each in FLEET)
-    world = World(fleet)
+    world = RouterHarness(fleet)
     leave = world.policy.fleet.spill_chance.by_cell
     assert leave[0] > 0.3 and leave[1] < 0  # 0.6 of 2.6 of the writing, half of the reading
-    world.wait(5_000)
+    world.advance(5_000)
     assert 0.1 < world.policy.fleet.spill_chance.by_cell[0] < leave[0]  # they warm
-    world.wait(6_000)
+    world.advance(6_000)
     assert abs(world.policy.fleet.spill_chance.by_cell[0]) < 0.01
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -7,50 +7,61 @@
     AttemptStatus,
     RolePlan,
 )
-from tests.world import MIXED, READER, SAFE, WRITER, World, entry, released, sends
+from tests.router_harness import (
+    DECODE_KIND,
+    IDEMPOTENT,
+    MIXED_KIND,
+    PREFILL_KIND,
+    RouterHarness,
+    releases_cache,
+    sent_to,
+    server_entry,
+)
 
-MIXES = tuple(entry(f"m{at}", MIXED) for at in range(4))
+MIXES = tuple(server_entry(f"m{at}", MIXED_KIND) for at in range(4))
 
 
-def used(world: World, start: int = 0) -> set[str]:
+def used(world: RouterHarness, start: int = 0) -> set[str]:
     """Where the first attempts of many requests go."""
     for at in range(start, start + 40):
         world.request(f"a{at}", session=at)
-    return {world.at[f"a{at}"] for at in range(start, start + 40)}
+    return {world.server_of[f"a{at}"] for at in range(start, start + 40)}
 
 
 def test_a_server_kept_from_reads_gets_none_and_is_back_when_it_is_not_named() -> None:
-    world = World(MIXES)
+    world = RouterHarness(MIXES)
     assert used(world) == {"m0", "m1", "m2", "m3"}
-    world.give(RolePlan(no_prefill=frozenset({"m0", "m1"})))
+    world.deliver(RolePlan(no_prefill=frozenset({"m0", "m1"})))
     assert used(world, 100) == {"m2", "m3"}
-    world.give(RolePlan())
+    world.deliver(RolePlan())
     assert used(world, 200) == {"m0", "m1", "m2", "m3"}
 
 
 def test_no_plan_shuts_a_role_everywhere_and_none_goes_against_a_kind() -> None:
-    world = World((*MIXES, entry("r0", READER), entry("w0", WRITER)))
+    world = RouterHarness((*MIXES, server_entry("r0", PREFILL_KIND), server_entry("w0", DECODE_KIND)))
     names = frozenset({"m0", "m1", "m2", "m3"})
-    world.give(RolePlan(names | {"r0"}, names | {"w0"}))
+    world.deliver(RolePlan(names | {"r0"}, names | {"w0"}))
     assert used(world) == {"r0"}
     world.outcome("a0", AttemptStatus.PREFILLED)
-    assert world.at["a0"] == "w0"
-    lone = World(MIXES)
-    lone.give(RolePlan(no_prefill=frozenset(each.server for each in MIXES)))
+    assert world.server_of["a0"] == "w0"
+    lone = RouterHarness(MIXES)
+    lone.deliver(RolePlan(no_prefill=frozenset(each.server for each in MIXES)))
     assert used(lone) == {"m0", "m1", "m2", "m3"}
 
 
 def test_a_state_that_waits_at_a_server_that_changes_is_fetched_and_a_stream_ends() -> None:
-    world = World((*MIXES[:2], entry("r0", READER)), classes=(SAFE,))
-    world.give(RolePlan(no_prefill=frozenset({"m0", "m1"})))
+    world = RouterHarness((*MIXES[:2], server_entry("r0", PREFILL_KIND)), classes=(IDEMPOTENT,))
+    world.deliver(RolePlan(no_prefill=frozenset({"m0", "m1"})))
     world.request("a", session=1)
-    assert world.at["a"] == "r0"
-    world.give(RolePlan(no_decode=frozenset({"m0"})))  # while it is read
-    assert sends(world.outcome("a", AttemptStatus.PREFILLED)) == ["m1"]  # fetched, by whom is left
-    world.first("a")
-    shut = world.give(RolePlan(no_decode=frozenset({"m0", "m1"})))
+    assert world.server_of["a"] == "r0"
+    world.deliver(RolePlan(no_decode=frozenset({"m0"})))  # while it is read
+    assert sent_to(world.outcome("a", AttemptStatus.PREFILLED)) == ["m1"]  # fetched, by whom is left
+    world.first_token("a")
+    shut = world.deliver(RolePlan(no_decode=frozenset({"m0", "m1"})))
     assert shut == []  # its stream goes on, nothing is sent again
-    assert not sends(world.outcome("a", AttemptStatus.OK, request_ended=True)) and not released(world.last)
+    assert not sent_to(world.outcome("a", AttemptStatus.OK, request_ended=True)) and not releases_cache(
+        world.last_actions
+    )
 
 
 def test_the_book_says_what_the_decisions_take() -> None:
@@ -60,6 +71,6 @@
     for at in range(60):
         book.tick(float(at))
     assert book.shut() == (frozenset({"w0"}), frozenset({"m0", "r0"}))
-    world = World((*MIXES[:2], entry("r0", READER), entry("w0", WRITER)))
-    world.give(RolePlan(*book.shut()))
+    world = RouterHarness((*MIXES[:2], server_entry("r0", PREFILL_KIND), server_entry("w0", DECODE_KIND)))
+    world.deliver(RolePlan(*book.shut()))
     assert used(world) <= {"m0", "m1", "r0"}
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -13,24 +13,24 @@
     EndpointUpdateKind,
     UnreachableServers,
 )
-from tests.world import FLEET, READER, World, entry, finals
+from tests.router_harness import FLEET, PREFILL_KIND, RouterHarness, final_answers, server_entry
 
 ROUTERS = 40
 
 
-def refusals(world: World, reach: Reachability, name: str, gone: set[str]) -> int:
+def refusals(world: RouterHarness, reach: Reachability, name: str, gone: set[str]) -> int:
     """Play a request until it streams or is answered; how many connections were refused to it."""
     refused = 0
-    while not finals(world.last):
-        if world.at[name] in gone:
+    while not final_answers(world.last_actions):
+        if world.server_of[name] in gone:
             refused += 1
-            reach.refused(world.at[name], world.now_ms)
-            world.give(UnreachableServers(reach.silences(world.now_ms)))
+            reach.refused(world.server_of[name], world.now_ms)
+            world.deliver(UnreachableServers(reach.silences(world.now_ms)))
             world.outcome(name, AttemptStatus.CONNECT_FAILED, latency_ms=1)
-        elif world.at[name][0] == "r":
+        elif world.server_of[name][0] == "r":
             world.outcome(name, AttemptStatus.PREFILLED)
         else:
-            world.first(name)
+            world.first_token(name)
             world.outcome(name, AttemptStatus.OK, request_ended=True)
             break
     return refused
@@ -38,49 +38,49 @@
 
 def test_a_list_of_the_start_that_names_mostly_servers_that_are_gone_costs_few_connects() -> None:
     """A third of the list is there, the rest refuses. Requests ended as five refused connects."""
-    gone = [entry(f"g{n}", n % 2, cell=n % 2) for n in range(16)]
+    gone = [server_entry(f"g{n}", n % 2, cell=n % 2) for n in range(16)]
     listed, names = (*FLEET, *gone), {each.server for each in gone}
     later, ended = 0, 0
     for seed in range(ROUTERS):
-        world = World(listed, seed=seed, routers=ROUTERS, router=seed, max_attempts=6)
+        world = RouterHarness(listed, seed=seed, routers=ROUTERS, router=seed, max_attempts=6)
         reach = Reachability()
         reach.listed((each.server, each.zone) for each in listed)
         for number in range(40):
-            world.wait(500)
-            world.give(UnreachableServers(reach.silences(world.now_ms)))
+            world.advance(500)
+            world.deliver(UnreachableServers(reach.silences(world.now_ms)))
             world.request(f"a{number}", session=number)
             refused = refusals(world, reach, f"a{number}", names)
             later += refused * (number >= 20)
-            ended += bool(finals(world.last))
+            ended += bool(final_answers(world.last_actions))
     assert later < 0.9 * ROUTERS * 20  # in the second ten seconds; 1.13 a request where they fade in three
     assert ended < 0.08 * ROUTERS * 40  # nearly all before anything is known
 
 
 def test_every_reader_replaced_within_seconds_and_one_of_the_new_ones_bad() -> None:
     start = 1_000_000.0
-    worlds = [World(seed=seed, routers=ROUTERS, router=seed) for seed in range(ROUTERS)]
+    worlds = [RouterHarness(seed=seed, routers=ROUTERS, router=seed) for seed in range(ROUTERS)]
     for number in range(20):
         for world in worlds:
-            world.wait(500)
+            world.advance(500)
             world.serve(f"a{number}", session=number)
     began = start + 10_000
-    new = [entry(f"n{n}", READER, cell=n % 2, started_ms=began + 1_500 * n) for n in range(4)]
+    new = [server_entry(f"n{n}", PREFILL_KIND, cell=n % 2, started_ms=began + 1_500 * n) for n in range(4)]
     sent, failed = Counter[tuple[str, int]](), 0
     for number in range(28):  # 14 s; in the first 7 one reader after the other gives way to a new one
         for world in worlds:
-            world.wait(500)
+            world.advance(500)
             if number % 3 == 0 and number < 12:
                 old = replace(FLEET[number // 3], availability=Availability.DRAINING)
-                world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, number + 2, (old, new[number // 3])))
+                world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, number + 2, (old, new[number // 3])))
             name = f"b{number}"
             world.request(name, session=1000 + number)
-            while not finals(world.last) and world.at[name][0] in "rn":
-                sent[world.at[name], number // 2] += 1
-                bad = world.at[name] == "n3"
+            while not final_answers(world.last_actions) and world.server_of[name][0] in "rn":
+                sent[world.server_of[name], number // 2] += 1
+                bad = world.server_of[name] == "n3"
                 failed += bad and number >= 20
                 world.outcome(name, AttemptStatus.ERROR if bad else AttemptStatus.PREFILLED)
-            if not finals(world.last):
-                world.first(name)
+            if not final_answers(world.last_actions):
+                world.first_token(name)
                 world.outcome(name, AttemptStatus.OK, request_ended=True)
     usual = ROUTERS * 2 / 4  # reads a second at each of four; the rule bears four times the present capacity
     for (server, second), count in sent.items():
