--- a/tests/conformance/test_policy.py
+++ b/tests/conformance/test_policy.py
@@ -22,11 +22,11 @@
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.id)
-def test_the_decisions_keep_what_the_design_wants(row: Row) -> None:
+def test_policy_meets_conformance_row(row: Row) -> None:
     assert not play(row), row.says
 
 
-def bound_once(self: Any, request: Request, server: Server, now_ms: float) -> None:
+def bound_without_renewal(self: Any, request: Request, server: Server, now_ms: float) -> None:
     """The age does not begin anew."""
     before = self.get(request.session)
     bind(self, request, server, now_ms)
@@ -34,7 +34,7 @@
         self.by_session[request.session] = before
 
 
-def by(key: Callable[[Any, Request], Any]) -> Any:
+def ranked_by(key: Callable[[Any, Request], Any]) -> Any:
     """A ranking by another key."""
 
     def ranking(self: Any, request: Request) -> list[Server]:
@@ -44,13 +44,13 @@
     return ranking
 
 
-def by_remainder(self: Any, request: Request) -> list[Server]:
+def ranked_by_remainder(self: Any, request: Request) -> list[Server]:
     """In place of the highest random weight."""
     first = (request.prefix or request.session or 0) % len(self.fleet.prefill_servers)
     return [*self.fleet.prefill_servers[first:], *self.fleet.prefill_servers[:first]]
 
 
-def chosen_ahead(self: Any, request: Request) -> None:
+def decode_selected_on_arrival(self: Any, request: Request) -> None:
     """The writer is chosen when the request comes, and kept to."""
     arrive(self, request)
     state, selector = self.requests[request.request], self.decode_selector
@@ -58,7 +58,7 @@
     selector.__dict__.setdefault("chosen", {})[request] = chosen
 
 
-def in_cell(self: Any, _: RequestState, reader: Server) -> Server | None:
+def first_in_cell(self: Any, _: RequestState, reader: Server) -> Server | None:
     return next(
         (server for server in self.fleet.decode_servers if server.entry.cell == reader.entry.cell), None
     )
@@ -70,35 +70,43 @@
 
 MUTANTS: tuple[tuple[str, dict[tuple[type, str], Any]], ...] = (
     ("home-holds mixed-home", {(SessionAffinities, "bind"): lambda *_: None}),
-    ("home-slides", {(SessionAffinities, "bind"): bound_once}),
+    ("home-slides", {(SessionAffinities, "bind"): bound_without_renewal}),
     ("home-ages home-reaped", {(EndpointRegistry, "expire"): lambda self: []}),
-    ("hash-beginning", {(PrefillSelector, "ranking"): by(lambda _, request: request.session)}),
+    ("hash-beginning", {(PrefillSelector, "ranking"): ranked_by(lambda _, request: request.session)}),
     (
         "hash-agrees",
-        {(PrefillSelector, "ranking"): by(lambda self, request: (self.settings.router, request.prefix))},
+        {
+            (PrefillSelector, "ranking"): ranked_by(
+                lambda self, request: (self.settings.router, request.prefix)
+            )
+        },
     ),
     (
         "hash-session",
-        {(PrefillSelector, "ranking"): by(lambda self, request: (self.settings.router, request.session))},
+        {
+            (PrefillSelector, "ranking"): ranked_by(
+                lambda self, request: (self.settings.router, request.session)
+            )
+        },
     ),
-    ("hash-leaver hash-comer", {(PrefillSelector, "ranking"): by_remainder}),
+    ("hash-leaver hash-comer", {(PrefillSelector, "ranking"): ranked_by_remainder}),
     (
         "late-leaver late-comer",
         {
-            (RequestLifecycle, "accept"): chosen_ahead,
+            (RequestLifecycle, "accept"): decode_selected_on_arrival,
             (DecodeSelector, "select"): lambda self, state, _: self.chosen[state.request],
         },
     ),
     ("near-alike", {(DecodeSelector, "select"): lambda self, *_: self.rng.choice(self.fleet.decode_servers)}),
     ("near-slightly", {(DecodeSelector, "select"): least_pending}),
-    ("far-clearly far-else-any", {(DecodeSelector, "select"): in_cell}),
+    ("far-clearly far-else-any", {(DecodeSelector, "select"): first_in_cell}),
     ("tokens-bound", {(Estimates, "decode_tokens"): lambda _, state: state.request.prompt_tokens}),
     ("tokens-hint", {(Estimates, "decode_tokens"): lambda _, state: state.request.max_output_tokens / 2}),
 )
 
 
 @pytest.mark.parametrize(("rows", "broken"), MUTANTS, ids=[rows for rows, _ in MUTANTS])
-def test_a_broken_claim_is_caught(
+def test_mutant_fails_its_conformance_rows(
     monkeypatch: pytest.MonkeyPatch, rows: str, broken: dict[tuple[type, str], Any]
 ) -> None:
     for (component, name), function in broken.items():
--- a/tests/routing/test_batching_servers.py
+++ b/tests/routing/test_batching_servers.py
@@ -36,8 +36,8 @@
 PREFIX = {"prefix": 11, "prefix_tokens": 5_000, "prompt_tokens": 6_000}
 MIXED_FLEET = tuple(server_entry(f"m{n}", MIXED_KIND, n // 2) for n in range(4))
 BOTH = (*FLEET[:4], *MIXED_FLEET)
-WORTHY = replace(IDEMPOTENT, priority_weight=3.0, idempotency=Idempotency.NON_IDEMPOTENT)
-NONSENSE = (
+HIGH_PRIORITY = replace(IDEMPOTENT, priority_weight=3.0, idempotency=Idempotency.NON_IDEMPOTENT)
+INVALID_REPORTS = (
     None,
     LoadReport(),
     LoadReport(memory_share=-3.0, pending_kilotokens=-50.0),
@@ -46,7 +46,7 @@
 )
 
 
-def warmed(w: RouterHarness, pace_ms: float = 0.05) -> RouterHarness:
+def with_known_rate(w: RouterHarness, pace_ms: float = 0.05) -> RouterHarness:
     """Let a router know the pace, and that all roles have got work done."""
     w.policy.estimates.prefill_ms_per_token = pace_ms
     for role in Role:
@@ -62,40 +62,40 @@
     w.outcome(name, AttemptStatus.OK, request_ended=True, load=load)
 
 
-def test_a_prefix_hot_within_a_second_is_prefilled_at_one_or_two_servers_from_all_routers() -> None:
-    routers = [warmed(RouterHarness(BOTH, seed, router=seed, routers=4)) for seed in range(4)]
-    went = Counter[str]()
+def test_hot_prefix_is_prefilled_at_one_or_two_servers_by_all_routers() -> None:
+    routers = [with_known_rate(RouterHarness(BOTH, seed, router=seed, routers=4)) for seed in range(4)]
+    selected = Counter[str]()
     for number in range(20):
         for w in routers:
             w.now_ms += 50
             w.request(f"q{number}", session=number, **PREFIX)
-            went[w.server_of[f"q{number}"]] += 1
+            selected[w.server_of[f"q{number}"]] += 1
             finish(w, f"q{number}")
-    assert len(went) <= 2
-    assert went.total() == 80
+    assert len(selected) <= 2
+    assert selected.total() == 80
 
 
-def test_a_home_replaced_cold_gets_no_more_than_it_bears_and_nothing_is_refused() -> None:
-    w = warmed(RouterHarness())
+def test_replaced_cold_server_with_affinities_is_not_overloaded_and_nothing_is_rejected() -> None:
+    w = with_known_rate(RouterHarness())
     w.request("first", session=0, **PREFIX)
     home = w.server_of["first"]
     finish(w, "first")
     old = next(each for each in FLEET if each.server == home)
     cold = replace(old, started_ms=w.now_ms)
     w.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold,)))
-    went = Counter[str]()
+    selected = Counter[str]()
     for number in range(60):  # in 600 ms, beside another router
         w.now_ms += 10
         assert not final_answers(w.request(f"q{number}", session=number, **PREFIX))
-        went[w.server_of[f"q{number}"]] += 1
+        selected[w.server_of[f"q{number}"]] += 1
         finish(w, f"q{number}")
-    assert went[home] < 20
-    assert len(went) > 1
+    assert selected[home] < 20
+    assert len(selected) > 1
 
 
-def test_a_mixed_server_whose_memory_is_full_gets_no_state_while_its_queue_is_empty() -> None:
+def test_mixed_server_with_full_memory_gets_no_kv_cache_entry() -> None:
     kinds = tuple(ServerKind(role, 100_000.0) for role in (Role.PREFILL, Role.DECODE, Role.MIXED))
-    w = warmed(
+    w = with_known_rate(
         RouterHarness(
             (
                 server_entry("r0", PREFILL_KIND),
@@ -115,9 +115,9 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_prompt_of_60_000_tokens_stalls_no_streams_and_short_ones_go_round_it(seed: int) -> None:
-    patient = replace(IDEMPOTENT, target_per_1000_tokens_ms=85)
-    w = warmed(RouterHarness(BOTH, seed, classes=(patient,)))
+def test_long_prompt_is_sent_to_a_prefill_server_and_short_prompts_avoid_it(seed: int) -> None:
+    long_target = replace(IDEMPOTENT, target_per_1000_tokens_ms=85)
+    w = with_known_rate(RouterHarness(BOTH, seed, classes=(long_target,)))
     w.request("long", session=1, prompt_tokens=60_000, expires_in_ms=15_000)
     behind = w.server_of["long"]
     assert w.policy.fleet.servers[behind].role == Role.PREFILL
@@ -127,24 +127,24 @@
         finish(w, f"q{number}")
 
 
-@pytest.mark.parametrize("load", NONSENSE)
-def test_a_report_that_is_missing_or_nonsense_changes_no_choice(load: LoadReport | None) -> None:
+@pytest.mark.parametrize("load", INVALID_REPORTS)
+def test_missing_or_invalid_load_report_changes_no_selection(load: LoadReport | None) -> None:
     plays = []
     for told in (LoadReport(memory_share=0.2, pending_kilotokens=3.0), load):
-        w, went = warmed(RouterHarness(BOTH, reports=LoadReportSource.RESPONSES)), []
+        w, selected = with_known_rate(RouterHarness(BOTH, reports=LoadReportSource.RESPONSES)), []
         for number in range(40):
             w.now_ms += 30
             w.request(f"q{number}", session=number // 2, **PREFIX)
-            went.append(w.server_of[f"q{number}"])
+            selected.append(w.server_of[f"q{number}"])
             finish(w, f"q{number}", told)
-        plays.append(went)
+        plays.append(selected)
     assert plays[0] == plays[1]
 
 
-def test_of_two_classes_with_equal_targets_the_less_worthy_is_shed_first() -> None:
+def test_class_of_lower_priority_weight_is_shed_first_at_equal_targets() -> None:
     refused = Counter[int]()
     for seed in range(40):
-        w = warmed(RouterHarness(seed=seed, classes=(IDEMPOTENT, WORTHY)))
+        w = with_known_rate(RouterHarness(seed=seed, classes=(IDEMPOTENT, HIGH_PRIORITY)))
         for server in w.policy.fleet.servers.values():
             server.delay.add(w.now_ms, 0.0)
             server.delay.mean = 850.0
@@ -157,10 +157,10 @@
     "fleet", [FLEET, MIXED_FLEET, tuple(server_entry(f"w{n}", DECODE_KIND) for n in range(3))]
 )
 @pytest.mark.parametrize("decode_may_prefill", [False, True])
-def test_any_mix_of_kinds_serves_what_it_can(
+def test_any_mix_of_server_kinds_serves_requests_it_is_able_to(
     fleet: tuple[ServerEntry, ...], decode_may_prefill: bool
 ) -> None:
-    w = warmed(RouterHarness(fleet, decode_may_prefill=decode_may_prefill))
+    w = with_known_rate(RouterHarness(fleet, decode_may_prefill=decode_may_prefill))
     can = fleet[0].kind != DECODE_KIND or decode_may_prefill
     for number in range(30):
         w.now_ms += 40
@@ -171,16 +171,16 @@
             finish(w, f"q{number}")
 
 
-def test_an_answer_cap_far_above_the_usual_length_sheds_nothing_while_little_is_held() -> None:
+def test_large_output_token_bound_sheds_nothing_while_memory_is_free() -> None:
     kinds = tuple(ServerKind(role, 450_000.0) for role in (Role.PREFILL, Role.DECODE, Role.MIXED))
-    w = warmed(RouterHarness(BOTH, kinds=kinds, routers=3))
+    w = with_known_rate(RouterHarness(BOTH, kinds=kinds, routers=3))
     for number in range(10):
         w.request(f"q{number}", session=number, prompt_tokens=1_000, max_output_tokens=60_000)
         assert sent_to(w.last_actions)
         finish(w, f"q{number}")
 
 
-def scaled_play(times: float) -> list[str]:
+def scaled_selections(times: float) -> list[str]:
     """Where requests go when all times, paces, targets and deadlines too, are so many times as long."""
     slow = replace(
         IDEMPOTENT,
@@ -189,23 +189,23 @@
         target_token_ms=times * 50,
         target_per_1000_tokens_ms=times * 85,
     )
-    w = warmed(RouterHarness(BOTH, classes=(slow,), tick_ms=times * 2), times * 0.05)
-    rng, went = random.Random(5), list[str]()
+    w = with_known_rate(RouterHarness(BOTH, classes=(slow,), tick_ms=times * 2), times * 0.05)
+    rng, selected = random.Random(5), list[str]()
     for number in range(120):
         w.now_ms += times * rng.uniform(2, 8)  # within a second in all: nothing has faded by then
         name, length = f"q{number}", rng.choice([600, 6_000, 20_000])
         known = {"prefix": number % 5 + 1, "prefix_tokens": 500 if length == 600 else 5_000}
         w.request(name, session=number % 30, prompt_tokens=length, expires_in_ms=times * 5000, **known)
-        went.append(w.server_of[name])
+        selected.append(w.server_of[name])
         if w.policy.fleet.servers[w.server_of[name]].role == Role.PREFILL:
             w.outcome(name, AttemptStatus.PREFILLED, latency_ms=times * rng.uniform(20, 120))
-            went.append(w.server_of[name])
+            selected.append(w.server_of[name])
         w.deliver(FirstToken(name, w.attempts[name], w.server_of[name], times * rng.uniform(20, 60)))
         if rng.random() < 0.7:
             w.outcome(name, AttemptStatus.OK, request_ended=True)
-    return went
+    return selected
 
 
-def test_paces_and_targets_a_tenth_as_long_give_the_same_choices() -> None:
-    assert len(set(scaled_play(1))) > 5
-    assert scaled_play(0.1) == scaled_play(1)
+def test_selections_are_invariant_when_all_times_scale() -> None:
+    assert len(set(scaled_selections(1))) > 5
+    assert scaled_selections(0.1) == scaled_selections(1)
--- a/tests/routing/test_cold_servers.py
+++ b/tests/routing/test_cold_servers.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("case", CASES.values(), ids=CASES.keys())
-def test_no_window_holds_more_than_a_cold_server_bears(case: Case) -> None:
+def test_no_window_overloads_a_cold_server(case: Case) -> None:
     """It answers at once, so nothing but the slow start holds the routers back."""
     for seed in (1, 2, 3):
         sent = ColdFleet(replace(case, tireless=True), seed).play()
@@ -60,6 +60,6 @@
     ("name", "least"),
     [("thirty", 0.3), ("two hundred", 0.3), ("three", 0.3), ("short requests", 0.4), ("equal work", 0.6)],
 )
-def test_a_cold_reader_is_not_starved(name: str, least: float) -> None:
+def test_cold_prefill_server_is_not_starved(name: str, least: float) -> None:
     case = CASES[name]
     assert sum(share_used(case, ColdFleet(case, seed).play()) for seed in (1, 2, 3)) / 3 >= least
--- a/tests/routing/test_drains.py
+++ b/tests/routing/test_drains.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("state", [Availability.DRAINING, Availability.REMOVED])
-def test_nothing_new_to_a_server_that_drains_or_is_gone(state: Availability) -> None:
+def test_draining_or_removed_server_gets_no_new_requests(state: Availability) -> None:
     world = RouterHarness()
     home = world.serve("a", session=1)
     told = replace(next(each for each in FLEET if each.server == home), availability=state)
@@ -24,7 +24,7 @@
     assert world.serve("b", session=1) != home
 
 
-def test_a_full_list_without_a_server_means_it_is_gone_and_a_failed_one_changes_nothing() -> None:
+def test_complete_list_removes_unlisted_servers_and_failed_update_changes_nothing() -> None:
     world = RouterHarness()
     home = world.serve("a", session=1)
     world.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
@@ -35,7 +35,7 @@
     assert world.serve("c", session=1) != home
 
 
-def test_what_waits_for_a_server_that_is_gone_is_taken_back() -> None:
+def test_attempt_at_removed_server_is_cancelled() -> None:
     world = RouterHarness()
     world.request("a", session=1)
     gone = replace(
@@ -44,14 +44,14 @@
     assert world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (gone,))) == [CancelAttempt("a", 0)]
 
 
-def test_asked_list_is_subscribed_at_start_and_again_after_a_failure() -> None:
+def test_polled_list_is_watched_at_start_and_again_after_a_failure() -> None:
     world = RouterHarness(membership=MembershipMode.POLL)
     assert WatchEndpoints() in world.last_actions
     world.deliver(EndpointUpdate(EndpointUpdateKind.FAILED))
     assert WatchEndpoints() in world.advance(2500)
 
 
-def test_what_waits_at_a_server_that_is_gone_is_cancelled_once() -> None:
+def test_attempt_at_removed_server_is_cancelled_once() -> None:
     world = RouterHarness()
     world.request("a", session=1)
     rest = tuple(each for each in FLEET if each.server != world.server_of["a"])
--- a/tests/routing/test_effects.py
+++ b/tests/routing/test_effects.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN)
-def test_unsafe_request_that_may_have_run_is_failed_not_repeated_or_refused(status: AttemptStatus) -> None:
+def test_non_idempotent_request_that_may_have_run_is_failed(status: AttemptStatus) -> None:
     world = RouterHarness(classes=(NON_IDEMPOTENT,))
     world.prefill("a", session=1)
     done = world.outcome("a", status)
@@ -39,21 +39,21 @@
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED])
-def test_unsafe_request_that_never_ran_goes_on(status: AttemptStatus) -> None:
+def test_non_idempotent_request_that_never_ran_is_retried(status: AttemptStatus) -> None:
     world = RouterHarness(classes=(NON_IDEMPOTENT,))
     world.prefill("a", session=1)
     first = world.server_of["a"]
     assert sent_to(world.outcome("a", status)) not in ([], [first])
 
 
-def test_an_attempt_at_a_reader_has_no_effect() -> None:
+def test_prefill_attempt_does_not_count_as_possible_run() -> None:
     world = RouterHarness(classes=(NON_IDEMPOTENT,))
     world.request("a", session=1)
     assert len(sent_to(world.outcome("a", AttemptStatus.ERROR))) == 1
 
 
 @pytest.mark.parametrize("group", [DedupScope.ZONE, DedupScope.CELL])
-def test_keyed_repeat_stays_in_its_group(group: DedupScope) -> None:
+def test_keyed_retry_stays_in_its_dedup_scope(group: DedupScope) -> None:
     fleet = (
         server_entry("m0", MIXED_KIND, 0),
         server_entry("m1", MIXED_KIND, 0),
@@ -67,7 +67,7 @@
         assert sent_to(world.outcome("a", AttemptStatus.ERROR)) == [twin]
 
 
-def test_keyed_repeat_ends_with_the_window_and_refusal_only_for_group_all() -> None:
+def test_keyed_retry_ends_with_dedup_window_and_is_rejected_only_for_scope_all() -> None:
     for group, answer in ((DedupScope.ALL, RejectRequest("a", 250)), (DedupScope.ZONE, FailRequest("a"))):
         world = RouterHarness(
             (server_entry("m0", MIXED_KIND), server_entry("m1", MIXED_KIND)), classes=(keyed(group),)
@@ -78,7 +78,7 @@
         assert not sent_to(done) and final_answers(done) == [answer]
 
 
-def test_attempts_never_overlap() -> None:
+def test_attempts_of_a_request_never_overlap() -> None:
     world = RouterHarness()
     world.request("a", session=1)
     done = world.advance(4000)  # silence: cancelled, but no second send before the outcome
@@ -86,7 +86,7 @@
     assert len(sent_to(world.outcome("a", AttemptStatus.CANCELLED))) == 1
 
 
-def test_a_booking_whose_read_is_still_out_is_failed_not_refused() -> None:
+def test_non_idempotent_request_with_attempt_in_flight_is_failed_not_rejected() -> None:
     """A refusal needs an outcome of every attempt, of reads as well: else it counts as a duplicate."""
     unsafe = replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT)
     world = RouterHarness(classes=(IDEMPOTENT, unsafe), max_attempts=2)
--- a/tests/routing/test_failing_servers.py
+++ b/tests/routing/test_failing_servers.py
@@ -23,7 +23,7 @@
 )
 
 
-def test_silent_reader_loses_its_waiting_reads_and_its_sessions() -> None:
+def test_unresponsive_prefill_server_loses_its_attempts_and_sessions() -> None:
     world = RouterHarness()
     home = world.serve("a", session=1)
     world.advance(5000)
@@ -35,7 +35,7 @@
     assert world.serve("c", session=1) == other
 
 
-def test_a_broken_server_is_left_by_most_and_tried_again_by_chance_as_the_evidence_fades() -> None:
+def test_failing_server_is_avoided_and_retried_as_its_failure_probability_decays() -> None:
     world = RouterHarness()
     before = prefill_servers_used(world, "a", 40, prefix=5)
     home = before[0]
@@ -50,7 +50,7 @@
     assert prefill_servers_used(world, "e", 40, prefix=5) == before
 
 
-def test_one_class_refused_moves_that_class_only_and_other_answers_do_not_hide_it() -> None:
+def test_server_rejecting_one_class_is_avoided_by_that_class_only() -> None:
     world = RouterHarness(classes=(IDEMPOTENT, IDEMPOTENT))
     home = prefill_servers_used(world, "a", 1, prefix=5, class_index=1)[0]
     for number in range(4):
@@ -67,7 +67,7 @@
     assert refused < others / 2
 
 
-def test_one_class_left_unanswered_moves_that_class_only() -> None:
+def test_server_timing_out_one_class_is_avoided_by_that_class_only() -> None:
     world = RouterHarness(classes=(IDEMPOTENT, IDEMPOTENT))
     home = prefill_servers_used(world, "a", 1, prefix=5)[0]
     for name in ("b", "c"):
@@ -80,7 +80,7 @@
     assert refused < prefill_servers_used(world, "e", 30, prefix=5, class_index=1).count(home) / 2
 
 
-def test_one_tenant_refused_moves_that_tenant_only() -> None:
+def test_server_rejecting_one_tenant_is_avoided_by_that_tenant_only() -> None:
     world = RouterHarness(tenants=(Tenant(), Tenant()))
     home = prefill_servers_used(world, "a", 1, prefix=5)[0]
     for number in range(4):  # the other tenant's answers tell that it isn't the server
@@ -96,7 +96,7 @@
     assert prefill_servers_used(world, "d", 60, prefix=5, tenant=0).count(home) < 0.7 * others
 
 
-def test_when_all_fail_some_are_still_used() -> None:
+def test_servers_are_still_used_when_all_fail() -> None:
     world = RouterHarness()
     for number in range(12):
         world.request(f"a{number}", session=number)
@@ -105,14 +105,14 @@
     assert len(sent_to(world.request("z", session=99))) == 1
 
 
-def test_without_cancel_silence_is_bounded_by_the_attempts_time_out() -> None:
+def test_attempt_has_a_timeout_where_it_cannot_be_cancelled() -> None:
     world = RouterHarness(may_cancel=False)
     send = world.request("a", session=1)[0]
     assert isinstance(send, SendAttempt) and send.timeout_ms is not None and send.timeout_ms < 1000
     assert not cancels_attempt(world.advance(4000))
 
 
-def test_a_booking_at_a_silent_writer_is_left_to_answer_and_a_query_is_moved() -> None:
+def test_unresponsive_decode_server_loses_only_repeatable_attempts() -> None:
     unsafe = replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT)
     world = RouterHarness(classes=(IDEMPOTENT, unsafe))
     world.prefill("a", class_index=1)
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED])
-def test_a_kept_connection_that_breaks_says_nothing_of_its_reader(status: AttemptStatus) -> None:
+def test_closed_idle_connection_is_not_a_failure_of_its_server(status: AttemptStatus) -> None:
     world = RouterHarness()
     home = world.serve("a", session=1)
     for number in range(20):
@@ -142,7 +142,7 @@
         (Idempotency.IDEMPOTENT, 2, False),
     ],
 )
-def test_a_booking_stays_away_from_a_writer_that_answered_anyones_with_an_error(
+def test_non_idempotent_request_avoids_decode_server_after_any_error(
     effect: Idempotency, errors: int, left: bool
 ) -> None:
     fleet = tuple(each for each in FLEET if each.server in ("r0", "w0", "w1"))
@@ -163,7 +163,7 @@
     assert ("w0" not in chosen) == left and "w1" in chosen
 
 
-def test_a_tier_of_many_quiet_routers_remembers_a_failing_writer_together() -> None:
+def test_failure_memory_lasts_longer_with_many_routers() -> None:
     """Each forgot it in the seconds until its next request there: together they failed some all the time."""
     fleet = tuple(each for each in FLEET if each.server[0] == "w" or each.server == "r0")
     worlds = [RouterHarness(fleet, seed=seed, routers=40, router=seed) for seed in range(40)]
@@ -180,7 +180,7 @@
     assert failed[1] <= 85  # of 800 requests; 119 where all forgot in ten seconds
 
 
-def test_servers_that_no_connection_reaches_get_nothing_unless_there_are_no_others() -> None:
+def test_unreachable_servers_are_used_only_when_no_others_are_left() -> None:
     world = RouterHarness()
     world.deliver(UnreachableServers(frozenset({"r0", "r1", "w0", "w1"})))
     for number in range(20):
--- a/tests/routing/test_final_answers.py
+++ b/tests/routing/test_final_answers.py
@@ -24,7 +24,7 @@
 )
 
 
-def test_silent_servers_end_in_one_answer_before_the_deadline() -> None:
+def test_unresponsive_servers_lead_to_one_answer_before_the_deadline() -> None:
     world = RouterHarness()
     world.request("a", session=1)
     done = world.advance(6000)
@@ -32,7 +32,7 @@
     assert not final_answers(world.advance(10_000))
 
 
-def test_answer_is_given_at_the_deadline_even_while_an_attempt_is_out() -> None:
+def test_request_is_answered_at_deadline_with_attempt_in_flight() -> None:
     world = RouterHarness()
     world.request("a", session=1, expires_in_ms=100)
     assert final_answers(world.advance(100)) == [RejectRequest("a", 250)]
@@ -40,18 +40,18 @@
     assert not sent_to(world.outcome("a", AttemptStatus.CANCELLED, request_ended=True))
 
 
-def test_a_started_stream_has_no_deadline() -> None:
+def test_started_stream_has_no_deadline() -> None:
     world = RouterHarness()
     world.prefill("a", session=1)
     world.first_token("a")
     assert not final_answers(world.advance(60_000))
 
 
-def test_empty_list_gives_an_answer_at_once() -> None:
+def test_empty_list_rejects_at_once() -> None:
     assert final_answers(RouterHarness(()).request("a", session=1)) == [RejectRequest("a", 250)]
 
 
-def test_nothing_follows_the_end_of_a_request() -> None:
+def test_no_actions_after_a_request_has_ended() -> None:
     world = RouterHarness()
     world.request("a", session=1)
     world.deliver(ClientDisconnected("a"))
@@ -59,7 +59,7 @@
     assert not final_answers(world.advance(10_000))
 
 
-def test_strange_names_change_nothing() -> None:
+def test_events_of_unknown_requests_and_servers_change_nothing() -> None:
     world = RouterHarness()
     world.request("a", session=1)
     assert world.deliver(AttemptOutcome("nobody", 0, "r0", AttemptStatus.OK)) == []
@@ -70,13 +70,13 @@
     assert world.deliver(TimerFired("look:nobody")) == []
 
 
-def test_unknown_class_tenant_or_kind_leads_to_an_answer() -> None:
+def test_unknown_class_tenant_or_kind_is_answered() -> None:
     world = RouterHarness((*FLEET, server_entry("odd", 99)))
     assert final_answers(world.request("a", session=1, class_index=9)) == [RejectRequest("a")]
     assert sent_to(world.request("b", session=1, tenant=77))
 
 
-def test_at_the_last_call_what_has_not_begun_is_answered_and_let_go() -> None:
+def test_shutdown_answers_and_releases_all_that_has_not_begun() -> None:
     world = RouterHarness(classes=(IDEMPOTENT, NON_IDEMPOTENT), retry_after=True)
     world.prefill("begun")
     world.first_token("begun")
--- a/tests/routing/test_hard_cases.py
+++ b/tests/routing/test_hard_cases.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_second_copy_is_never_asked_for_whatever_the_settings_allow(seed: int) -> None:
+def test_requests_are_never_hedged(seed: int) -> None:
     """At no moment two attempts of one request; one that must run once goes nowhere once it may have run."""
     rng, w = random.Random(seed), world(seed)
     out, ran = set[str](), set[str]()
@@ -71,7 +71,7 @@
     assert len(kinds) > 200
 
 
-def test_a_reader_five_times_slower_that_still_answers_is_left() -> None:
+def test_prefill_server_five_times_slower_is_avoided() -> None:
     w = world()
     slow, went = "r0", Counter[str]()
     for number in range(240):
@@ -85,7 +85,7 @@
     assert went[slow] < 0.6 * went.total() / 4
 
 
-def test_a_quarter_of_the_servers_gone_at_once_with_a_late_list_fails_nothing_that_may_be_repeated() -> None:
+def test_losing_a_quarter_of_servers_fails_no_repeatable_request() -> None:
     w = world()
     gone, finals = {"r0", "w0"}, Counter[str]()
     for number in range(40):  # 4 s until the list tells
@@ -107,7 +107,7 @@
     assert finals == {"served": 40, "lost": 0}
 
 
-def test_a_quarter_gone_is_asked_less_and_less_until_the_list_tells() -> None:
+def test_attempts_at_lost_servers_decrease_until_the_list_is_updated() -> None:
     w, tried = world(), Counter[int]()
     for number in range(80):
         w.now_ms += 50
@@ -118,7 +118,7 @@
     assert sum(tried[k] for k in (1, 2, 3)) <= 6
 
 
-def test_restarted_with_nothing_but_its_last_list_it_serves_and_learns_the_list_anew() -> None:
+def test_restarted_router_serves_from_persisted_list_until_it_is_updated() -> None:
     first = world()
     for number in range(10):
         first.serve(f"a{number}", session=number)
--- a/tests/routing/test_mixed_prefill.py
+++ b/tests/routing/test_mixed_prefill.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_streams_are_no_queue_for_a_prefill_in_place(seed: int) -> None:
+def test_streams_do_not_count_as_prefill_queue_of_mixed_server(seed: int) -> None:
     """9,300 tokens stream: as a queue they would take 470 ms, the prefix elsewhere is prefilled in 200."""
     w = world(seed)
     stream(w, 3)
@@ -68,7 +68,7 @@
     assert w.server_of["q"] == "m0"
 
 
-def test_what_is_prefilled_in_place_is_a_queue_until_its_first_token() -> None:
+def test_in_place_prefill_counts_as_queue_until_first_token() -> None:
     w = world()
     m0 = w.policy.fleet.servers["m0"]
     w.request("q", session=1, **PREFIX)
@@ -80,7 +80,7 @@
     assert (m0.prefill_tokens, m0.pending_tokens) == (0, 0)
 
 
-def test_a_prefill_in_place_is_given_the_time_of_its_queue() -> None:
+def test_in_place_prefill_timeout_includes_its_queue() -> None:
     """Three prefills of 250 ms each: the last is not called silent after half of the target of 1 s."""
     w = world()
     for name in ("r0", "r1"):
@@ -94,7 +94,7 @@
     assert cancels_attempt(w.deliver(TimerFired(f"{TimerName.WATCH}:q2")))
 
 
-def test_first_tokens_after_a_fetch_do_not_tell_how_long_prefills_wait() -> None:
+def test_first_token_after_a_fetch_is_not_a_prefill_delay_sample() -> None:
     w = world()
     m0 = w.policy.fleet.servers["m0"]
     w.request("q", session=1, **PREFIX)
@@ -107,7 +107,7 @@
     assert m0.delay.value(w.now_ms) < 60
 
 
-def test_a_further_try_after_a_lost_connection_is_counted_once() -> None:
+def test_retry_after_lost_connection_counts_prefill_tokens_once() -> None:
     w = world()
     for name in ("r0", "r1"):
         w.policy.fleet.servers[name].cached_prefixes[HOMED] = w.now_ms
--- a/tests/routing/test_operator_override.py
+++ b/tests/routing/test_operator_override.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("form", [EndpointUpdateKind.CHANGES, EndpointUpdateKind.FULL])
-def test_no_list_lifts_what_was_left_out_by_hand(form: EndpointUpdateKind) -> None:
+def test_endpoint_update_does_not_lift_operator_exclusion(form: EndpointUpdateKind) -> None:
     world = RouterHarness()
     world.deliver(OperatorOverride("w0", True))
     world.deliver(EndpointUpdate(form, 2, FLEET))
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("server", ["r0", "w0"])
-def test_who_is_called_back_is_undoubted_used_at_once_and_paced_as_cold(server: str) -> None:
+def test_readmitted_server_is_used_at_once_and_starts_slowly(server: str) -> None:
     world = RouterHarness()
     for number in range(8):  # its restart shows as resets
         world.prefill(f"a{number}", session=number)
--- a/tests/routing/test_releases.py
+++ b/tests/routing/test_releases.py
@@ -16,14 +16,14 @@
 )
 
 
-def test_state_is_released_when_the_request_ended_during_the_read() -> None:
+def test_kv_cache_entry_is_released_when_request_ended_during_prefill() -> None:
     world = RouterHarness()
     world.request("a", session=1)
     world.deliver(ClientDisconnected("a"))
     assert releases_cache(world.outcome("a", AttemptStatus.PREFILLED, request_ended=True))
 
 
-def test_state_is_released_when_no_writer_is_left() -> None:
+def test_kv_cache_entry_is_released_when_no_decode_server_is_left() -> None:
     world = RouterHarness(
         (server_entry("r", PREFILL_KIND), server_entry("w", DECODE_KIND, availability=Availability.DRAINING))
     )
@@ -32,7 +32,7 @@
     assert releases_cache(done) and len(final_answers(done)) == 1
 
 
-def test_state_is_released_after_a_cancelled_write_and_at_the_last_attempt() -> None:
+def test_kv_cache_entry_is_released_after_cancelled_decode_and_last_attempt() -> None:
     world = RouterHarness()
     world.prefill("a", session=1)
     world.deliver(ClientDisconnected("a"))
@@ -44,7 +44,7 @@
     assert releases_cache(done) and len(final_answers(done)) == 1
 
 
-def test_a_lost_state_is_read_anew_and_a_started_one_needs_no_release() -> None:
+def test_lost_kv_cache_entry_is_prefilled_again_and_started_stream_needs_no_release() -> None:
     world = RouterHarness()
     world.prefill("a", session=1)
     assert sent_to(world.outcome("a", AttemptStatus.FULL, note=1))[0].startswith("r")
--- a/tests/routing/test_shared_queue.py
+++ b/tests/routing/test_shared_queue.py
@@ -24,11 +24,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_patient_request_is_turned_away_where_its_wait_would_make_urgent_ones_late(seed: int) -> None:
+def test_request_with_long_target_is_shed_where_its_wait_delays_urgent_ones(seed: int) -> None:
     assert refused((IDEMPOTENT, PATIENT), 1, 2_300, seed)
     assert not refused((IDEMPOTENT, PATIENT), 1, 700, seed)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_among_patient_ones_alone_it_may_wait_as_long_as_they_can(seed: int) -> None:
+def test_request_with_long_target_may_wait_where_all_targets_are_long(seed: int) -> None:
     assert not refused((PATIENT,), 0, 2_300, seed)
--- a/tests/routing/test_shedding.py
+++ b/tests/routing/test_shedding.py
@@ -19,7 +19,7 @@
 )
 
 
-def jam(world: RouterHarness) -> None:
+def congest(world: RouterHarness) -> None:
     """Make every reader known as slow: reads of 3 s after a few quick ones."""
     for number in range(40):
         world.request(f"jam{number}", session=1000 + number)
@@ -28,15 +28,15 @@
             world.abandon(f"jam{number}")
 
 
-def test_overload_is_shed_before_the_read_with_a_time_to_come_back_and_ends_by_itself() -> None:
+def test_overload_is_shed_before_prefill_with_retry_after_and_recovers() -> None:
     world = RouterHarness()
-    jam(world)
+    congest(world)
     assert world.request("a", session=1) == [RejectRequest("a", 250)]
     world.now_ms += 20_000  # the delay that was seen fades, also when all are refused
     assert len(sent_to(world.request("b", session=1))) == 1
 
 
-def test_worth_and_share_decide_who_is_shed_first() -> None:
+def test_priority_weight_and_quota_decide_what_is_shed_first() -> None:
     classes = (replace(IDEMPOTENT, priority_weight=2.0), replace(IDEMPOTENT, priority_weight=0.2))
     tenants = (Tenant(0.5, quota_per_s=4.0), Tenant(0.5, quota_per_s=400.0))
     world = RouterHarness(
@@ -53,7 +53,7 @@
     assert served == [True] * 4 + [False] * 2  # two a second is this router's part, four may come together
 
 
-def test_a_long_wait_sheds_in_proportion_so_that_news_goes_on_coming() -> None:
+def test_long_wait_sheds_in_proportion_and_keeps_sampling() -> None:
     world = RouterHarness()
     for number in range(4):  # answers that start late tell that the links are slow
         world.prefill(f"a{number}", session=number, prefix=5)
@@ -64,7 +64,7 @@
     assert 0 < sum(sent) < 60
 
 
-def test_a_first_read_that_waited_does_not_make_a_fresh_router_refuse_for_long() -> None:
+def test_slow_first_prefill_does_not_make_new_router_reject_for_long() -> None:
     world = RouterHarness()
     for number, latency_ms in enumerate((2000, 60, 60)):  # the first one met a queue
         world.request(f"a{number}", session=number, prefix=5)
@@ -74,23 +74,23 @@
     assert world.policy.estimates.prefill_ms_per_token < 0.1
 
 
-def test_a_tenant_keeps_its_part_of_what_comes_while_peers_are_down() -> None:
+def test_tenant_gets_its_fraction_of_arrivals_while_peers_are_down() -> None:
     """All tenants then ask more of this router than its part of their quotas; one that alone does is over."""
     tenants = (Tenant(0.5, quota_per_s=8.0), Tenant(0.5, quota_per_s=8.0))
     over = {}
     for both in (True, False):
         world = RouterHarness(tenants=tenants)
-        judged = []
+        below_full_priority = []
         for number in range(48):  # 16 a second are the quotas of both routers together; this one gets all
             world.now_ms += 62.5
             world.request(f"a{number}", session=number, tenant=number % 2 if both else 0)
-            judged.append(world.policy.requests[f"a{number}"].priority < 1)
+            below_full_priority.append(world.policy.requests[f"a{number}"].priority < 1)
             world.abandon(f"a{number}")
-        over[both] = sum(judged)
+        over[both] = sum(below_full_priority)
     assert over[True] <= 8 and over[False] >= 16
 
 
-def test_a_short_read_behind_long_ones_does_not_pass_for_a_slow_fleet() -> None:
+def test_short_prefill_queued_behind_long_ones_does_not_raise_prefill_rate() -> None:
     world = RouterHarness()
     for number in range(8):
         world.serve(f"a{number}", session=number)
--- a/tests/routing/test_slow_servers.py
+++ b/tests/routing/test_slow_servers.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_a_slow_reader_loses_new_sessions_to_the_next_in_rank() -> None:
+def test_slow_prefill_server_loses_new_sessions_to_next_in_rank() -> None:
     world = RouterHarness()
     before = prefill_servers_used(world, "a", 60, prefix=5)
     home = before[0]
@@ -34,7 +34,7 @@
     assert after.count(home) < before.count(home) / 2
 
 
-def test_a_writer_with_long_waits_is_passed_over() -> None:
+def test_decode_server_with_long_delay_is_avoided() -> None:
     fleet = (server_entry("r", PREFILL_KIND), *(server_entry(f"w{n}", DECODE_KIND) for n in range(2)))
     world = RouterHarness(fleet)
     for number in range(20):
@@ -49,7 +49,7 @@
     assert [world.server_of[f"b{n}"] for n in range(40)].count("w0") < 14
 
 
-def test_states_leave_a_cell_whose_writers_are_too_few() -> None:
+def test_kv_cache_entries_spill_from_cell_short_of_decode_servers() -> None:
     fleet = (
         *(server_entry(f"r{n}", PREFILL_KIND, 0) for n in range(3)),
         server_entry("near", DECODE_KIND, 0),
@@ -64,7 +64,7 @@
     assert 0.1 < at.count("near") / len(at) < 0.6  # a third of them is its fair part
 
 
-def test_fleet_wide_slowness_makes_no_suspects() -> None:
+def test_fleet_wide_slowness_cancels_no_attempts() -> None:
     world = RouterHarness()
     for number in range(60):  # every read takes 600 ms, more than the least patience
         world.request(f"a{number}", session=number % 8)
@@ -89,7 +89,7 @@
     assert 3 <= reads <= 16
 
 
-def test_hot_prefix_spreads_down_the_same_ranking() -> None:
+def test_hot_prefix_spreads_in_rank_order() -> None:
     orders = []
     for seed in (1, 2):
         world = RouterHarness(seed=seed)
@@ -104,7 +104,7 @@
     assert orders[0] == orders[1]
 
 
-def test_a_restarted_reader_no_longer_holds_its_sessions() -> None:
+def test_restarted_prefill_server_loses_its_affinities() -> None:
     world = RouterHarness()
     home = world.serve("a", session=7)
     other = next(key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != home)
@@ -116,7 +116,7 @@
     assert world.serve("c", session=7, prefix=other) != home
 
 
-def test_a_slow_link_out_of_a_cell_says_nothing_of_fetches_within_it() -> None:
+def test_slow_remote_transfer_does_not_raise_local_fetch_delay() -> None:
     world = RouterHarness()
     reader = world.prefill("a", session=1)
     near = {"r0": {"w0", "w1"}, "r1": {"w0", "w1"}}.get(reader, {"w2", "w3"})
@@ -129,7 +129,7 @@
     assert sent_to(world.request("c", session=2))
 
 
-def test_nothing_is_kept_of_servers_and_cells_that_have_given_way() -> None:
+def test_state_of_removed_servers_and_cells_is_deleted() -> None:
     """On a long day all of them do, under new names, again and again."""
     world = RouterHarness(())
     sizes = []
@@ -152,7 +152,7 @@
     assert max(sizes) < 1.5 * sizes[0]
 
 
-def test_a_writer_whose_streams_run_on_is_drawn_less() -> None:
+def test_decode_server_with_slow_streams_is_selected_less() -> None:
     """Its first tokens come in time; what is slow is each further one, so those that still run count too."""
     world = RouterHarness(
         (
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("routers", [3, 60, 200])
-def test_many_routers_together_keep_a_cold_servers_budget_and_warm_it(routers: int) -> None:
+def test_many_routers_together_stay_within_slow_start_budget(routers: int) -> None:
     """Each router knows nothing of its peers; each second it has one request for the cold server."""
     start = 1_000_000.0
     fleet = tuple(replace(each, started_ms=start) if each.server == "r0" else each for each in FLEET)
@@ -42,7 +42,7 @@
     assert sum(windows) >= 3  # and it is not starved
 
 
-def test_a_busy_router_paces_a_cold_server_by_all_the_work_it_gets_done() -> None:
+def test_busy_router_scales_slow_start_with_its_completions() -> None:
     world = RouterHarness(routers=8)
     for number in range(200):  # 20 a second while a server would warm, about 5 at each of four readers
         world.advance(50)
@@ -56,7 +56,7 @@
     assert used >= 4  # 0.3 of 5 a second and rising, for 3 s; a quarter of the work tells a quarter
 
 
-def test_many_quiet_routers_together_give_a_cold_reader_what_it_can_read_and_no_more() -> None:
+def test_many_quiet_routers_use_cold_prefill_server_within_its_capacity() -> None:
     """Of 40 routers each sees little done: by that alone a fresh reader got next to nothing while cold."""
     routers, start = 40, 1_000_000.0
     worlds = [RouterHarness(seed=seed, routers=routers, router=seed) for seed in range(routers)]
@@ -76,7 +76,7 @@
     assert all(can <= sent[second] <= 4 * can for second in range(1, 4))
 
 
-def test_a_tier_whose_fleet_is_mostly_fresh_gives_cold_writers_more_than_their_usual_part() -> None:
+def test_mostly_cold_fleet_gives_cold_decode_servers_more_than_usual() -> None:
     """Three in four writers are cold: by their part of the usual alone the last warm one got nearly all."""
     routers, start = 40, 1_000_000.0
     worlds = [RouterHarness(seed=seed, routers=routers, router=seed) for seed in range(routers)]
@@ -98,7 +98,7 @@
     assert sent["w0"] < 0.62 * sent.total()  # 0.72 when they got their warmth's part of the usual at most
 
 
-def test_all_cold_and_spent_means_a_refusal_not_a_push() -> None:
+def test_request_is_rejected_when_all_servers_are_cold_without_credit() -> None:
     world = RouterHarness(
         (server_entry("r", PREFILL_KIND, started_ms=1_000_000.0), server_entry("w", DECODE_KIND))
     )
@@ -108,7 +108,7 @@
     assert sent_to(world.request("c", session=3)) == ["r"]
 
 
-def test_a_fleet_that_comes_back_cold_is_not_stormed_by_failed_sends() -> None:
+def test_cold_fleet_after_outage_is_not_overloaded_by_retries() -> None:
     world = RouterHarness()
     for number in range(60):  # all are down: connections fail, which is no evidence of what a server can do
         world.request(f"a{number}", session=number)
@@ -123,7 +123,7 @@
     assert any(sent_to(world.request(f"c{n}", session=n)) for n in range(20))
 
 
-def test_a_router_that_has_just_begun_gives_cold_decode_servers_their_part() -> None:
+def test_new_router_sends_cold_decode_servers_their_share() -> None:
     """Two seconds of completions were spread over the time that a server warms: cold ones starved."""
     world = RouterHarness(routers=4, warm_after_ms=10_000, overload_window_ms=1000)
     for number in range(40):  # 20 a second, 5 at each of four decode servers
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.FULL, AttemptStatus.CONNECT_FAILED])
-def test_a_request_does_not_hammer_the_only_decode_server(status: AttemptStatus) -> None:
+def test_request_attempts_per_server_are_bounded(status: AttemptStatus) -> None:
     """One server was left that was not cold, and each request tried it six times within milliseconds."""
     fleet = tuple(each for each in FLEET if each.server in ("r0", "w0"))
     world = RouterHarness(fleet, max_attempts=6)
--- a/tests/routing/test_snapshot.py
+++ b/tests/routing/test_snapshot.py
@@ -16,7 +16,7 @@
 from tests.router_harness import FLEET, RouterHarness
 
 
-def taken_over(old: RouterHarness, **settings: int) -> RouterHarness:
+def restored_router(old: RouterHarness, **settings: int) -> RouterHarness:
     """A fresh router that was told what the old one knows."""
     new = RouterHarness(tuple(each.entry for each in old.policy.fleet.servers.values()), seed=2, **settings)
     new.now_ms = old.now_ms
@@ -26,20 +26,20 @@
     return new
 
 
-def test_homes_pace_and_doubt_are_taken_over() -> None:
+def test_snapshot_restores_affinities_prefill_rate_and_failures() -> None:
     old = RouterHarness()
     homes = {session: old.serve(f"a{session}", session=session, prefix=2**200) for session in range(20)}
     old.deliver(OperatorOverride("w0", True))
     old.deliver(OperatorOverride("w0", False))
     old.prefill("b1")
     old.outcome("b1", AttemptStatus.RESET)
-    new = taken_over(old)
+    new = restored_router(old)
     assert new.policy.estimates.prefill_ms_per_token == old.policy.estimates.prefill_ms_per_token > 0
     assert server_views(new.policy, new.now_ms) == server_views(old.policy, old.now_ms)
     assert {new.prefill(f"c{session}", session=session) == home for session, home in homes.items()} == {True}
 
 
-def test_a_cold_server_is_paced_by_the_work_that_the_old_one_got_done() -> None:
+def test_snapshot_restores_completions_for_slow_start() -> None:
     old = RouterHarness(routers=8)
     for number in range(60):
         old.advance(100)
@@ -47,7 +47,7 @@
     cold = tuple(replace(each, started_ms=old.now_ms) for each in FLEET if each.server == "r0")
     old.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     fleet = tuple(each.entry for each in old.policy.fleet.servers.values())
-    news = [taken_over(old, routers=8), RouterHarness(fleet, seed=2, routers=8)]
+    news = [restored_router(old, routers=8), RouterHarness(fleet, seed=2, routers=8)]
     used = []
     for new in news:
         new.now_ms = old.now_ms
@@ -65,7 +65,9 @@
     [{"servers": [["nobody", 0, 0, 0, 0, 0, 0, 0, 0]]}, {"homes": [["ff", "nobody", 1, 1]]}, {"new": [[1]]},
      {"blame": [["nobody", "all", 1, 1]]}, {"usual": [["reader", 1, 2, 3, 4]]}],
 )  # fmt: skip
-def test_what_is_not_known_here_changes_nothing(part: dict[str, list[list[object]]]) -> None:
+def test_snapshot_rows_of_unknown_servers_and_tables_change_nothing(
+    part: dict[str, list[list[object]]],
+) -> None:
     world = RouterHarness()
     before = server_views(world.policy, world.now_ms)
     snapshot.load(world.policy, part)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -29,39 +29,39 @@
 REQUEST = "NEW_REQUEST op_id=t/a n_max=256 expires_in_ms=5000 profile=0 prompt_len=10 conversation=4 new=1\n"
 
 
-def talk(text: str) -> tuple[int, str, str]:
+def exchange(text: str) -> tuple[int, str, str]:
     out, err = io.StringIO(), io.StringIO()
     return serve(io.BytesIO(text.encode()), out, err), out.getvalue(), err.getvalue()
 
 
-def process(text: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_process(text: bytes) -> subprocess.CompletedProcess[bytes]:
     command = [sys.executable, "-m", "ringledge.routing.simulator_adapter"]
     return subprocess.run(command, input=text, capture_output=True, cwd=ROOT, timeout=30)
 
 
-def test_a_process_answers_batches() -> None:
+def test_adapter_process_replies_to_batches() -> None:
     text = START + BATCH + REQUEST + "EOB\nROUND wall_ms=1002\nEOB\n"
-    run = process(text.encode())
+    run = run_process(text.encode())
     assert run.returncode == 0
     replies = run.stdout.decode().split("NEXT\n")
     assert len(replies) == 4 and replies[2:] == ["", ""]
     assert replies[1].splitlines()[:2] == ["FROM dispatcher=3", "DISPATCH op_id=t/a host=10.0.0.1:5000"]
 
 
-def test_a_read_is_followed_by_a_write() -> None:
+def test_prefill_is_followed_by_decode() -> None:
     read = (
         "ROUND wall_ms=1050\nAT dispatcher=3\nRESOLVED op_id=t/a shot=0 host=10.0.0.1:5000 outcome=100 "
         "cost_time_ms=49 note=3 server_stats=x0:0.5,x1:2.5,new:1\nEOB\n"
     )
-    code, out, err = talk(START + BATCH + REQUEST + "EOB\n" + read)
+    code, out, err = exchange(START + BATCH + REQUEST + "EOB\n" + read)
     assert (code, err) == (0, "")
     assert "DISPATCH op_id=t/a host=10.0.0.2:5000" in out
 
 
-def test_instances_share_nothing_and_stop_forgets() -> None:
+def test_instances_are_isolated_and_retire_deletes_one() -> None:
     twice = START + START.replace("dispatcher=3", "dispatcher=4")
     after = "ROUND wall_ms=1001\nAT dispatcher=3\nRETIRE\nAT dispatcher=4\n" + REQUEST + "EOB\n"
-    code, out, _ = talk(twice + after)
+    code, out, _ = exchange(twice + after)
     assert code == 0 and out.split("NEXT\n")[2].startswith("FROM dispatcher=4\nDISPATCH")
 
 
@@ -78,27 +78,27 @@
         "AT dispatcher=9\nRING cookie=x",
     ],
 )
-def test_a_malformed_line_stops_with_one_plain_message(line: str) -> None:
-    code, _, err = talk(START + BATCH + line + "\nEOB\n")
+def test_malformed_line_exits_with_one_line_message(line: str) -> None:
+    code, _, err = exchange(START + BATCH + line + "\nEOB\n")
     assert code != 0 and err.count("\n") == 1
     assert "malformed: " in err and err.startswith("line 1")
 
 
-def test_bytes_that_are_no_text_are_malformed() -> None:
-    run = process(b"ROUND wall_ms=1\n\xff\xfe\n")
+def test_invalid_utf8_is_malformed() -> None:
+    run = run_process(b"ROUND wall_ms=1\n\xff\xfe\n")
     assert run.returncode != 0 and run.stderr.count(b"\n") == 1
 
 
-def test_an_exception_in_the_policy_is_reported_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_policy_exception_is_reported_as_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> None:
         raise KeyError("nobody")
 
     monkeypatch.setattr(Policy, "handle", broken)
-    code, out, _ = talk(START + BATCH + REQUEST + "EOB\n")
+    code, out, _ = exchange(START + BATCH + REQUEST + "EOB\n")
     assert code == 0 and "INTERNAL_ERROR msg=KeyError" in out
 
 
-def test_the_module_keeps_its_limits() -> None:
+def test_decision_files_stay_within_format_limits() -> None:
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     texts = [(ROOT / name).read_text() for name in named]
     lines = [line for text in texts for line in text.splitlines()]
@@ -130,7 +130,7 @@
     return found.union(*map(modules_in_use, held))
 
 
-def test_every_module_that_chooses_is_named_among_the_decisions() -> None:
+def test_every_decision_module_is_listed_in_deployment() -> None:
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     decisions = {Path(name).stem for name in named}
     files = {path.stem for path in (ROOT / "ringledge" / "routing").glob("*.py")}
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_session_returns_to_its_reader_and_the_binding_slides() -> None:
+def test_session_returns_to_its_prefill_server_and_use_renews_affinity() -> None:
     world = RouterHarness()
     home = world.serve("a0", session=7, prefix=None)
     key_home = world.serve("b0", session=8, prefix=3)
@@ -31,7 +31,7 @@
         assert world.serve(f"b{turn + 1}", session=8, prefix=3) == key_home
 
 
-def test_idle_binding_ends_with_its_time_to_live() -> None:
+def test_idle_affinity_expires_with_its_ttl() -> None:
     world = RouterHarness()
     home = world.serve("a", session=7)
     other = next(key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != home)
@@ -40,7 +40,7 @@
     assert world.serve("b", session=7, prefix=other) != home
 
 
-def test_hash_is_the_same_on_every_router_and_goes_by_the_shared_prefix() -> None:
+def test_rendezvous_hash_is_equal_on_every_router_and_keyed_by_prefix() -> None:
     for prefix in range(1, 11):
         first, second = RouterHarness(seed=1), RouterHarness(seed=2, router=1, zone=1)
         for session in range(4):
@@ -50,7 +50,7 @@
     assert readers == {"r0", "r1", "r2", "r3"}
 
 
-def test_a_reader_that_leaves_moves_only_keys_that_it_shared() -> None:
+def test_removed_prefill_server_moves_only_its_own_keys() -> None:
     before = {prefix: RouterHarness().serve("a", session=1, prefix=prefix) for prefix in range(1, 41)}
     fleet = tuple(each for each in FLEET if each.server != "r1")
     after = {prefix: RouterHarness(fleet).serve("a", session=1, prefix=prefix) for prefix in before}
@@ -58,7 +58,7 @@
     assert len(moved) < 14  # where it was the other of the first two, the session may draw the new one
 
 
-def test_a_beginning_is_read_by_the_first_in_rank_until_that_one_is_behind() -> None:
+def test_prefix_is_prefilled_by_first_in_rank_until_that_is_queued() -> None:
     """Kept at two readers it is read twice: a fleet whose caches were lost has no time for that."""
     for prefix in range(1, 11):
         world = RouterHarness()
@@ -71,12 +71,12 @@
         assert len(others) == 1  # and the same second one helps out
 
 
-def test_a_beginning_is_read_at_few_readers() -> None:
+def test_prefix_is_prefilled_at_few_servers() -> None:
     for prefix in range(1, 11):
         assert len({RouterHarness().serve("a", session=session, prefix=prefix) for session in range(12)}) <= 2
 
 
-def test_writer_is_chosen_when_the_read_ends_and_near() -> None:
+def test_decode_server_is_selected_after_prefill_in_the_same_cell() -> None:
     near = 0
     for seed in range(50):
         world = RouterHarness(seed=seed)
@@ -87,7 +87,7 @@
     assert near == 50  # nobody is loaded, so the far writer is never clearly lighter
 
 
-def test_far_writer_only_with_clearly_fewer_tokens() -> None:
+def test_remote_decode_server_needs_clearly_fewer_pending_tokens() -> None:
     fleet = (
         server_entry("r", PREFILL_KIND, 0),
         server_entry("s", PREFILL_KIND, 1),
@@ -106,7 +106,7 @@
     )  # with some there, the far one is clearly lighter
 
 
-def test_tokens_under_way_take_the_hint_else_half_of_the_most_and_do_not_leak() -> None:
+def test_pending_tokens_use_hint_else_half_of_bound_and_do_not_leak() -> None:
     fleet = (server_entry("r", PREFILL_KIND, 0), server_entry("w", DECODE_KIND, 0))
     world = RouterHarness(fleet)
     for name, hint_ms in (("a", None), ("b", 500.0)):
@@ -120,7 +120,7 @@
     assert not world.policy.requests
 
 
-def test_mixed_server_answers_in_place_but_long_unkept_prompts_go_to_readers() -> None:
+def test_mixed_server_decodes_in_place_but_long_uncached_prompts_go_to_prefill_servers() -> None:
     world = RouterHarness(
         (server_entry("m", MIXED_KIND), server_entry("r", PREFILL_KIND), server_entry("w", DECODE_KIND))
     )
@@ -143,7 +143,9 @@
 
 
 @pytest.mark.parametrize(("readers", "helps"), [(2, False), (1, True)])
-def test_a_mixed_server_reads_long_prompts_only_once_no_reader_is_calm(readers: int, helps: bool) -> None:
+def test_mixed_server_prefills_long_prompts_only_when_prefill_servers_are_congested(
+    readers: int, helps: bool
+) -> None:
     """A fleet whose readers are mostly fresh was short of reads while those that can read idled."""
     fleet = (
         *(server_entry(f"r{n}", PREFILL_KIND) for n in range(readers)),
@@ -159,19 +161,19 @@
         assert world.server_of["b"] == ("m" if helps else "r1")
 
 
-def test_a_writer_that_reads_serves_where_there_is_no_reader() -> None:
+def test_decode_server_prefills_where_there_is_no_prefill_server() -> None:
     alone = (server_entry("w", DECODE_KIND),)
     assert sent_to(RouterHarness(alone, decode_may_prefill=True).request("a", session=1)) == ["w"]
     assert isinstance(RouterHarness(alone).request("a", session=1)[0], RejectRequest)
 
 
-def test_missing_keys_and_resumed_streams_are_served() -> None:
+def test_requests_without_affinity_keys_and_reconnects_are_served() -> None:
     world = RouterHarness()
     assert len(sent_to(world.request("a"))) == 1
     assert len(sent_to(world.request("b", session=3, reconnect=True, retry=True))) == 1
 
 
-def test_a_cold_writer_is_chosen_by_its_warmth() -> None:
+def test_cold_decode_server_is_selected_in_proportion_to_its_warmth() -> None:
     fleet = (
         server_entry("r", PREFILL_KIND),
         server_entry("w0", DECODE_KIND),
@@ -187,7 +189,7 @@
     assert 0.32 < share < 0.47  # 0.65 of a warm one's; evenly it would be half
 
 
-def test_a_cell_whose_writers_are_cold_gives_more_of_its_states_away() -> None:
+def test_cell_with_cold_decode_servers_spills_more_kv_cache_entries() -> None:
     fresh = {"w0", "w1"}
     start = 1_000_000.0 - 1
     fleet = tuple(replace(each, zone=0, started_ms=start * (each.server in fresh)) for each in FLEET)
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -21,35 +21,35 @@
 MIXES = tuple(server_entry(f"m{at}", MIXED_KIND) for at in range(4))
 
 
-def used(world: RouterHarness, start: int = 0) -> set[str]:
+def servers_used(world: RouterHarness, start: int = 0) -> set[str]:
     """Where the first attempts of many requests go."""
     for at in range(start, start + 40):
         world.request(f"a{at}", session=at)
     return {world.server_of[f"a{at}"] for at in range(start, start + 40)}
 
 
-def test_a_server_kept_from_reads_gets_none_and_is_back_when_it_is_not_named() -> None:
+def test_server_planned_without_prefill_gets_none_until_the_plan_omits_it() -> None:
     world = RouterHarness(MIXES)
-    assert used(world) == {"m0", "m1", "m2", "m3"}
+    assert servers_used(world) == {"m0", "m1", "m2", "m3"}
     world.deliver(RolePlan(no_prefill=frozenset({"m0", "m1"})))
-    assert used(world, 100) == {"m2", "m3"}
+    assert servers_used(world, 100) == {"m2", "m3"}
     world.deliver(RolePlan())
-    assert used(world, 200) == {"m0", "m1", "m2", "m3"}
+    assert servers_used(world, 200) == {"m0", "m1", "m2", "m3"}
 
 
-def test_no_plan_shuts_a_role_everywhere_and_none_goes_against_a_kind() -> None:
+def test_role_plan_neither_removes_a_role_entirely_nor_overrides_server_kind() -> None:
     world = RouterHarness((*MIXES, server_entry("r0", PREFILL_KIND), server_entry("w0", DECODE_KIND)))
     names = frozenset({"m0", "m1", "m2", "m3"})
     world.deliver(RolePlan(names | {"r0"}, names | {"w0"}))
-    assert used(world) == {"r0"}
+    assert servers_used(world) == {"r0"}
     world.outcome("a0", AttemptStatus.PREFILLED)
     assert world.server_of["a0"] == "w0"
     lone = RouterHarness(MIXES)
     lone.deliver(RolePlan(no_prefill=frozenset(each.server for each in MIXES)))
-    assert used(lone) == {"m0", "m1", "m2", "m3"}
+    assert servers_used(lone) == {"m0", "m1", "m2", "m3"}
 
 
-def test_a_state_that_waits_at_a_server_that_changes_is_fetched_and_a_stream_ends() -> None:
+def test_role_change_leaves_waiting_kv_cache_entry_and_stream_intact() -> None:
     world = RouterHarness((*MIXES[:2], server_entry("r0", PREFILL_KIND)), classes=(IDEMPOTENT,))
     world.deliver(RolePlan(no_prefill=frozenset({"m0", "m1"})))
     world.request("a", session=1)
@@ -64,7 +64,7 @@
     )
 
 
-def test_the_book_says_what_the_decisions_take() -> None:
+def test_role_book_agrees_with_policy() -> None:
     book = RoleBook(RatioConfig())
     book.listed(0.0, {"m0": "both", "m1": "both", "r0": "read", "w0": "write"})
     book.receive(0.0, "m0", RoleAssignment(1, 1, "read"))
@@ -73,4 +73,4 @@
     assert book.shut() == (frozenset({"w0"}), frozenset({"m0", "r0"}))
     world = RouterHarness((*MIXES[:2], server_entry("r0", PREFILL_KIND), server_entry("w0", DECODE_KIND)))
     world.deliver(RolePlan(*book.shut()))
-    assert used(world) <= {"m0", "m1", "r0"}
+    assert servers_used(world) <= {"m0", "m1", "r0"}
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -18,7 +18,7 @@
 ROUTERS = 40
 
 
-def refusals(world: RouterHarness, reach: Reachability, name: str, gone: set[str]) -> int:
+def refused_connections(world: RouterHarness, reach: Reachability, name: str, gone: set[str]) -> int:
     """Play a request until it streams or is answered; how many connections were refused to it."""
     refused = 0
     while not final_answers(world.last_actions):
@@ -36,7 +36,7 @@
     return refused
 
 
-def test_a_list_of_the_start_that_names_mostly_servers_that_are_gone_costs_few_connects() -> None:
+def test_persisted_list_of_mostly_removed_servers_costs_few_connection_attempts() -> None:
     """A third of the list is there, the rest refuses. Requests ended as five refused connects."""
     gone = [server_entry(f"g{n}", n % 2, cell=n % 2) for n in range(16)]
     listed, names = (*FLEET, *gone), {each.server for each in gone}
@@ -49,14 +49,14 @@
             world.advance(500)
             world.deliver(UnreachableServers(reach.silences(world.now_ms)))
             world.request(f"a{number}", session=number)
-            refused = refusals(world, reach, f"a{number}", names)
+            refused = refused_connections(world, reach, f"a{number}", names)
             later += refused * (number >= 20)
             ended += bool(final_answers(world.last_actions))
     assert later < 0.9 * ROUTERS * 20  # in the second ten seconds; 1.13 a request where they fade in three
     assert ended < 0.08 * ROUTERS * 40  # nearly all before anything is known
 
 
-def test_every_reader_replaced_within_seconds_and_one_of_the_new_ones_bad() -> None:
+def test_replacing_all_prefill_servers_overloads_no_cold_server_and_avoids_the_outlier() -> None:
     start = 1_000_000.0
     worlds = [RouterHarness(seed=seed, routers=ROUTERS, router=seed) for seed in range(ROUTERS)]
     for number in range(20):
