--- a/ringledge/routing/endpoint_registry.py
+++ b/ringledge/routing/endpoint_registry.py
@@ -135,9 +135,11 @@
         prefill = [server for server in up if server.role != Role.DECODE]
         prefill = prefill or decode * self.settings.decode_may_prefill
         # By plan each does one; were a role left to nobody, any that can would be better than none.
-        fleet.decode_servers = [each for each in decode if not fleet.only_does(each, Role.PREFILL)] or decode
+        fleet.decode_servers = [
+            each for each in decode if not fleet.is_dedicated_to(each, Role.PREFILL)
+        ] or decode
         fleet.prefill_servers = [
-            each for each in prefill if not fleet.only_does(each, Role.DECODE)
+            each for each in prefill if not fleet.is_dedicated_to(each, Role.DECODE)
         ] or prefill
         fleet.peak_servers |= Counter(server.role for server in servers)  # the larger of both
         self.estimates.forget_other_cells({server.entry.cell for server in servers})
--- a/ringledge/routing/fleet.py
+++ b/ringledge/routing/fleet.py
@@ -61,7 +61,7 @@
         share = max(0.0, age_ms) / max(1.0, warm_ms)
         return self.settings.cold_capacity * (1 - share) + share
 
-    def only_does(self, server: Server, role: Role) -> bool:
+    def is_dedicated_to(self, server: Server, role: Role) -> bool:
         """Whether all that is new to a server is of this role, by its kind or by plan."""
         plan = self.role_plan
         names = plan.no_prefill if role == Role.DECODE else plan.no_decode
@@ -74,8 +74,8 @@
         zones = defaultdict[int, _WarmCapacity](_WarmCapacity)
         for server in up:
             warmth = self.warmth(server, now_ms)
-            prefill = warmth * (not self.only_does(server, Role.DECODE))
-            decode = warmth * (not self.only_does(server, Role.PREFILL))
+            prefill = warmth * (not self.is_dedicated_to(server, Role.DECODE))
+            decode = warmth * (not self.is_dedicated_to(server, Role.PREFILL))
             for capacity in (fleet, cells[server.entry.cell], zones[server.entry.zone]):
                 capacity.add(prefill, decode)
         ratio = fleet.decode / max(1.0, fleet.prefill)
--- a/ringledge/routing/prefill.py
+++ b/ringledge/routing/prefill.py
@@ -104,7 +104,7 @@
         self, state: RequestState, server: Server, wait_ms: float, target_ms: float
     ) -> GiveUpReason | None:
         """Why a request is not sent to its server, or None; what has had an attempt is never shed."""
-        if state.attempts:
+        if state.attempt_count:
             return None
         if self.estimates.fleet_memory_use(state) > MEMORY_SHORT + (1 - MEMORY_SHORT) * state.priority:
             return GiveUpReason.MEMORY_SHORT  # its entry would wait, or evict a newer answer
--- a/ringledge/routing/request_lifecycle.py
+++ b/ringledge/routing/request_lifecycle.py
@@ -99,7 +99,7 @@
         selected = self._select(state)
         if isinstance(selected, GiveUpReason):
             self._give_up(state, selected)
-        elif state.attempts + (selected.role == Role.PREFILL) >= self.settings.max_attempts:
+        elif state.attempt_count + (selected.role == Role.PREFILL) >= self.settings.max_attempts:
             self._give_up(state, GiveUpReason.ATTEMPTS_USED)  # a prefill needs one more, for the decode
         else:
             self._send(state, selected)
@@ -120,7 +120,7 @@
         state.queued_tokens = 0.0 if decodes else server.prefill_tokens + PREFILL_OVERHEAD_TOKENS
         state.server = server
         state.sent_ms = self.clock.now_ms
-        state.attempts += 1
+        state.attempt_count += 1
         server.start_credit -= estimates.relative_work(state, server)
         timeout_ms = None if self.settings.may_cancel else self._watch_timeout_ms(state, server)
         self.actions.append(SendAttempt(state.request.request, server.entry.server, timeout_ms))
@@ -162,7 +162,7 @@
         self.observer.record_result(state, server, 1.0)
         prefills = server.role == Role.PREFILL
         repeatable = prefills or state.request_class.idempotency != Idempotency.NON_IDEMPOTENT
-        if repeatable and state.attempts + prefills < self.settings.max_attempts:
+        if repeatable and state.attempt_count + prefills < self.settings.max_attempts:
             self.actions += cancel_actions(self.settings, state)
 
     # Attempts.
@@ -170,7 +170,9 @@
     def _state_of(self, event: AttemptOutcome | FirstToken) -> RequestState | None:
         """The request of an event; None where the event is not of the attempt in flight."""
         state = self.requests.get(event.request)
-        in_flight = state is not None and state.server is not None and event.attempt == state.attempts - 1
+        in_flight = (
+            state is not None and state.server is not None and event.attempt == state.attempt_count - 1
+        )
         return state if in_flight else None
 
     def finish_attempt(self, outcome: AttemptOutcome) -> None:
--- a/ringledge/routing/state.py
+++ b/ringledge/routing/state.py
@@ -120,7 +120,7 @@
     priority: float  # priority weight relative to the highest of all classes; less over the tenant's quota
     deadline_ms: float
     failure_scopes: list[FailureScope]  # its class's and, where there are tenants, its tenant's
-    attempts: int = 0
+    attempt_count: int = 0
     server: Server | None = None  # where an attempt has no outcome yet
     sent_ms: float = 0.0  # when that was sent
     pending_tokens: float = 0.0  # what it adds to the server's
--- a/ringledge/routing/termination.py
+++ b/ringledge/routing/termination.py
@@ -39,4 +39,4 @@
     """Cancel a request's attempt where it has one that has not begun to answer, and where that is allowed."""
     if state.server is None or state.streaming or not settings.may_cancel:
         return []
-    return [CancelAttempt(state.request.request, state.attempts - 1)]
+    return [CancelAttempt(state.request.request, state.attempt_count - 1)]
--- a/tests/conformance/play.py
+++ b/tests/conformance/play.py
@@ -1,4 +1,4 @@
-"""Plays a row against the decisions and says which of its wants failed."""
+"""Runs a conformance row against the policy and reports which of its expectations failed."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
@@ -11,16 +11,16 @@
     EndpointUpdateKind,
     ServerEntry,
 )
-from tests.conformance.rows import At, Off, Row, Step
+from tests.conformance.rows import HashTo, OtherHash, Row, Step
 from tests.router_harness import DECODE_KIND, MIXED_KIND, RouterHarness
 
-SEEDS = 12  # plays of a row, each at another router with a seed of its own
-LISTED = {"leaves": Availability.REMOVED, "drains": Availability.DRAINING, "up": Availability.UP}
+SEED_COUNT = 12  # plays of a row, each at another router with a seed of its own
+AVAILABILITIES = {"leaves": Availability.REMOVED, "drains": Availability.DRAINING, "up": Availability.UP}
 
 
 @dataclass
-class Seen:
-    """Where each request was read and written last, and how often it was sent."""
+class Placements:
+    """Where each request was prefilled and decoded last, and its number of attempts."""
 
     reads: dict[str, str] = field(default_factory=dict)
     writes: dict[str, str] = field(default_factory=dict)
@@ -29,49 +29,49 @@
 
 
 def key_for(what: str, told: Any, fleet: tuple[ServerEntry, ...], reads: Mapping[str, str]) -> Any:
-    """A key that the hash puts where it is wanted, told by a router that knows nothing else."""
-    if not isinstance(told, At | Off):
+    """A key that the hash maps as wanted, found with a router that knows nothing else."""
+    if not isinstance(told, HashTo | OtherHash):
         return told
     for key in range(1, 200):
         world = RouterHarness(fleet)
         world.request("x", **{what: key})
         if (
             (world.server_of["x"] == told.server)
-            if isinstance(told, At)
+            if isinstance(told, HashTo)
             else (world.server_of["x"] != reads[told.request])
         ):
             return key
     raise AssertionError(f"the hash puts no key there: {told}")
 
 
-class Table:
-    """One play: the row's steps against one router."""
+class RowRun:
+    """One run of a row's steps against one router."""
 
     def __init__(self, row: Row, seed: int) -> None:
-        self.row, self.seen = row, Seen()
-        self.world = RouterHarness(row.fleet, seed=seed, router=seed, routers=SEEDS)
+        self.row, self.placements = row, Placements()
+        self.world = RouterHarness(row.fleet, seed=seed, router=seed, routers=SEED_COUNT)
         self.entries = {each.server: each for each in row.fleet}
         for step in row.steps:
-            self._take(step)
-            self._look()
-        self.seen.entries = len(self.world.policy.affinities.by_session)
+            self._perform(step)
+            self._record_placements()
+        self.placements.entries = len(self.world.policy.affinities.by_session)
 
-    def _look(self) -> None:
-        """Take down where each request is now."""
+    def _record_placements(self) -> None:
+        """Record where each request is now."""
         for name, server in self.world.server_of.items():
             if (kind := self.entries[server].kind) != DECODE_KIND:
-                self.seen.reads[name] = server
+                self.placements.reads[name] = server
             if kind in (DECODE_KIND, MIXED_KIND):
-                self.seen.writes[name] = server
-            self.seen.sends[name] = self.world.attempts[name] + 1
+                self.placements.writes[name] = server
+            self.placements.sends[name] = self.world.attempts[name] + 1
 
-    def _take(self, step: Step) -> None:
+    def _perform(self, step: Step) -> None:
         world, name = self.world, step.name
         match step.what:
             case "ask":
-                fleet, reads = self.row.fleet, self.seen.reads
-                world.request(name, **{k: key_for(k, told, fleet, reads) for k, told in step.told.items()})
-                self._look()
+                fleet, reads = self.row.fleet, self.placements.reads
+                world.request(name, **{k: key_for(k, told, fleet, reads) for k, told in step.fields.items()})
+                self._record_placements()
             case "read":
                 world.outcome(name, AttemptStatus.PREFILLED)
             case "ends":
@@ -79,19 +79,19 @@
                 world.outcome(name, AttemptStatus.OK, request_ended=True)
             case "serve":
                 for what in ("ask", "read", "ends"):
-                    self._take(replace(step, what=what))
+                    self._perform(replace(step, what=what))
             case "cancelled":
                 world.outcome(name, AttemptStatus.CANCELLED)
             case "rest":
-                world.advance(step.told["ms"])
+                world.advance(step.fields["ms"])
             case _:
-                server = self.seen.reads[name[1:]] if name.startswith("@") else name  # who read that
-                entry = replace(self.entries[server], availability=LISTED[step.what])
+                server = self.placements.reads[name[1:]] if name.startswith("@") else name  # who read that
+                entry = replace(self.entries[server], availability=AVAILABILITIES[step.what])
                 world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,)))
 
 
-def failed(row: Row, seen: Seen) -> list[str]:
-    """The wants of a row that do not hold in a play."""
+def failed_expectations(row: Row, seen: Placements) -> list[str]:
+    """The expectations of a row that a run does not meet."""
     reads, writes = seen.reads, seen.writes
     at_one = [{reads[one], reads[other]} for one, other in row.unless[1]]
     half = sum(each.kind != DECODE_KIND for each in row.fleet) / 2
@@ -108,10 +108,10 @@
     return [want for want, holds in wants.items() if not holds]
 
 
-def play(row: Row) -> set[str]:
-    """All wants of a row that fail, over some seeds and routers."""
-    plays = [Table(row, seed).seen for seed in range(SEEDS)]
-    found = {want for seen in plays for want in failed(row, seen)}
+def failed_over_seeds(row: Row) -> set[str]:
+    """The expectations of a row that fail with some seed and router."""
+    plays = [RowRun(row, seed).placements for seed in range(SEED_COUNT)]
+    found = {want for seen in plays for want in failed_expectations(row, seen)}
     found |= {"agree" for name in row.agree if len({seen.reads[name] for seen in plays}) > 1}
     drawn = {name: {seen.writes[name] for seen in plays} for name in row.all_of}
     return found | ({"all_of"} if drawn != row.all_of else set())
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -13,34 +13,34 @@
 
 
 @dataclass(frozen=True)
-class At:
-    """A key that the hash puts at this server."""
+class HashTo:
+    """A session or prefix that rendezvous hashing maps to this server."""
 
     server: str
 
 
 @dataclass(frozen=True)
-class Off:
-    """A key that the hash puts elsewhere than where this request was read."""
+class OtherHash:
+    """A session or prefix that it maps to another server than the one that prefilled this request."""
 
     request: str
 
 
 @dataclass(frozen=True)
 class Step:
-    """Something that happens: `name` is a request, or a server for what concerns the list."""
+    """One event: `name` is a request, or a server where the event concerns the list."""
 
     what: str
     name: str = ""
-    told: Mapping[str, Any] = field(default_factory=dict)
+    fields: Mapping[str, Any] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
 class Row:
-    """`id` names the claim, `says` tells it; wants hold for each seed and router, `all_of` over them."""
+    """`id` names the claim, `description` states it; it holds for each seed and router, `all_of` over all."""
 
     id: str
-    says: str
+    description: str
     steps: tuple[Step, ...]
     fleet: tuple[ServerEntry, ...] = FLEET
     same: tuple[tuple[str, ...], ...] = ()  # read at one server
@@ -95,24 +95,25 @@
 def beside(**told: Any) -> tuple[Step, ...]:
     """A stream runs at the writer near the reader, as only that one was up; then a request is read there."""
     others = [each.server for each in PLACES if each.kind == DECODE_KIND and each.server != "near"]
-    key = {"session": At("r")}
+    key = {"session": HashTo("r")}
     before = (*(drains(each) for each in others), ask("h", **key, **told), read("h"))
     return (*before, *(up(each) for each in others), ask("a", **key), read("a"))
 
 
 ROWS = (
     Row("home-holds", "a later turn is read where the earlier was, whatever the hash says of its beginning",
-        (serve("a", session=7), serve("b", session=7, prefix=Off("a"))), same=(("a", "b"),), wire=True),
+        (serve("a", session=7), serve("b", session=7, prefix=OtherHash("a"))), same=(("a", "b"),), wire=True),
     Row("home-slides", "each turn begins the age anew, so a session in use outlives it",
         (serve("a", session=7), *(each for n in range(4) for each in (
-            NEARLY, serve(f"b{n}", session=7, prefix=Off("a"))))), same=(("a", "b0", "b1", "b2", "b3"),)),
+            NEARLY, serve(f"b{n}", session=7, prefix=OtherHash("a"))))), same=(("a", "b0", "b1", "b2",
+         "b3"),)),
     Row("home-ages", "left alone for longer than the age, a session is unknown again",
-        (serve("a", session=7), IDLE, serve("b", session=7, prefix=Off("a"))), differ=(("a", "b"),)),
+        (serve("a", session=7), IDLE, serve("b", session=7, prefix=OtherHash("a"))), differ=(("a", "b"),)),
     Row("home-reaped", "idle entries go by themselves, without a request",
         (serve("a", session=7), serve("b", session=8), IDLE), entries=0),
     Row("homes-apart", "each session has its own entry",
-        (serve("a", session=7), serve("b", session=8, prefix=Off("a")),
-         serve("c", session=7, prefix=Off("a")), serve("d", session=8)), same=(("a", "c"), ("b", "d")),
+        (serve("a", session=7), serve("b", session=8, prefix=OtherHash("a")),
+         serve("c", session=7, prefix=OtherHash("a")), serve("d", session=8)), same=(("a", "c"), ("b", "d")),
         differ=(("a", "b"),), wire=True),
     Row("home-left", "a session whose server is not listed any more goes by the hash",
         (serve("a", session=7), leaves("@a"), serve("b", session=7)), differ=(("a", "b"),)),
@@ -133,35 +134,35 @@
         (*KNOWN, leaves("r1"), *by_hash("a"), up("r1"), *by_hash("b")),
         unless=("r1", tuple((f"a{key}", f"b{key}") for key in KEYS))),
     Row("hash-ready", "only servers that are up take part",
-        (drains("r0"), serve("a", session=1, prefix=At("r0"))), reads={"a": READERS - {"r0"}}),
+        (drains("r0"), serve("a", session=1, prefix=HashTo("r0"))), reads={"a": READERS - {"r0"}}),
     Row("no-key", "left open: a request with no key at all is read somewhere",
         (serve("a"),), reads={"a": READERS}, sends={"a": 2}),
     Row("mixed-hashed", "the hash covers mixed servers, and they write what they read",
-        (ask("a", session=At("m")), ends("a")), ONE_MIXED, reads={"a": {"m"}}, sends={"a": 1}),
+        (ask("a", session=HashTo("m")), ends("a")), ONE_MIXED, reads={"a": {"m"}}, sends={"a": 1}),
     Row("mixed-home", "a session that a mixed server answered returns to it",
-        (ask("a", session=At("m")), ends("a"), ask("b", session=At("m"), prefix=Off("a"))),
+        (ask("a", session=HashTo("m")), ends("a"), ask("b", session=HashTo("m"), prefix=OtherHash("a"))),
         ONE_MIXED, same=(("a", "b"),)),
     Row("long-to-readers", "a prompt with a long new part is for readers only",
-        (ask("a", session=At("m"), prompt_tokens=LONG),), ONE_MIXED, reads={"a": {"r"}}),
+        (ask("a", session=HashTo("m"), prompt_tokens=LONG),), ONE_MIXED, reads={"a": {"r"}}),
     Row("long-but-kept", "what counts is the part that is not kept",
-        (ask("a", session=At("m")), ends("a"), *(each for n in range(2, 12) for each in (
-            ask(f"a{n}", session=At("m"), prompt_tokens=1000 * n), ends(f"a{n}")))),
+        (ask("a", session=HashTo("m")), ends("a"), *(each for n in range(2, 12) for each in (
+            ask(f"a{n}", session=HashTo("m"), prompt_tokens=1000 * n), ends(f"a{n}")))),
         ONE_MIXED, reads={"a11": {"m"}}),
     Row("late-one", "no writer is held while a prompt is read",
         (ask("a", session=7),), reads={"a": READERS}, sends={"a": 1}, wire=True),
     Row("late-leaver", "the choice sees that a writer went during the read",
-        (ask("a", session=At("r")), leaves("near"), read("a")), CELLS, writes={"a": {"mate"}}),
+        (ask("a", session=HashTo("r")), leaves("near"), read("a")), CELLS, writes={"a": {"mate"}}),
     Row("late-comer", "the choice sees that a writer came during the read",
-        (leaves("near"), ask("a", session=At("r")), up("near"), read("a")), CELLS,
+        (leaves("near"), ask("a", session=HashTo("r")), up("near"), read("a")), CELLS,
         writes={"a": {"near"}}),
     Row("near-alike", "among writers alike the one in the reader's cell is taken, drawn from all there",
-        (ask("a", session=At("r0")), read("a")), writes={"a": {"w0", "w1"}}, all_of={"a": {"w0", "w1"}}),
+        (ask("a", session=HashTo("r0")), read("a")), writes={"a": {"w0", "w1"}}, all_of={"a": {"w0", "w1"}}),
     Row("near-slightly", "the farther one is not taken for a little less",
         beside(prompt_tokens=10, max_output_tokens=10), PLACES, writes={"h": {"near"}, "a": {"near"}}),
     Row("far-clearly", "the farther one, of the reader's zone, is taken where it has clearly less",
         beside(prompt_tokens=LONG), PLACES, writes={"h": {"near"}, "a": {"mate"}}),
     Row("far-else-any", "where neither cell nor zone has a writer, any will do",
-        (leaves("near"), leaves("mate"), ask("a", session=At("r")), read("a")), PLACES,
+        (leaves("near"), leaves("mate"), ask("a", session=HashTo("r")), read("a")), PLACES,
         writes={"a": {"abroad"}}),
     Row("tokens-bound", "what a stream may produce counts as under way",
         beside(prompt_tokens=10, max_output_tokens=LONG), PLACES, writes={"a": {"mate"}}),
@@ -169,6 +170,6 @@
         beside(prompt_tokens=10, max_output_tokens=LONG, hint_ms=1), PLACES, writes={"a": {"near"}}),
     Row("tokens-ended", "a stream that has ended counts no more",
         (*beside(prompt_tokens=LONG), ends("a"), ends("h"),
-         ask("b", session=At("r")), read("b")), PLACES, writes={"a": {"mate"}, "b": {"near"}}),
+         ask("b", session=HashTo("r")), read("b")), PLACES, writes={"a": {"mate"}, "b": {"near"}}),
 )  # fmt: skip
 BY_ID = {row.id: row for row in ROWS}
--- a/tests/conformance/test_policy.py
+++ b/tests/conformance/test_policy.py
@@ -15,7 +15,7 @@
 from ringledge.routing.prefill import PrefillSelector, random_weight
 from ringledge.routing.request_lifecycle import RequestLifecycle
 from ringledge.routing.state import RequestState, Server
-from tests.conformance.play import play
+from tests.conformance.play import failed_over_seeds
 from tests.conformance.rows import BY_ID, ROWS, Row
 
 bind, choose, arrive = SessionAffinities.bind, DecodeSelector.select, RequestLifecycle.accept
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row.id)
 def test_policy_meets_conformance_row(row: Row) -> None:
-    assert not play(row), row.says
+    assert not failed_over_seeds(row), row.description
 
 
 def bound_without_renewal(self: Any, request: Request, server: Server, now_ms: float) -> None:
@@ -111,4 +111,4 @@
 ) -> None:
     for (component, name), function in broken.items():
         monkeypatch.setattr(component, name, function)
-    assert all(play(BY_ID[row]) for row in rows.split())
+    assert all(failed_over_seeds(BY_ID[row]) for row in rows.split())
--- a/tests/conformance/test_wire.py
+++ b/tests/conformance/test_wire.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.conformance.play import Seen, Table, failed, key_for
+from tests.conformance.play import Placements, RowRun, failed_expectations, key_for
 from tests.conformance.rows import ROWS, Row
 from tests.loopback import WAIT_S, Call, Node, StandIn, take
 
@@ -21,10 +21,10 @@
     raise AssertionError("no call came")
 
 
-def on_the_wire(row: Row, node: Node) -> Seen:
-    seen = Seen()
+def on_the_wire(row: Row, node: Node) -> Placements:
+    seen = Placements()
     for step in row.steps:
-        told = {what: key_for(what, key, row.fleet, seen.reads) for what, key in step.told.items()}
+        told = {what: key_for(what, key, row.fleet, seen.reads) for what, key in step.fields.items()}
         prefix = f",prefix={told['prefix']:x}" if "prefix" in told else ""
         client = node.post(
             step.name, X_Route_Hash=f"{told['session']:x}", X_Call_Info=f"prompt_len=900{prefix}"
@@ -44,6 +44,6 @@
 def test_the_program_keeps_what_the_design_wants(row: Row, tmp_path: Path) -> None:
     with Node(tmp_path, readers=4, writers=2, told=lambda node: json.dumps(node.listing(8))) as node:
         seen = on_the_wire(row, node)
-        assert not failed(row, seen), row.says
-        other = Table(row, 0).seen  # a router that has met none of it
+        assert not failed_expectations(row, seen), row.description
+        other = RowRun(row, 0).placements  # a router that has met none of it
         assert all(seen.reads[name] == other.reads[name] for name in row.agree)
--- a/tests/routing/sized_fleet.py
+++ b/tests/routing/sized_fleet.py
@@ -42,12 +42,12 @@
 
     def __init__(self, routers: int, load: float, seed: int) -> None:
         """`load`: part of the prefill servers' capacity that is asked for."""
-        self.rng, self.now_ms, self.order = random.Random(seed), 1_000_000.0, count()
-        self.due = list[tuple[float, int, Callable[[], None]]]()
-        self.free_ms = defaultdict[str, float](float)  # when each server is through with what it has
+        self.rng, self.now_ms, self.sequence = random.Random(seed), 1_000_000.0, count()
+        self.scheduled = list[tuple[float, int, Callable[[], None]]]()
+        self.busy_until_ms = defaultdict[str, float](float)  # when each server is through with what it has
         self.tokens = dict[str, float]()  # of each request's prompt
         self.answered, self.ended = set[str](), set[tuple[str, int]]()
-        self.attempts, self.at = defaultdict[str, int](int), dict[str, str]()
+        self.attempts, self.server_of = defaultdict[str, int](int), dict[str, str]()
         asked = RequestClass(1_200, 5_000, Idempotency.IDEMPOTENT, 2.0, target_token_ms=50)
         classes = (replace(asked, target_per_1000_tokens_ms=60),)
         settings = replace(SETTINGS, classes=classes, routers=routers)
@@ -55,16 +55,16 @@
         fleet = [server_entry(f"r{n}", PREFILL_KIND) for n in range(PREFILL_SERVERS)]
         fleet += [server_entry(f"w{n}", DECODE_KIND) for n in range(DECODE_SERVERS)]
         for router in range(routers):
-            self.give(router, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
+            self.deliver(router, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
         mean_tokens = sum(self._draw_tokens() for _ in range(5_000)) / 5_000 + OVERHEAD_TOKENS
-        self.per_ms = load * PREFILL_SERVERS * TOKENS_PER_MS / mean_tokens
-        self._later(0.0, self._arrive)
+        self.arrivals_per_ms = load * PREFILL_SERVERS * TOKENS_PER_MS / mean_tokens
+        self._schedule(0.0, self._arrive)
 
-    def play(self, length_ms: float) -> tuple[float, float]:
+    def run(self, length_ms: float) -> tuple[float, float]:
         """The share of all that was answered, and that of the tenth with the longest prompts."""
         end_ms = self.now_ms + length_ms
-        while self.due[0][0] < end_ms:
-            self.now_ms, _, what = heapq.heappop(self.due)
+        while self.scheduled[0][0] < end_ms:
+            self.now_ms, _, what = heapq.heappop(self.scheduled)
             what()
         names = sorted(self.tokens, key=self.tokens.__getitem__)
         return self._share(names), self._share(names[-len(names) // LARGEST :])
@@ -75,51 +75,55 @@
     def _draw_tokens(self) -> float:
         return min(LONGEST_TOKENS, self.rng.lognormvariate(7.3, 1.0))
 
-    def _later(self, in_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.due, (self.now_ms + max(0.0, in_ms), next(self.order), what))
+    def _schedule(self, in_ms: float, what: Callable[[], None]) -> None:
+        heapq.heappush(self.scheduled, (self.now_ms + max(0.0, in_ms), next(self.sequence), what))
 
     def _arrive(self) -> None:
-        self._later(self.rng.expovariate(self.per_ms), self._arrive)
-        number = next(self.order)
+        self._schedule(self.rng.expovariate(self.arrivals_per_ms), self._arrive)
+        number = next(self.sequence)
         name = f"q{number}"
         self.tokens[name] = tokens = self._draw_tokens()
         request = Request(name, 5_000.0, 0, 0, number, None, 0.0, tokens, 200)
-        self.give(self.rng.randrange(len(self.policies)), request)
+        self.deliver(self.rng.randrange(len(self.policies)), request)
 
-    def give(self, router: int, event: RoutingEvent) -> None:
+    def deliver(self, router: int, event: RoutingEvent) -> None:
         for action in self.policies[router].handle(self.now_ms, event):
             if isinstance(action, SendAttempt):
                 self._send(router, action)
             elif isinstance(action, SetTimer):
-                self._later(action.at_ms - self.now_ms, partial(self.give, router, TimerFired(action.token)))
+                self._schedule(
+                    action.at_ms - self.now_ms, partial(self.deliver, router, TimerFired(action.token))
+                )
             elif isinstance(action, CancelAttempt):
-                self._end_later(0.0, router, action.request, action.attempt, AttemptStatus.CANCELLED)
+                self._schedule_finish(0.0, router, action.request, action.attempt, AttemptStatus.CANCELLED)
 
     def _send(self, router: int, send: SendAttempt) -> None:
         name, server = send.request, send.server
         attempt = self.attempts[name]
         self.attempts[name] += 1
-        self.at[name] = server
+        self.server_of[name] = server
         if server[0] == "w":
-            self._later(FIRST_TOKEN_MS, partial(self._begin, router, name, attempt))
+            self._schedule(FIRST_TOKEN_MS, partial(self._start_stream, router, name, attempt))
             return
-        begins_ms = max(self.free_ms[server], self.now_ms)
-        self.free_ms[server] = begins_ms + (self.tokens[name] + OVERHEAD_TOKENS) / TOKENS_PER_MS
-        takes_ms = self.free_ms[server] - self.now_ms
-        self._end_later(takes_ms, router, name, attempt, AttemptStatus.PREFILLED, latency_ms=takes_ms)
+        begins_ms = max(self.busy_until_ms[server], self.now_ms)
+        self.busy_until_ms[server] = begins_ms + (self.tokens[name] + OVERHEAD_TOKENS) / TOKENS_PER_MS
+        takes_ms = self.busy_until_ms[server] - self.now_ms
+        self._schedule_finish(takes_ms, router, name, attempt, AttemptStatus.PREFILLED, latency_ms=takes_ms)
 
-    def _begin(self, router: int, name: str, attempt: int) -> None:
+    def _start_stream(self, router: int, name: str, attempt: int) -> None:
         if (name, attempt) not in self.ended:
             self.answered.add(name)
-            self.give(router, FirstToken(name, attempt, self.at[name], FIRST_TOKEN_MS))
-            self._end_later(STREAM_MS, router, name, attempt, AttemptStatus.OK, request_ended=True)
+            self.deliver(router, FirstToken(name, attempt, self.server_of[name], FIRST_TOKEN_MS))
+            self._schedule_finish(STREAM_MS, router, name, attempt, AttemptStatus.OK, request_ended=True)
 
-    def _end_later(
+    def _schedule_finish(
         self, in_ms: float, router: int, name: str, attempt: int, status: AttemptStatus, **more: Any
     ) -> None:
-        self._later(in_ms, partial(self._end, router, name, attempt, status, **more))
+        self._schedule(in_ms, partial(self._finish_attempt, router, name, attempt, status, **more))
 
-    def _end(self, router: int, name: str, attempt: int, status: AttemptStatus, **more: Any) -> None:
+    def _finish_attempt(
+        self, router: int, name: str, attempt: int, status: AttemptStatus, **more: Any
+    ) -> None:
         if (name, attempt) not in self.ended:
             self.ended.add((name, attempt))
-            self.give(router, AttemptOutcome(name, attempt, self.at[name], status, **more))
+            self.deliver(router, AttemptOutcome(name, attempt, self.server_of[name], status, **more))
