--- a/tests/routing/sized_fleet.py
+++ b/tests/routing/sized_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time whose prompts differ much in length: what share of the longest is answered."""
+"""A fleet in virtual time whose prompts differ much in length: which share of the longest is answered."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_batching_servers.py
+++ b/tests/routing/test_batching_servers.py
@@ -1,4 +1,4 @@
-"""Servers that batch many requests and cache long shared prefixes: placement and shedding on their days."""
+"""Servers that batch many requests and cache long shared prefixes: selection and shedding."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_concurrency_limit.py
+++ b/tests/routing/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit on a router's prefills: when it stands, what it admits, and when it is lifted."""
+"""The adaptive limit on a router's prefills: when it is set, what it admits, and when it is lifted."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_writers_memory.py
+++ b/tests/routing/test_decode_memory.py
@@ -1,4 +1,4 @@
-"""Writers are chosen, and requests turned away, by what is known to be under way against their memory."""
+"""Decode servers are selected, and requests rejected, by the tokens in flight against their memory."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_hard_cases.py
+++ b/tests/routing/test_degraded_fleets.py
@@ -1,4 +1,4 @@
-"""What the second deployment's days do: slow and dead servers, late lists, restarts; and no second copy."""
+"""The second deployment: slow and lost servers, late lists, restarts; and no hedged requests."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_drains.py
+++ b/tests/routing/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Rule 3: nothing new to a server that drains or is gone."""
+"""Rule 3: draining and removed servers get nothing new."""
 
 from dataclasses import replace
 
--- a/tests/routing/test_failing_servers.py
+++ b/tests/routing/test_failing_servers.py
@@ -1,4 +1,4 @@
-"""Servers that fail, fall silent or are unreachable."""
+"""Servers that fail, are unresponsive or unreachable."""
 
 from collections import Counter
 from dataclasses import replace
--- a/tests/routing/test_effects.py
+++ b/tests/routing/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Rule 2: no effect twice and no overlapping attempts."""
+"""Rule 2: no request takes effect twice, and its attempts do not overlap."""
 
 from dataclasses import replace
 
--- a/tests/routing/test_releases.py
+++ b/tests/routing/test_kv_cache_release.py
@@ -1,4 +1,4 @@
-"""Rule 5: no KV cache entry is left pinned."""
+"""Rule 5: every KV cache entry is released."""
 
 from ringledge.routing.interface import (
     AttemptStatus,
--- a/tests/routing/test_mixed_prefill.py
+++ b/tests/routing/test_mixed_prefill.py
@@ -1,4 +1,4 @@
-"""A mixed server prefills by a queue of its own: what it streams slows that queue but isn't in it."""
+"""A mixed server has a prefill queue of its own: its streams slow that queue but are not in it."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_prompt_sizes.py
+++ b/tests/routing/test_prompt_sizes.py
@@ -1,4 +1,4 @@
-"""The longest prompts among many short ones at nearly full servers: they are not what is turned away."""
+"""The longest prompts among many short ones at nearly full servers are not shed more than others."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_shared_queue.py
+++ b/tests/routing/test_shared_prefill_queue.py
@@ -1,4 +1,4 @@
-"""Readers' queues are shared: what a patient class could wait there would make an urgent one late."""
+"""Prefill queues are shared: a wait that one class tolerates may be too long for another's target."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_snapshot.py
+++ b/tests/routing/test_snapshot.py
@@ -1,4 +1,4 @@
-"""What a policy has learned reaches the one that takes over."""
+"""The snapshot of a policy's estimates, loaded by its successor."""
 
 from dataclasses import replace
 
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -1,4 +1,4 @@
-"""The design's ordinary path: affinity table, rendezvous hash, late two-choice writer."""
+"""The ordinary path: session affinity, rendezvous hashing, late decode selection by two choices."""
 
 from dataclasses import replace
 
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -1,4 +1,4 @@
-"""What forty routers do together that see a request or two a second each, with servers played by the test."""
+"""Forty routers together that get one or two requests a second each; the test plays the servers."""
 
 from __future__ import annotations
 
