--- a/ringledge/routing/policy.py
+++ b/ringledge/routing/policy.py
@@ -22,7 +22,7 @@
 from ringledge.routing.observations import OutcomeObserver
 from ringledge.routing.prefill import PrefillInputs, PrefillSelector
 from ringledge.routing.quotas import TenantQuotas
-from ringledge.routing.request_lifecycle import LifecycleParts, RequestLifecycle
+from ringledge.routing.request_lifecycle import LifecycleComponents, RequestLifecycle
 from ringledge.routing.settings import RouterSettings
 from ringledge.routing.state import RequestState
 
@@ -47,7 +47,7 @@
         self.estimates = Estimates(context, self.fleet, self.affinities)
         self.registry = EndpointRegistry(context, self.fleet, self.affinities, self.estimates)
         self.eligibility = EligibilityFilter(context, self.fleet, self.estimates)
-        self.lifecycle = RequestLifecycle(context, self._lifecycle_parts(context))
+        self.lifecycle = RequestLifecycle(context, self._lifecycle_components(context))
         self._handlers: dict[type, Callable[[Any], None]] = {
             Request: self.lifecycle.accept,
             AttemptOutcome: self.lifecycle.finish_attempt,
@@ -61,9 +61,9 @@
             Shutdown: self._shut_down,
         }
 
-    def _lifecycle_parts(self, context: RoutingContext) -> LifecycleParts:
+    def _lifecycle_components(self, context: RoutingContext) -> LifecycleComponents:
         inputs = PrefillInputs(self.fleet, self.affinities, self.estimates, self.concurrency_limit)
-        return LifecycleParts(
+        return LifecycleComponents(
             fleet=self.fleet,
             affinities=self.affinities,
             quotas=self.quotas,
--- a/ringledge/routing/request_lifecycle.py
+++ b/ringledge/routing/request_lifecycle.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LifecycleParts:
+class LifecycleComponents:
     """The components that a request passes on its way."""
 
     fleet: FleetState
@@ -57,16 +57,16 @@
     Each request gets exactly one final answer, and what it has reserved is released at its end.
     """
 
-    def __init__(self, context: RoutingContext, parts: LifecycleParts) -> None:
+    def __init__(self, context: RoutingContext, components: LifecycleComponents) -> None:
         self.settings = context.settings
         self.clock = context.clock
-        self.fleet = parts.fleet
-        self.affinities = parts.affinities
-        self.quotas = parts.quotas
-        self.estimates = parts.estimates
-        self.observer = parts.observer
-        self.prefill_selector = parts.prefill_selector
-        self.decode_selector = parts.decode_selector
+        self.fleet = components.fleet
+        self.affinities = components.affinities
+        self.quotas = components.quotas
+        self.estimates = components.estimates
+        self.observer = components.observer
+        self.prefill_selector = components.prefill_selector
+        self.decode_selector = components.decode_selector
         self.requests = dict[str, RequestState]()  # open ones, by id
         self.actions = list[RoutingAction]()  # of the event that is being handled
 
--- a/ringledge/routing/snapshot.py
+++ b/ringledge/routing/snapshot.py
@@ -116,8 +116,8 @@
         case "peak", [role, peak]:
             peaks = policy.fleet.peak_servers
             peaks[Role(role)] = max(peaks[Role(role)], peak)
-        case "streams", [index, lasts_ms]:
-            estimates.class_stream_ms[index] = lasts_ms
+        case "streams", [index, stream_ms]:
+            estimates.class_stream_ms[index] = stream_ms
         case "fetches", [cell, remote, mean, updated_ms]:
             estimates.fetch_delays[cell, remote] = DecayingMean(mean, updated_ms)
         case "room", [tenant, tokens, updated_ms]:
--- a/tests/conformance/play.py
+++ b/tests/conformance/play.py
@@ -28,20 +28,20 @@
     entries: int = 0
 
 
-def key_for(what: str, told: Any, fleet: tuple[ServerEntry, ...], reads: Mapping[str, str]) -> Any:
+def key_for(field_name: str, value: Any, fleet: tuple[ServerEntry, ...], reads: Mapping[str, str]) -> Any:
     """A key that the hash maps as wanted, found with a router that knows nothing else."""
-    if not isinstance(told, HashTo | OtherHash):
-        return told
+    if not isinstance(value, HashTo | OtherHash):
+        return value
     for key in range(1, 200):
         world = RouterHarness(fleet)
-        world.request("x", **{what: key})
+        world.request("x", **{field_name: key})
         if (
-            (world.server_of["x"] == told.server)
-            if isinstance(told, HashTo)
-            else (world.server_of["x"] != reads[told.request])
+            (world.server_of["x"] == value.server)
+            if isinstance(value, HashTo)
+            else (world.server_of["x"] != reads[value.request])
         ):
             return key
-    raise AssertionError(f"the hash puts no key there: {told}")
+    raise AssertionError(f"the hash puts no key there: {value}")
 
 
 class RowRun:
@@ -70,7 +70,9 @@
         match step.what:
             case "ask":
                 fleet, reads = self.row.fleet, self.placements.reads
-                world.request(name, **{k: key_for(k, told, fleet, reads) for k, told in step.fields.items()})
+                world.request(
+                    name, **{k: key_for(k, value, fleet, reads) for k, value in step.fields.items()}
+                )
                 self._record_placements()
             case "read":
                 world.outcome(name, AttemptStatus.PREFILLED)
@@ -78,8 +80,8 @@
                 world.first_token(name)
                 world.outcome(name, AttemptStatus.OK, request_ended=True)
             case "serve":
-                for what in ("ask", "read", "ends"):
-                    self._perform(replace(step, what=what))
+                for event in ("ask", "read", "ends"):
+                    self._perform(replace(step, what=event))
             case "cancelled":
                 world.outcome(name, AttemptStatus.CANCELLED)
             case "rest":
--- a/tests/routing/cold_fleet.py
+++ b/tests/routing/cold_fleet.py
@@ -119,15 +119,15 @@
         self.kinds = dict[str, int]()
         for router in range(case.routers):
             self.deliver(router, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
-            fresh = server_entry(
+            cold_entry = server_entry(
                 self.cold_server,
                 DECODE_KIND if case.cold_decode_server else PREFILL_KIND,
                 started_ms=self.cold_start_ms,
             )
-            told = EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (fresh,))
+            update = EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold_entry,))
             self.schedule(
                 self.cold_start_ms + self.rng.uniform(0, MAX_UPDATE_DELAY_MS),
-                partial(self.deliver, router, told),
+                partial(self.deliver, router, update),
             )
             self._schedule_arrival(router)
         self.prefix = self._prefix_of_cold(fleet)
@@ -174,12 +174,12 @@
 
     def _schedule_arrival(self, router: int) -> None:
         wait_ms = min(self.rng.expovariate(self._rate(router)), 1_000.0)
-        asked = wait_ms < 1_000.0
-        self.schedule(self.now_ms + wait_ms, partial(self._arrive, router, asked))
+        arrives = wait_ms < 1_000.0
+        self.schedule(self.now_ms + wait_ms, partial(self._arrive, router, arrives))
 
-    def _arrive(self, router: int, asked: bool) -> None:
+    def _arrive(self, router: int, arrives: bool) -> None:
         self._schedule_arrival(router)
-        if not asked:
+        if not arrives:
             return
         rng, name = self.rng, f"q{next(self.sequence)}"
         share = self.case.large_share
--- a/tests/routing/sized_fleet.py
+++ b/tests/routing/sized_fleet.py
@@ -48,8 +48,8 @@
         self.tokens = dict[str, float]()  # of each request's prompt
         self.answered, self.ended = set[str](), set[tuple[str, int]]()
         self.attempts, self.server_of = defaultdict[str, int](int), dict[str, str]()
-        asked = RequestClass(1_200, 5_000, Idempotency.IDEMPOTENT, 2.0, target_token_ms=50)
-        classes = (replace(asked, target_per_1000_tokens_ms=60),)
+        request_class = RequestClass(1_200, 5_000, Idempotency.IDEMPOTENT, 2.0, target_token_ms=50)
+        classes = (replace(request_class, target_per_1000_tokens_ms=60),)
         settings = replace(SETTINGS, classes=classes, routers=routers)
         self.policies = [Policy(settings, 100 * seed + number) for number in range(routers)]
         fleet = [server_entry(f"r{n}", PREFILL_KIND) for n in range(PREFILL_SERVERS)]
--- a/tests/routing/test_degraded_fleets.py
+++ b/tests/routing/test_degraded_fleets.py
@@ -122,11 +122,11 @@
     first = world()
     for number in range(10):
         first.serve(f"a{number}", session=number)
-    again = world(seed=2)  # the list of before: one server has gone since, one has come back cold
-    again.request("b", session=3)
-    assert sent_to(again.last_actions)
-    cold = replace(server_entry("w0", 1, 0), started_ms=again.now_ms - 500)
+    restarted = world(seed=2)  # the list of before: one server has gone since, one has come back cold
+    restarted.request("b", session=3)
+    assert sent_to(restarted.last_actions)
+    cold = replace(server_entry("w0", 1, 0), started_ms=restarted.now_ms - 500)
     left = tuple(each for each in FLEET if each.server not in ("r0", "w0"))
-    again.deliver(EndpointUpdate(EndpointUpdateKind.FULL, 2, (*left, cold)))
-    assert {again.prefill(f"c{number}", session=number) for number in range(20)} <= {"r1", "r2", "r3"}
-    assert [again.server_of[f"c{number}"] for number in range(20)].count("w0") < 5
+    restarted.deliver(EndpointUpdate(EndpointUpdateKind.FULL, 2, (*left, cold)))
+    assert {restarted.prefill(f"c{number}", session=number) for number in range(20)} <= {"r1", "r2", "r3"}
+    assert [restarted.server_of[f"c{number}"] for number in range(20)].count("w0") < 5
--- a/tests/routing/test_endpoint_updates.py
+++ b/tests/routing/test_endpoint_updates.py
@@ -19,8 +19,8 @@
 def test_draining_or_removed_server_gets_no_new_requests(state: Availability) -> None:
     world = RouterHarness()
     home = world.serve("a", session=1)
-    told = replace(next(each for each in FLEET if each.server == home), availability=state)
-    world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (told,)))
+    changed = replace(next(each for each in FLEET if each.server == home), availability=state)
+    world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (changed,)))
     assert world.serve("b", session=1) != home
 
 
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -115,8 +115,8 @@
         while not final_answers(world.last_actions):
             world.outcome(f"a{number}", AttemptStatus.CONNECT_FAILED)
     world.now_ms += 1100
-    again = tuple(replace(each, started_ms=world.now_ms) for each in FLEET)
-    world.deliver(EndpointUpdate(EndpointUpdateKind.FULL, 2, again))
+    restarted = tuple(replace(each, started_ms=world.now_ms) for each in FLEET)
+    world.deliver(EndpointUpdate(EndpointUpdateKind.FULL, 2, restarted))
     reads = [server for n in range(60) for server in sent_to(world.request(f"b{n}", session=n))]
     assert all(reads.count(server) <= 1 for server in ("r0", "r1", "r2", "r3"))
     world.now_ms += 2000
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -44,9 +44,9 @@
     assert servers_used(world) == {"r0"}
     world.outcome("a0", AttemptStatus.PREFILLED)
     assert world.server_of["a0"] == "w0"
-    lone = RouterHarness(MIXES)
-    lone.deliver(RolePlan(no_prefill=frozenset(each.server for each in MIXES)))
-    assert servers_used(lone) == {"m0", "m1", "m2", "m3"}
+    mixed_only = RouterHarness(MIXES)
+    mixed_only.deliver(RolePlan(no_prefill=frozenset(each.server for each in MIXES)))
+    assert servers_used(mixed_only) == {"m0", "m1", "m2", "m3"}
 
 
 def test_role_change_leaves_waiting_kv_cache_entry_and_stream_intact() -> None:
@@ -57,8 +57,8 @@
     world.deliver(RolePlan(no_decode=frozenset({"m0"})))  # while it is read
     assert sent_to(world.outcome("a", AttemptStatus.PREFILLED)) == ["m1"]  # fetched, by whom is left
     world.first_token("a")
-    shut = world.deliver(RolePlan(no_decode=frozenset({"m0", "m1"})))
-    assert shut == []  # its stream goes on, nothing is sent again
+    actions = world.deliver(RolePlan(no_decode=frozenset({"m0", "m1"})))
+    assert actions == []  # its stream goes on, nothing is sent again
     assert not sent_to(world.outcome("a", AttemptStatus.OK, request_ended=True)) and not releases_cache(
         world.last_actions
     )
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -18,11 +18,11 @@
 ROUTERS = 40
 
 
-def refused_connections(world: RouterHarness, reach: Reachability, name: str, gone: set[str]) -> int:
+def refused_connections(world: RouterHarness, reach: Reachability, name: str, removed: set[str]) -> int:
     """Play a request until it streams or is answered; how many connections were refused to it."""
     refused = 0
     while not final_answers(world.last_actions):
-        if world.server_of[name] in gone:
+        if world.server_of[name] in removed:
             refused += 1
             reach.refused(world.server_of[name], world.now_ms)
             world.deliver(UnreachableServers(reach.silences(world.now_ms)))
@@ -38,8 +38,8 @@
 
 def test_persisted_list_of_mostly_removed_servers_costs_few_connection_attempts() -> None:
     """A third of the list is there, the rest refuses. Requests ended as five refused connects."""
-    gone = [server_entry(f"g{n}", n % 2, cell=n % 2) for n in range(16)]
-    listed, names = (*FLEET, *gone), {each.server for each in gone}
+    removed = [server_entry(f"g{n}", n % 2, cell=n % 2) for n in range(16)]
+    listed, names = (*FLEET, *removed), {each.server for each in removed}
     later, ended = 0, 0
     for seed in range(ROUTERS):
         world = RouterHarness(listed, seed=seed, routers=ROUTERS, router=seed, max_attempts=6)
