--- a/ringledge/routing/actions.py
+++ b/ringledge/routing/actions.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerToken:
-    """What a timer is for; its text goes to whoever runs the timer and comes back with `TimerFired`."""
+    """What a timer is for; its text is set with `SetTimer` and comes back with `TimerFired`."""
 
     name: TimerName
     request: str | None = None  # of WATCH alone
--- a/ringledge/routing/endpoints.py
+++ b/ringledge/routing/endpoints.py
@@ -35,7 +35,7 @@
     cell: int
     availability: Availability
     weight: float = 1.0
-    started_ms: float = 0.0  # clock reading of whoever wrote the list; 0: long ago
+    started_ms: float = 0.0  # on the clock of the discovery service; 0: long ago
     started_here_ms: float | None = None  # the same on the router's own clock, where that differs
 
 
