--- a/ringledge/core/send_guard.py
+++ b/ringledge/core/send_guard.py
@@ -67,14 +67,14 @@
 
 
 def _check_server(policy: Policy, attempt: Attempt, now_ms: float) -> SendRejectionReason | None:
-    server = policy.servers.get(attempt.server)
-    if server is None or policy.availability(server) != Availability.UP:
+    server = policy.fleet.servers.get(attempt.server)
+    if server is None or policy.fleet.availability(server) != Availability.UP:
         return SendRejectionReason.SERVER_UNAVAILABLE
     if server.entry.started_ms != attempt.server_started_ms:
         return SendRejectionReason.SERVER_RESTARTED
-    job = policy.jobs.get(attempt.record.request_id)
-    if job is None or attempt.is_prefill:
+    state = policy.requests.get(attempt.record.request_id)
+    if state is None or attempt.is_prefill:
         return None
-    if not policy.repeatable(job, server, now_ms + MAX_TRANSIT_MS):
+    if not policy.eligibility.repeatable(state, server, now_ms + MAX_TRANSIT_MS):
         return SendRejectionReason.DEDUP_WINDOW_EXPIRED
     return None
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -17,10 +17,10 @@
 from ringledge.lifecycle.fingerprint import fingerprint
 from ringledge.memory.endpoint_list import EndpointListing, ListError, convert
 from ringledge.memory.names import Names as Names
-from ringledge.routing import simulator_adapter
 from ringledge.routing.interface import (
     RouterSettings,
 )
+from ringledge.routing.simulator_decoder import router_settings
 
 DEPLOY = "deploy"  # the folder of the settings files; RINGLEDGE_DEPLOY names another
 MAX_PORT = 65535
@@ -141,7 +141,7 @@
         cores=float(document.get("limits", {}).get("cores", 1.0)),
         folder=Path(environ.get("TMPDIR") or tempfile.gettempdir()),
         known_endpoints=_read_known_endpoints(document),
-        settings=simulator_adapter.settings(flat_settings),
+        settings=router_settings(flat_settings),
         names=names,
         deploy_settings=load_deploy_settings(environ),
         peers=_read_peers(document),
@@ -210,7 +210,7 @@
 
 
 def flatten_settings(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the paths of the simulator's format, which `simulator_adapter` reads."""
+    """Nested JSON as the paths of the simulator's format, which `simulator_decoder` reads."""
     if isinstance(value, dict):
         for key, each in value.items():
             yield from flatten_settings(each, f"{path}.{key}" if path else key)
--- a/ringledge/wire/servers/responses.py
+++ b/ringledge/wire/servers/responses.py
@@ -12,7 +12,7 @@
 from ringledge.routing.interface import (
     LoadReport,
 )
-from ringledge.routing.simulator_adapter import LOAD
+from ringledge.routing.simulator_decoder import LOAD_FIELDS
 from ringledge.wire.http.connection import Connection
 
 MAX_CHUNK_BYTES = 64 * 1024  # of a chunk, and of a stream before its first event: events are far shorter
@@ -84,9 +84,9 @@
     """A load report, whose keys are those of the settings; None if it has no known plausible value."""
     report = parse_json_object(text) if text else {}
     values = {
-        LOAD[name]: float(value)
+        LOAD_FIELDS[name]: float(value)
         for name, value in report.items()
-        if name in LOAD and isinstance(value, int | float) and 0 <= value < MAX_PLAUSIBLE_VALUE
+        if name in LOAD_FIELDS and isinstance(value, int | float) and 0 <= value < MAX_PLAUSIBLE_VALUE
     }
     return LoadReport(**values) if values else None
 
--- a/tests/core/test_send_guard.py
+++ b/tests/core/test_send_guard.py
@@ -27,17 +27,17 @@
     RequestClass,
 )
 from ringledge.routing.state import PossibleRun
-from tests.world import FLEET, SAFE, UNSAFE, World
+from tests.router_harness import FLEET, IDEMPOTENT, NON_IDEMPOTENT, RouterHarness
 
-KEYED = replace(SAFE, idempotency=Idempotency.KEYED, dedup_window_ms=300.0)
+KEYED = replace(IDEMPOTENT, idempotency=Idempotency.KEYED, dedup_window_ms=300.0)
 
 
 class PendingSend:
     """A request whose decode attempt has just got its connection, with a simulated policy."""
 
-    def __init__(self, request_class: RequestClass = SAFE) -> None:
-        self.world = World(classes=(request_class,))
-        self.world.read("a")
+    def __init__(self, request_class: RequestClass = IDEMPOTENT) -> None:
+        self.harness = RouterHarness(classes=(request_class,))
+        self.harness.prefill("a")
         self.client_disconnected = False
         sink: Any = SimpleNamespace(is_disconnected=lambda: self.client_disconnected)
         self.record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, self.now_ms)
@@ -45,24 +45,24 @@
 
     @property
     def now_ms(self) -> float:
-        return self.world.now_ms
+        return self.harness.now_ms
 
     def add_attempt(self) -> Attempt:
         """Add the attempt that the policy has chosen last."""
-        server, number = self.world.at["a"], len(self.record.attempts)
+        server, number = self.harness.server_of["a"], len(self.record.attempts)
         attempt = Attempt(self.record, number, server, False, True, self.now_ms, self.record.deadline_ms)
         self.record.attempts.append(attempt)
         return attempt
 
     def rejection_reason(self) -> SendRejectionReason | None:
-        clock, settings = SimpleNamespace(now_ms=lambda: self.world.now_ms), self.world.policy.settings
+        clock, settings = SimpleNamespace(now_ms=lambda: self.harness.now_ms), self.harness.policy.settings
         context: Any = SimpleNamespace(clock=clock, settings=settings)
-        return send_rejection_reason(context, self.world.policy, self.attempt)
+        return send_rejection_reason(context, self.harness.policy, self.attempt)
 
     def update_endpoint(self, **changed: Any) -> None:
         """Apply an update of the attempt's server."""
         entry = next(each for each in FLEET if each.server == self.attempt.server)
-        self.world.give(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (replace(entry, **changed),)))
+        self.harness.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (replace(entry, **changed),)))
 
 
 def test_attempt_without_obstacles_may_be_sent() -> None:
@@ -93,7 +93,7 @@
     left_ms: float, is_allowed: bool
 ) -> None:
     pending = PendingSend()
-    pending.world.now_ms = pending.attempt.expires_ms - left_ms
+    pending.harness.now_ms = pending.attempt.expires_ms - left_ms
     assert pending.rejection_reason() is (None if is_allowed else SendRejectionReason.DEADLINE_EXCEEDED)
 
 
@@ -112,9 +112,9 @@
 
 def test_attempt_to_an_excluded_server_may_be_sent_only_once_it_is_included_again() -> None:
     pending = PendingSend()
-    pending.world.give(OperatorOverride(pending.attempt.server, True))
+    pending.harness.deliver(OperatorOverride(pending.attempt.server, True))
     assert pending.rejection_reason() is SendRejectionReason.SERVER_UNAVAILABLE
-    pending.world.give(OperatorOverride(pending.attempt.server, False))
+    pending.harness.deliver(OperatorOverride(pending.attempt.server, False))
     assert pending.rejection_reason() is None
 
 
@@ -132,9 +132,9 @@
     pending = PendingSend(request_class)
     sent_ms = pending.now_ms
     pending.attempt.outcome = outcome
-    pending.world.outcome("a", outcome)
+    pending.harness.outcome("a", outcome)
     pending.attempt = pending.add_attempt()
-    pending.world.now_ms = sent_ms + after_ms
+    pending.harness.now_ms = sent_ms + after_ms
     return pending.rejection_reason()
 
 
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("outcome", [AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT])
-@pytest.mark.parametrize("request_class", [KEYED, UNSAFE])
+@pytest.mark.parametrize("request_class", [KEYED, NON_IDEMPOTENT])
 def test_attempt_after_one_that_never_ran_is_no_retry(
     request_class: RequestClass, outcome: AttemptStatus
 ) -> None:
@@ -162,15 +162,15 @@
 
 
 def test_idempotent_request_has_no_dedup_window() -> None:
-    assert rejection_reason_of_retry(SAFE, AttemptStatus.RESET, 2 * KEYED.dedup_window_ms) is None
+    assert rejection_reason_of_retry(IDEMPOTENT, AttemptStatus.RESET, 2 * KEYED.dedup_window_ms) is None
 
 
 def test_non_idempotent_request_may_not_be_resent_after_a_possible_run_known_to_the_policy() -> None:
-    pending = PendingSend(UNSAFE)
-    pending.world.outcome("a", AttemptStatus.CONNECT_FAILED)
+    pending = PendingSend(NON_IDEMPOTENT)
+    pending.harness.outcome("a", AttemptStatus.CONNECT_FAILED)
     pending.attempt = pending.add_attempt()
-    policy = pending.world.policy
-    policy.jobs["a"].possible_runs.append(PossibleRun(policy.servers["w0"], pending.now_ms))
+    policy = pending.harness.policy
+    policy.requests["a"].possible_runs.append(PossibleRun(policy.fleet.servers["w0"], pending.now_ms))
     assert pending.rejection_reason() is SendRejectionReason.DEDUP_WINDOW_EXPIRED
 
 
@@ -187,7 +187,7 @@
 def test_attempt_after_a_possible_run_may_not_be_sent_whatever_the_policy_decides(
     outcome: AttemptStatus,
 ) -> None:
-    pending = PendingSend(UNSAFE)
+    pending = PendingSend(NON_IDEMPOTENT)
     pending.attempt.written, pending.attempt.outcome = True, outcome
     pending.attempt = pending.add_attempt()
     assert pending.rejection_reason() is SendRejectionReason.MAY_HAVE_RUN
@@ -195,7 +195,7 @@
 
 @pytest.mark.parametrize("outcome", [AttemptStatus.CONNECT_FAILED, AttemptStatus.FULL])
 def test_attempt_after_one_that_never_ran_may_be_sent(outcome: AttemptStatus) -> None:
-    pending = PendingSend(UNSAFE)
+    pending = PendingSend(NON_IDEMPOTENT)
     pending.attempt.written, pending.attempt.outcome = outcome is AttemptStatus.FULL, outcome
     pending.attempt = pending.add_attempt()
     assert pending.rejection_reason() is None
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -33,7 +33,7 @@
     TopologicalSorter(graph).prepare()  # a circle is a CycleError that names it; imports for types count, too
 
 
-LOG_CALL = re.compile(r"(?:log\.(?:debug|info|rate_limited|warning|error|exception)|tell)\(\s*\"(\w+)\"")
+LOG_CALL = re.compile(r"(?:log\.(?:debug|info|rate_limited|warning|error|exception)|write_log)\(\s*\"(\w+)\"")
 ON_CALL = (ROOT / "docs/oncall.md").read_text()
 
 
