--- a/benchmarks/duties_processes.py
+++ b/benchmarks/duties_processes.py
@@ -66,12 +66,12 @@
     if name in ("good_order", "killed"):
         node.process.wait()
         fleet.restart(member)
-        node.logged("voting")
+        node.logged("lease_acceptor_activated")
     elif name == "cut_off":
         fleet.links.heal()
     else:
         fleet.signal(member, signal.SIGCONT)
-        while node.logged("duty")["what"] == "begun":
+        while node.logged("duty_lease_changed")["what"] == "begun":
             continue
 
 
--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -16,7 +16,13 @@
 import orjson
 
 COLD_S = 13.0  # since its start, that a server counts as cold here
-CALLS = ("watch_broken", "watch_silent", "watch_ended", "list_malformed", "list_fetch_failed")
+CALLS = (
+    "endpoint_watch_failed",
+    "endpoint_watch_timed_out",
+    "endpoint_watch_ended",
+    "endpoint_list_malformed",
+    "endpoint_list_fetch_failed",
+)
 
 
 def lines(folder: Path) -> Iterator[dict[str, Any]]:
--- a/ringledge/core/action_executor.py
+++ b/ringledge/core/action_executor.py
@@ -51,7 +51,7 @@
             case WatchEndpoints():
                 pass  # discovery is watched from the start, whether or not the policy requests it
             case LogMessage(text):
-                log.info("policy", text=text)
+                log.info("routing_message_logged", text=text)
 
     def _send(self, action: SendAttempt) -> None:
         attempt = route.route(self._context, action)
--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -108,7 +108,7 @@
         """Apply an update of the server list before all queued events, so that no send overtakes a drain."""
         changed = self.context.servers.apply(update, addresses)
         if changed:
-            log.info("servers_changed", version=update.version, **summarize_changes(changed))
+            log.info("endpoints_changed", version=update.version, **summarize_changes(changed))
         self.context.transport.endpoints_changed()
         self._events.appendleft(update)
         self._process_events()
@@ -131,7 +131,7 @@
             return True
         self.context.metrics.not_begun.labels(reason.value).inc()
         request_id = attempt.record.request_id
-        log.info("attempt_not_begun", request=request_id, server=attempt.server, why=reason.value)
+        log.info("attempt_prevented", request=request_id, server=attempt.server, why=reason.value)
         if reason is send_guard.SendRejectionReason.CLIENT_DISCONNECTED:
             self.on_client_disconnected(attempt.record)  # the loop may not have reached its socket yet
         return False
@@ -169,7 +169,7 @@
         try:
             snapshot.load(self.policy, part)
         except (ValueError, TypeError, KeyError) as error:  # written by another version: learn it anew
-            log.warning("learned_unreadable", error=repr(error))
+            log.warning("snapshot_unreadable", error=repr(error))
 
     def shut_down(self) -> None:
         """Give up all requests that have not started streaming: the process is about to end."""
--- a/ringledge/core/gate.py
+++ b/ringledge/core/gate.py
@@ -173,7 +173,7 @@
 
     def _log_pressure_change(self, reading: ProcessReading) -> None:
         log.rate_limited(
-            "overload",
+            "overload_state_changed",
             pressed=self._overload.under_pressure,
             cpu=round(reading.cpu_ms / max(1.0, reading.span_ms), 2),
             loop_ms=round(reading.loop_lag_ms, 1),
@@ -188,7 +188,7 @@
         """Evict retained responses, oldest first."""
         evicted = self._buffered_bytes.evict(int(EVICTION_FRACTION * self._memory_bytes))
         if evicted:
-            log.rate_limited("answers_dropped", bytes=evicted)
+            log.rate_limited("cached_answers_dropped", bytes=evicted)
 
     def _trim_memory(self) -> None:
         """Return free memory to the system, at most once an interval."""
--- a/ringledge/core/stages/accept.py
+++ b/ringledge/core/stages/accept.py
@@ -31,7 +31,7 @@
     if record.closed:
         return
     record_outcome.close_request(context, record, RequestResult.CLIENT_DISCONNECTED)
-    log.debug("client_gone", request=record.request_id, attempts=record.history())
+    log.debug("client_disconnected", request=record.request_id, attempts=record.history())
     context.dispatch(ClientDisconnected(record.request_id))
     # The policy does not cancel a streaming attempt: its stream ends with the client. An attempt that was not
     # written completely never runs, so it is abandoned even where the settings permit no cancelling.
--- a/ringledge/lifecycle/components/connection_admission.py
+++ b/ringledge/lifecycle/components/connection_admission.py
@@ -32,4 +32,4 @@
     while True:
         await anyio.sleep(SILENT_NETWORKS_INTERVAL_S)
         if networks := admission.top_networks_without_request(MAX_SILENT_NETWORKS):
-            log.info("networks_silent", networks=networks, open=admission.open_by_rule())
+            log.info("client_networks_reported", networks=networks, open=admission.open_by_rule())
--- a/ringledge/lifecycle/components/lease_holder_duties.py
+++ b/ringledge/lifecycle/components/lease_holder_duties.py
@@ -89,4 +89,4 @@
     started_s = time.monotonic()
     while not recovery.active:
         await anyio.sleep(ACCEPTOR_POLL_INTERVAL_S)
-    log.info("voting", after_s=round(time.monotonic() - started_s, 2))
+    log.info("lease_acceptor_activated", after_s=round(time.monotonic() - started_s, 2))
--- a/ringledge/lifecycle/handover.py
+++ b/ringledge/lifecycle/handover.py
@@ -76,14 +76,14 @@
             await is_serving.wait()
             addresses = sorted(self._listeners)
             await peer.send(encode_serving(addresses))
-            log.info("taken_over", listeners=sorted(self._listeners))
+            log.info("listeners_taken_over", listeners=sorted(self._listeners))
 
         with self._sharing_limits():
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(notify_serving)
                 await peer.run(lambda message: self._conductor.load_snapshot(message.snapshot_part))
                 tasks.cancel_scope.cancel()
-        log.info("predecessor_gone")
+        log.info("predecessor_ended")
 
     async def serve_successors(self) -> None:
         """Wait for successors, and hand over to one at a time."""
@@ -104,7 +104,7 @@
 
     @staticmethod
     async def _wait_to_retry(error: OSError) -> None:
-        log.error("handover_closed", error=str(error), again_s=RETRY_INTERVAL_S)
+        log.error("handover_unavailable", error=str(error), again_s=RETRY_INTERVAL_S)
         await anyio.sleep(RETRY_INTERVAL_S)
 
     async def _serve_successor(self, sock: socket.socket) -> bool:
@@ -116,13 +116,13 @@
             log.warning("successor_lost", error=repr(error))
             channel.close(sock)
             return False
-        log.info("handed_over", listeners=sorted(self._listeners))
+        log.info("listeners_handed_over", listeners=sorted(self._listeners))
         peer = PeerProcess(sock, self._conductor.registry)
         with self._sharing_limits():
             await peer.run(self._on_successor_message)
         has_served = self.successor_serves
         self.successor_serves = False
-        log.info("successor_gone", served=has_served)
+        log.info("successor_ended", served=has_served)
         if has_served:
             self._fronts.reopen()
         return has_served
@@ -148,7 +148,7 @@
             self.successor_serves = True
             self._fronts.yield_to_successor(set(message.serving))
             self._observer.on_successor_serving()
-            log.info("successor_serves")
+            log.info("successor_started_serving")
 
     def close(self) -> None:
         """Delete the socket's path that no process listens at now; a successor's own may be there already."""
--- a/ringledge/lifecycle/handover_channel.py
+++ b/ringledge/lifecycle/handover_channel.py
@@ -75,7 +75,7 @@
         except OSError as error:
             if not is_transient(error):
                 raise
-            log.rate_limited("successor_waits", error=str(error))
+            log.rate_limited("successor_delayed", error=str(error))
             await anyio.sleep(RETRY_INTERVAL_S)
             continue
         channel.setblocking(False)
@@ -130,7 +130,7 @@
             raise OSError("it ended the channel")
         return _inherit(channel, received, fingerprint)
     except (*CHANNEL_ERRORS, KeyError, TypeError) as error:  # a stale file, or a process that hangs
-        log.warning("no_predecessor", error=repr(error))
+        log.warning("predecessor_unavailable", error=repr(error))
         close(channel)
         return Predecessor()
 
--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -144,7 +144,9 @@
                 waits.start_soon(_cancel_after, context.discovery.synchronized, waits.cancel_scope)
                 waits.start_soon(_cancel_after, context.shutdown, waits.cancel_scope)
         if timeout.cancelled_caught:
-            log.warning("list_late", seconds=ENDPOINT_LIST_TIMEOUT_S, entries=len(context.servers.entries))
+            log.warning(
+                "endpoint_list_late", seconds=ENDPOINT_LIST_TIMEOUT_S, entries=len(context.servers.entries)
+            )
 
     def _log_ready(self) -> None:
         settings, names = self._config.settings, self._config.names
--- a/ringledge/members/component.py
+++ b/ringledge/members/component.py
@@ -111,7 +111,7 @@
                     self.membership.set_address(socket.address)
                 self.service = self._build_service(socket)
                 self._address = socket.address
-                log.info("members_listen", address=socket.address, start=self.membership.me.start)
+                log.info("member_listening", address=socket.address, start=self.membership.me.start)
                 self._bound.set()
                 await self.service.run()
             finally:
@@ -125,7 +125,7 @@
                 return DatagramSocket(self._settings.listen, self._settings.buffer_kb * 1024)
             except OSError as error:
                 if not is_logged:
-                    log.warning("members_address_taken", address=self._settings.listen, error=str(error))
+                    log.warning("member_address_in_use", address=self._settings.listen, error=str(error))
                 is_logged = True
                 await anyio.sleep(BIND_RETRY_INTERVAL_S)
 
@@ -150,6 +150,6 @@
         case MemberFailed(member, reason):
             log.warning("member_died", member=member.name, start=member.start, why=reason.value)
         case LocalStartRaised(member):
-            log.warning("member_start_raised", start=member.start)
+            log.warning("member_incarnation_raised", start=member.start)
         case LocalMemberSuperseded(start):
             log.error("member_superseded", by_start=start)
--- a/ringledge/members/duty_runner.py
+++ b/ringledge/members/duty_runner.py
@@ -141,7 +141,7 @@
                     wait_s = await duty.step(token, lambda: self._is_held(name, token))
                     failed_steps = 0
                 except Exception as error:
-                    log.exception("duty_step", error, duty=name, token=token)
+                    log.exception("duty_step_failed", error, duty=name, token=token)
                     wait_s = STEP_RETRY_INTERVAL_S
                     failed_steps += 1
                     self.counts[DutyEvent.STEP_FAILED] += 1
@@ -150,4 +150,4 @@
 
     def _record(self, event: DutyEvent, duty: str, token: int) -> None:
         self.counts[event] += 1
-        log.info("duty", duty=duty, token=token, what=event)
+        log.info("duty_lease_changed", duty=duty, token=token, what=event)
--- a/ringledge/members/planner.py
+++ b/ringledge/members/planner.py
@@ -85,7 +85,7 @@
                 return interval_s
             self.changes += 1
         if result.assignments:
-            log.info("plan", token=token, number=self._planner.number, **plan_summary(result))
+            log.info("role_plan_published", token=token, number=self._planner.number, **plan_summary(result))
         return interval_s
 
     def stop(self) -> None:
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -130,7 +130,7 @@
         self._adopted = True
         for name in found.unknown:
             self._report_end(name, EntryOutcome.UNKNOWN, token)
-        log.info("queue_adopted", token=token, again=found.requeued, unknown=len(found.unknown))
+        log.info("queue_taken_over", token=token, again=found.requeued, unknown=len(found.unknown))
 
     async def _send_due(self, scheduler: ReplayScheduler, token: int, still: LeaseCheck) -> None:
         probing = self._site_state() is not SiteState.AVAILABLE
@@ -216,7 +216,7 @@
             self._handle_stale_token(token, error)
             return
         except InvalidTransitionError as error:
-            log.warning("queue_entry_moved", entry=name, error=str(error))
+            log.warning("queue_transition_rejected", entry=name, error=str(error))
             return
         except QueueError as error:
             log.rate_limited("queue_step_failed", why=error.reason.value, error=str(error))
@@ -241,7 +241,7 @@
 
     def _handle_stale_token(self, token: int, error: StaleTokenError) -> None:
         """A newer holder has written to the file: stop, if the token is still the present one."""
-        log.warning("queue_effect_refused", token=token, error=str(error))
+        log.warning("queue_stale_token_rejected", token=token, error=str(error))
         if self._figures is not None:
             self._figures.stale_effects.inc()
         if token == self._token:
--- a/ringledge/members/role_keeper.py
+++ b/ringledge/members/role_keeper.py
@@ -136,7 +136,7 @@
             self._registry.receive(now_s, server, assignment)
         self._log_assignments()
         for server, phase in self._registry.tick(now_s):
-            log.info("role_changes", server=server, state=phase.value)
+            log.info("role_change_advanced", server=server, state=phase.value)
         role_plan = RolePlan(*self._registry.excluded_servers())
         if role_plan != self._role_plan:
             self._role_plan = role_plan
@@ -160,7 +160,7 @@
             if self._logged.get(server) != assignment:
                 self._logged[server] = assignment
                 log.info(
-                    "role_asked",
+                    "role_change_received",
                     server=server,
                     role=assignment.role,
                     token=assignment.token,
--- a/ringledge/memory/operator_overrides.py
+++ b/ringledge/memory/operator_overrides.py
@@ -50,12 +50,12 @@
         except FileNotFoundError:  # nothing was ever excluded
             return
         except (OSError, ValueError, TypeError, KeyError) as error:
-            log.error("by_hand_unreadable", file=str(self._path), error=str(error))
+            log.error("server_overrides_unreadable", file=str(self._path), error=str(error))
             return
         changed = self.excluded ^ excluded
         self.excluded = excluded
         for server in sorted(changed):
-            log.info("by_hand", server=server, out=server in excluded)
+            log.info("server_override_changed", server=server, out=server in excluded)
             self._on_change(server, server in excluded)
 
     def _server_names(self, content: Any) -> list[Any]:
--- a/ringledge/store/site_monitor.py
+++ b/ringledge/store/site_monitor.py
@@ -51,7 +51,7 @@
         self.state = self._detector.update(now_s, self._observations.servers(now_s))
         self._publish(now_s)
         if self.state is not previous:
-            log.info("site_state", site=self._site, state=self.state.label)
+            log.info("site_state_changed", site=self._site, state=self.state.label)
 
     def _feed_answers(self, now_s: float) -> None:
         answered, rejected = self._observations.answers()
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -161,11 +161,11 @@
             entry = await self._queue.enqueue(queued_request)
         except QueueError as error:
             self._metrics.rejected.labels(error.reason.value).inc()
-            log.rate_limited("queue_refused", why=error.reason.value, error=str(error))
+            log.rate_limited("queue_request_rejected", why=error.reason.value, error=str(error))
             raise rejection_response(error, [location(queued_request.name)]) from error
         self._metrics.accepted.inc()
         tenant, class_field = queued_request.tenant, {"class": queued_request.request_class}
-        log.info("queue_entry_taken", entry=entry.name, tenant=tenant, **class_field)
+        log.info("queue_entry_enqueued", entry=entry.name, tenant=tenant, **class_field)
         return entry
 
     async def _respond_withdrawn(self, conn: Connection, name: str) -> None:
--- a/ringledge/wire/clients/front.py
+++ b/ringledge/wire/clients/front.py
@@ -133,7 +133,9 @@
             except OSError as error:
                 # Out of descriptors: idle connections are evicted, or no new client would ever be served.
                 if error.errno in (errno.EMFILE, errno.ENFILE) and self._free_descriptors():
-                    log.rate_limited("parked_gave_way", front=self.name, parked=len(self.connections.idle))
+                    log.rate_limited(
+                        "idle_connections_evicted", front=self.name, parked=len(self.connections.idle)
+                    )
                     continue
                 log.error("accept_failed", front=self.name, error=str(error))
                 await anyio.sleep(ACCEPT_RETRY_S)
@@ -157,7 +159,7 @@
         if connections.open >= connections.limit:
             connections.evict_one()
         if connections.open >= connections.limit + max(1, connections.limit // 8):
-            log.rate_limited("connection_turned_away", front=self.name, open=self.open)
+            log.rate_limited("connection_rejected", front=self.name, open=self.open)
             connections.record_disconnect(entry, False)
             sock.close()  # at once: in the backlog it would wait for nothing
             return
@@ -174,7 +176,7 @@
     def _deny(self, sock: socket.socket, address: str, reason: Enum) -> None:
         """Close a connection that connection admission rejected."""
         self._denied.labels(self.name, reason.value).inc()
-        log.rate_limited("connection_not_let_in", front=self.name, address=address, why=reason.value)
+        log.rate_limited("connection_denied", front=self.name, address=address, why=reason.value)
         sock.close()
 
     def _configure(self, sock: socket.socket, entry: AdmittedConnection | None) -> None:
--- a/ringledge/wire/clients/operator.py
+++ b/ringledge/wire/clients/operator.py
@@ -66,7 +66,7 @@
         try:
             await self._by_hand.set_excluded(server, out)
         except OSError as error:
-            log.error("by_hand_failed", server=server, out=out, error=str(error))
+            log.error("server_override_failed", server=server, out=out, error=str(error))
             raise HttpError(503, "it could not be written down", "unavailable") from error
 
 
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -90,7 +90,9 @@
         self._start_times.retain(self._conductor.context.servers.entries)
         up = [entry for entry in entries if entry.availability == Availability.UP]
         fresh = {entry.server: entry.started_ms for entry in up if entry.started_ms > 0}
-        log.info("list", form=kind.value, index=listing.index, entries=len(entries), fresh=fresh)
+        log.info(
+            "endpoint_list_received", form=kind.value, index=listing.index, entries=len(entries), fresh=fresh
+        )
 
     def change_address(self, address: str) -> None:
         """Discovery has another address: the watch continues there at once."""
@@ -116,7 +118,7 @@
                     listing = await self._fetch()
                 self.apply(listing)
             except (*PEER_ERRORS, ListError) as error:
-                log.warning("list_fetch_failed", error=repr(error))
+                log.warning("endpoint_list_fetch_failed", error=repr(error))
                 self._conductor.update_endpoints(EndpointUpdate(EndpointUpdateKind.FAILED), {})
 
     def _entry(self, endpoint: Endpoint, started_ms: float) -> ServerEntry:
@@ -143,7 +145,7 @@
             _log_failure(error, delay_s)
             return delay_s
         delay_s = 0.0 if self._watch_scope.cancelled_caught else self._backoff.next_s()
-        log.info("watch_ended", again_s=round(delay_s, 3))
+        log.info("endpoint_watch_ended", again_s=round(delay_s, 3))
         return delay_s
 
     async def _watch_once(self) -> None:
@@ -243,8 +245,8 @@
     retry_s = round(delay_s, 3)
     match error:
         case TimeoutError():
-            log.warning("watch_silent", why=str(error), again_s=retry_s)
+            log.warning("endpoint_watch_timed_out", why=str(error), again_s=retry_s)
         case ListError():
-            log.error("list_malformed", error=str(error), again_s=retry_s)
+            log.error("endpoint_list_malformed", error=str(error), again_s=retry_s)
         case _:
-            log.warning("watch_broken", error=str(error), again_s=retry_s)
+            log.warning("endpoint_watch_failed", error=str(error), again_s=retry_s)
--- a/ringledge/wire/servers/connections.py
+++ b/ringledge/wire/servers/connections.py
@@ -107,7 +107,7 @@
             except TimeoutError:
                 status = AttemptStatus.TIMEOUT
             except PEER_ERRORS as error:
-                log.info("probe_failed", server=server, error=str(error))
+                log.info("health_check_failed", server=server, error=str(error))
         return ProbeResult(server, status, (time.monotonic() - started_s) * 1000, load)
 
     async def close_expired(self) -> None:
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -179,7 +179,7 @@
         """No decode server was reached within the hold limit: release the entry, and prefill anew."""
         holders = record.cache_holders
         record.cache_holders = set()
-        log.info("state_let_go", request=record.request_id, servers=sorted(holders))
+        log.info("cache_entry_released", request=record.request_id, servers=sorted(holders))
         await self.release_sender.release_and_wait(record.request_id, holders)
         return ExchangeResult(AttemptStatus.FULL, 1)
 
--- a/ringledge/wire/servers/unresponsive_peers.py
+++ b/ringledge/wire/servers/unresponsive_peers.py
@@ -85,7 +85,7 @@
             if not self._delivery_checks.is_lost(server, state.written_ms):
                 continue
             record = attempt.record
-            log.info("attempt_cut_off", server=server, request=record.request_id)
+            log.info("attempt_server_unreachable", server=server, request=record.request_id)
             if attempt.at_most_once:  # it may still be answered
                 self._release_entry(record)
             else:
@@ -109,7 +109,7 @@
         holders = record.cache_holders
         record.cache_holders = set()
         record.released = True
-        log.info("state_let_go", request=record.request_id, servers=sorted(holders))
+        log.info("cache_entry_released", request=record.request_id, servers=sorted(holders))
         self._release_sender.release(record.request_id, holders, {})
 
 
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -122,7 +122,7 @@
         """Run an attempt to its end, and report exactly one outcome."""
         result = await self._run_exchange(attempt, state)
         if result is None and attempt.streaming and attempt.in_flight:
-            log.warning("stream_silent", server=attempt.server, request=attempt.record.request_id)
+            log.warning("stream_timed_out", server=attempt.server, request=attempt.record.request_id)
             result = ExchangeResult(AttemptStatus.RESET)
         if result is None:  # timed out; a request that was never written completely can't have run
             status = AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.CONNECT_FAILED
--- a/tests/benchmarks/test_fleet_counts.py
+++ b/tests/benchmarks/test_fleet_counts.py
@@ -20,8 +20,8 @@
 def test_a_table_of_two_conductors_counts_what_each_of_their_requests_did(tmp_path: Path) -> None:
     first = [
         {"at": 100.0, "event": "ready"},
-        {"at": 101.0, "event": "list", "fresh": {"r9": 100_500.0}},
-        {"at": 101.0, "event": "watch_broken"},
+        {"at": 101.0, "event": "endpoint_list_received", "fresh": {"r9": 100_500.0}},
+        {"at": 101.0, "event": "endpoint_watch_failed"},
         ended(102.0, 200.0, [["r1", "read", 100.0], ["w1", "ok", 100.0]]),
         ended(103.0, 300.0, [["r1", "connect failed", 1.0], ["r9", "read", 99.0], ["w1", "ok", 200.0]]),
     ]
--- a/tests/core/test_gate.py
+++ b/tests/core/test_gate.py
@@ -157,7 +157,7 @@
     booking = node.post("b1", X_Call_Class="booking")
     node.reader[0].next().read()
     write = node.writer[0].next()
-    node.successor().logged("taken_over")
+    node.successor().logged("listeners_taken_over")
     assert take(node.post("a1")).status == 503
     write.serve("ok")
     assert take(booking).status == 200
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -78,7 +78,7 @@
     def __enter__(self) -> Self:
         self.start(*self.names)
         for name in self._voters:  # one that has not learned yet can't do without any other
-            self.nodes[name].logged("voting")
+            self.nodes[name].logged("lease_acceptor_activated")
             self._passed += [(name, line) for line in self.nodes[name].passed]
         return self
 
@@ -111,8 +111,8 @@
         else:
             node.start(node.folder)
         self._passed += [(name, line) for line in node.passed]
-        told = [line for line in node.passed if line["event"] == "members_listen"]
-        line = told[0] if told else node.logged("members_listen")
+        told = [line for line in node.passed if line["event"] == "member_listening"]
+        line = told[0] if told else node.logged("member_listening")
         self.links.moved(name, line["address"])
 
     def __exit__(self, *_: object) -> None:
@@ -156,8 +156,8 @@
         successor.module = node.module
         node.later.append(successor)
         successor.start(node.folder)
-        told = [line for line in successor.passed if line["event"] == "members_listen"]
-        line = told[0] if told else successor.logged("members_listen")
+        told = [line for line in successor.passed if line["event"] == "member_listening"]
+        line = told[0] if told else successor.logged("member_listening")
         self.links.moved(name, line["address"])
         return successor
 
@@ -167,7 +167,7 @@
         """Wait until a member logs that it holds a duty under a token above that; who, and the token."""
 
         def token(line: dict[str, Any]) -> int | None:
-            mine = line["event"] == "duty" and (line["duty"], line["what"]) == (duty, "begun")
+            mine = line["event"] == "duty_lease_changed" and (line["duty"], line["what"]) == (duty, "begun")
             return line["token"] if mine and line["token"] > above else None
 
         until_s = time.monotonic() + LONG_S
--- a/tests/fleet/shared_servers.py
+++ b/tests/fleet/shared_servers.py
@@ -93,12 +93,13 @@
     def asked(self) -> dict[str, tuple[int, int, str]]:
         """Token, number and role last asked of each server."""
         return {
-            each["server"]: (each["token"], each["number"], each["role"]) for each in self.lines("role_asked")
+            each["server"]: (each["token"], each["number"], each["role"])
+            for each in self.lines("role_change_received")
         }
 
     def changed(self) -> set[str]:
         """Servers that have come to a new role."""
-        return {each["server"] for each in self.lines("role_changes") if each["state"] == "changed"}
+        return {each["server"] for each in self.lines("role_change_advanced") if each["state"] == "changed"}
 
 
 class Traffic:
--- a/tests/fleet/test_cut_off.py
+++ b/tests/fleet/test_cut_off.py
@@ -12,9 +12,9 @@
 
 def until_ended(fleet: Fleet, member: str, token: int) -> None:
     """Wait until the process says that it holds the duty no more."""
-    line = fleet.nodes[member].logged("duty")
+    line = fleet.nodes[member].logged("duty_lease_changed")
     while line["token"] != token or line["what"] == "begun":
-        line = fleet.nodes[member].logged("duty")
+        line = fleet.nodes[member].logged("duty_lease_changed")
 
 
 def test_a_holder_that_is_cut_off_stops_and_the_majority_goes_on(tmp_path: Path) -> None:
--- a/tests/fleet/test_handed_on.py
+++ b/tests/fleet/test_handed_on.py
@@ -19,7 +19,9 @@
         assert second.token > first.token
         fleet.nodes[first.member].process.wait(COVERED_S)
         fleet.restart(first.member)
-        fleet.nodes[first.member].logged("voting")  # of three one may be away at a time, and this is one
+        fleet.nodes[first.member].logged(
+            "lease_acceptor_activated"
+        )  # of three one may be away at a time, and this is one
         fleet.signal(second.member, signal.SIGTERM)
         third = fleet.receiver.next("watch", above=second.token)
         assert third.member != second.member
@@ -46,9 +48,9 @@
         fleet.signal(first.member, signal.SIGSTOP)
         second = fleet.receiver.next("watch", above=first.token)
         fleet.signal(first.member, signal.SIGCONT)
-        line = fleet.nodes[first.member].logged("duty")
+        line = fleet.nodes[first.member].logged("duty_lease_changed")
         while line["what"] == "begun":
-            line = fleet.nodes[first.member].logged("duty")
+            line = fleet.nodes[first.member].logged("duty_lease_changed")
         assert (line["what"], line["token"]) == ("expired", first.token)
         assert second.member != first.member and fleet.receiver.refused == []
         fleet.check()
@@ -83,7 +85,7 @@
         successor = fleet.succeed(first.member)
         second = fleet.receiver.next("watch", above=first.token)
         assert second.pid != first.pid
-        successor.logged("voting")
+        successor.logged("lease_acceptor_activated")
         fleet.signal(first.member, signal.SIGTERM)
         fleet.nodes[first.member].process.wait(COVERED_S)
         seen = len(fleet.receiver.accepted)
--- a/tests/fleet/test_roles.py
+++ b/tests/fleet/test_roles.py
@@ -57,7 +57,7 @@
         begun = [
             (line["token"], name)
             for name, story in self.stories.items()
-            for line in story.lines("duty")
+            for line in story.lines("duty_lease_changed")
             if line["duty"] == "planner" and line["what"] == "begun"
         ]
         return max(begun, default=(0, ""))[1]
@@ -95,7 +95,7 @@
         later = its.traffic.round(*names, times=MANY)
         assert its.servers.reads(later) and not its.servers.reads(later) & its.writers(asked)
         assert its.servers.twice() == []
-        assert sum(len(story.lines("plan")) for story in its.stories.values()) > 0
+        assert sum(len(story.lines("role_plan_published")) for story in its.stories.values()) > 0
 
 
 def test_a_killed_planner_is_followed_and_no_server_turns_back(tmp_path: Path) -> None:
@@ -111,7 +111,7 @@
         reads = {each.server for each in its.servers.came[before:] if each.read}
         assert reads and not reads & its.writers(asked)  # while nobody planned, too
         for story in stories:
-            told = {(line["server"], line["role"]) for line in story.lines("role_asked")}
+            told = {(line["server"], line["role"]) for line in story.lines("role_change_received")}
             assert len(told) == len({server for server, _ in told})  # none was ever asked for another role
         assert its.servers.twice() == []
 
@@ -127,7 +127,7 @@
         its.traffic.until(lambda: its.holder() in left, "another holder")
         # It has demand, paces, and servers without a role: but for the lease it would plan.
         its.traffic.until(lambda: its.alike(*left), "a plan", *names)
-        assert its.stories[alone].lines("plan") == [] and its.stories[alone].asked() == {}
+        assert its.stories[alone].lines("role_plan_published") == [] and its.stories[alone].asked() == {}
         its.fleet.links.heal()
         asked = its.planned(*names)
         its.fleet.links.harm(Harm(cut=True), cut)
@@ -135,4 +135,4 @@
         its.fleet.receiver.until(lambda: its.fleet.links.count("cut", cut) >= seen + 60, "datagrams cut")
         later = its.traffic.round(alone, times=MANY)
         assert its.servers.reads(later) and not its.servers.reads(later) & its.writers(asked)
-        assert its.stories[alone].lines("plan") == [] and its.servers.twice() == []
+        assert its.stories[alone].lines("role_plan_published") == [] and its.servers.twice() == []
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,7 +19,8 @@
 DESCRIPTORS = 128
 IDLE = 300
 OUT_OF_THEM = {
-    "parked_gave_way", "accept_failed", "connect_failed", "watch_broken", "server_sockets_exhausted",
+    "idle_connections_evicted", "accept_failed", "connect_failed", "endpoint_watch_failed",
+    "server_sockets_exhausted",
 }  # fmt: skip
 
 
@@ -86,7 +87,7 @@
         node.process.send_signal(signal.SIGHUP)
         moved.next().begin().chunk(json.dumps(node.listing(9)) + "\n")
         events = list[str]()
-        while node.logged("list")["index"] != 9:
+        while node.logged("endpoint_list_received")["index"] != 9:
             events += [line["event"] for line in node.passed]
         events += [line["event"] for line in node.passed]
         assert served(node)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -27,7 +27,7 @@
 def start_successor(node: Node) -> Process:
     """Start a successor, and wait until its predecessor is notified that it serves."""
     new = node.successor()
-    node.logged("successor_serves")
+    node.logged("successor_started_serving")
     return new
 
 
@@ -58,7 +58,7 @@
     answer = take(running)
     assert answer.status == 200 and answer.headers["connection"] == "close"
     assert node.process.wait(WAIT_S) == 0
-    assert new.logged("predecessor_gone") and serve_request(node, "b2") == 200
+    assert new.logged("predecessor_ended") and serve_request(node, "b2") == 200
 
 
 def test_a_persistent_connection_closes_after_its_next_response(node: Node) -> None:
@@ -109,7 +109,7 @@
 def test_the_predecessor_accepts_again_after_its_successor_was_killed(node: Node) -> None:
     new = start_successor(node)
     new.kill()
-    assert node.logged("successor_gone")["served"] is True
+    assert node.logged("successor_ended")["served"] is True
     assert serve_request(node, "a1") == 200
     second_successor = start_successor(node)
     assert second_successor.listening["platform"] == node.listening["platform"]
@@ -130,10 +130,13 @@
     new = start_successor(node)
     one, other = (node, new) if called == "old" else (new, node)
     assert one.call("POST", "/instances/r0/maint").status == 200
-    assert other.logged("by_hand")["out"] is True
+    assert other.logged("server_override_changed")["out"] is True
     assert take(node.post("a1")).status == 503
     assert other.call("POST", "/instances/r0/ready").status == 200
-    assert one.logged("by_hand")["out"] is True and one.logged("by_hand")["out"] is False
+    assert (
+        one.logged("server_override_changed")["out"] is True
+        and one.logged("server_override_changed")["out"] is False
+    )
 
 
 def test_two_processes_divide_the_limits(node: Node) -> None:
@@ -159,7 +162,7 @@
     while not node.watches.empty():  # one without an event may have been given up for the next
         with contextlib.suppress(OSError):
             node.watches.get().chunk(json.dumps(node.listing(8)) + "\n")
-    assert new.logged("list")["form"] == "full"
+    assert new.logged("endpoint_list_received")["form"] == "full"
 
 
 def test_the_successor_loads_the_snapshot_of_its_predecessor(node: Node) -> None:
--- a/tests/test_handover_clock.py
+++ b/tests/test_handover_clock.py
@@ -43,7 +43,7 @@
         successor.module = "benchmarks.soak.child"
         node.later.append(successor)
         successor.start(node.folder)
-        successor.logged("taken_over")
+        successor.logged("listeners_taken_over")
         node.kill()
         node.listening = successor.listening
         for number in range(6):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -115,7 +115,7 @@
             assert node.call("POST", "/instances/w0/maint").status == 200
         assert node.figures()["relay.cluster_unhealthy"] == "1|g"
         node.watches.get(timeout=WAIT_S).chunk(json.dumps(node.listing(8)) + "\n")
-        node.logged("list")
+        node.logged("endpoint_list_received")
         for number in range(8):
             client = node.post(f"a{number}")
             node.reader[0].next().read()
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -82,7 +82,7 @@
         node.kill()
     process = second(node)
     said = logged_before_ready(process)
-    assert any("by_hand_unreadable" in line and "other settings" in line for line in said)
+    assert any("server_overrides_unreadable" in line and "other settings" in line for line in said)
     assert process.listening["platform"] != first
     assert all_answers(node, process) == alone(tmp_path / "alone")
     assert process.figures()["relay.answered.letter"] == "1|c"
@@ -104,7 +104,7 @@
     """Its address may be the same: both are bound, and the first is not told to leave."""
     node.configure(settings=OTHER, listen=node.listening["platform"])
     process = node.successor()
-    assert any("no_predecessor" in line for line in logged_before_ready(process))
+    assert any("predecessor_unavailable" in line for line in logged_before_ready(process))
     assert node.logged("successor_lost")["error"]
     assert process.process.poll() is None and node.process.poll() is None
     process.kill()
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -21,7 +21,7 @@
 def tell_drain(node: Node, watch: Call) -> None:
     """The first line of a watch, and the drain in it."""
     watch.begin().chunk(json.dumps(node.listing(9, w0="leaving")) + "\n")
-    while node.logged("list")["index"] != 9:
+    while node.logged("endpoint_list_received")["index"] != 9:
         pass
 
 
@@ -52,9 +52,13 @@
     with Node(tmp_path, writers=2) as node:
         down = move(node)
         down.next().begin().chunk("\n")
-        node.logged("watch_silent")
+        node.logged("endpoint_watch_timed_out")
         down.next()  # the outage goes on
         watch = move(node).next()
         tell_drain(node, watch)
-        assert not [line for line in node.passed if line["event"] in ("watch_silent", "watch_broken")]
+        assert not [
+            line
+            for line in node.passed
+            if line["event"] in ("endpoint_watch_timed_out", "endpoint_watch_failed")
+        ]
         assert served_by_the_other(node)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -144,7 +144,7 @@
         told["endpoints"] = [each for each in told["endpoints"] if each["name"] == "w0"]
         told["snapshot"] = False
         watch.chunk(json.dumps(told) + "\n")
-        while node.logged("list")["index"] != 8:
+        while node.logged("endpoint_list_received")["index"] != 8:
             pass
         for number in range(6):
             client = node.post(f"a{number}")
--- a/tests/test_platform_life.py
+++ b/tests/test_platform_life.py
@@ -47,7 +47,7 @@
 def test_a_state_that_discovery_invents_gets_nothing_new(tmp_path: Path) -> None:
     with Node(tmp_path, writers=2) as node:
         node.watches.get(timeout=10).chunk(json.dumps(node.listing(8, w0="resting")) + "\n")
-        while node.logged("list")["index"] != 8:
+        while node.logged("endpoint_list_received")["index"] != 8:
             pass
         client = node.post("a1")
         node.reader[0].next().read()
@@ -59,7 +59,7 @@
     first = node.watches.get(timeout=10)
     assert first.path == "/v1/endpoints?watch=1&after=7"
     first.chunk(json.dumps(node.listing(9)) + "\n")
-    while node.logged("list")["index"] != 9:
+    while node.logged("endpoint_list_received")["index"] != 9:
         pass
     node.stop_watches.set()
     assert node.watches.get(timeout=10).path == "/v1/endpoints?watch=1&after=9"
@@ -84,7 +84,7 @@
     node.process.send_signal(signal.SIGHUP)
     node.logged("reloaded")
     watch.begin().chunk(json.dumps(node.listing(8)) + "\n")
-    while node.logged("list")["index"] != 8:
+    while node.logged("endpoint_list_received")["index"] != 8:
         pass
     call.serve("x")
     assert take(client).status == 200
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -98,7 +98,7 @@
     watch.chunk(first_word(node, how)[:30])  # a piece of it is no word
     watch.chunk(first_word(node, how)[30:])
     assert all_by_the_others(node, clients)
-    assert "list_late" not in restart.wait_ready()
+    assert "endpoint_list_late" not in restart.wait_ready()
     assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
 
 
@@ -109,19 +109,19 @@
     discovery.next()  # accepted, and no word
     discovery.next().begin().chunk(first_word(node, "leaving"))
     assert all_by_the_others(node, clients)
-    assert "list_late" not in restart.wait_ready()
+    assert "endpoint_list_late" not in restart.wait_ready()
     assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
 
 
 def test_beside_a_silent_discovery_it_is_ready_in_time_and_obeys_the_first_word(node: Node) -> None:
     discovery = StandIn()
     restart = Restart(node, discovery)
-    assert "list_late" in restart.wait_ready()
+    assert "endpoint_list_late" in restart.wait_ready()
     assert ENDPOINT_LIST_TIMEOUT_S < restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
     while not discovery.calls.empty():  # several were asked in vain by then
         call = discovery.next()
     assert call.closed()
     discovery.next().begin().chunk(first_word(node, "leaving"))
-    while restart.process.logged("list")["index"] != 9:
+    while restart.process.logged("endpoint_list_received")["index"] != 9:
         pass
     assert all_by_the_others(node, restart.ask())
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -66,7 +66,7 @@
     listing = node.listing(8)
     listing["endpoints"][1]["since_ms"] = 4_000_000_000_000  # starts now, as far as a clock can tell
     node.watches.get(timeout=10).chunk(json.dumps(listing) + "\n")
-    while node.logged("list")["index"] != 8:
+    while node.logged("endpoint_list_received")["index"] != 8:
         pass
     weights = sorted(each["load_balancing_weight"] for each in endpoints(take(ask(node)), "writers"))
     assert weights[0] < weights[1] == 100
--- a/tests/wire/clients/chat/test_queue_process.py
+++ b/tests/wire/clients/chat/test_queue_process.py
@@ -50,7 +50,7 @@
 
 
 def wait_for_site_state(node: Node, state: str) -> None:
-    while node.logged("site_state")["state"] != state:
+    while node.logged("site_state_changed")["state"] != state:
         continue
 
 
--- a/tests/wire/clients/test_idle_connections.py
+++ b/tests/wire/clients/test_idle_connections.py
@@ -124,7 +124,7 @@
         limits = resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (120, limits[1]))
         flood = [connect(node) for _ in range(300)]
-        assert node.logged("parked_gave_way")
+        assert node.logged("idle_connections_evicted")
         with connect(node) as new:
             new.sendall(READY)
             assert answer(new).startswith(b"HTTP/1.1 200")
@@ -172,11 +172,11 @@
             assert ends(sock) and 2.5 < time.monotonic() - began < 8
             long.sendall(READY)
             assert answer(long).startswith(b"HTTP/1.1 200")
-            assert ends(come("127.0.9.1")) and node.logged("connection_not_let_in")["why"] == "denied"
+            assert ends(come("127.0.9.1")) and node.logged("connection_denied")["why"] == "denied"
             with come("127.0.8.1") as second:
                 second.sendall(READY)
                 assert answer(second).startswith(b"HTTP/1.1 200")
-                assert ends(come("127.0.8.1")) and node.logged("connection_not_let_in")["why"] == "most_each"
+                assert ends(come("127.0.8.1")) and node.logged("connection_denied")["why"] == "most_each"
 
 
 def test_simultaneous_requests_are_all_answered_and_slow_sender_is_closed(tmp_path: Path) -> None:
--- a/tests/wire/servers/test_releases.py
+++ b/tests/wire/servers/test_releases.py
@@ -97,7 +97,7 @@
     with Node(tmp_path, readers=2, writers=0, hung=4) as node:
         index, call = first_prefill(node)
         call.read()
-        assert node.logged("state_let_go")["servers"] == [f"r{index}"]
+        assert node.logged("cache_entry_released")["servers"] == [f"r{index}"]
         fields = node.logged("release_ended")
         assert fields["how"] == "done" and fields["where"] == f"r{index}"
         next_prefill(node)[1].drop()  # it is prefilled anew
@@ -106,7 +106,9 @@
 def test_outstanding_updates_are_applied_before_the_first_request_is_accepted(tmp_path: Path) -> None:
     """Clients that know the address connect as soon as a router is back, with an old list."""
     with Node(tmp_path, told=lambda node: json.dumps(node.listing(8, r0="leaving"))) as node:
-        lists = [(line["form"], line["index"]) for line in node.passed if line["event"] == "list"]
+        lists = [
+            (line["form"], line["index"]) for line in node.passed if line["event"] == "endpoint_list_received"
+        ]
         assert lists == [("kept", 7), ("full", 8)]
 
 
