--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -41,15 +41,12 @@
 MAX_INITIAL_BACKOFF_S = 2.0
 MAX_BACKOFF_PER_ROUTER_S = 1.0
 # With pushed lists an agent on the router's own machine holds them. It answers at once and at no cost, sends
-# nothing while discovery is down, and what it receives when that returns counts as known at once. A router
-# that waits between watches learns of it late, one with an open watch in time. So a new watch is requested
-# soon.
+# nothing while discovery is down, and what it receives afterwards counts as known at once. A router that
+# waits between watches learns of it late, so a new watch is requested soon.
 PUSH_INITIAL_BACKOFF_S = 0.02
 PUSH_MAX_BACKOFF_S = 0.1
-# A change counts as known 6 s after the agent had it, whatever became of the watches meanwhile. So with
-# pushed lists one deadline holds for all watches in a row, less a margin in which the last one is read.
 PUSH_IDLE_TIMEOUT_S = 2.5
-PUSH_STALENESS_LIMIT_S = 5.6
+PUSH_STALENESS_LIMIT_S = 5.6  # of all watches in a row: a change counts as known after 6 s
 RECONFIGURED_STALENESS_LIMIT_S = 3.6  # after a new configuration: from then on changes count after 4 s
 START_STALENESS_LIMIT_S = 1.0  # at a start, when the agent's list counts at once: the first watch gets half
 # With pushed lists a request without a response within this, its connection included, has failed.
--- a/tests/compatibility/test_formats.py
+++ b/tests/compatibility/test_formats.py
@@ -28,7 +28,8 @@
 from tests.compatibility.policy_trace import SEEDS
 from tests.compatibility.queue_files import ENTRIES, dump, write_current, write_version_1
 from tests.compatibility.rendering import render
-from tests.compatibility.settings_files import FILES, settings_texts
+from tests.compatibility.settings_contents import FILES
+from tests.compatibility.settings_files import settings_texts
 from tests.compatibility.snapshots import learned, snapshot_text
 
 SETTINGS_GOLDEN = [*(f"settings-{name}.json" for name in FILES), "settings-platform.txt", "fingerprint.txt"]
--- a/tests/routing/test_cold_servers.py
+++ b/tests/routing/test_cold_servers.py
@@ -10,7 +10,9 @@
 
 import pytest
 
-from tests.routing.cold_fleet import ColdFleet, Scenario, max_overload_ratio, share_used
+from tests.routing.cold_fleet import ColdFleet
+from tests.routing.cold_fleet_measures import max_overload_ratio, share_used
+from tests.routing.cold_scenario import Scenario
 
 BURST: dict[str, Any] = {"load": 1.0, "burst_factor": 3.0}
 LARGER: dict[str, Any] = {
--- /dev/null
+++ b/tests/store/test_file_sharing.py
@@ -0,0 +1,91 @@
+"""The queue file shared by steps, processes and a slow disk."""
+
+from __future__ import annotations
+
+import threading
+from pathlib import Path
+
+import anyio
+import pytest
+
+from ringledge.store import schema
+from ringledge.store.entry import (
+    EntryOutcome,
+    EntryState,
+    QueueError,
+    QueueRejectionReason,
+    StaleTokenError,
+)
+from ringledge.store.queue import Queue
+from ringledge.store.settings import QueueConfig
+from tests.store.helpers import NOW_S, queued_request
+from tests.store.test_file import run_scenario
+
+
+def test_pending_steps_share_a_commit_and_are_rejected_individually(tmp_path: Path) -> None:
+    async def scenario(queue: Queue) -> None:
+        results: dict[str, str] = {}
+
+        async def enqueue(name: str, size: int) -> None:
+            try:
+                await queue.enqueue(queued_request(name, f"t{name}", size=size))
+                results[name] = "accepted"
+            except QueueError as error:
+                results[name] = error.reason.value
+
+        async with anyio.create_task_group() as tasks:
+            for number in range(40):
+                tasks.start_soon(enqueue, f"{number}", 9_999 if number == 7 else 100)
+        assert results.pop("7") == "large" and set(results.values()) == {"accepted"}
+        assert queue.worker.commits < 20
+
+    run_scenario(tmp_path / "queue.db", scenario, max_entry_bytes=1_024, max_entries=1000)
+
+
+def test_a_lock_of_another_process_is_awaited_until_the_timeout(tmp_path: Path) -> None:
+    path = tmp_path / "queue.db"
+    other = schema.connect(path, 1.0)
+
+    async def scenario(queue: Queue) -> None:
+        other.execute("BEGIN IMMEDIATE")
+        with pytest.raises(QueueError) as raised:
+            await queue.enqueue(queued_request("a"))
+        assert raised.value.reason is QueueRejectionReason.LOCKED
+        threading.Timer(0.05, lambda: other.execute("ROLLBACK")).start()
+        assert (await queue.enqueue(queued_request("a"))).state is EntryState.WAITING
+
+    run_scenario(path, scenario, lock_timeout_s=0.3)
+    other.close()
+
+
+def test_two_processes_share_entries_and_tokens_of_one_file(tmp_path: Path) -> None:
+    path = tmp_path / "queue.db"
+
+    async def scenario(queue: Queue) -> None:
+        second = Queue(QueueConfig(path=str(path)), lambda: NOW_S)
+        second.start()
+        await queue.enqueue(queued_request("a"))
+        await queue.adopt(1)
+        await queue.begin_attempt("a", 1)
+        entry = await second.get("a")
+        assert entry is not None and entry.state is EntryState.BEGUN
+        await second.adopt(2)
+        with pytest.raises(StaleTokenError):
+            await queue.complete("a", 1, EntryOutcome.SERVED, b"{}")
+        second.stop()
+
+    run_scenario(path, scenario)
+
+
+def test_a_slow_disk_does_not_block_the_event_loop(tmp_path: Path) -> None:
+    async def scenario(queue: Queue) -> None:
+        gate = threading.Event()
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(queue.worker.run, lambda db: gate.wait(20))
+            turns = 0
+            while turns < 100:  # the loop goes round while the thread stands still
+                await anyio.lowlevel.checkpoint()
+                turns += 1
+            gate.set()
+
+    run_scenario(tmp_path / "queue.db", scenario)
