--- a/ringledge/lifecycle/components/chat.py
+++ b/ringledge/lifecycle/components/chat.py
@@ -7,7 +7,7 @@
 from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.context import ProgramContext
 from ringledge.lifecycle.fronts import Service
-from ringledge.wire.clients.chat import Chat, error_body
+from ringledge.wire.clients.chat import Chat, ChatOptions, error_body
 from ringledge.wire.clients.chat_settings import ChatConfig
 
 if TYPE_CHECKING:
@@ -25,11 +25,8 @@
     settings = config.settings_of(ChatConfig)
     max_retained_bytes = config.memory_bytes / RETAINED_RESPONSES_DIVISOR
     chat = Chat(
-        settings,
-        config.settings,
-        config.names,
+        ChatOptions(settings, config.settings, config.names, max_retained_bytes),
         context.conductor,
-        max_retained_bytes,
         None if overload is None else overload.gate,
         None if overload is None else overload.buffered_bytes,
         queued_chat,
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from functools import partial
 from typing import TYPE_CHECKING, Any
 from uuid import uuid4
@@ -45,26 +45,38 @@
 MOST_KEY = 256  # bytes of an idempotency key, which is kept as long as its answer
 
 
+@dataclass(frozen=True, slots=True)
+class ChatOptions:
+    """The settings of the chat front; `max_retained_bytes` bounds the answers kept for a resume."""
+
+    config: ChatConfig
+    settings: RouterSettings
+    names: Names
+    max_retained_bytes: float
+
+
 class Chat:
     """Handles the requests of chat clients."""
 
     def __init__(
         self,
-        config: ChatConfig,
-        settings: RouterSettings,
-        names: Names,
+        options: ChatOptions,
         conductor: Conductor,
-        most_bytes: float,
         gate: AdmissionGate | None = None,
-        held: BufferedBytes | None = None,
+        buffered_bytes: BufferedBytes | None = None,
         queued: QueuedChat | None = None,
     ) -> None:
-        self._config, self._settings, self._names, self._conductor = config, settings, names, conductor
-        self.sessions = StreamSessionStore(config.sessions, most_bytes, config.resume_for_s)
-        self._gate, self._queued = gate, queued
+        config, names = options.config, options.names
+        self._config = config
+        self._settings = options.settings
+        self._names = names
+        self._conductor = conductor
+        self.sessions = StreamSessionStore(config.sessions, options.max_retained_bytes, config.resume_for_s)
+        self._gate = gate
+        self._queued = queued
         self._replies = Replies(conductor, names, self._safe, self._go_on)
-        if held is not None:
-            held.register(self.sessions)
+        if buffered_bytes is not None:
+            buffered_bytes.register(self.sessions)
 
     async def handle(self, conn: Connection, head: h11.Request) -> None:
         """Answer one request."""
@@ -72,9 +84,11 @@
         if path == b"/v1/models":
             only(head, b"GET")
             await read_body(conn, head)
-            return await respond(conn, 200, orjson.dumps(self._models()))
+            await respond(conn, 200, orjson.dumps(self._models()))
+            return
         if self._queued is not None and path.startswith(b"/v1/queue/"):
-            return await self._queued.handle(conn, head)
+            await self._queued.handle(conn, head)
+            return
         if path != PATH:
             raise HttpError(404, f"no such path: {path.decode('ascii', 'replace')}", "unknown_url")
         only(head, b"POST")
--- a/ringledge/wire/clients/chat/question.py
+++ b/ringledge/wire/clients/chat/question.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from hashlib import blake2b
 from typing import Any
 from uuid import uuid4
@@ -62,9 +63,19 @@
         raise HttpError(400, "not a number of milliseconds", "invalid_value", "X-Budget-Ms")
     route = told_header(head, b"x-route-hash") or ""
     budget_ms = float(budget) if budget else None
-    return class_and_request(
-        config, names, settings, question, told, caller or config.tenant, uuid4().hex, budget_ms, route
-    )
+    origin = ChatOrigin(caller or config.tenant, uuid4().hex, told, budget_ms, route)
+    return class_and_request(config, names, settings, question, origin)
+
+
+@dataclass(frozen=True, slots=True)
+class ChatOrigin:
+    """What is known of a chat request beside its body."""
+
+    tenant: str
+    request_id: str
+    class_name: str | None  # None: the class of the model
+    budget_ms: float | None = None  # None: the deadline of the class
+    conversation: str = ""  # names the conversation; empty: its opening messages do
 
 
 def class_and_request(
@@ -72,33 +83,26 @@
     names: Names,
     settings: RouterSettings,
     question: dict[str, Any],
-    told: str | None,
-    caller: str,
-    name: str,
-    budget_ms: float | None = None,
-    route: str = "",
+    origin: ChatOrigin,
 ) -> tuple[int, Request]:
-    """The class and the core's request of a question; HttpError names the field that is wrong.
-
-    `told`: the class's name, None: the model's; `route`: what names the conversation, empty: its opening.
-    """
+    """The class index and the core's request of a question; HttpError names the field that is wrong."""
     if question["model"] not in config.models:
         raise HttpError(404, f"no such model: {question['model']}", "model_not_found", "model")
-    told = told or config.models[question["model"]]
-    if told not in names.classes:
-        raise HttpError(400, f"no such class: {told}", "unknown_class", "X-Call-Class")
-    if names.tenants and caller not in names.tenants:
-        raise HttpError(400, f"no such caller: {caller}", "unknown_caller", "X-Caller")
-    index = names.classes.index(told)
+    class_name = origin.class_name or config.models[question["model"]]
+    if class_name not in names.classes:
+        raise HttpError(400, f"no such class: {class_name}", "unknown_class", "X-Call-Class")
+    if names.tenants and origin.tenant not in names.tenants:
+        raise HttpError(400, f"no such caller: {origin.tenant}", "unknown_caller", "X-Caller")
+    index = names.classes.index(class_name)
     first = question["messages"][0]
     shared = _content(first) if first["role"] in ("system", "developer") else ""
     opening = orjson.dumps(question["messages"][: 2 if shared else 1])
-    session = route.encode() or opening
+    session = origin.conversation.encode() or opening
     request = Request(
-        name,
-        budget_ms or settings.classes[index].deadline_ms,
+        origin.request_id,
+        origin.budget_ms or settings.classes[index].deadline_ms,
         index,
-        names.index(names.tenants, caller),
+        names.index(names.tenants, origin.tenant),
         _number(session),
         _number(shared.encode()) if shared else None,
         len(shared) / 4,  # a token is four characters
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -21,7 +21,7 @@
 )
 from ringledge.store.entry import Entry
 from ringledge.wire.clients.chat.answer import Answer
-from ringledge.wire.clients.chat.question import class_and_request
+from ringledge.wire.clients.chat.question import ChatOrigin, class_and_request
 from ringledge.wire.clients.chat.replies import whole_answer
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
 from ringledge.wire.clients.chat_settings import ChatConfig
@@ -97,14 +97,9 @@
         queued = entry.request
         question: dict[str, Any] = orjson.loads(queued.body)
         try:
+            origin = ChatOrigin(queued.tenant, _attempt_id(entry), queued.request_class)
             class_index, request = class_and_request(
-                self._config,
-                self._names,
-                self._settings,
-                question,
-                queued.request_class,
-                queued.tenant,
-                _attempt_id(entry),
+                self._config, self._names, self._settings, question, origin
             )
         except HttpError:
             return None
--- a/ringledge/wire/clients/chat/replies.py
+++ b/ringledge/wire/clients/chat/replies.py
@@ -81,7 +81,8 @@
             if end is SessionEnd.SERVED:
                 break
             if end is not None:
-                return conn.close()
+                conn.close()
+                return
             await news.wait()
         last = _envelope(session, "chat.completion.chunk")
         stop = last | {
--- a/ringledge/wire/exporters/xds.py
+++ b/ringledge/wire/exporters/xds.py
@@ -79,7 +79,8 @@
                     await self._conductor.context.servers.changed.wait()
                 now = self._version(kind, wanted)
         if now.name == has:
-            return await conn.send(h11.Response(status_code=304, headers=[]), h11.EndOfMessage())
+            await conn.send(h11.Response(status_code=304, headers=[]), h11.EndOfMessage())
+            return
         told = {
             "version_info": now.name,
             "type_url": kind,
--- a/ringledge/wire/http/socket_reader.py
+++ b/ringledge/wire/http/socket_reader.py
@@ -117,7 +117,8 @@
                 self._flooded()
             return
         if self._skipping:
-            return self._skip_some()
+            self._skip_some()
+            return
         first = self.marks is not None and not self.marks.total
         if first or (self.on_queue_delay is not None and not len(self.buffer)):
             self.unread_ms = unread_ms(self.sock)
--- a/tests/wire/clients/test_closing.py
+++ b/tests/wire/clients/test_closing.py
@@ -152,10 +152,13 @@
 def test_peer_that_sends_without_end_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(closing, "LINGER_S", 60.0)
 
+    def send_without_end(client: socket.socket) -> None:
+        for _ in range(1000):
+            client.sendall(AHEAD)
+
     def send(client: socket.socket) -> None:
         with pytest.raises(ConnectionError):
-            for _ in range(1000):
-                client.sendall(AHEAD)
+            send_without_end(client)
 
     async def run() -> None:
         at = Played()
--- a/tests/wire/discovery/test_json_stream.py
+++ b/tests/wire/discovery/test_json_stream.py
@@ -7,6 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from ringledge.memory.endpoint_list import ListError
 from ringledge.wire.discovery.json_stream import JsonStreamSplitter
 
 MAX_OBJECT_BYTES = 1000
@@ -48,7 +49,7 @@
 
 @pytest.mark.parametrize("text", [b"}", b"x\n", b"{}x", b"{" + b" " * (MAX_OBJECT_BYTES + 1)])
 def test_malformed_stream_is_an_error(text: bytes) -> None:
-    with pytest.raises(ValueError):
+    with pytest.raises(ListError):
         list(JsonStreamSplitter(MAX_OBJECT_BYTES).feed(text))
 
 
