--- a/tests/members/test_component.py
+++ b/tests/members/test_component.py
@@ -146,7 +146,7 @@
                 lambda: dropped_count(one, "sender_unknown") + dropped_count(one, "other_start") > 0
             )
             assert not listener.received
-            await wait_until(lambda: len(one.membership.active_members()) == 2)
+            await wait_until(lambda: all(len(each.membership.active_members()) == 2 for each in (one, two)))
             assert two.service is not None
             two.service.act(talker.tick(0.0))
             await wait_until(lambda: listener.received == [("n1", "hello")])
