--- a/tests/wire/discovery/test_list_lines.py
+++ b/tests/wire/discovery/test_list_lines.py
@@ -75,12 +75,12 @@
 ) -> None:
     malformed, cause = MALFORMED[name]
     assert anyio.run(play_malformed, agent, malformed) == 2
-    assert len(logged) == 1 and logged[0].startswith("list_malformed: ") and cause in logged[0]
+    assert len(logged) == 1 and logged[0].startswith("endpoint_list_malformed: ") and cause in logged[0]
 
 
 def test_truncated_line_is_logged_once_and_the_list_retained(agent: StandIn, logged: list[str]) -> None:
     assert anyio.run(play_malformed, agent, line()[:40], b"0\r\n\r\n") == 2
-    assert logged == ["list_malformed: the watch ended within an object"]
+    assert logged == ["endpoint_list_malformed: the watch ended within an object"]
 
 
 def test_endless_line_is_logged_once_and_the_list_retained(
@@ -88,7 +88,7 @@
 ) -> None:
     monkeypatch.setattr(watching, "MAX_LIST_BYTES", 10_000)
     assert anyio.run(play_malformed, agent, b'{"x":"' + b"y" * 10_000) == 2
-    assert logged == ["list_malformed: an object without end"]
+    assert logged == ["endpoint_list_malformed: an object without end"]
 
 
 def test_removed_server_needs_no_address(agent: StandIn, logged: list[str]) -> None:
