--- a/tests/core/test_gate.py
+++ b/tests/core/test_gate.py
@@ -6,7 +6,6 @@
 import os
 import re
 import signal
-import socket
 import threading
 import time
 from collections.abc import Callable, Iterator
@@ -48,12 +47,11 @@
 
 
 def test_query_is_rejected_by_its_head_and_the_connection_stays_open(node: Node) -> None:
-    host, port = node.listening["platform"].split(":")
     head = (
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: {}\r\nX-Call-Class: {}\r\n"
         "X-Caller: farm\r\nX-Budget-Ms: 4800\r\nContent-Length: {}\r\n\r\n"
     )
-    with socket.create_connection((host, int(port)), WAIT_S) as sock:
+    with node.connect() as sock:
         sock.sendall(head.format("a1", "query", 200_000).encode())
         answer = sock.recv(4096)  # before a byte of the body was sent
         assert answer.startswith(b"HTTP/1.1 503") and b"connection: close" not in answer.lower()
@@ -78,14 +76,13 @@
     ],
 )
 def test_complete_query_is_rejected_and_the_next_booking_is_served(node: Node, told: str) -> None:
-    host, port = node.listening["platform"].split(":")
     head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: {}\r\nX-Call-Class: {}\r\n{}"
     head += "X-Budget-Ms: 4800\r\n{}\r\n"
     query = head.format("a1", "query", "", told)
     booking = head.format("b1", "booking", "X-Caller: farm\r\n", "Content-Length: 2\r\n")
     both = query + "{}" + booking + "{}"
     for sends in ([query + "{}", booking + "{}"], [both], [query, "{}" + booking, "{}"]):
-        with socket.create_connection((host, int(port)), WAIT_S) as sock:
+        with node.connect() as sock:
             for text in sends:
                 sock.sendall(text.encode())
                 time.sleep(0.05)  # so that they come in pieces
@@ -99,17 +96,15 @@
 
 
 def test_differing_content_lengths_are_a_bad_request(node: Node) -> None:
-    host, port = node.listening["platform"].split(":")
-    with socket.create_connection((host, int(port)), WAIT_S) as sock:
+    with node.connect() as sock:
         head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: a\r\nX-Call-Class: query\r\n"
         sock.sendall(f"{head}X-Caller: farm\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{{}}".encode())
         assert sock.recv(4096).startswith(b"HTTP/1.1 400")
 
 
 def test_rejected_request_with_an_unbounded_body_closes_its_connection(node: Node) -> None:
-    host, port = node.listening["platform"].split(":")
     for framing in ("Content-Length: 60000000", "Transfer-Encoding: chunked"):
-        with socket.create_connection((host, int(port)), WAIT_S) as sock:
+        with node.connect() as sock:
             head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Call-Id: a1\r\nX-Call-Class: query\r\n"
             sock.sendall(f"{head}X-Caller: farm\r\nX-Budget-Ms: 4800\r\n{framing}\r\n\r\n".encode())
             answer = b""
--- a/tests/fleet/test_queue.py
+++ b/tests/fleet/test_queue.py
@@ -4,14 +4,12 @@
 
 import contextlib
 import json
-import threading
 import time
-from collections.abc import Callable
 from pathlib import Path
 from queue import Empty
 
 from tests.fleet.fleet import Fleet
-from tests.loopback import WAIT_S, Answer, Call, Node, StandIn, take
+from tests.loopback import WAIT_S, Answer, Call, Node, take
 
 CHAT = 'enabled = true\nlisten = "127.0.0.1:0"\n[models]\nyard = "query"\nbook = "booking"\n'
 FOLLOWED_S = 30.0  # a busy machine's bound: a lease of 1 s has to run out first
@@ -54,16 +52,6 @@
         node.watches.put(watch)
 
 
-def answer(server: StandIn, how: Callable[[Call], object]) -> None:
-    def run() -> None:
-        while True:
-            call = server.calls.get()
-            with contextlib.suppress(OSError):
-                how(call)
-
-    threading.Thread(target=run, daemon=True).start()
-
-
 def ask(node: Node, model: str) -> Answer:
     body = {"model": model, "messages": [{"role": "user", "content": "is room 14 free?"}]}
     return take(node.chat(body, Prefer="respond-async"))
@@ -90,8 +78,8 @@
         site.kill(holder)
         site.holder(but=holder)
         for node in others:
-            answer(node.reader[0], Call.read)
-            answer(node.writer[0], lambda call: call.serve("yes"))
+            node.reader[0].answer_calls(Call.read)
+            node.writer[0].answer_calls(lambda call: call.serve("yes"))
             tell(node, 9, "active")
         answers = [fetch(others[0], place) for place in places]
         while 202 in {each.status for each in answers}:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -6,6 +6,7 @@
 import json
 import os
 import queue
+import socket
 import subprocess
 import sys
 import threading
@@ -102,8 +103,16 @@
         raise AssertionError(f"no {name} among {seen}")
 
     def client(self, front: str = "platform") -> http.client.HTTPConnection:
+        return http.client.HTTPConnection(*self.address(front), timeout=WAIT_S)
+
+    def address(self, front: str = "platform") -> tuple[str, int]:
+        """Host and port at which a front listens."""
         host, port = self.listening[front].split(":")
-        return http.client.HTTPConnection(host, int(port), timeout=WAIT_S)
+        return host, int(port)
+
+    def connect(self) -> socket.socket:
+        """A plain connection to the platform's front, for what no client library would send."""
+        return socket.create_connection(self.address(), WAIT_S)
 
     def call(self, method: str, path: str) -> Answer:
         """One call at the operators' address."""
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -173,6 +173,17 @@
     def next(self) -> Call:
         return self.calls.get(timeout=WAIT_S)
 
+    def answer_calls(self, respond: Callable[[Call], object]) -> None:
+        """Answer all calls in a thread, also those of a process that has ended since."""
+
+        def run() -> None:
+            while True:
+                call = self.calls.get()
+                with contextlib.suppress(OSError):
+                    respond(call)
+
+        threading.Thread(target=run, daemon=True).start()
+
     def attempts(self) -> int:
         """How many requests were sent here; a release may come at any time beside them and is none."""
         return [each.method for each in self.seen].count("POST")
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.loopback import WAIT_S, Node, read, take
-from tests.test_client_pace import END, dial, request, until
+from tests.test_client_pace import END, request, until
 
 ROUNDS = 8  # the order in which the loop hears of two things is the system's
 
@@ -87,7 +87,7 @@
 
 def test_a_flood_ahead_of_an_answer_is_cut_off_and_harms_no_other(node: Node) -> None:
     """Its end could not be heard behind it, so nothing more is sent on for it, and it is told so."""
-    with dial(node) as flood:
+    with node.connect() as flood:
         flood.sendall(request("flood"))
         call = node.reader[0].next()
         sender = threading.Thread(target=send_without_end, args=(flood,))
@@ -104,7 +104,7 @@
 
 
 def test_a_flood_behind_a_begun_stream_takes_nothing_of_it(node: Node) -> None:
-    with dial(node) as flood:
+    with node.connect() as flood:
         flood.sendall(request("flood"))
         node.reader[0].next().read()
         call = node.writer[0].next().begin().token("first")
--- a/tests/test_client_pace.py
+++ b/tests/test_client_pace.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from tests.loopback import WAIT_S, Node, event, read, take
+from tests.loopback import Node, event, read, take
 
 BODY = b'{"model":"chat","stream":true,"messages":[]}'
 END = b"0\r\n\r\n"
@@ -19,11 +19,6 @@
     return head.encode() + BODY
 
 
-def dial(node: Node) -> socket.socket:
-    host, port = node.listening["platform"].split(":")
-    return socket.create_connection((host, int(port)), WAIT_S)
-
-
 def until(sock: socket.socket, text: bytes, times: int = 1) -> bytes:
     """What comes until a text has come so many times."""
     told = b""
@@ -45,7 +40,7 @@
 
 def test_requests_sent_at_once_on_one_connection_are_answered_in_their_order(node: Node) -> None:
     names = [f"a{number}" for number in range(5)]
-    with dial(node) as sock:
+    with node.connect() as sock:
         sock.sendall(b"".join(map(request, names)))
         for name in names:
             serve(node, name)
@@ -55,7 +50,7 @@
 
 def test_of_a_flood_whose_client_has_gone_nothing_more_is_sent_on(node: Node) -> None:
     names = [f"flood{number}" for number in range(200)]
-    with dial(node) as sock:
+    with node.connect() as sock:
         sock.sendall(b"".join(map(request, names)))
         first = node.reader[0].next()
         assert first.id == names[0]
@@ -68,7 +63,7 @@
 
 
 def test_a_request_that_comes_byte_by_byte_is_served_and_holds_nobody_up(node: Node) -> None:
-    with dial(node) as sock:
+    with node.connect() as sock:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         text = request("slow")
         for number, byte in enumerate(text):
@@ -83,7 +78,7 @@
 
 def test_each_event_is_passed_on_before_the_next_is_there(node: Node) -> None:
     """Half ones, too: what a server has written is held back for no more, but for the first event's end."""
-    with dial(node) as sock:
+    with node.connect() as sock:
         sock.sendall(request("a1"))
         node.reader[0].next().read()
         call = node.writer[0].next().begin().token("first")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -30,13 +30,12 @@
 
     Gives an event that is set once each was opened, and closed ones again.
     """
-    host, port = node.listening["platform"].split(":")
     over, full = threading.Event(), threading.Event()
 
     def dial(watched: selectors.BaseSelector) -> None:
         sock = socket.socket()
         sock.setblocking(False)
-        sock.connect_ex((host, int(port)))
+        sock.connect_ex(node.address())
         watched.register(sock, selectors.EVENT_READ)
 
     def hold() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -143,9 +143,8 @@
     new = start_successor(node)
     descriptors = f"/proc/{new.process.pid}/fd"
     before, max_opened, closed = len(os.listdir(descriptors)), 0, 0
-    host, port = new.listening["platform"].split(":")
     with contextlib.ExitStack() as stack:
-        clients = [stack.enter_context(socket.create_connection((host, int(port)))) for _ in range(90)]
+        clients = [stack.enter_context(socket.create_connection(new.address())) for _ in range(90)]
         end = time.monotonic() + WAIT_S
         while closed < len(clients) - 45 and time.monotonic() < end:  # of 256 descriptors 37 a process
             closed = len(select.select(clients, [], [], 0)[0])
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -86,19 +86,17 @@
 
 
 def test_no_client_takes_the_operators_connections(node: Node) -> None:
-    host, port = node.listening["platform"].split(":")
     with contextlib.ExitStack() as stack:
         for _ in range(300):  # past all that the limit on descriptors lets in
-            client = stack.enter_context(socket.create_connection((host, int(port))))
+            client = stack.enter_context(socket.create_connection(node.address()))
             with contextlib.suppress(OSError):
                 client.sendall(b"POST /v1/chat")
         assert node.call("GET", "/stats").status == 200
 
 
 def test_calls_are_answered_beside_half_ones(node: Node) -> None:
-    host, port = node.listening["operator"].split(":")
     with contextlib.ExitStack() as stack:
-        halves = [stack.enter_context(socket.create_connection((host, int(port)))) for _ in range(60)]
+        halves = [stack.enter_context(socket.create_connection(node.address("operator"))) for _ in range(60)]
         for half in halves:
             half.sendall(b"GET /stats HT")
         begun = time.monotonic()
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -52,8 +52,7 @@
     ],
 )
 def test_bad_http_is_told(node: Node, text: bytes, status: int) -> None:
-    host, port = node.listening["platform"].split(":")
-    with socket.create_connection((host, int(port)), 10) as sock:
+    with node.connect() as sock:
         sock.sendall(text)
         assert sock.recv(4096).startswith(f"HTTP/1.1 {status} ".encode())
 
@@ -77,12 +76,6 @@
         assert [take(client).status for client in (*busy, last)] == [200] * 8
 
 
-def dial(node: Node) -> socket.socket:
-    """A plain connection to the front, for what no client library would send."""
-    host, port = node.listening["platform"].split(":")
-    return socket.create_connection((host, int(port)), 10)
-
-
 def everything(sock: socket.socket) -> bytes:
     """All that comes until the other side closes; a reset is a close as well."""
     got = b""
@@ -116,7 +109,7 @@
     ids="both chunked-1.0 conflict negative huge no-size coding 60-MB half-body half-head silent".split(),
 )
 def test_what_cannot_be_read_ends_its_connection_in_time(node: Node, text: bytes, status: bytes) -> None:
-    with dial(node) as sock:
+    with node.connect() as sock:
         started = time.monotonic()
         with contextlib.suppress(ConnectionError):  # it may be cut off while it still sends
             sock.sendall(text)
@@ -129,7 +122,7 @@
 
 def test_a_client_that_asks_again_as_soon_as_it_is_turned_away_is_slowed(node: Node) -> None:
     """Without end it would cost all others the program's time; others go on meanwhile."""
-    with dial(node) as sock:
+    with node.connect() as sock:
         sock.sendall(b"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n" * 50)
         assert sock.recv(1)
         client, call = read(node)
@@ -158,7 +151,7 @@
 
 def test_silent_connections_make_room_and_close(tmp_path: Path) -> None:
     with Node(tmp_path, sockets=82) as node:
-        silent = [dial(node) for _ in range(40)]
+        silent = [node.connect() for _ in range(40)]
         client, call = read(node)
         call.serve("x")
         assert take(client).status == 200
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -50,11 +50,10 @@
 
     def dial(self) -> socket.socket:
         """A client that knows the address from before."""
-        host, port = self.node.listening["platform"].split(":")
         until = time.monotonic() + WAIT_S
         while True:
             try:
-                return socket.create_connection((host, int(port)), WAIT_S)
+                return self.node.connect()
             except ConnectionRefusedError:
                 assert time.monotonic() < until
                 time.sleep(LOOK_S)
--- a/tests/test_platform_stop.py
+++ b/tests/test_platform_stop.py
@@ -86,11 +86,10 @@
 
 def slow_client(node: Node) -> socket.socket:
     """A client whose system takes little at once."""
-    host, port = node.listening["platform"].split(":")
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.settimeout(WAIT_S)
-    sock.connect((host, int(port)))
+    sock.connect(node.address())
     return sock
 
 
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.loopback import WAIT_S, Node
-from tests.test_client_pace import END, dial, request, serve, until
+from tests.test_client_pace import END, request, serve, until
 
 
 def stopping(node: Node) -> None:
@@ -21,7 +21,7 @@
     """The drain has begun: nobody listens any more."""
     while True:
         try:
-            dial(node).close()
+            node.connect().close()
         except (ConnectionRefusedError, ConnectionResetError):
             return
 
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("how", ["resting", "new", "half read"])
 def test_a_request_just_after_sigterm_is_served(node: Node, how: str) -> None:
     text = request("a2")
-    with dial(node) as client:
+    with node.connect() as client:
         if how == "resting":
             client.sendall(request("a1"))
             serve(node, "a1")
@@ -45,7 +45,7 @@
 
 def test_one_whose_last_byte_comes_in_the_drain_is_refused_not_dropped(node: Node) -> None:
     text = request("a1")
-    with dial(node) as client:
+    with node.connect() as client:
         client.sendall(text[:40])
         stopping(node)
         drained(node)
@@ -58,7 +58,7 @@
 
 def test_one_that_was_read_behind_a_stream_is_answered_in_the_drain(node: Node) -> None:
     """It was read ahead, and its connection was closed behind the stream without a word."""
-    with dial(node) as client:
+    with node.connect() as client:
         client.sendall(request("a1"))
         node.reader[0].next().read()
         call = node.writer[0].next().begin().token("x")
@@ -75,7 +75,7 @@
 
 def test_a_connection_that_ends_in_the_drain_ends_in_order(node: Node) -> None:
     """What crosses the end of an idle one takes nothing with it: its client sees an end, never a reset."""
-    with dial(node) as client:
+    with node.connect() as client:
         client.sendall(request("a1"))
         serve(node, "a1")
         until(client, END)
--- a/tests/test_stream_pieces.py
+++ b/tests/test_stream_pieces.py
@@ -8,15 +8,14 @@
 
 import pytest
 
-from tests.loopback import WAIT_S, Call, Node, event
+from tests.loopback import Call, Node, event
 from tests.test_client_pace import request
 
 EVENT = event("abcdefgh")
 
 
 def begin(node: Node, name: str = "a1") -> tuple[socket.socket, Call]:
-    host, port = node.listening["platform"].split(":")
-    client = socket.create_connection((host, int(port)), WAIT_S)
+    client = node.connect()
     client.sendall(request(name))
     node.reader[0].next().read()
     return client, node.writer[0].next().begin().token("first")
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -9,7 +9,7 @@
 
 from tests.loopback import Call, Node
 from tests.standins import StandIn
-from tests.test_client_pace import END, dial, request, until
+from tests.test_client_pace import END, request, until
 from tests.test_platform_restart import Restart, first_word
 
 BUDGET_MS = 4800.0  # as `request` tells it
@@ -42,7 +42,7 @@
 
 
 def test_behind_another_request_on_its_connection(node: Node) -> None:
-    with dial(node) as client:
+    with node.connect() as client:
         client.sendall(request("a1") + request("a2"))
         sent_s = time.monotonic()
         node.reader[0].next().read()
@@ -61,7 +61,7 @@
 def test_behind_a_request_that_was_turned_away(node: Node) -> None:
     """Nothing is read for half a second behind bad input."""
     bad = request("a1").replace(b"X-Call-Class: query", b"X-Call-Class: quarry")
-    with dial(node) as client:
+    with node.connect() as client:
         client.sendall(bad)
         until(client, b"400")
         client.sendall(request("a2"))
@@ -91,7 +91,7 @@
 
 def test_one_whose_time_is_over_before_it_is_read_is_refused_and_never_sent(node: Node) -> None:
     late = request("a2").replace(b"4800", b"%d" % (PASSING_S * 500))
-    with dial(node) as client:
+    with node.connect() as client:
         client.sendall(request("a1") + late)
         node.reader[0].next().read()
         first = node.writer[0].next().begin().token("x")
--- a/tests/wire/clients/chat/test_queue_process.py
+++ b/tests/wire/clients/chat/test_queue_process.py
@@ -2,17 +2,15 @@
 
 from __future__ import annotations
 
-import contextlib
 import json
-import threading
 import time
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-from tests.loopback import WAIT_S, Answer, Call, Node, StandIn, take
+from tests.loopback import WAIT_S, Answer, Call, Node, take
 
 CHAT = """
 enabled = true
@@ -37,18 +35,6 @@
     return take(client)
 
 
-def answer_calls(server: StandIn, respond: Callable[[Call], object]) -> None:
-    """Answer all calls in a thread, also those of a process that has ended since."""
-
-    def run() -> None:
-        while True:
-            call = server.calls.get()
-            with contextlib.suppress(OSError):
-                respond(call)
-
-    threading.Thread(target=run, daemon=True).start()
-
-
 def wait_for_site_state(node: Node, state: str) -> None:
     while node.logged("site_state_changed")["state"] != state:
         continue
@@ -73,8 +59,8 @@
     node.kill()
     node.start(node.folder)
     assert [request_entry(node, location).status for location in locations] == [202, 202]
-    answer_calls(node.reader[0], Call.read)  # the persisted endpoints include the decode server
-    answer_calls(node.writer[0], lambda call: call.serve("yes, ", "two slots"))
+    node.reader[0].answer_calls(Call.read)  # the persisted endpoints include the decode server
+    node.writer[0].answer_calls(lambda call: call.serve("yes, ", "two slots"))
     deadline_s = time.monotonic() + WAIT_S
     responses = [request_entry(node, location) for location in locations]
     while {response.status for response in responses} != {200} and time.monotonic() < deadline_s:
--- a/tests/wire/clients/test_idle_connections.py
+++ b/tests/wire/clients/test_idle_connections.py
@@ -21,11 +21,6 @@
         yield each
 
 
-def connect(node: Node) -> socket.socket:
-    host, port = node.listening["platform"].split(":")
-    return socket.create_connection((host, int(port)), WAIT_S)
-
-
 def answer(sock: socket.socket, whole: bytes = b'"ready":true}') -> bytes:
     """What comes until the answer is whole, or the connection ends."""
     told = b""
@@ -43,7 +38,7 @@
 
 
 def test_idle_connection_is_activated_by_request_and_by_partial_head(node: Node) -> None:
-    with connect(node) as sock:
+    with node.connect() as sock:
         for pause_s in (0.0, 0.8, 1.2):  # kept active, parked, parked again
             time.sleep(pause_s)
             sock.sendall(READY[:20])
@@ -57,7 +52,7 @@
 
 
 def test_pipelined_requests_on_idle_connection_are_all_answered(node: Node) -> None:
-    with connect(node) as sock:
+    with node.connect() as sock:
         sock.sendall(READY)
         assert answer(sock)
         time.sleep(0.9)
@@ -69,8 +64,8 @@
 
 
 def test_thousands_of_silent_connections_time_out_without_delaying_others(node: Node) -> None:
-    silent = [connect(node) for _ in range(1500)]
-    with connect(node) as sock:
+    silent = [node.connect() for _ in range(1500)]
+    with node.connect() as sock:
         sock.sendall(READY)
         assert answer(sock).startswith(b"HTTP/1.1 200")
     client = node.post("a1")
@@ -84,7 +79,7 @@
 
 def test_request_crossing_idle_close_is_answered_or_never_read(node: Node) -> None:
     """Sent at every moment round the keep-alive's end: none is read and left without an answer."""
-    socks = [connect(node) for _ in range(120)]
+    socks = [node.connect() for _ in range(120)]
     for sock in socks:
         sock.sendall(READY)
         assert answer(sock)
@@ -106,13 +101,13 @@
 
 def test_flood_is_evicted_before_connection_with_request(tmp_path: Path) -> None:
     with Node(tmp_path, sockets=128) as node:  # 28 connections of clients, and three more
-        asked = connect(node)
+        asked = node.connect()
         asked.sendall(READY)
         assert answer(asked)
-        flood = [connect(node) for _ in range(60)]
+        flood = [node.connect() for _ in range(60)]
         asked.sendall(READY)
         assert answer(asked).startswith(b"HTTP/1.1 200")
-        with connect(node) as new:
+        with node.connect() as new:
             new.sendall(READY)
             assert answer(new).startswith(b"HTTP/1.1 200")
         for sock in (asked, *flood):
@@ -123,9 +118,9 @@
     with Node(tmp_path, sockets=4096) as node:
         limits = resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (120, limits[1]))
-        flood = [connect(node) for _ in range(300)]
+        flood = [node.connect() for _ in range(300)]
         assert node.logged("idle_connections_evicted")
-        with connect(node) as new:
+        with node.connect() as new:
             new.sendall(READY)
             assert answer(new).startswith(b"HTTP/1.1 200")
         for sock in flood:
@@ -133,7 +128,7 @@
 
 
 def test_shutdown_with_thousands_of_idle_connections_ends_in_time(node: Node) -> None:
-    socks = [connect(node) for _ in range(1500)]
+    socks = [node.connect() for _ in range(1500)]
     for sock in socks[:200]:
         sock.sendall(READY)
         assert answer(sock)
@@ -159,10 +154,9 @@
 
 def test_keep_alive_and_connection_limits_by_network(tmp_path: Path) -> None:
     with Node(tmp_path, files={"doors.toml": DOORS}) as node:
-        host, port = node.listening["platform"].split(":")
 
         def come(source: str) -> socket.socket:
-            return socket.create_connection((host, int(port)), WAIT_S, source_address=(source, 0))
+            return socket.create_connection(node.address(), WAIT_S, source_address=(source, 0))
 
         with come("127.0.0.1") as sock, come("127.0.8.1") as long:
             for each, told in ((sock, b"keep-alive: timeout=3"), (long, b"keep-alive: timeout=60")):
@@ -181,20 +175,20 @@
 
 def test_simultaneous_requests_are_all_answered_and_slow_sender_is_closed(tmp_path: Path) -> None:
     with Node(tmp_path, sockets=8192, files={"doors.toml": "enabled = true\nkeep_alive_s = 60.0\n"}) as node:
-        socks = [connect(node) for _ in range(500)]
+        socks = [node.connect() for _ in range(500)]
         for sock in socks:
             sock.sendall(READY)
             assert answer(sock)
         time.sleep(1.0)  # all are parked
         for sock in socks:
             sock.sendall(READY)
-        with connect(node) as other:
+        with node.connect() as other:
             other.sendall(READY)
             assert answer(other).startswith(b"HTTP/1.1 200")
         assert all(answer(sock).startswith(b"HTTP/1.1 200") for sock in socks)
         for sock in socks:
             sock.close()
-        with connect(node) as drip:  # a byte now and then keeps nobody's place for long
+        with node.connect() as drip:  # a byte now and then keeps nobody's place for long
             told = b""
             for byte in READY[:8]:
                 drip.sendall(bytes([byte]))
