--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -17,9 +17,7 @@
 from ringledge.lifecycle.fingerprint import fingerprint
 from ringledge.memory.endpoint_list import EndpointListing, ListError, convert
 from ringledge.memory.names import Names as Names
-from ringledge.routing.interface import (
-    RouterSettings,
-)
+from ringledge.routing.interface import RouterSettings
 from ringledge.routing.simulator_decoder import router_settings
 
 DEPLOY = "deploy"  # the folder of the settings files; RINGLEDGE_DEPLOY names another
--- a/ringledge/lifecycle/fingerprint.py
+++ b/ringledge/lifecycle/fingerprint.py
@@ -11,9 +11,7 @@
 import orjson
 
 from ringledge.memory.names import Names
-from ringledge.routing.interface import (
-    RouterSettings,
-)
+from ringledge.routing.interface import RouterSettings
 
 SCHEMA = 1  # version of what is handed over and stored; to be increased when its meaning changes
 DIGEST_BYTES = 8
--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -20,9 +20,7 @@
 from ringledge.lifecycle.shutdown import Shutdown
 from ringledge.lifecycle.signals import block_shutdown_signals, dispatch_signals
 from ringledge.observe.logging import log
-from ringledge.routing.interface import (
-    Availability,
-)
+from ringledge.routing.interface import Availability
 from ringledge.wire.discovery.watcher import RESPONSE_TIMEOUT_S
 
 # Where discovery has not responded for so long, the last known list is used. A first call that is accepted
--- a/ringledge/wire/clients/platform_request.py
+++ b/ringledge/wire/clients/platform_request.py
@@ -8,9 +8,7 @@
 import orjson
 
 from ringledge.memory.names import Names
-from ringledge.routing.interface import (
-    Request,
-)
+from ringledge.routing.interface import Request
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.headers import fields
 
--- a/ringledge/wire/servers/responses.py
+++ b/ringledge/wire/servers/responses.py
@@ -9,9 +9,7 @@
 import h11
 import orjson
 
-from ringledge.routing.interface import (
-    LoadReport,
-)
+from ringledge.routing.interface import LoadReport
 from ringledge.routing.simulator_decoder import LOAD_FIELDS
 from ringledge.wire.http.connection import Connection
 
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -11,9 +11,7 @@
 from ringledge.decide.servers.reachability import Reachability
 from ringledge.memory.connection_pool import ConnectionPool
 from ringledge.observe.logging import log
-from ringledge.routing.interface import (
-    AttemptStatus,
-)
+from ringledge.routing.interface import AttemptStatus
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.servers.connections import ServerConnections
 from ringledge.wire.servers.context import UpstreamContext
