--- a/ringledge/decide/ratio/__init__.py
+++ b/ringledge/decide/ratio/__init__.py
@@ -1,1 +1,1 @@
-"""The roles of mixed servers: demand, service rates, targets and plans."""
+"""Role planning for mixed servers: demand and service rate estimates, targets and plans."""
--- a/ringledge/decide/ratio/demand_estimate.py
+++ b/ringledge/decide/ratio/demand_estimate.py
@@ -1,10 +1,10 @@
-"""Each site's demand for prefill and decode, from what members report; free of I/O and clocks.
+"""Estimates each site's demand for prefill and decode from the members' reports; free of I/O and clocks.
 
-Token rates are averaged exponentially over two horizons. While the two agree within their noise the slow
-one counts; once they differ significantly, the fast one does. The mix of prefill and decode is followed
-between its turning points (a reversal beyond noise ends a half-period): so an oscillating mix is
-distinguished from one that has shifted, and the rest of the present half-period is predicted from the ones
-before.
+Token rates are averaged exponentially over two horizons. While the two averages agree within their noise, the
+slow one is used; once they differ significantly, the fast one is. The mix of prefill and decode is tracked
+between its turning points, where a reversal beyond noise ends a half-period. This distinguishes an
+oscillating mix from one that has shifted, and the remainder of the present half-period is predicted from
+earlier ones.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 )
 from ringledge.decide.ratio.settings import RatioConfig
 
-OUTLIER_FACTOR = 8.0  # times the median of its site that one member's demand counts at most
-MIN_OUTLIER_REPORTS = 3  # fewer reports have no outliers
-MIN_REVERSAL = log(1.5)  # that ends a half-period: half as much again of one role is a tenth of the servers
-OVERDUE_FACTOR = 1.25  # times the usual half-period after which the mix is no longer expected to turn
-MAX_RATE = 1e12  # requests or tokens per s that a member may report: above any site's, and sums stay finite
+OUTLIER_FACTOR = 8.0  # a member's demand is clipped to this multiple of the median of its site
+MIN_OUTLIER_REPORTS = 3  # fewer reports are not clipped
+MIN_REVERSAL = log(1.5)  # of the log ratio: 50 % more of one role corresponds to a tenth of the servers
+OVERDUE_FACTOR = 1.25  # after this many median half-periods a reversal is no longer expected
+MAX_REPORTED_RATE_PER_S = 1e12  # requests or tokens: above any site's rate, and sums stay finite
 
 
 class TokenRates(NamedTuple):
-    """Tokens per s of the two roles: a demand, or a capacity."""
+    """Tokens per s of the two roles, as a demand or a capacity."""
 
     prefill: float
     decode: float
 
 
 class TokenRateSample(NamedTuple):
-    """Token rates (tokens per s) at a time (s)."""
+    """Rates of the two roles (tokens per s) at a time (s)."""
 
     at_s: float
     prefill: float
@@ -49,20 +49,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteDemand:
-    """The demand of a site."""
+    """The estimated demand of a site."""
 
-    prefill_rate: float  # tokens per s to prefill, after reuse of cached prefixes
+    prefill_rate: float  # tokens per s to prefill that no server has cached
     decode_rate: float  # tokens per s to decode
-    relative_error: float  # standard deviation of either rate as a fraction of it, with missing members
-    mixes: tuple[TokenRates, ...]  # to be served: one, or those of an oscillation
-    expected_duration_s: float  # of the present mix; inf: no end is expected
+    # Larger standard deviation relative to its rate, plus an allowance for missing members.
+    relative_error: float
+    mixes: tuple[TokenRates, ...]  # mixes to serve: one, or all of a fast oscillation
+    expected_duration_s: float  # time until the present mix ends; inf: no end is expected
     reporting_members: int
-    missing_members: int  # whose reports are absent, implausible or stale
+    missing_members: int  # members whose reports are absent, implausible or stale
 
 
 @dataclass(slots=True)
-class SiteState:
-    """What is measured of one site's demand."""
+class SiteDemandState:
+    """Statistics of one site's demand."""
 
     prefill: DualHorizonMean = field(default_factory=DualHorizonMean)
     decode: DualHorizonMean = field(default_factory=DualHorizonMean)
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True)
 class SiteReports:
-    """The plausible and fresh reports of a site's members, by class."""
+    """The plausible and recent reports of a site's members, by class."""
 
     by_member: list[dict[str, ClassDemand]]
     missing_members: int
@@ -89,12 +90,12 @@
 
 
 class DemandEstimator:
-    """The demand of all sites."""
+    """Estimates the demand of all sites."""
 
     def __init__(self, settings: RatioConfig) -> None:
         self.settings = settings
-        self.sites = dict[str, SiteState]()
-        # By member and class: the report, and since when it has been the same.
+        self.sites = dict[str, SiteDemandState]()
+        # Latest report by member and class, with the time of its last change.
         self._reports = dict[tuple[str, str], tuple[float, ClassDemand]]()
 
     def update(
@@ -104,11 +105,10 @@
         member_sites: Mapping[str, str],
         cold_fractions: Mapping[str, float] | None = None,
     ) -> dict[str, SiteDemand]:
-        """Process the reports by member and class; returns the demand of each site that reports any.
+        """Process the reports by member and class; returns the demand of each site with a valid report.
 
-        `member_sites`: the site of each member that is alive, reporting or not. `cold_fractions`: of each
-        site's prefill capacity, the fraction that changed its role recently: its cache is cold, as an effect
-        of the plan itself.
+        `member_sites` has the site of each live member, reporting or not. `cold_fractions` has the fraction
+        of each site's prefill capacity whose cache is cold after a recent role change, an effect of the plan.
         """
         reports = self._valid_reports(now_s, demand, member_sites)
         cold_fractions = cold_fractions or {}
@@ -129,7 +129,7 @@
         demand: Mapping[tuple[str, str], ClassDemand],
         member_sites: Mapping[str, str],
     ) -> dict[str, dict[str, ClassDemand]]:
-        """The plausible reports that are not stale, by member and class."""
+        """Plausible reports that are not stale, by member and class."""
         reports: dict[str, dict[str, ClassDemand]] = {member: {} for member in member_sites}
         for key in self._reports.keys() - demand.keys():
             del self._reports[key]
@@ -139,56 +139,56 @@
                 continue
             if key not in self._reports or self._reports[key][1] != report:
                 self._reports[key] = (now_s, report)
-            # An idle member has no changes to report; a busy one never reports the same figures twice.
+            # The report of an idle member does not change; a busy member never reports the same values twice.
             is_idle = report.arrivals <= EPSILON
             if is_idle or now_s - self._reports[key][0] <= self.settings.stale_after_s:
                 reports[member][class_name] = report
         return reports
 
     def _update_site(self, now_s: float, name: str, reports: SiteReports, cold_fraction: float) -> SiteDemand:
-        site = self.sites.setdefault(name, SiteState())
+        site = self.sites.setdefault(name, SiteDemandState())
         is_first = site.updated_s == -inf
         step_s = now_s - site.updated_s
         site.updated_s = now_s
         weights = HorizonWeights(
             fast=1 - exp(-step_s / self.settings.fast_s), slow=1 - exp(-step_s / self.settings.slow_s)
         )
-        # Members that don't report are taken to have the mean of the others: clients spread over all.
+        # Missing members are assumed to have the mean of the others: clients spread over all members.
         reporting = len(reports.by_member)
         scale = (reporting + reports.missing_members) / reporting
         prefill, decode = 0.0, 0.0
         for class_name in sorted({name for member in reports.by_member for name in member}):
-            rows = [member[class_name] for member in reports.by_member if class_name in member]
-            arrivals = clipped_sum([row.arrivals for row in rows])
-            prefill_tokens = clipped_sum([row.prefill_tokens for row in rows])
+            class_reports = [member[class_name] for member in reports.by_member if class_name in member]
+            arrivals = clipped_sum([report.arrivals for report in class_reports])
+            prefill_tokens = clipped_sum([report.prefill_tokens for report in class_reports])
             prefill += self._exclude_cold_prefill(
                 site, class_name, arrivals, prefill_tokens, cold_fraction, weights.slow
             )
-            decode += clipped_sum([row.decode_tokens for row in rows])
+            decode += clipped_sum([report.decode_tokens for report in class_reports])
         site.prefill.add(prefill * scale, weights.fast, weights.slow, is_first)
         site.decode.add(decode * scale, weights.fast, weights.slow, is_first)
         return self._estimate_demand(now_s, site, weights, reports)
 
     def _exclude_cold_prefill(
         self,
-        site: SiteState,
+        site: SiteDemandState,
         class_name: str,
         arrivals: float,
         prefill_tokens: float,
         cold_fraction: float,
         weight: float,
     ) -> float:
-        """Prefill tokens per s without what the plan's own changes can have added by cold caches."""
+        """Prefill tokens per s, without those that caches made cold by role changes may have added."""
         if arrivals <= EPSILON:
             return prefill_tokens
         per_request = prefill_tokens / arrivals
-        before = site.prefill_tokens_per_request.get(class_name, per_request)
-        per_request = max(min(per_request, before), per_request * (1 - min(1.0, cold_fraction)))
-        site.prefill_tokens_per_request[class_name] = before + weight * (per_request - before)
+        previous = site.prefill_tokens_per_request.get(class_name, per_request)
+        per_request = max(min(per_request, previous), per_request * (1 - min(1.0, cold_fraction)))
+        site.prefill_tokens_per_request[class_name] = previous + weight * (per_request - previous)
         return per_request * arrivals
 
     def _estimate_demand(
-        self, now_s: float, site: SiteState, weights: HorizonWeights, reports: SiteReports
+        self, now_s: float, site: SiteDemandState, weights: HorizonWeights, reports: SiteReports
     ) -> SiteDemand:
         settings = self.settings
         trend_gain = settings.fast_s / (settings.slow_s - settings.fast_s)
@@ -211,7 +211,7 @@
             missing_members=reports.missing_members,
         )
 
-    def _update_oscillation(self, now_s: float, site: SiteState, fast_weight: float) -> None:
+    def _update_oscillation(self, now_s: float, site: SiteDemandState, fast_weight: float) -> None:
         mix = log(max(site.prefill.fast, EPSILON) / max(site.decode.fast, EPSILON))
         noise = max(
             mean.deviation(fast_weight) / max(mean.fast, EPSILON) for mean in (site.prefill, site.decode)
@@ -224,12 +224,12 @@
             site.history.popleft()
 
     def _expected_mixes(
-        self, now_s: float, site: SiteState, current: TokenRates
+        self, now_s: float, site: SiteDemandState, current: TokenRates
     ) -> tuple[tuple[TokenRates, ...], float]:
-        """The mixes to be served, and how long the present one is expected to last (s)."""
+        """The mixes to serve, and the expected remaining duration (s) of the present one."""
         half_period_s = site.oscillation.median_half_period_s()
         elapsed_s = now_s - site.oscillation.half_period_start_s
-        if half_period_s < 2 * self.settings.max_change_s:  # over before a change would pay: serve them all
+        if half_period_s < 2 * self.settings.max_change_s:  # too short for a role change to pay off
             return tuple(TokenRates(sample.prefill, sample.decode) for sample in site.history), inf
         if elapsed_s < OVERDUE_FACTOR * half_period_s < inf:
             return (current,), max(0.0, half_period_s - elapsed_s)
@@ -237,14 +237,14 @@
 
 
 def clipped_sum(values: list[float]) -> float:
-    """The sum, with outliers clipped: of three or more values each counts up to a multiple of the median."""
-    middle = median(values)
-    is_clipped = len(values) >= MIN_OUTLIER_REPORTS and middle > EPSILON
-    upper_bound = OUTLIER_FACTOR * middle if is_clipped else inf
+    """The sum; three or more values are each clipped to `OUTLIER_FACTOR` times their median."""
+    median_value = median(values)
+    is_clipped = len(values) >= MIN_OUTLIER_REPORTS and median_value > EPSILON
+    upper_bound = OUTLIER_FACTOR * median_value if is_clipped else inf
     return sum(min(value, upper_bound) for value in values)
 
 
 def is_plausible(report: ClassDemand | ServerObservation) -> bool:
-    """Whether all figures of a report are numbers from 0 to `MAX_RATE`."""
-    figures = (getattr(report, name) for name in report.__struct_fields__)
-    return all(0 <= figure <= MAX_RATE for figure in figures)
+    """Whether all values of a report are between 0 and `MAX_REPORTED_RATE_PER_S`."""
+    values = (getattr(report, name) for name in report.__struct_fields__)
+    return all(0 <= value <= MAX_REPORTED_RATE_PER_S for value in values)
--- a/ringledge/decide/ratio/demand_statistics.py
+++ b/ringledge/decide/ratio/demand_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of one site's demand: means over two horizons, and the oscillation of the mix.
+"""Statistics of one site's demand: means over two horizons, and oscillation of the mix of prefill and decode.
 
 Free of I/O and clocks.
 """
@@ -10,9 +10,10 @@
 from math import inf, sqrt
 from statistics import median
 
-MAX_HALF_PERIODS = 6  # of the mix that are retained: three periods
-END_FACTOR = 3  # times the usual half-period without a turn after which the oscillation has ended
-EPSILON = 1e-9  # tokens per s: less is none
+MAX_HALF_PERIODS = 6  # number of half-periods that are retained: three periods
+# An oscillation has ended after this many median half-periods without a reversal.
+OSCILLATION_END_FACTOR = 3
+EPSILON = 1e-9  # rates up to this value count as zero; prevents divisions by zero
 
 
 @dataclass(slots=True)
@@ -22,10 +23,11 @@
     fast: float = 0.0
     slow: float = 0.0
     last_sample: float = 0.0
-    noise_variance: float = 0.0  # of one sample, by its difference to the one before: a trend adds little
+    # Variance of one sample, from the differences of consecutive samples: a trend adds little to it.
+    noise_variance: float = 0.0
 
     def add(self, value: float, fast_weight: float, slow_weight: float, first: bool) -> None:
-        """Add a sample with its weight at each horizon; the first one sets both means."""
+        """Add a sample with its weight at each horizon; the first sample sets both means."""
         if first:
             self.fast = self.slow = self.last_sample = value
             return
@@ -36,7 +38,7 @@
         self.slow += slow_weight * (value - self.slow)
 
     def deviation(self, weight: float) -> float:
-        """Standard deviation of the mean with this weight, if samples are independent."""
+        """Standard deviation of the mean whose samples have this weight, if samples are independent."""
         return sqrt(self.noise_variance * weight / (2 - weight))
 
     def estimate(
@@ -44,48 +46,51 @@
     ) -> tuple[float, float]:
         """The present value and its standard deviation.
 
-        The larger the difference of the horizons, the more the fast one counts, fully from `significance`
-        deviations on; `trend_gain` times the difference compensates for its lag behind a trend.
+        The weight of the fast mean grows with its difference from the slow mean, and is 1 from `significance`
+        standard deviations on. `trend_gain` times the difference compensates for its lag behind a trend.
         """
         difference = self.fast - self.slow
         deviation = self.deviation(fast_weight)
-        trust = min(1.0, (difference / (significance * deviation + EPSILON)) ** 2)
-        value = self.slow + trust * ((1 + trend_gain) * difference)
-        return max(0.0, value), trust * deviation + (1 - trust) * self.deviation(slow_weight)
+        fast_fraction = min(1.0, (difference / (significance * deviation + EPSILON)) ** 2)
+        value = self.slow + fast_fraction * ((1 + trend_gain) * difference)
+        return max(0.0, value), fast_fraction * deviation + (1 - fast_fraction) * self.deviation(slow_weight)
 
 
 @dataclass(slots=True)
 class MixOscillation:
-    """The course of the mix (log of prefill to decode): turning points, and the half-periods between them."""
+    """Tracks the mix of prefill and decode between its turning points, which delimit half-periods.
 
-    extreme: float = 0.0
-    rising: bool | None = None  # None: no direction yet
+    The mix is represented by the logarithm of the ratio of prefill to decode tokens.
+    """
+
+    extreme: float = 0.0  # log ratio that is furthest in the present direction
+    rising: bool | None = None  # None: the direction is not known yet
     half_period_start_s: float = -inf
     half_periods_s: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_HALF_PERIODS))
 
-    def add(self, now_s: float, mix: float, min_reversal: float) -> None:
-        """Add the present mix; a reversal by `min_reversal` or more ends the half-period."""
-        reversal = abs(mix - self.extreme)
+    def add(self, now_s: float, log_ratio: float, min_reversal: float) -> None:
+        """Add the present log ratio; a reversal by `min_reversal` or more ends the half-period."""
+        reversal = abs(log_ratio - self.extreme)
         if self.half_period_start_s == -inf:
-            self._turn(now_s, mix, None)
+            self._start_half_period(now_s, log_ratio, None)
         elif self.rising is None:
             if reversal >= min_reversal:
-                self._turn(now_s, mix, mix > self.extreme)
-        elif (mix > self.extreme) is self.rising and mix != self.extreme:
-            self.extreme = mix
+                self._start_half_period(now_s, log_ratio, log_ratio > self.extreme)
+        elif (log_ratio > self.extreme) is self.rising and log_ratio != self.extreme:
+            self.extreme = log_ratio
         elif reversal >= min_reversal:
             self.half_periods_s.append(now_s - self.half_period_start_s)
-            self._turn(now_s, mix, not self.rising)
+            self._start_half_period(now_s, log_ratio, not self.rising)
         if self.half_periods_s:
-            max_half_period_s = END_FACTOR * median(self.half_periods_s)
+            max_half_period_s = OSCILLATION_END_FACTOR * median(self.half_periods_s)
             if now_s - self.half_period_start_s > max_half_period_s:
-                self.half_periods_s.clear()  # the oscillation has ended
+                self.half_periods_s.clear()
 
-    def _turn(self, now_s: float, mix: float, rising: bool | None) -> None:
+    def _start_half_period(self, now_s: float, log_ratio: float, rising: bool | None) -> None:
         self.rising = rising
         self.half_period_start_s = now_s
-        self.extreme = mix
+        self.extreme = log_ratio
 
     def median_half_period_s(self) -> float:
-        """The usual length of a half-period; inf while fewer than two have ended."""
+        """The median length of a half-period; inf while fewer than two have ended."""
         return median(self.half_periods_s) if len(self.half_periods_s) >= 2 else inf
--- a/ringledge/decide/ratio/measurements.py
+++ b/ringledge/decide/ratio/measurements.py
@@ -1,7 +1,8 @@
-"""Demand and service rates as one conductor measures them on its own requests; free of I/O and clocks.
+"""Demand and service rates that one conductor measures on its own requests; free of I/O and clocks.
 
-It reports two kinds of figures to the planner of roles: the demand by class, and what each server processes.
-Rejected requests count as demand too: demand is the rate of arrivals times what such requests usually take.
+The conductor reports to the role planner the demand of each request class and the service rate of each
+server. Demand is the arrival rate times the mean number of tokens per request, so that rejected requests
+count too.
 """
 
 from __future__ import annotations
@@ -11,35 +12,35 @@
 
 from ringledge.decide.interface import ClassDemand, ServerObservation
 
-WINDOW_S = 5.0  # decay time of arrivals: shorter than the planner's fast horizon and its interval together
-SAMPLE_WEIGHT = 0.1  # of a new sample in a mean: some ten requests of a class determine it
-MIN_PREFILL_TOKENS = 64.0  # uncached tokens from which a prefill measures a rate, not the network's latency
-MIN_DECODE_TOKENS = 8.0  # answer tokens from which a stream measures a rate
-MIN_DURATION_S = 1e-3  # of work: shorter ones are a clock's step
-MAX_TOKENS = 1e7  # of one request: more is implausible
+ARRIVAL_TIME_CONSTANT_S = 5.0  # shorter than the sum of the planner's fast horizon and interval
+SAMPLE_WEIGHT = 0.1  # weight of a new sample in a mean, which thus reflects about the last ten requests
+MIN_PREFILL_TOKENS = 64.0  # the duration of a prefill of fewer uncached tokens is mainly network latency
+MIN_DECODE_TOKENS = 8.0  # a stream of fewer answer tokens is too short to measure a rate
+MIN_DURATION_S = 1e-3  # shorter durations are within the resolution of a clock
+MAX_TOKENS = 1e7  # largest plausible token count of one request
 
 
 @dataclass(slots=True)
 class RunningMean:
-    """An exponentially weighted mean; `known` is set by the first sample."""
+    """An exponentially weighted mean; `known` is True from the first sample on."""
 
     value: float = 0.0
     known: bool = False
 
     def add(self, sample: float) -> None:
-        """Add a sample; the first one sets the mean."""
+        """Add a sample; the first sample replaces the default value."""
         self.value += (SAMPLE_WEIGHT if self.known else 1.0) * (sample - self.value)
         self.known = True
 
     def set_default(self, value: float) -> None:
-        """Set the value that holds until the first sample, if it is plausible."""
+        """Set the value to use until the first sample; an implausible value is ignored."""
         if not self.known and _is_valid_token_count(value):
             self.value = value
 
 
 @dataclass(slots=True)
 class ClassStatistics:
-    """The requests of one class."""
+    """Arrivals and token counts of one request class."""
 
     arrivals: float = 0.0  # exponentially decaying count
     updated_s: float = 0.0
@@ -47,24 +48,24 @@
     decode_tokens: RunningMean = field(default_factory=RunningMean)  # answer tokens per request
 
     def decayed_arrivals(self, now_s: float) -> float:
-        """The count of arrivals as it has decayed until now."""
-        return self.arrivals * exp((self.updated_s - now_s) / WINDOW_S)
+        """The exponentially decaying count of arrivals, at `now_s`."""
+        return self.arrivals * exp((self.updated_s - now_s) / ARRIVAL_TIME_CONSTANT_S)
 
 
 @dataclass(slots=True)
 class ServerStatistics:
-    """The work of one server for this conductor."""
+    """Rates of one server, measured on this conductor's requests."""
 
-    prefill_rate: RunningMean = field(default_factory=RunningMean)  # uncached tokens per s of a prefill
-    stream_rate: RunningMean = field(default_factory=RunningMean)  # answer tokens per s of a stream
-    stream_tokens: RunningMean = field(default_factory=RunningMean)  # in memory, with half of the answer
-    concurrent_streams: float = 1.0  # decaying maximum of this conductor's streams
+    prefill_rate: RunningMean = field(default_factory=RunningMean)  # uncached tokens per s in a prefill
+    stream_rate: RunningMean = field(default_factory=RunningMean)  # answer tokens per s in one stream
+    stream_tokens: RunningMean = field(default_factory=RunningMean)  # in memory: prompt and half the answer
+    concurrent_streams: float = 1.0  # decaying maximum number of this conductor's streams
 
     def decode_rate(self, memory_tokens: float | None, routers: int) -> float:
-        """Answer tokens per s of all streams; 0 where it is unknown.
+        """Answer tokens per s of all streams together; 0 if unknown.
 
-        A server runs as many streams as its memory holds; where that is unknown, as many as this conductor
-        has there, times the number of routers.
+        The number of streams is limited by the server's memory. If the memory size is unknown, the number is
+        estimated as this conductor's streams times the number of routers.
         """
         if not self.stream_rate.known:
             return 0.0
@@ -76,7 +77,7 @@
 
 
 class LocalMeasurements:
-    """Demand by class and rates by server, from the events of this conductor's requests; times in s."""
+    """Demand by class and service rates by server, measured on this conductor's requests; times in s."""
 
     def __init__(self) -> None:
         self._classes: dict[int, ClassStatistics] = {}
@@ -85,7 +86,7 @@
     def request_received(
         self, now_s: float, class_index: int, prompt_tokens: float, max_output_tokens: float
     ) -> None:
-        """Count a request; its token limits stand for the means of its class until some requests ended."""
+        """Count a request; its token counts serve as defaults until requests of its class have ended."""
         statistics = self._class(class_index)
         statistics.arrivals = statistics.decayed_arrivals(now_s) + 1
         statistics.updated_s = now_s
@@ -95,7 +96,7 @@
     def prefill_finished(
         self, class_index: int, server: str, uncached_tokens: float, duration_s: float
     ) -> None:
-        """Measure a successful prefill."""
+        """Add the measurements of a successful prefill."""
         if not _is_valid_token_count(uncached_tokens):
             return
         self._class(class_index).prefill_tokens.add(uncached_tokens)
@@ -105,7 +106,7 @@
     def decode_finished(
         self, class_index: int, server: str, prompt_tokens: float, answer_tokens: float, duration_s: float
     ) -> None:
-        """Measure a successful stream; `duration_s`: from its first token on."""
+        """Add the measurements of a successful stream; `duration_s` counts from its first token."""
         if not (_is_valid_token_count(prompt_tokens) and _is_valid_token_count(answer_tokens)):
             return
         self._class(class_index).decode_tokens.add(answer_tokens)
@@ -115,17 +116,17 @@
             statistics.stream_tokens.add(prompt_tokens + answer_tokens / 2)
 
     def update_streams(self, server: str, count: int) -> None:
-        """Record how many streams of this conductor a server runs now."""
+        """Record the present number of this conductor's streams on a server."""
         if count or server in self._servers:
             statistics = self._server(server)
             decayed = (1 - SAMPLE_WEIGHT) * statistics.concurrent_streams
             statistics.concurrent_streams = max(1.0, float(count), decayed)
 
     def demand(self, now_s: float) -> dict[int, ClassDemand]:
-        """The demand by class, in requests and tokens per s."""
+        """Demand by class index, in requests and tokens per s."""
         demand = {}
         for class_index, statistics in self._classes.items():
-            arrival_rate = statistics.decayed_arrivals(now_s) / WINDOW_S
+            arrival_rate = statistics.decayed_arrivals(now_s) / ARRIVAL_TIME_CONSTANT_S
             demand[class_index] = ClassDemand(
                 arrival_rate,
                 arrival_rate * statistics.prefill_tokens.value,
@@ -136,9 +137,9 @@
     def server_observation(
         self, server: str, memory_tokens: float | None, routers: int, warmth: float, waiting_entries: int
     ) -> ServerObservation:
-        """What a server processes as far as it is known, rates of 0 where it is not.
+        """The report about a server; a rate of 0 is unknown.
 
-        Prefill is one queue, so the rate of one prefill is the server's.
+        A server has a single queue of prefills, so the rate of one prefill is the rate of the server.
         """
         statistics = self._servers.get(server, ServerStatistics())
         decode_rate = statistics.decode_rate(memory_tokens, routers)
--- a/ringledge/decide/ratio/plan.py
+++ b/ringledge/decide/ratio/plan.py
@@ -1,8 +1,8 @@
-"""Which servers of a site change their role now; free of I/O and clocks.
+"""Chooses which servers of a site change their role now; free of I/O and clocks.
 
-A change costs what the server would have processed meanwhile. So few servers change: only where the gain is
-large enough, for as long as it is expected to last, one at a time in a rack, and never so that the loss of a
-rack, a release, or cold servers would leave a role short that was not.
+A role change costs the work that the server would have processed during it. Therefore servers change only if
+the gain is large enough for as long as the mix is expected to last, one server per rack at a time, and never
+so that the loss of a rack, a software release or cold servers would leave a role short that was not before.
 """
 
 from __future__ import annotations
@@ -24,7 +24,8 @@
     total_capacity,
 )
 
-# Relative errors of the demand estimate that a gain must exceed: at one, ten servers follow a shift too late.
+# A gain must exceed this multiple of the relative error of the demand estimate. With a factor of 1, a site of
+# ten servers follows a shift too late.
 ERROR_MARGIN = 0.5
 OPPOSITE_ROLE: dict[str, str] = {
     ServerRole.PREFILL: ServerRole.DECODE,
@@ -33,14 +34,14 @@
 
 
 class PlanReason(Enum):
-    """Why a site's plan is as it is."""
+    """Why a planning round moves servers or does not."""
 
-    RELEASE = "release"  # too many servers are cold: a release is probably being rolled out
-    TOO_FEW_REPORTS = "too few heard"  # less than half of the members report
-    RATES_UNKNOWN = "paces not known"  # of at least one role
-    NEAR_TARGET = "near enough"  # the gain may be chance
+    RELEASE = "release"  # many servers are cold: a software release is probably being rolled out
+    TOO_FEW_REPORTS = "too few heard"  # fewer than half of the members report
+    RATES_UNKNOWN = "paces not known"  # the service rate of at least one role is unknown
+    NEAR_TARGET = "near enough"  # the gain is within the error of the estimate
     NO_MOVE_ALLOWED = "none may move"
-    NOT_WORTHWHILE = "would not pay"  # the change costs more than it gains while the mix lasts
+    NOT_WORTHWHILE = "would not pay"  # the moves cost more than they gain while the mix lasts
     MOVES = "moves"
 
 
@@ -48,27 +49,27 @@
 class SitePlan:
     """The result of one planning round for one site."""
 
-    moves: dict[str, str]  # new roles by server
-    prefill_target: int  # mixed servers that should do prefill
+    moves: dict[str, str]  # new role by server
+    prefill_target: int  # number of mixed servers that should do prefill
     reason: PlanReason
 
 
 def plan_site(servers: Sequence[ServerState], demand: SiteDemand, settings: RatioConfig) -> SitePlan:
-    """The changes of role that a site should begin now."""
+    """Plan the role changes that a site should begin now."""
     target = choose_prefill_servers(servers, demand.mixes, settings)
-    if reason := hold_reason(servers, demand, settings):
+    if reason := blocking_reason(servers, demand, settings):
         return SitePlan({}, len(target), reason)
     gain = _gain(servers, target, demand, settings)
     min_gain = max(settings.min_gain, ERROR_MARGIN * demand.relative_error)
-    has_undecided = any(
+    has_unassigned = any(
         server.role == ServerRole.MIXED and server.kind == ServerRole.MIXED for server in servers
     )
-    if gain <= min_gain and not has_undecided:
+    if gain <= min_gain and not has_unassigned:
         return SitePlan({}, len(target), PlanReason.NEAR_TARGET)
     moves = choose_moves(servers, target, demand)
     if not moves:
         return SitePlan({}, len(target), PlanReason.NO_MOVE_ALLOWED)
-    if not has_undecided and _costs_more(servers, moves, gain, demand, settings):
+    if not has_unassigned and _costs_more(servers, moves, gain, demand, settings):
         return SitePlan({}, len(target), PlanReason.NOT_WORTHWHILE)
     return SitePlan(moves, len(target), PlanReason.MOVES)
 
@@ -76,7 +77,7 @@
 def _gain(
     servers: Sequence[ServerState], target: set[str], demand: SiteDemand, settings: RatioConfig
 ) -> float:
-    """The served fraction that the target adds, once all changes toward it are over."""
+    """The increase of the served fraction once all changes toward the target are complete."""
     current = served_fraction(capacity_rates(servers), demand.mixes, settings)
     roles: dict[str, str] = {
         server.name: ServerRole.PREFILL if server.name in target else ServerRole.DECODE
@@ -94,18 +95,18 @@
     settings: RatioConfig,
 ) -> bool:
     """Whether the work lost during the moves outweighs their gain while the present mix lasts."""
-    steady = [server for server in servers if not server.changing]
-    remaining = [server for server in steady if server.name not in moves]
-    loss = served_fraction(capacity_rates(steady), demand.mixes, settings)
+    stable = [server for server in servers if not server.changing]
+    remaining = [server for server in stable if server.name not in moves]
+    loss = served_fraction(capacity_rates(stable), demand.mixes, settings)
     loss -= served_fraction(capacity_rates(remaining), demand.mixes, settings)
     gain_duration_s = demand.expected_duration_s - settings.max_change_s
     return gain * gain_duration_s <= max(0.0, loss) * settings.max_change_s
 
 
-def hold_reason(
+def blocking_reason(
     servers: Sequence[ServerState], demand: SiteDemand, settings: RatioConfig
 ) -> PlanReason | None:
-    """Why nothing may change in a site now; None where changes are allowed."""
+    """Why no server of a site may change its role now; None if changes are allowed."""
     cold = sum(not server.warm and not server.changing for server in servers)
     if cold > settings.max_cold_fraction * len(servers):
         return PlanReason.RELEASE
@@ -117,21 +118,23 @@
 
 
 def choose_moves(servers: Sequence[ServerState], target: set[str], demand: SiteDemand) -> dict[str, str]:
-    """New roles by server: one change a rack at a time, racks with the least capacity of the role first."""
-    wanted, max_moves = _wanted_roles(servers, len(target))
+    """New role by server: one change per rack at a time, racks with the least capacity of the role first."""
+    desired_roles, max_moves = _desired_roles(servers, len(target))
 
     def priority(server: ServerState) -> tuple[float, str]:
-        return rack_capacity(server, servers, wanted[server.name]), server.name
+        return rack_capacity(server, servers, desired_roles[server.name]), server.name
 
     candidates = [
-        server for server in servers if server.name in wanted and server.movable and not server.changing
+        server
+        for server in servers
+        if server.name in desired_roles and server.movable and not server.changing
     ]
     busy_racks = {server.rack for server in servers if server.changing}
     moves = dict[str, str]()
     for server in sorted(candidates, key=priority):
         if len(moves) >= max_moves:
             break
-        role = wanted[server.name]
+        role = desired_roles[server.name]
         after_moves = with_roles(servers, moves, changing=True)
         if server.rack not in busy_racks and is_safe_move(after_moves, server, role, demand):
             moves[server.name] = role
@@ -139,55 +142,55 @@
     return moves
 
 
-def _wanted_roles(servers: Sequence[ServerState], prefill_target: int) -> tuple[dict[str, str], int]:
-    """The roles that servers may change to, and how many of them are to change.
+def _desired_roles(servers: Sequence[ServerState], prefill_target: int) -> tuple[dict[str, str], int]:
+    """The roles that servers may change to, and how many of these servers are to change.
 
-    Servers that do both are decided first, so that none that has a role has to change it for their sake.
+    Servers that do both roles are assigned first, so that a server with a single role changes only if needed.
     """
     mixed = sorted((server for server in servers if server.kind == ServerRole.MIXED), key=prefill_advantage)
     shortage = prefill_target - sum(server.role == ServerRole.PREFILL for server in mixed)
-    undecided = [server.name for server in mixed if server.role == ServerRole.MIXED]
-    if undecided:
-        wanted: dict[str, str] = {
+    unassigned = [server.name for server in mixed if server.role == ServerRole.MIXED]
+    if unassigned:
+        desired_roles: dict[str, str] = {
             name: ServerRole.PREFILL if rank < shortage else ServerRole.DECODE
-            for rank, name in enumerate(undecided)
+            for rank, name in enumerate(unassigned)
         }
-        return wanted, len(undecided)
+        return desired_roles, len(unassigned)
     role = ServerRole.PREFILL if shortage > 0 else ServerRole.DECODE
-    wanted = {server.name: role for server in mixed if server.role == OPPOSITE_ROLE[role]}
-    return wanted, abs(shortage)
+    desired_roles = {server.name: role for server in mixed if server.role == OPPOSITE_ROLE[role]}
+    return desired_roles, abs(shortage)
 
 
 def rack_capacity(server: ServerState, servers: Sequence[ServerState], role: str) -> float:
-    """Tokens per s that the rack of a server processes in a role."""
+    """The capacity in a role (tokens per s) of the rack that a server is in."""
     return total_capacity((other for other in servers if other.rack == server.rack), role)
 
 
 def is_safe_move(
     servers: Sequence[ServerState], candidate: ServerState, new_role: str, demand: SiteDemand
 ) -> bool:
-    """Whether a server may leave its old role, counting all changes in progress as unfinished."""
+    """Whether a server may leave its old role; servers with a change in progress do not cover that role."""
     old_role = OPPOSITE_ROLE[new_role]
     if not candidate.capacity(old_role):
         return True
-    after = with_roles(servers, {candidate.name: new_role}, changing=True)
-    staying = [server for server in after if not server.changing and server.capacity(old_role)]
-    if not any(server.warm for server in staying):
-        return False  # it is the last warm one
+    servers_after_move = with_roles(servers, {candidate.name: new_role}, changing=True)
+    remaining = [server for server in servers_after_move if not server.changing and server.capacity(old_role)]
+    if not any(server.warm for server in remaining):
+        return False  # the last warm server of its role
     demand_rates: dict[str, float] = {
         ServerRole.PREFILL: demand.prefill_rate * (1 + demand.relative_error),
         ServerRole.DECODE: demand.decode_rate * (1 + demand.relative_error),
     }
-    # What covers the loss of the largest rack stays, unless the role that gains is still worse off.
+    # The old role must still cover the loss of its largest rack, unless the new role covers even less.
     new_coverage = rack_loss_coverage(servers, new_role, demand_rates[new_role])
-    old_coverage = rack_loss_coverage(staying, old_role, demand_rates[old_role])
+    old_coverage = rack_loss_coverage(remaining, old_role, demand_rates[old_role])
     return old_coverage >= min(1.0, new_coverage)
 
 
 def with_roles(
     servers: Sequence[ServerState], roles: dict[str, str], changing: bool | None = None
 ) -> list[ServerState]:
-    """The servers with other roles; `changing`, where given, is set on those whose role differs."""
+    """The servers with new roles; `changing`, unless None, is set on those whose role differs."""
     return [_with_role(server, roles.get(server.name, server.role), changing) for server in servers]
 
 
--- a/ringledge/decide/ratio/planner.py
+++ b/ringledge/decide/ratio/planner.py
@@ -1,8 +1,8 @@
-"""Which servers do prefill and which decode: a planning round, from observations to assignments.
+"""The role planner: assigns prefill or decode to mixed servers from observations; free of I/O and clocks.
 
-One planner at a time decides for all sites, with the fencing token of its lease. It holds no state that the
-assignments and the measurements don't restore: a successor reissues the assignments in force under its own
-token, lets changes in progress end, measures for a while, and goes on. Free of I/O and clocks.
+One planner at a time decides for all sites, under the fencing token of its lease. Its state can be restored
+from assignments and measurements: a successor reissues the assignments in force under its own token, lets
+role changes in progress finish, and measures for a while before its first plan.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from ringledge.decide.ratio.settings import RatioConfig
 from ringledge.decide.ratio.target import ServerState, total_capacity
 
-REISSUE_DELAY = 2  # times `propagation_s` from the begin of a term until assignments are reissued
-MEASURING_TIME = 2  # times `fast_s` from the begin of a term until the first plan
-RECENT_CHANGE = 2  # times `max_change_s` for which a changed server counts as recently changed
+REISSUE_DELAY_FACTOR = 2  # assignments are reissued this multiple of `propagation_s` after a term begins
+MEASURING_TIME_FACTOR = 2  # the first plan is made this multiple of `fast_s` after a term begins
+RECENT_CHANGE_FACTOR = 2  # a role change counts as recent for this multiple of `max_change_s`
 
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A server of the server list."""
+    """A server in the server list."""
 
     name: str
     site: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Observations:
-    """What members report, as one planning round finds it."""
+    """The members' reports that one planning round uses."""
 
     demand: Mapping[tuple[str, str], ClassDemand]  # by member and class
     servers: Mapping[tuple[str, str], ServerObservation]  # by member and server
@@ -49,26 +49,26 @@
 class PlanningRound:
     """The result of one planning round."""
 
-    assignments: dict[str, RoleAssignment] = field(default_factory=dict)  # to be published, by server
+    assignments: dict[str, RoleAssignment] = field(default_factory=dict)  # to publish, by server
     plans: dict[str, SitePlan] = field(default_factory=dict)  # by site
     demands: dict[str, SiteDemand] = field(default_factory=dict)  # by site
 
 
 class RolePlanner:
-    """The planner's decisions while it holds its lease."""
+    """Plans roles while this member holds the planner's lease."""
 
     def __init__(self, settings: RatioConfig, registry: RoleRegistry) -> None:
-        """`registry`: of this member's own conductor, which receives the assignments made here as well."""
+        """`registry` belongs to this member's conductor, which also receives the assignments made here."""
         self.settings = settings
         self.registry = registry
         self.token = 0
-        self.number = 0  # of the last plan under the token
+        self.number = 0  # number of the last plan under the token
         self._started_s = inf
         self._demand_estimator = DemandEstimator(settings)
         self._rate_estimator = ServiceRateEstimator(settings)
 
     def begin(self, now_s: float, token: int) -> None:
-        """Begin a term under a new fencing token, with nothing measured yet."""
+        """Begin a term under a new fencing token, without measurements."""
         self.token = token
         self.number = 1
         self._started_s = now_s
@@ -76,12 +76,12 @@
         self._rate_estimator = ServiceRateEstimator(self.settings)
 
     def reissued_assignments(self, now_s: float) -> dict[str, RoleAssignment]:
-        """Assignments in force that are still to be published under the present token.
+        """Assignments in force that have to be published under the present token.
 
-        None at first: the last ones of the predecessor may still be on their way here, and to reissue those
-        before them would reverse a change that others have begun.
+        There are none at the start of a term: the predecessor's last assignments may not have arrived yet,
+        and reissuing the ones before them would reverse a change that other conductors have begun.
         """
-        if now_s - self._started_s < REISSUE_DELAY * self.settings.propagation_s:
+        if now_s - self._started_s < REISSUE_DELAY_FACTOR * self.settings.propagation_s:
             return {}
         outdated = sorted(
             (server, assignment)
@@ -93,7 +93,10 @@
     def run_round(
         self, now_s: float, observations: Observations, listed: Sequence[ListedServer]
     ) -> PlanningRound:
-        """Measure and decide; the caller publishes the assignments and gives them to the registry."""
+        """Update the estimates and plan the role changes of all sites.
+
+        The caller publishes the assignments and passes them to the registry.
+        """
         result = PlanningRound()
         rates = self._update_rates(now_s, observations, listed)
         sites = self._servers_by_site(now_s, listed, rates)
@@ -101,7 +104,7 @@
         result.demands = self._demand_estimator.update(
             now_s, observations.demand, observations.member_sites, cold
         )
-        if now_s - self._started_s < MEASURING_TIME * self.settings.fast_s:
+        if now_s - self._started_s < MEASURING_TIME_FACTOR * self.settings.fast_s:
             return result
         for site, demand in result.demands.items():
             if sites.get(site):
@@ -137,7 +140,9 @@
         entry = self.registry.entries[listed.name]
         is_mixed = listed.kind == ServerRole.MIXED
         changing = entry.phase is not RolePhase.STABLE
-        scale = 1.0 if changing else rate.warmth  # a changing server counts as what it will be
+        scale = (
+            1.0 if changing else rate.warmth
+        )  # a changing server counts with its full rate in the new role
         return ServerState(
             name=listed.name,
             site=listed.site,
@@ -154,8 +159,8 @@
     def _cold_prefill_fraction(
         self, now_s: float, servers: Sequence[ServerState], rates: Mapping[str, ServiceRate]
     ) -> float:
-        """The fraction of a site's prefill capacity that is cold because of recent changes of role."""
-        recent_s = RECENT_CHANGE * self.settings.max_change_s
+        """The fraction of a site's prefill capacity that is cold because of recent role changes."""
+        recent_s = RECENT_CHANGE_FACTOR * self.settings.max_change_s
         recent = [
             server for server in servers if now_s - self.registry.entries[server.name].requested_s < recent_s
         ]
--- a/ringledge/decide/ratio/role_records.py
+++ b/ringledge/decide/ratio/role_records.py
@@ -1,4 +1,4 @@
-"""Role assignments as replicated records: their keys and bytes, and which of two is in force."""
+"""Role assignments as replicated records: encoding, decoding and precedence."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from ringledge.decide.interface import RoleAssignment
 
 KEY_PREFIX = "plan/"
-MAX_NUMBER = 2**62  # of a token or plan: no later plan could supersede an assignment beyond it
-MAX_ENCODED_BYTES = 64  # of an assignment, two numbers and a word: longer values are not even decoded
+MAX_NUMBER = 2**62  # largest token or plan number: an assignment above it could never be superseded
+MAX_ENCODED_BYTES = 64  # an assignment has two numbers and a word; longer values are not decoded
 
 
 class ServerRole(StrEnum):
-    """The role of a server, and the kind of one whose role is configured; the values are those of records."""
+    """Roles, which are also the names of the server kinds. The values are those stored in records."""
 
     PREFILL = "read"
     DECODE = "write"
@@ -29,12 +29,12 @@
 
 
 def encode_assignment(server: str, assignment: RoleAssignment) -> tuple[str, bytes]:
-    """Key and value of the record of a server's assignment."""
+    """The key and the value of the record for a server's assignment."""
     return KEY_PREFIX + server, _encoder.encode(assignment)
 
 
 def decode_assignment(key: str, value: bytes) -> tuple[str, RoleAssignment] | None:
-    """The server and the assignment of a record; None where it is invalid or no assignment."""
+    """The server and its assignment, or None if the record is not a valid assignment."""
     server = key.removeprefix(KEY_PREFIX)
     if not server or server == key or len(value) > MAX_ENCODED_BYTES:
         return None
@@ -54,19 +54,19 @@
 def supersedes(assignment: RoleAssignment, current: RoleAssignment | None) -> bool:
     """Whether an assignment replaces the current one of its server.
 
-    By token, then number. Two that are equal in both can't come from one planner; the role decides then, so
-    that all conductors agree, whichever they received first.
+    Assignments are ordered by token, then by number. Two that are equal in both can't come from one planner;
+    they are ordered by role, so that all conductors agree regardless of the order in which they receive them.
     """
     return current is None or precedence(assignment) > precedence(current)
 
 
 def precedence(assignment: RoleAssignment) -> tuple[int, int, str]:
-    """Sort key: the assignment with the largest one is in force."""
+    """Sort key of assignments: the one with the largest key is in force."""
     return assignment.token, assignment.number, assignment.role
 
 
 def decode_assignments(records: Mapping[tuple[str, str], bytes]) -> Iterator[tuple[str, RoleAssignment]]:
-    """All assignments among records, by any writer, in ascending precedence: a server's newest comes last."""
+    """All valid assignments in records, in ascending precedence: the newest one of a server comes last."""
     decoded = (decode_assignment(key, value) for (_, key), value in records.items())
     valid = [pair for pair in decoded if pair is not None]
     return iter(sorted(valid, key=lambda pair: precedence(pair[1])))
--- a/ringledge/decide/ratio/service_rates.py
+++ b/ringledge/decide/ratio/service_rates.py
@@ -1,7 +1,7 @@
-"""The service rate of each server in each role and its warmth, from all members; free of I/O and clocks.
+"""Estimates each server's warmth and its service rate in each role; free of I/O and clocks.
 
-The median of the members' reports counts, so that one that is slow itself, or implausible, changes nothing. A
-server's rates are not updated while its role changes: what little it does then says nothing of its capacity.
+Estimates use the median of the members' reports, so that a single slow member or implausible report has no
+effect. Rates are not updated during a role change, since a server that is draining does not run at capacity.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 @dataclass(slots=True)
 class ServiceRate:
-    """One server's service rates; a rate of 0 is unknown."""
+    """Estimates for one server; a rate of 0 is unknown."""
 
     prefill_rate: float = 0.0  # prompt tokens per s
     decode_rate: float = 0.0  # answer tokens per s
     warmth: float = 1.0  # 0 to 1
-    waiting_entries: int = 0  # cache entries of all members that wait to be fetched
+    waiting_entries: int = 0  # KV cache entries of all members that wait to be fetched
 
 
 class ServiceRateEstimator:
-    """The service rates of all listed servers."""
+    """Estimates the service rates of all listed servers."""
 
     def __init__(self, settings: RatioConfig) -> None:
         self._slow_s = settings.slow_s
@@ -42,9 +42,9 @@
         listed: Collection[str],
         changing: Collection[str],
     ) -> dict[str, ServiceRate]:
-        """Process the reports by member and server; returns the rates of each listed server.
+        """Process the reports by member and server; returns the estimates for each listed server.
 
-        Where a rate is unknown, the median of the other servers stands for it.
+        An unknown rate is replaced by the median of the other servers.
         """
         weight = 1.0 if self._updated_s is None else 1 - exp((self._updated_s - now_s) / self._slow_s)
         self._updated_s = now_s
@@ -77,7 +77,7 @@
 def update_rate(
     rate: ServiceRate, reports: list[ServerObservation], weight: float, is_changing: bool
 ) -> None:
-    """Update one server's figures by what members report of it now."""
+    """Update one server's estimates from the members' present reports."""
     rate.waiting_entries = sum(report.waiting_entries for report in reports)
     if reports:
         rate.warmth = min(1.0, median(report.warmth for report in reports))
@@ -89,7 +89,7 @@
 
 
 def smoothed_rate(current: float, reported: list[float], weight: float) -> float:
-    """The exponentially weighted mean of the median of those reports that know the rate."""
+    """The current mean, updated with the median of the reported rates that are known (above 0)."""
     known = [rate for rate in reported if rate > 0]
     if not known:
         return current
--- a/tests/decide/ratio/factories.py
+++ b/tests/decide/ratio/factories.py
@@ -1,4 +1,4 @@
-"""Servers, demand and reports for the tests of the planner."""
+"""Factories of servers, demand and reports, and the rules of a plan, for tests of the role planner."""
 
 from dataclasses import replace
 from math import inf
@@ -42,7 +42,7 @@
     arrival_rate: float = 20.0,
     cold_fraction: float = 0.0,
 ) -> SiteDemand:
-    """Four members report a quarter of a site's demand each, with a little noise of their own."""
+    """Update by reports of four members, each of a quarter of the demand with its own noise of up to 5 %."""
     reports = {
         (member, "query"): ClassDemand(
             arrival_rate / 4, prefill_rate / 4 * (1 + noise), decode_rate / 4 * (1 - noise)
@@ -85,16 +85,16 @@
 
 
 def find_violation(servers: list[ServerState], moves: dict[str, str], demand: SiteDemand) -> str:
-    """The first rule that a site's moves break; all of them count as made at once."""
+    """The first rule that a site's moves break, or an empty string; all moves are made at once."""
     by_name = {server.name: server for server in servers}
     racks = [by_name[name].rack for name in moves]
     if len(set(racks)) < len(racks) or any(server.changing and server.rack in racks for server in servers):
-        return "two changes in a rack"
+        return "two role changes in one rack"
     if any(not by_name[name].movable or by_name[name].kind != "both" for name in moves):
-        return "within its minimum dwell time, or against its kind"
+        return "role change within the minimum dwell time, or of a server that is not mixed"
     cold = sum(not server.warm and not server.changing for server in servers)
     if moves and cold > SETTINGS.max_cold_fraction * len(servers):
-        return "during a release"
+        return "role change during a software release"
     demand_rates = {
         "read": demand.prefill_rate * (1 + demand.relative_error),
         "write": demand.decode_rate * (1 + demand.relative_error),
@@ -107,11 +107,11 @@
             if not by_name[name].capacity(old_role):
                 continue
             if not any(server.warm and server.capacity(old_role) for server in staying):
-                return "the last warm server of its role"
+                return "role change of the last warm server of its role"
             before = [replace(server, role=roles[server.name]) for server in servers]
             old_coverage = rack_loss_coverage(staying, old_role, demand_rates[old_role])
             new_coverage = rack_loss_coverage(before, new_role, demand_rates[new_role])
             if old_coverage < min(1.0, new_coverage):
-                return "the loss of a rack is not covered"
+                return "the loss of the largest rack is not covered"
         roles[name] = new_role
     return ""
--- a/tests/decide/ratio/test_demand_estimate.py
+++ b/tests/decide/ratio/test_demand_estimate.py
@@ -1,4 +1,7 @@
-"""A site's demand from reports: shifts, oscillations, missing, stale, implausible and self-caused ones."""
+"""Demand estimation: shifts, oscillation, invalid reports, and cold caches after role changes.
+
+Invalid reports are missing, stale or implausible.
+"""
 
 from math import inf, nan
 
@@ -77,7 +80,7 @@
 
 
 def max_demand_while_caches_are_cold() -> float:
-    """The largest prefill demand while a fifth is cold by the plan's own changes and refills its cache."""
+    """The largest prefill demand while a fifth of the capacity refills its cache after a role change."""
     estimator, largest = DemandEstimator(SETTINGS), 0.0
     for second in range(60):
         report_demand(estimator, float(second), 20_000, 6_000)
@@ -90,7 +93,7 @@
 
 def test_prefill_caused_by_own_changes_is_excluded_from_demand(monkeypatch: pytest.MonkeyPatch) -> None:
     assert max_demand_while_caches_are_cold() < 21_000
-    estimator = DemandEstimator(SETTINGS)  # demand beyond it is estimated
+    estimator = DemandEstimator(SETTINGS)  # demand beyond what cold caches explain is still followed
     for second in range(60):
         report_demand(estimator, float(second), 20_000, 6_000)
     assert (
@@ -105,7 +108,7 @@
         "_exclude_cold_prefill",
         lambda self, site, class_name, arrivals, prefill_tokens, cold, weight: prefill_tokens,
     )
-    assert max_demand_while_caches_are_cold() > 23_000  # the mutant is detected
+    assert max_demand_while_caches_are_cold() > 23_000  # without the exclusion
 
 
 @example({("a", "q"): ClassDemand(0.0, 0.0, 0.0), ("a", "r"): ClassDemand(0.0, 0.0, 8.98846567431158e307)})
--- a/tests/decide/ratio/test_measurements.py
+++ b/tests/decide/ratio/test_measurements.py
@@ -1,4 +1,4 @@
-"""Demand and service rates as one conductor measures them."""
+"""Measurement of demand and service rates by one conductor."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from ringledge.decide.ratio.demand_estimate import is_plausible
-from ringledge.decide.ratio.measurements import MAX_TOKENS, WINDOW_S, LocalMeasurements
+from ringledge.decide.ratio.measurements import ARRIVAL_TIME_CONSTANT_S, MAX_TOKENS, LocalMeasurements
 
 
 def measure_arrivals(per_s: float, seconds: float) -> tuple[LocalMeasurements, float]:
@@ -32,7 +32,7 @@
 
 
 def test_rejected_requests_count_as_demand() -> None:
-    """Counted by served requests, a scarce role would seem sufficient."""
+    """If demand were counted by served requests, a scarce role would seem to have enough capacity."""
     measurements, now_s = measure_arrivals(8, 60)
     demand = measurements.demand(now_s)[0]
     assert demand.prefill_tokens == pytest.approx(8 * 1000, rel=0.1)
@@ -41,7 +41,7 @@
 
 def test_demand_decays_after_arrivals_end() -> None:
     measurements, now_s = measure_arrivals(8, 60)
-    assert measurements.demand(now_s + 5 * WINDOW_S)[0].arrivals < 0.1
+    assert measurements.demand(now_s + 5 * ARRIVAL_TIME_CONSTANT_S)[0].arrivals < 0.1
 
 
 def test_decode_rate_counts_the_streams_that_memory_holds() -> None:
@@ -78,22 +78,22 @@
     assert measurements.server_observation("s", None, 1, 1.0, 0).prefill_rate == 0.0
 
 
-figures = st.sampled_from([0.0, -1.0, nan, inf, 1e300, MAX_TOKENS]) | st.floats(0, 1e4)
+token_counts = st.sampled_from([0.0, -1.0, nan, inf, 1e300, MAX_TOKENS]) | st.floats(0, 1e4)
 
 
 @example([(1, 1000.0, 0.0, 5e-324), (2, 100.0, 100.0, 5e-324)])
-@given(st.lists(st.tuples(st.integers(0, 3), figures, figures, figures), max_size=20))
+@given(st.lists(st.tuples(st.integers(0, 3), token_counts, token_counts, token_counts), max_size=20))
 def test_implausible_events_never_yield_implausible_reports(
     events: list[tuple[int, float, float, float]],
 ) -> None:
     measurements = LocalMeasurements()
-    for kind, first, second, took_s in events:
+    for kind, first, second, duration_s in events:
         if kind == 0:
             measurements.request_received(1.0, 0, first, second)
         elif kind == 1:
-            measurements.prefill_finished(0, "s", first, took_s)
+            measurements.prefill_finished(0, "s", first, duration_s)
         else:
-            measurements.decode_finished(0, "s", first, second, took_s)
+            measurements.decode_finished(0, "s", first, second, duration_s)
     assert all(is_plausible(each) for each in measurements.demand(2.0).values())
     assert is_plausible(measurements.server_observation("s", 1e5, 200, 1.0, 0)) and is_plausible(
         measurements.server_observation("s", None, 200, 0.0, 0)
--- a/tests/decide/ratio/test_plan.py
+++ b/tests/decide/ratio/test_plan.py
@@ -1,4 +1,4 @@
-"""A site's changes of role: targets, and the rules that no plan may break."""
+"""Role planning for one site: targets, and the rules that no plan may break."""
 
 from math import inf
 
@@ -78,7 +78,7 @@
 
 
 def test_last_warm_server_of_a_role_never_changes() -> None:
-    """There are cold servers of the role, but only one that is warm: it stays whatever the demand."""
+    """A server that is the only warm one of its role does not change, though the role has a cold server."""
     prefill = [
         make_server("warm", "r0", "read"),
         make_server("cold", "r1", "read", warm=False),
@@ -95,11 +95,15 @@
 
 def test_capacity_that_covers_loss_of_largest_rack_stays() -> None:
     servers = make_site(4, 8)
-    covered = make_demand(24_000, 6_800)  # decode servers process 9,600, and 7,200 without a rack
+    covered = make_demand(
+        24_000, 6_800
+    )  # decode servers process 9,600 tokens per s, and 7,200 without a rack
     assert rack_loss_coverage(servers, "write", 6_800) > 1
     assert plan_site(servers, make_demand(26_000, 6_800), SETTINGS).moves == {}
     assert plan_site(servers, covered, SETTINGS).moves == {}
-    assert plan_site(servers, make_demand(40_000, 3_000), SETTINGS).moves  # prefill is far worse off
+    assert plan_site(
+        servers, make_demand(40_000, 3_000), SETTINGS
+    ).moves  # prefill covers much less of its demand
 
 
 def test_mix_that_ends_before_a_change_is_worthwhile_is_not_followed() -> None:
@@ -116,7 +120,7 @@
 
 
 def first_violation(max_examples: int = 150) -> str:
-    """The first violation over many sites; the same ones each time."""
+    """The first violation over many generated sites, or an empty string; the same sites in each call."""
     violations: list[str] = []
 
     @settings(max_examples=max_examples, deadline=None, derandomize=True, database=None)
@@ -133,20 +137,20 @@
     return True
 
 
-def no_hold_reason(*_: object) -> None:
+def no_blocking_reason(*_: object) -> None:
     return None
 
 
 def move_all_at_once(servers: list[ServerState], target: set[str], _: SiteDemand) -> dict[str, str]:
-    wanted = {
+    desired_roles = {
         server.name: "read" if server.name in target else "write"
         for server in servers
         if server.kind == "both"
     }
     return {
-        server.name: wanted[server.name]
+        server.name: desired_roles[server.name]
         for server in servers
-        if wanted.get(server.name, server.role) != server.role
+        if desired_roles.get(server.name, server.role) != server.role
     }
 
 
@@ -154,7 +158,7 @@
     ("name", "mutant"),
     [
         ("is_safe_move", every_move_is_safe),
-        ("hold_reason", no_hold_reason),
+        ("blocking_reason", no_blocking_reason),
         ("choose_moves", move_all_at_once),
     ],
 )
@@ -163,11 +167,11 @@
     assert first_violation() != ""
 
 
-def test_undecided_mixed_servers_are_decided_before_any_other_changes() -> None:
+def test_unassigned_mixed_servers_are_assigned_before_any_other_changes() -> None:
     servers = [*make_site(3, 3), *(make_server(f"u{n}", f"r{n}", "both") for n in range(4))]
     moves = plan_site(servers, make_demand(40_000, 5_000), SETTINGS).moves
     assert moves and all(name.startswith("u") for name in moves)
-    low_demand = plan_site(servers, make_demand(12_000, 1_500), SETTINGS)  # all are decided at once
+    low_demand = plan_site(servers, make_demand(12_000, 1_500), SETTINGS)  # all are assigned at once
     assert list(low_demand.moves.values()).count("read") == low_demand.prefill_target - 3
     assert len(low_demand.moves) == 4
     blocked = [make_server("x", "r0", "read", changing=True), *servers]
--- a/tests/decide/ratio/test_role_registry.py
+++ b/tests/decide/ratio/test_role_registry.py
@@ -1,4 +1,4 @@
-"""The registry of roles: accepted work in each phase of a change, whatever assignments are received."""
+"""The role registry: accepted work in each phase of a role change, precedence and decoding of assignments."""
 
 from collections.abc import Callable
 
@@ -18,8 +18,8 @@
 from ringledge.decide.ratio.settings import RatioConfig
 
 SETTINGS = RatioConfig()
-READ, WRITE = frozenset({"read"}), frozenset({"write"})
-BOTH = READ | WRITE
+PREFILL_WORK, DECODE_WORK = frozenset({"read"}), frozenset({"write"})
+ALL_WORK = PREFILL_WORK | DECODE_WORK
 Received = list[tuple[str, RoleAssignment]]
 TimedAssignments = list[tuple[str, RoleAssignment, float]]
 
@@ -41,20 +41,20 @@
     registry.receive(0.0, "a", RoleAssignment(1, 1, "read"))
     advanced = [phase for now_s in range(60) for server, phase in registry.tick(now_s) if server == "a"]
     assert advanced == [RolePhase.DRAINING, RolePhase.CHANGED, RolePhase.WARMING, RolePhase.STABLE]
-    assert registry.accepted_work() == {"a": READ, "b": WRITE}
+    assert registry.accepted_work() == {"a": PREFILL_WORK, "b": DECODE_WORK}
     registry.update_in_flight("a", prefills=3, streams=0)
     registry.receive(100.0, "a", RoleAssignment(1, 2, "write"))
     assert registry.entries["a"].accepted_work() == frozenset()
     for at in (101.0, 102.0, 103.0):
         registry.tick(at)
-    assert registry.entries["a"].phase is RolePhase.DRAINING  # its own prefills have not ended
+    assert registry.entries["a"].phase is RolePhase.DRAINING  # prefills of this conductor are in flight
     registry.update_in_flight("a", prefills=0, streams=0)
     registry.update_observation("a", waiting_entries=2, warmth=1.0)
     registry.tick(104.0)
-    assert registry.entries["a"].phase is RolePhase.DRAINING  # cache entries of another member wait there
+    assert registry.entries["a"].phase is RolePhase.DRAINING  # KV cache entries of another member wait there
     registry.update_observation("a", waiting_entries=0, warmth=1.0)
     registry.tick(105.0)
-    assert registry.entries["a"].accepted_work() == WRITE
+    assert registry.entries["a"].accepted_work() == DECODE_WORK
 
 
 def test_drain_timeout_ends_draining_while_streams_remain() -> None:
@@ -70,11 +70,11 @@
 def test_configured_kind_takes_precedence_over_assignment() -> None:
     registry = make_registry("a", kind="read")
     registry.receive(0.0, "a", RoleAssignment(1, 1, "write"))
-    assert registry.entries["a"].accepted_work() == READ
+    assert registry.entries["a"].accepted_work() == PREFILL_WORK
     registry.update_servers(5.0, {"a": "write"})
-    assert registry.entries["a"].accepted_work() == WRITE
-    registry.update_servers(6.0, {"a": "both"})  # now the assignment counts
-    assert registry.entries["a"].accepted_work() == WRITE
+    assert registry.entries["a"].accepted_work() == DECODE_WORK
+    registry.update_servers(6.0, {"a": "both"})  # the assignment applies to a mixed server
+    assert registry.entries["a"].accepted_work() == DECODE_WORK
     registry.update_servers(7.0, {})
     assert registry.accepted_work() == {}
 
@@ -85,20 +85,22 @@
     registry.tick(SETTINGS.propagation_s)
     assert registry.receive(
         2.0, "a", RoleAssignment(2, 1, "read")
-    )  # reissued: the change goes on where it is
+    )  # reissued: the change continues in its present phase
     assert (registry.entries["a"].phase, registry.entries["a"].requested_s) == (RolePhase.DRAINING, 0.0)
-    assert not registry.receive(3.0, "a", RoleAssignment(1, 8, "write"))  # a late one of the old planner
+    assert not registry.receive(
+        3.0, "a", RoleAssignment(1, 8, "write")
+    )  # a late assignment of the old planner
     assert not registry.receive(
         3.0, "b", RoleAssignment(1, 8, "write")
-    )  # also where the new one has assigned nothing yet
+    )  # also for a server without an assignment by the new planner
     assert (registry.entries["a"].role, registry.entries["b"].role, registry.rejected) == ("read", "both", 2)
     assert registry.receive(
         4.0, "a", RoleAssignment(3, 1, "write")
-    )  # reversed: nothing is added to its remaining work
-    assert registry.entries["a"].accepted_work() == WRITE & registry.entries["a"].previous_work
+    )  # reversed: no work beyond the previous work is accepted
+    assert registry.entries["a"].accepted_work() == DECODE_WORK & registry.entries["a"].previous_work
 
 
-def test_of_equal_plan_numbers_the_higher_token_wins_in_either_order() -> None:
+def test_higher_token_takes_precedence_in_either_order_of_receipt() -> None:
     for received in ([(3, "read"), (2, "write")], [(2, "write"), (3, "read")]):
         registry = make_registry("a", "b")
         for token, role in received:
@@ -112,16 +114,16 @@
     registry.receive(0.0, "b", RoleAssignment(1, 1, "write"))
     for at in range(10_000):
         registry.tick(float(at))
-    assert registry.accepted_work() == {"a": READ, "b": WRITE}
+    assert registry.accepted_work() == {"a": PREFILL_WORK, "b": DECODE_WORK}
 
 
 def converges(received: Received, order: list[int]) -> bool:
-    """Whether two conductors that receive the same assignments in two orders end with the same roles."""
+    """Whether two conductors that receive the same assignments in different orders have the same roles."""
     results = []
     for ordered in (received, [received[at] for at in order]):
         registry = make_registry("a", "b", "c")
         max_token = max(assignment.token for _, assignment in received)
-        # A new planner reissues all assignments in force, so each server has one of the highest token.
+        # A new planner reissues all assignments in force, so each server has one with the highest token.
         ordered = [*ordered, *((name, RoleAssignment(max_token, 9, "both")) for name in "abc")]
         for server, assignment in ordered:
             registry.receive(0.0, server, assignment)
@@ -156,14 +158,14 @@
 
 
 def always_accepted(received: TimedAssignments) -> bool:
-    """Whether at every moment some server accepts each role."""
+    """Whether each role is accepted by some server after every step."""
     registry, now_s = make_registry("a", "b", "c"), 0.0
     for server, assignment, wait_s in received:
         registry.receive(now_s, server, assignment)
         now_s += wait_s
         registry.tick(now_s)
         accepted = registry.accepted_work()
-        if not all(any(role in work for work in accepted.values()) for role in BOTH):
+        if not all(any(role in work for work in accepted.values()) for role in ALL_WORK):
             return False
     return True
 
@@ -220,24 +222,24 @@
 
 
 @given(ASSIGNMENT, st.text(min_size=1, max_size=30))
-def test_encoded_assignment_decodes_to_itself(row: RoleAssignment, server: str) -> None:
-    key, value = encode_assignment(server, row)
-    assert decode_assignment(key, value) == (server, row)
+def test_encoded_assignment_decodes_to_itself(assignment: RoleAssignment, server: str) -> None:
+    key, value = encode_assignment(server, assignment)
+    assert decode_assignment(key, value) == (server, assignment)
     assert len(key) + len(value) < 200
 
 
 @given(st.binary(max_size=80), st.sampled_from(["plan/a", "plan/", "demand/a", ""]))
-def test_malformed_record_is_no_assignment(value: bytes, key: str) -> None:
+def test_malformed_record_is_not_an_assignment(value: bytes, key: str) -> None:
     found = decode_assignment(key, value)
     assert found is None or (key == "plan/a" and found[1].role in ("read", "write", "both"))
 
 
-def test_out_of_range_figures_and_unknown_roles_are_no_assignment() -> None:
+def test_out_of_range_numbers_and_unknown_roles_are_rejected() -> None:
     assert decode_assignment(*encode_assignment("a", RoleAssignment(2**63, 1, "read"))) is None
     assert decode_assignment(*encode_assignment("a", RoleAssignment(1, -1, "read"))) is None
     assert decode_assignment(*encode_assignment("a", RoleAssignment(1, 1, "paint"))) is None
     records = dict(
         ((f"m{n}", "plan/a"), encode_assignment("a", RoleAssignment(n, 1, "read"))[1]) for n in (3, 1, 2)
     )
-    assert [row.token for _, row in decode_assignments(records)] == [1, 2, 3]
+    assert [assignment.token for _, assignment in decode_assignments(records)] == [1, 2, 3]
     assert supersedes(RoleAssignment(2, 1, "read"), RoleAssignment(1, 9, "write"))
--- a/tests/decide/ratio/test_simulation.py
+++ b/tests/decide/ratio/test_simulation.py
@@ -1,4 +1,4 @@
-"""The planner with simulated servers in virtual time: failover, partitions, many changes; and each step."""
+"""The role planner with simulated servers in virtual time; the steps of its service; its settings."""
 
 import re
 from collections.abc import Callable
@@ -23,17 +23,17 @@
 from ringledge.observe.logging import log
 
 SHAPES = ((1_000.0, 300.0), (4_000.0, 120.0))
-QUICK = RatioConfig(fast_s=2.0, slow_s=8.0, min_dwell_s=9.0, drain_timeout_s=3.0, warm_up_s=2.0)
+FAST_SETTINGS = RatioConfig(fast_s=2.0, slow_s=8.0, min_dwell_s=9.0, drain_timeout_s=3.0, warm_up_s=2.0)
 END_S = 240.0
 
 
 def mix(servers: int, every_s: float, now_s: float) -> tuple[float, float]:
-    """Requests per s and the fraction of long prompts; the mix oscillates."""
+    """Requests per s and the fraction of long prompts, which alternates between 0 and 1."""
     return (0.0 if now_s >= END_S else servers * (1.6 - 0.7 * (now_s // every_s % 2)), now_s // every_s % 2)
 
 
-class World:
-    """A simulation that records each change of a role in one registry."""
+class RoleChangeRecorder:
+    """A simulation that records the accepted assignments and the role changes of one registry."""
 
     def __init__(self, settings: RatioConfig, every_s: float, seed: int = 1) -> None:
         log.configure("error", "test")
@@ -45,7 +45,7 @@
         self.registry = self.simulation.conductors[-1].registry
         receive = self.registry.receive
 
-        def recorded_receive(now_s: float, server: str, assignment: RoleAssignment) -> bool:
+        def recording_receive(now_s: float, server: str, assignment: RoleAssignment) -> bool:
             role, known = self.registry.entries[server].role, server in self.registry.assignments
             accepted = receive(now_s, server, assignment)
             if accepted:
@@ -54,73 +54,73 @@
                     self.changes.append((server, now_s, assignment.role))
             return accepted
 
-        self.registry.receive = recorded_receive  # type: ignore[method-assign]
+        self.registry.receive = recording_receive  # type: ignore[method-assign]
 
     def violation(self) -> str:
-        """The first rule that was broken, once all is over."""
+        """The first rule that was broken in a finished simulation, or an empty string."""
         simulation = self.simulation
         if any(request.decode_sends > 1 for request in simulation.requests):
-            return "sent twice"
+            return "a request was sent twice"
         if any(not request.outcome for request in simulation.requests) or any(
             server.cache_entries for server in simulation.servers.values()
         ):
-            return "a request without an end, or a cache entry that is never released"
+            return "a request without an outcome, or a KV cache entry that was never released"
         if self.tokens != sorted(self.tokens):
-            return "tokens out of order"
-        late_s = 1.5  # records arrive up to a second and a tick apart
+            return "an assignment with an outdated token was accepted"
+        late_s = 1.5  # the delay of records varies by up to a second and a tick
         for server in {name for name, _, _ in self.changes}:
             times = [at_s for name, at_s, _ in self.changes if name == server]
             if any(
                 after - before < simulation.settings.min_dwell_s - late_s for before, after in pairwise(times)
             ):
-                return "within its minimum dwell time"
+                return "two role changes of a server within the minimum dwell time"
         return ""
 
 
 def test_no_request_is_lost_or_sent_twice_over_200_changes() -> None:
-    """One conductor receives no assignments for a while; the planner fails repeatedly during changes."""
+    """One conductor receives no assignments for 70 s, and the planner fails over three times."""
     changes = 0
     for seed in range(1, 9):
-        world = World(QUICK, 30.0, seed)
-        world.simulation.after(40.0, setattr, world.simulation.conductors[0], "receives_records", False)
-        world.simulation.after(110.0, setattr, world.simulation.conductors[0], "receives_records", True)
+        recorder = RoleChangeRecorder(FAST_SETTINGS, 30.0, seed)
+        recorder.simulation.after(40.0, setattr, recorder.simulation.conductors[0], "receives_records", False)
+        recorder.simulation.after(110.0, setattr, recorder.simulation.conductors[0], "receives_records", True)
         for at in (33.0, 64.0, 91.0):
-            world.simulation.after(at, world.planner.fail_over)
-        world.simulation.run_until(END_S + 60)
-        assert world.violation() == ""
-        assert len(set(world.tokens)) >= 4
-        changes += len(world.changes)
+            recorder.simulation.after(at, recorder.planner.fail_over)
+        recorder.simulation.run_until(END_S + 60)
+        assert recorder.violation() == ""
+        assert len(set(recorder.tokens)) >= 4
+        changes += len(recorder.changes)
         if changes >= 200:
             break
     assert changes >= 200
 
 
-def fail_over_after_each_plan(world: World) -> int:
-    """The planner fails before its last plan has reached all; returns the number of failures."""
+def fail_over_after_each_plan(recorder: RoleChangeRecorder) -> int:
+    """Let the planner fail over right after each of its plans; returns the number of failovers."""
     changes = failures = 0
     for at in range(4 * 5, 4 * int(END_S)):
-        world.simulation.run_until(at / 4)
-        if world.planner.changes > changes:
-            world.planner.fail_over()
-            changes, failures = world.planner.changes, failures + 1
-    world.simulation.run_until(END_S + 60)
+        recorder.simulation.run_until(at / 4)
+        if recorder.planner.changes > changes:
+            recorder.planner.fail_over()
+            changes, failures = recorder.planner.changes, failures + 1
+    recorder.simulation.run_until(END_S + 60)
     return failures
 
 
 def test_planner_failover_during_changes_breaks_no_rule() -> None:
-    world = World(QUICK, 40.0)
-    assert fail_over_after_each_plan(world) >= 3
-    assert world.changes and world.violation() == ""
+    recorder = RoleChangeRecorder(FAST_SETTINGS, 40.0)
+    assert fail_over_after_each_plan(recorder) >= 3
+    assert recorder.changes and recorder.violation() == ""
 
 
 def test_roles_and_service_persist_without_a_planner() -> None:
-    world = World(QUICK, 1_000.0)
-    world.simulation.run_until(60.0)
-    roles = {name: entry.role for name, entry in world.registry.entries.items()}
-    world.planner.service.stop()
-    world.simulation.run_until(END_S + 60)
-    assert roles == {name: entry.role for name, entry in world.registry.entries.items()}
-    assert world.simulation.served_value(60.0, END_S) > 0.9 and world.violation() == ""
+    recorder = RoleChangeRecorder(FAST_SETTINGS, 1_000.0)
+    recorder.simulation.run_until(60.0)
+    roles = {name: entry.role for name, entry in recorder.registry.entries.items()}
+    recorder.planner.service.stop()
+    recorder.simulation.run_until(END_S + 60)
+    assert roles == {name: entry.role for name, entry in recorder.registry.entries.items()}
+    assert recorder.simulation.served_value(60.0, END_S) > 0.9 and recorder.violation() == ""
 
 
 def without_min_dwell(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -135,13 +135,15 @@
 def reissued_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     reissue = planner_module.RolePlanner.reissued_assignments
     monkeypatch.setattr(
-        planner_module.RolePlanner, "reissued_assignments", lambda self, now_s: reissue(self, now_s + 100.0)
+        planner_module.RolePlanner,
+        "reissued_assignments",
+        lambda self, now_s: reissue(self, now_s + 100.0),
     )
 
 
 def without_fencing(monkeypatch: pytest.MonkeyPatch) -> None:
-    def receive(self: RoleRegistry, now_s: float, server: str, row: RoleAssignment) -> bool:
-        self.assignments[server] = row
+    def receive(self: RoleRegistry, now_s: float, server: str, assignment: RoleAssignment) -> bool:
+        self.assignments[server] = assignment
         return True
 
     monkeypatch.setattr(RoleRegistry, "receive", receive)
@@ -162,22 +164,22 @@
     monkeypatch: pytest.MonkeyPatch, mutant: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
     mutant(monkeypatch)
-    stay = RatioConfig(fast_s=2.0, slow_s=8.0, min_dwell_s=60.0, drain_timeout_s=3.0, warm_up_s=2.0)
-    world = World(stay if mutant is without_min_dwell else QUICK, 35.0)
-    fail_over_after_each_plan(world)
-    assert world.violation() != ""
+    long_dwell = RatioConfig(fast_s=2.0, slow_s=8.0, min_dwell_s=60.0, drain_timeout_s=3.0, warm_up_s=2.0)
+    recorder = RoleChangeRecorder(long_dwell if mutant is without_min_dwell else FAST_SETTINGS, 35.0)
+    fail_over_after_each_plan(recorder)
+    assert recorder.violation() != ""
 
 
 class RecordedAssignments:
-    """A record store and a fleet of servers that record what is published."""
+    """A record store and server list that collects the published assignments."""
 
     def __init__(self) -> None:
         self.published = list[tuple[str, RoleAssignment]]()
 
     def write(self, now_s: float, key: str, value: bytes) -> None:
-        row = decode_assignment(key, value)
-        assert row is not None
-        self.published.append(row)
+        assignment = decode_assignment(key, value)
+        assert assignment is not None
+        self.published.append(assignment)
 
     def delete(self, now_s: float, key: str) -> None:
         pass
@@ -192,29 +194,29 @@
         return {"m": "s"}
 
 
-def step(planner: RolePlannerService, token: int, still: Callable[[], bool]) -> None:
+def step(planner: RolePlannerService, token: int, is_lease_held: Callable[[], bool]) -> None:
     with pytest.raises(StopIteration):
-        planner.step(token, still).send(None)
+        planner.step(token, is_lease_held).send(None)
 
 
 def test_each_effect_checks_the_lease() -> None:
-    records, registry, lease = RecordedAssignments(), RoleRegistry(QUICK), iter([True, True, False])
+    records, registry, lease = RecordedAssignments(), RoleRegistry(FAST_SETTINGS), iter([True, True, False])
     registry.update_servers(0.0, {each.name: "both" for each in spread_over_racks(records.servers())})
     for at in range(4):
         registry.receive(0.0, f"b{at}", RoleAssignment(1, 3, "read" if at < 2 else "write"))
     for at in range(20):
         registry.tick(float(at))
     clock = [20.0]
-    planner = RolePlannerService(QUICK, records, records, registry, lambda: clock[0])
+    planner = RolePlannerService(FAST_SETTINGS, records, records, registry, lambda: clock[0])
     planner.begin(7)
     step(planner, 7, lambda: True)
-    assert not records.published  # the last assignments of the predecessor may still be on their way
-    clock[0] += 2 * QUICK.propagation_s
+    assert not records.published  # the last assignments of the predecessor may not have arrived yet
+    clock[0] += 2 * FAST_SETTINGS.propagation_s
     step(planner, 7, lambda: next(lease))
-    assert [row.token for _, row in records.published] == [7, 7]
+    assert [assignment.token for _, assignment in records.published] == [7, 7]
     step(planner, 7, lambda: True)
     assert sorted(name for name, _ in records.published) == ["b0", "b1", "b2", "b3"]
-    assert planner.malformed == 4 and not registry.changing_servers()  # reissued assignments change nothing
+    assert planner.malformed == 4 and not registry.changing_servers()  # reissued assignments change no role
     step(planner, 6, lambda: True)
     planner.stop()
     step(planner, 7, lambda: True)
