--- a/ringledge/decide/replay/__init__.py
+++ b/ringledge/decide/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay of queued requests: fair scheduling, rate control and capacity loans."""
+"""Replay of queued requests: fair scheduling, rate control, capacity loans and partition detection."""
--- a/ringledge/decide/replay/capacity_estimate.py
+++ b/ringledge/decide/replay/capacity_estimate.py
@@ -1,4 +1,4 @@
-"""The fleet's capacity and its live traffic, from the records of all members; free of I/O and clocks."""
+"""Estimates the fleet's capacity and live demand from all members' records; free of I/O and clocks."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 T = TypeVar("T", bound=msgspec.Struct)
 
 
-def decode_records(values: Mapping[tuple[str, str], bytes], kind: type[T]) -> dict[tuple[str, str], T]:
-    """Records of one type, by writer and key; malformed ones are left out."""
+def decode_records(values: Mapping[tuple[str, str], bytes], record_type: type[T]) -> dict[tuple[str, str], T]:
+    """Decode records of one type, by writer and key; malformed records are skipped."""
     records = dict[tuple[str, str], T]()
     for writer_and_key, value in values.items():
         try:
-            records[writer_and_key] = msgspec.msgpack.decode(value, type=kind)
+            records[writer_and_key] = msgspec.msgpack.decode(value, type=record_type)
         except msgspec.DecodeError:
             continue
     return records
@@ -32,24 +32,26 @@
 ) -> Capacity:
     """Capacity and live demand of the fleet.
 
-    Of a server the median of all observations counts; demand is summed, as each member sees other requests.
+    A server's rate is the median of all observations. Demand is summed, as members see different requests.
     """
     by_server = defaultdict[str, list[ServerObservation]](list)
     for (_, key), observation in observations.items():
         by_server[key].append(observation)
     return Capacity(
         prefill_capacity=sum(
-            _median_of_known([row.prefill_rate * row.warmth for row in rows]) for rows in by_server.values()
+            _median_of_known([report.prefill_rate * report.warmth for report in reports])
+            for reports in by_server.values()
         ),
         decode_capacity=sum(
-            _median_of_known([row.decode_rate * row.warmth for row in rows]) for rows in by_server.values()
+            _median_of_known([report.decode_rate * report.warmth for report in reports])
+            for reports in by_server.values()
         ),
-        prefill_demand=sum(row.prefill_tokens for row in demand.values()),
-        decode_demand=sum(row.decode_tokens for row in demand.values()),
+        prefill_demand=sum(class_demand.prefill_tokens for class_demand in demand.values()),
+        decode_demand=sum(class_demand.decode_tokens for class_demand in demand.values()),
     )
 
 
 def _median_of_known(rates: list[float]) -> float:
-    """The median of the rates over 0; 0 where none is known."""
+    """The median of the known rates (above 0); 0 if none is known."""
     known = [rate for rate in rates if rate > 0]
     return median(known) if known else 0.0
--- a/ringledge/decide/replay/partition_detection.py
+++ b/ringledge/decide/replay/partition_detection.py
@@ -1,11 +1,10 @@
-"""Detects when a site is partitioned or saturated, as its conductors see it.
+"""Detects that a site is partitioned or saturated, as seen by its conductors.
 
-Partitioned: they reach no prefill or no decode server; saturated: none that has capacity. Free of I/O and
-clocks; times in s.
-
-Each conductor observes the servers and publishes its own state to the others of its site; the site counts as
-partitioned only where all that have reported say so. The state is entered soon, so that requests are queued;
-it is left only after a response from a server, for a recorded failure that merely expired proves nothing.
+A site is partitioned if its conductors reach no prefill or no decode server, and saturated if they reach none
+that has capacity. Each conductor observes the servers and publishes its own state to the others of its site.
+The site is considered partitioned only if all conductors that have reported say so. The state is entered
+quickly, so that requests are queued. It is left only after a response from a server, since the expiry of a
+recorded failure does not prove that the server is reachable. Free of I/O and clocks; times in s.
 """
 
 from __future__ import annotations
@@ -17,21 +16,21 @@
 
 import msgspec
 
-PARTITIONED_AFTER_S = 0.5  # without servers: a first server list and a connect time-out take less
-SATURATED_AFTER_S = 2.0  # without capacity: a jam of a second is what rejections are for
-SATURATED_REJECTIONS = 3  # in a row, none served: one rejection may be the request's own (its time, its size)
-AVAILABLE_AFTER_S = 2.0  # with servers and capacity: a link that is up for a moment changes nothing
-PEER_STATE_TTL_S = 5.0  # after which another conductor's state expires
+PARTITIONED_AFTER_S = 0.5  # time without servers; a first server list or a connect timeout takes less
+SATURATED_AFTER_S = 2.0  # time without capacity; shorter congestion is handled by rejections
+SATURATED_REJECTIONS = 3  # consecutive; a single one may be due to the request's deadline or size
+AVAILABLE_AFTER_S = 2.0  # time with servers and capacity; a momentary recovery of the link has no effect
+PEER_STATE_TTL_S = 5.0  # time until another conductor's reported state expires
 
 
 class SiteReachability(msgspec.Struct, array_like=True, frozen=True):
-    """The state of a site as one conductor reports it (key reach/SITE)."""
+    """Record of a site's state as reported by one conductor (key reach/SITE)."""
 
     state: int  # a value of `SiteState`
 
 
 class SiteState(Enum):
-    """Whether a site can serve live requests; lower values are better."""
+    """Whether a site can serve live requests; a lower value is a better state."""
 
     AVAILABLE = 0
     SATURATED = 1
@@ -48,23 +47,23 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerReachability:
-    """One server as a conductor sees it at a moment."""
+    """One server as a conductor sees it now."""
 
     does_prefill: bool
     does_decode: bool
-    reachable: bool  # listed as up, and connections succeed
-    has_capacity: bool  # it may get a new request
+    reachable: bool  # listed as up, and connections to it succeed
+    has_capacity: bool  # it may be sent a new request
     last_response_s: float  # -inf: never
 
 
 @dataclass(slots=True)
 class _ConditionTimer:
-    """For how long a condition has held without interruption."""
+    """Measures for how long a condition has held without interruption."""
 
     since_s: float = inf
 
     def update(self, now_s: float, holds: bool) -> float:
-        """The time for which the condition has held, in s; 0 where it does not hold."""
+        """The time (s) for which the condition has held; 0 if it does not hold."""
         if not holds:
             self.since_s = inf
             return 0.0
@@ -73,7 +72,7 @@
 
 
 class PartitionDetector:
-    """One conductor's view of its site."""
+    """Determines the state of a conductor's site."""
 
     def __init__(self) -> None:
         self.own_state = SiteState.AVAILABLE
@@ -81,21 +80,21 @@
         self._unreachable = _ConditionTimer()
         self._without_capacity = _ConditionTimer()
         self._available = _ConditionTimer()
-        self._rejections = 0  # since a request was served
-        self._served_s = -inf
-        self._peer_states: dict[str, tuple[float, SiteState]] = {}  # by name: received at, state
+        self._consecutive_rejections = 0  # since the last served request
+        self._last_served_s = -inf
+        self._peer_states: dict[str, tuple[float, SiteState]] = {}  # by name: time of receipt, state
 
     def record_rejected(self) -> None:
-        """A request was rejected, or failed before any response."""
-        self._rejections += 1
+        """Record a request that was rejected, or that failed before any response."""
+        self._consecutive_rejections += 1
 
     def record_served(self, now_s: float) -> None:
-        """A response has begun: there are a prefill and a decode server with capacity."""
-        self._rejections = 0
-        self._served_s = now_s
+        """Record the start of a response, which proves that both roles have a server with capacity."""
+        self._consecutive_rejections = 0
+        self._last_served_s = now_s
 
     def receive(self, now_s: float, reports: Iterable[tuple[str, SiteReachability]]) -> None:
-        """Set the present reports of the site's other conductors by name; unknown states are ignored."""
+        """Replace the reports of the site's other conductors, by name; unknown states are ignored."""
         self._peer_states = {
             name: (now_s, SiteState(report.state))
             for name, report in reports
@@ -103,13 +102,15 @@
         }
 
     def update(self, now_s: float, servers: Iterable[ServerReachability]) -> SiteState:
-        """Process the present view of the servers; returns the site's state."""
+        """Process the present observations of the servers; returns the site's state."""
         servers = list(servers)
         reachable = [server for server in servers if server.reachable]
         with_capacity = [server for server in reachable if server.has_capacity]
-        last_response_s = max([self._served_s, *(server.last_response_s for server in servers)])
+        last_response_s = max([self._last_served_s, *(server.last_response_s for server in servers)])
         is_partitioned = not _has_both_roles(reachable)
-        is_saturated = not _has_both_roles(with_capacity) or self._rejections >= SATURATED_REJECTIONS
+        is_saturated = (
+            not _has_both_roles(with_capacity) or self._consecutive_rejections >= SATURATED_REJECTIONS
+        )
         is_available = not is_partitioned and not is_saturated and last_response_s > self.changed_s
         unreachable_s = self._unreachable.update(now_s, is_partitioned)
         without_capacity_s = self._without_capacity.update(now_s, is_saturated)
@@ -123,14 +124,14 @@
         return self.state(now_s)
 
     def state(self, now_s: float) -> SiteState:
-        """The site's state: the best that any of its conductors reports."""
+        """The site's state: the best state that any of its conductors reports."""
         peer_states = [
             state for received_s, state in self._peer_states.values() if now_s - received_s < PEER_STATE_TTL_S
         ]
         return min([self.own_state, *peer_states], key=lambda state: state.value)
 
     def record(self) -> SiteReachability:
-        """The record of this conductor's own state."""
+        """The record to publish: this conductor's own state."""
         return SiteReachability(self.own_state.value)
 
     def _change_state(self, now_s: float, state: SiteState) -> None:
@@ -139,7 +140,7 @@
         self.own_state = state
         self.changed_s = now_s
         if state is SiteState.AVAILABLE:
-            self._rejections = 0
+            self._consecutive_rejections = 0
 
 
 def _has_both_roles(servers: list[ServerReachability]) -> bool:
--- a/ringledge/decide/replay/rate_control.py
+++ b/ringledge/decide/replay/rate_control.py
@@ -1,8 +1,8 @@
-"""How fast queued work is sent: additive increase while it is served, multiplicative decrease at a rejection.
+"""Rate control of replay: additive increase while entries are served, multiplicative decrease on rejection.
 
 AIMD (Chiu and Jain 1989) on tokens per s. The ceiling is this site's share of the capacity that live traffic
-leaves over. After a partition all begins at a low rate and at a random time, so that sites that recover
-together don't send in step. Free of I/O and clocks; times in s.
+does not use. After a partition, replay starts at a low rate and after a random delay, so that sites that
+recover together do not send at the same time. Free of I/O and clocks; times in s.
 """
 
 from __future__ import annotations
@@ -13,39 +13,42 @@
 
 from ringledge.structures.token_bucket import TokenBucket
 
-INITIAL_FRACTION = 1 / 16  # of the ceiling at the start: a sixteenth of it is noise for live traffic
-INITIAL_RATE = 500.0  # tokens per s at the start where no ceiling is known: one short request a second
-RAMP_UP_S = 20.0  # from nothing to the ceiling: servers that were idle or restarted warm up in 13 s or so
-RATE_INCREASE = 250.0  # tokens per s gained each s where no ceiling is known
-DECREASE_FACTOR = 0.5  # of the rate after a rejection
-DECREASE_INTERVAL_S = 1.0  # rejections within it have one cause: they were sent at the old rate
-BACKOFF_S = 0.5  # nothing is sent for so long after a rejection
-JITTER_S = 1.0  # after a partition the first entry is sent within so long
-PROBE_INTERVAL_S = 3.0  # between attempts to send while the site is partitioned
-MIN_ROLE_FRACTION = 0.02  # of either role in the work: without any of one its capacity would seem endless
-BUCKET_DEPTH_S = 0.25  # of the rate that may be saved up: a burst no longer than live traffic's own
+INITIAL_FRACTION = 1 / 16  # initial rate relative to the ceiling: small enough to be noise for live traffic
+# Initial rate without a known ceiling, and its upper bound with one: about one short request per second.
+INITIAL_TOKENS_PER_S = 500.0
+RAMP_UP_S = 20.0  # time from 0 to the ceiling: idle or restarted servers take about 13 s to warm up
+RATE_INCREASE_PER_S = 250.0  # increase per second of the rate in tokens per s, without a known ceiling
+DECREASE_FACTOR = 0.5  # applied to the rate after a rejection
+DECREASE_INTERVAL_S = 1.0  # rejections within this time have the same cause: entries sent at the old rate
+BACKOFF_S = 0.5  # pause after a rejection
+JITTER_S = 1.0  # largest random delay of the first entry after a partition
+PROBE_INTERVAL_S = 3.0  # time between probes while the site is partitioned or saturated
+MIN_ROLE_FRACTION = (
+    0.02  # lower bound for a role's fraction of the work, else its spare capacity is unbounded
+)
+BUCKET_DEPTH_S = 0.25  # depth of the token bucket: bursts are no longer than those of live traffic
 
 
 @dataclass(slots=True, frozen=True)
 class Capacity:
-    """The fleet's capacity and live demand at a moment, in tokens per s; a capacity of 0 is unknown."""
+    """The fleet's present capacity and live demand, in tokens per s; a capacity of 0 is unknown."""
 
-    prefill_capacity: float  # of warm servers together
+    prefill_capacity: float  # sum over servers, scaled by their warmth
     decode_capacity: float
     prefill_demand: float  # of live traffic
     decode_demand: float
 
     def decode_fraction(self) -> float:
-        """The fraction of live work that is decode; half without live work."""
+        """The fraction of the live demand that is decode; 0.5 without live demand."""
         demand = self.prefill_demand + self.decode_demand
         return self.decode_demand / demand if demand > 0 else 0.5
 
 
 def spare_capacity(capacity: Capacity, reserve: float, decode_fraction: float) -> float | None:
-    """Tokens per s that live traffic leaves over after a reserve; None where a capacity is unknown.
+    """Tokens per s that are available besides live traffic and a reserve; None if a capacity is unknown.
 
-    `reserve`: fraction of the capacity that is not used. `decode_fraction`: of the queued work, the rest is
-    prefill; the scarcer role bounds the sum.
+    `reserve`: fraction of the capacity that is kept free. `decode_fraction`: fraction of the queued work that
+    is decode, the rest being prefill. The result is limited by the scarcer role.
     """
     if capacity.prefill_capacity <= 0 or capacity.decode_capacity <= 0:
         return None
@@ -57,7 +60,7 @@
 
 
 class RateController:
-    """The rate at which one site's queue is replayed, in tokens per s."""
+    """Controls the rate at which one site's queue is replayed, in tokens per s."""
 
     def __init__(self, rng: random.Random, jitter_s: float = JITTER_S) -> None:
         self._rng = rng
@@ -71,12 +74,12 @@
         self._decreased_s = -inf
         self._increased_s = -inf
         self._last_sent_s = -inf
-        # For how long the work sent has used the rate, as far as it has not increased it: a site that has
-        # little to send must not reach a rate that it never tried.
-        self._used_s = 0.0
+        # Time for which the rate was used by sent work and has not been increased for. A site with little to
+        # send must not reach a rate that it never used.
+        self._rate_used_s = 0.0
 
     def open(self, now_s: float) -> None:
-        """Begin to send: the site reaches servers with capacity again."""
+        """Start sending: the site reaches servers with capacity."""
         if self._is_open:
             return
         self._is_open = True
@@ -84,15 +87,15 @@
         self._not_before_s = now_s + self._rng.uniform(0.0, self._jitter_s)
         self._bucket = TokenBucket(0.0, now_s * 1000)
         self._increased_s = now_s
-        self._used_s = 0.0
+        self._rate_used_s = 0.0
 
     def close(self) -> None:
-        """Stop sending: the site is partitioned or saturated, and its rate is unknown when it recovers."""
+        """Stop sending: the site is partitioned or saturated, and the rate after its recovery is unknown."""
         self._is_open = False
         self.rate = 0.0
 
     def set_ceiling(self, now_s: float, ceiling: float | None) -> None:
-        """Set the maximum rate; a lower one holds at once, toward a higher one the rate increases."""
+        """Set the maximum rate; the rate is lowered to it at once, or increases toward it over time."""
         if self.ceiling == 0.0 and ceiling and self._is_open:
             self.rate = 0.0
         self.ceiling = ceiling
@@ -103,45 +106,45 @@
             self._increased_s = now_s
 
     def may_send(self, now_s: float) -> bool:
-        """Whether an entry may be sent now; an overdrawn bucket is refilled first."""
+        """Whether an entry may be sent now; not while the token bucket is overdrawn."""
         if not self._is_open or now_s < self._not_before_s or self.rate <= 0:
             return False
         return self._bucket_level(now_s) > 0
 
     def may_probe(self, now_s: float) -> bool:
-        """Whether one entry may be sent while the site is partitioned."""
+        """Whether a probe may be sent while the site is partitioned or saturated."""
         return now_s - self._last_sent_s >= PROBE_INTERVAL_S
 
     def record_sent(self, now_s: float, work: float) -> None:
-        """An entry was sent; `work` in tokens."""
+        """Record that an entry with this work (in tokens) was sent."""
         self._last_sent_s = now_s
         self._bucket.consume(work)
         if self.rate > 0:
-            self._used_s += work / self.rate
+            self._rate_used_s += work / self.rate
 
     def record_served(self, now_s: float) -> None:
-        """An entry was served: the rate increases with time, as far as it was used."""
+        """Record a served entry; increases the rate for the elapsed time in which the rate was used."""
         if not self._is_open or now_s - self._decreased_s < DECREASE_INTERVAL_S:
             return
-        increase = RATE_INCREASE if self.ceiling is None else self.ceiling / RAMP_UP_S
-        elapsed_s = max(0.0, min(now_s - self._increased_s, self._used_s))
+        increase = RATE_INCREASE_PER_S if self.ceiling is None else self.ceiling / RAMP_UP_S
+        elapsed_s = max(0.0, min(now_s - self._increased_s, self._rate_used_s))
         self._increased_s = now_s
-        self._used_s -= elapsed_s
+        self._rate_used_s -= elapsed_s
         self.rate = min(self.rate + increase * elapsed_s, inf if self.ceiling is None else self.ceiling)
 
     def record_rejected(self, now_s: float) -> None:
-        """An entry was rejected or failed: the rate is halved, once for all that one cause brings."""
+        """Record a rejected or failed entry; halves the rate, once per `DECREASE_INTERVAL_S`."""
         self._not_before_s = max(self._not_before_s, now_s + BACKOFF_S)
         if now_s - self._decreased_s < DECREASE_INTERVAL_S:
             return
         self._decreased_s = now_s
         self._increased_s = now_s
-        self._used_s = 0.0
+        self._rate_used_s = 0.0
         self.rate = max(self.rate * DECREASE_FACTOR, self._initial_rate() * DECREASE_FACTOR)
         self.decreases += 1
 
     def next_send_s(self, now_s: float) -> float:
-        """The earliest time at which an entry may be sent if nothing changes; inf: none."""
+        """The earliest time at which an entry may be sent if nothing changes; inf if there is none."""
         if not self._is_open or self.rate <= 0:
             return inf
         return max(self._not_before_s, now_s + max(0.0, -self._bucket_level(now_s)) / self.rate)
@@ -150,4 +153,8 @@
         return self._bucket.refill(now_s * 1000, self.rate / 1000, self.rate * BUCKET_DEPTH_S)
 
     def _initial_rate(self) -> float:
-        return INITIAL_RATE if self.ceiling is None else min(INITIAL_RATE, self.ceiling * INITIAL_FRACTION)
+        return (
+            INITIAL_TOKENS_PER_S
+            if self.ceiling is None
+            else min(INITIAL_TOKENS_PER_S, self.ceiling * INITIAL_FRACTION)
+        )
--- a/ringledge/decide/replay/scheduler.py
+++ b/ringledge/decide/replay/scheduler.py
@@ -1,12 +1,12 @@
-"""Which queued request is sent next, and when: fair in work among tenants, within the spare capacity.
+"""Chooses which queue entry is sent next, and when; free of I/O and clocks; times in s, work in tokens.
 
-Among tenants: start-time fair queuing (Goyal, Vin, Cheng 1996) on tokens, by weight; within one by age. A
-tenant that becomes backlogged late starts at the present virtual time, so capacity that it did not use before
-is no claim on the rest; a tenant pays for the work that its requests took, not for their number. So there is
-no starvation: between two requests of one tenant each other one gets a bounded amount of work.
+Order: start-time fair queuing (Goyal, Vin, Cheng 1996) among tenants, by weight and tokens; by age within a
+tenant. A tenant that becomes backlogged starts at the present virtual time, so capacity that it did not use
+before gives it no claim. A tenant is charged for the work of its requests, not for their number. No tenant
+starves: between two requests of one tenant, each other tenant gets a bounded amount of work.
 
-In time: a token bucket fills at the rate of `rate_control.py`, and an entry is sent when it is not empty; an
-entry may overdraw it, so the largest is sent too. Free of I/O and clocks; times in s, work in tokens.
+Time: a token bucket is refilled at the rate of `rate_control.py`, and an entry is sent when the bucket is not
+empty. An entry may overdraw the bucket, so that entries larger than its depth are sent too.
 """
 
 from __future__ import annotations
@@ -18,29 +18,30 @@
 
 from ringledge.decide.replay.rate_control import RateController
 
-MIX_RETENTION = 0.95  # factor on the mix at each entry served: the last twenty determine it
-INITIAL_MIX_TOKENS = 2_000.0  # tokens with which the mix of live traffic counts: a request or two
-MAX_WORK = 2_000_000.0  # tokens of one entry: a larger figure is implausible, and would stop its tenant
+MIX_DECAY_FACTOR = 0.95  # decay of the recent work per served entry: about the last twenty entries count
+LIVE_MIX_WEIGHT_TOKENS = 2_000.0  # weight of the mix of live traffic: as much as a request or two
+# Limit for one entry: a larger estimate is implausible, and would block its tenant for a long time.
+MAX_WORK_TOKENS = 2_000_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class QueueHead:
-    """One waiting entry as far as the scheduler has to know it."""
+    """A waiting queue entry, with the fields that the scheduler needs."""
 
     name: str
     tenant: str
-    work: float  # estimated tokens to prefill and decode
-    created_s: float  # Unix seconds; only compared with others
-    idempotent: bool  # it may run twice
+    work: float  # estimated number of tokens to prefill and decode
+    created_s: float  # Unix time; only compared with that of other entries
+    idempotent: bool  # the request may run more than once
 
 
 class SendOutcome(Enum):
-    """The outcome of sending one entry."""
+    """Outcome of sending one entry."""
 
     SERVED = "served"
-    REJECTED = "refused"  # it did not run: there was no capacity
+    REJECTED = "refused"  # not run, for lack of capacity
     FAILED = "failed"  # it may have run
-    NOT_SENT = "withheld"  # expired, withdrawn by its client, or the lease was lost
+    NOT_SENT = "withheld"  # expired, withdrawn by the client, or the replay lease was lost
 
 
 @dataclass(slots=True)
@@ -53,36 +54,36 @@
     """Start-time fair queuing over tenants."""
 
     def __init__(self, weights: Mapping[str, float]) -> None:
-        """`weights`: of tenants whose weight is not 1."""
+        """`weights` by tenant; a tenant without an entry has a weight of 1."""
         self._weights = weights
-        self._start_tags: dict[str, float] = {}  # of each tenant's next entry, in virtual time
-        self._virtual_time = 0.0  # the start tag of the last entry sent
+        self._start_tags: dict[str, float] = {}  # by tenant: virtual start time of its next entry
+        self._virtual_time = 0.0  # largest start tag of an entry that was sent
 
     def select(self, heads: Iterable[QueueHead]) -> QueueHead | None:
-        """The waiting entry with the smallest start tag; None where none waits."""
+        """The waiting entry with the smallest start tag; None if there is none."""
         oldest: dict[str, QueueHead] = {}
         for head in heads:
-            known = oldest.setdefault(head.tenant, head)
-            if (head.created_s, head.name) < (known.created_s, known.name):
+            oldest_head = oldest.setdefault(head.tenant, head)
+            if (head.created_s, head.name) < (oldest_head.created_s, oldest_head.name):
                 oldest[head.tenant] = head
         if not oldest:
             return None
         return min(oldest.values(), key=lambda head: (self._start_tag(head), head.created_s, head.name))
 
     def charge(self, head: QueueHead, work: float) -> None:
-        """An entry is sent: its tenant's next start tag is later by its work over its weight."""
+        """Advance the start tag of the tenant of an entry that is sent, by the work divided by its weight."""
         start_tag = self._start_tag(head)
         self._virtual_time = max(self._virtual_time, start_tag)
         self._start_tags[head.tenant] = start_tag + work / self._weight(head.tenant)
 
     def settle(self, tenant: str, additional_work: float) -> None:
-        """Correct the charge by the work that was really done; never to before the present virtual time."""
+        """Correct a charge by the actual work; the start tag stays at or after the present virtual time."""
         current = self._start_tags.get(tenant, self._virtual_time)
         start_tag = current + additional_work / self._weight(tenant)
         self._start_tags[tenant] = max(self._virtual_time, start_tag)
 
     def remove_idle(self, waiting_tenants: Iterable[str]) -> None:
-        """Remove tenants with nothing waiting whose start tag has passed: they start at the present again."""
+        """Remove tenants with nothing waiting whose start tag has passed; they need no tag."""
         waiting = set(waiting_tenants)
         self._start_tags = {
             tenant: start_tag
@@ -98,45 +99,45 @@
 
 
 class ReplayScheduler:
-    """Chooses what is sent next of one site's queue, for the holder of its replay lease."""
+    """Schedules the queue entries of one site, for the holder of its replay lease."""
 
     def __init__(
         self, rate_controller: RateController, max_in_flight: int, weights: Mapping[str, float] | None = None
     ) -> None:
-        """`weights`: of tenants whose weight is not 1."""
+        """`weights` by tenant; a tenant without an entry has a weight of 1."""
         self.rate_controller = rate_controller
         self._max_in_flight = max_in_flight
         self._fair_queue = StartTimeFairQueue(weights or {})
         self.in_flight: dict[str, _InFlightEntry] = {}  # by name
         self.served_work_by_tenant = defaultdict[str, float](float)
         self.served_work = 0.0
-        # Recent work served, with exponential decay.
+        # Exponentially decaying sums of the served work.
         self._recent_prefill = 0.0
         self._recent_decode = 0.0
 
     @property
     def in_flight_count(self) -> int:
-        """Entries sent without an outcome yet."""
+        """The number of entries that were sent and have no outcome yet."""
         return len(self.in_flight)
 
     def decode_fraction(self, live_fraction: float) -> float:
-        """The fraction of recent work that is decode; of little work, toward that of live traffic."""
+        """The fraction of recent work that is decode; close to that of live traffic for little work."""
         recent = self._recent_prefill + self._recent_decode
-        decode = self._recent_decode + INITIAL_MIX_TOKENS * live_fraction
-        return decode / (recent + INITIAL_MIX_TOKENS)
+        decode = self._recent_decode + LIVE_MIX_WEIGHT_TOKENS * live_fraction
+        return decode / (recent + LIVE_MIX_WEIGHT_TOKENS)
 
     def choose_next(
         self, now_s: float, heads: Iterable[QueueHead], probing: bool = False
     ) -> QueueHead | None:
-        """The entry to send now; None: none yet. It counts as in flight until `record_outcome`.
+        """The entry to send now, or None. An entry is in flight until its `record_outcome`.
 
-        `probing`: the site is partitioned or saturated, and a single entry may be sent as a probe.
+        `probing` is True if the site is partitioned or saturated, so that only a single probe may be sent.
         """
         waiting = [head for head in heads if head.name not in self.in_flight]
         self._fair_queue.remove_idle(head.tenant for head in waiting)
         if not waiting or not self._may_send(now_s, probing):
             return None
-        # A probe had better be idempotent: a booking that is cut off midway ends as unknown.
+        # Idempotent entries are preferred as probes: an interrupted booking has an unknown outcome.
         idempotent = [head for head in waiting if head.idempotent] if probing else []
         head = self._fair_queue.select(idempotent or waiting)
         assert head is not None
@@ -159,9 +160,9 @@
         work: float | None = None,
         decode_work: float = 0.0,
     ) -> None:
-        """Record the outcome of a chosen entry; an unknown name is ignored.
+        """Record the outcome of an entry in flight; an unknown name is ignored.
 
-        `work`: the tokens that it took, where they are known; `decode_work`: those of them that were decoded.
+        `work`: number of tokens processed, None if unknown; `decode_work`: number of those that were decoded.
         """
         entry = self.in_flight.pop(name, None)
         if entry is None:
@@ -177,15 +178,15 @@
             case SendOutcome.REJECTED | SendOutcome.FAILED:
                 self.rate_controller.record_rejected(now_s)
         if outcome in (SendOutcome.REJECTED, SendOutcome.NOT_SENT):
-            actual_work = 0.0  # no server worked for it
+            actual_work = 0.0  # no server has processed it
         self._fair_queue.settle(entry.head.tenant, actual_work - entry.charged_work)
 
     def _update_mix(self, work: float, decode_work: float) -> None:
         prefill_work = max(0.0, work - decode_work)
-        self._recent_prefill = self._recent_prefill * MIX_RETENTION + prefill_work
-        self._recent_decode = self._recent_decode * MIX_RETENTION + min(work, decode_work)
+        self._recent_prefill = self._recent_prefill * MIX_DECAY_FACTOR + prefill_work
+        self._recent_decode = self._recent_decode * MIX_DECAY_FACTOR + min(work, decode_work)
 
 
 def bounded_work(work: float) -> float:
-    """The work of one entry within plausible bounds, in tokens."""
-    return min(max(1.0, work), MAX_WORK)
+    """The work of one entry, limited to plausible values."""
+    return min(max(1.0, work), MAX_WORK_TOKENS)
--- a/tests/decide/replay/test_capacity_loans.py
+++ b/tests/decide/replay/test_capacity_loans.py
@@ -1,4 +1,4 @@
-"""Loans of spare capacity: fractions never add up to more than 1, whatever happens to messages and clocks."""
+"""Loans of spare capacity: the available fractions never add up to more than 1."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 WEIGHTS = {"a": 1.0, "b": 1.0, "c": 2.0}
 
 
-class World:
+class LoanSimulation:
     """Sites with clocks of different rates, whose records arrive late, out of order, or never."""
 
     def __init__(self, seed: int, loss: float, wait_for_loans: bool = True) -> None:
@@ -44,7 +44,7 @@
         self, demands: dict[str, float], restart: str | None = None, wait_for_loans: bool = True
     ) -> None:
         self.at_s += 0.5
-        if restart:  # another member holds the site's lease from now on, with its own clock
+        if restart:  # the lease moves to another member, which has its own clock
             self.tokens[restart] += 1
             self.offsets[restart] += self.rng.uniform(0, 1e4)
             self.sites[restart] = CapacityLoans(restart, WEIGHTS, self.tokens[restart], self.now(restart))
@@ -52,21 +52,25 @@
                 self.sites[restart]._lending_from_s = -1e9
         for site, loans in self.sites.items():
             loans.update_demand(self.now(site), demands.get(site, 0.0))
-            for key, row in loans.records().items():
-                for to in WEIGHTS:
-                    if to != site and self.rng.random() > self.loss:
-                        self.in_transit.append((self.at_s + self.rng.expovariate(1.0), to, key, row))
+            for key, record in loans.records().items():
+                for recipient in WEIGHTS:
+                    if recipient != site and self.rng.random() > self.loss:
+                        self.in_transit.append(
+                            (self.at_s + self.rng.expovariate(1.0), recipient, key, record)
+                        )
         due = [each for each in self.in_transit if each[0] <= self.at_s]
         self.in_transit = [each for each in self.in_transit if each[0] > self.at_s]
-        for _, to, key, row in due:  # in any order: an older one may come after a newer
-            self.received[to][key] = row
+        for _, recipient, key, record in due:  # in any order: an older record may arrive after a newer one
+            self.received[recipient][key] = record
         for site, loans in self.sites.items():
-            told = self.received[site]
-            requests = {key[5:]: row for key, row in told.items() if isinstance(row, LoanRequest)}
+            received = self.received[site]
+            requests = {
+                key[5:]: record for key, record in received.items() if isinstance(record, LoanRequest)
+            }
             grants = {
-                key.split("/")[1]: row
-                for key, row in told.items()
-                if isinstance(row, LoanGrant) and key.endswith(f"/{site}")
+                key.split("/")[1]: record
+                for key, record in received.items()
+                if isinstance(record, LoanGrant) and key.endswith(f"/{site}")
             }
             loans.receive(self.now(site), requests, grants)
             self.has_borrowed = (
@@ -81,7 +85,7 @@
 @given(
     seed=st.integers(0, 10_000),
     loss=st.sampled_from([0.0, 0.2, 0.6]),
-    turns=st.lists(
+    phases=st.lists(
         st.tuples(
             st.dictionaries(st.sampled_from("abc"), st.sampled_from([0.1, 0.5, 1.0])),
             st.integers(1, 20),
@@ -91,84 +95,88 @@
     ),
 )
 def test_available_fractions_never_add_up_to_more_than_1(
-    seed: int, loss: float, turns: list[tuple[dict[str, float], int, str]]
+    seed: int, loss: float, phases: list[tuple[dict[str, float], int, str]]
 ) -> None:
-    world = World(seed, loss)
-    for demands, steps, restart in turns:
-        world.step(demands, restart or None)
+    simulation = LoanSimulation(seed, loss)
+    for demands, steps, restart in phases:
+        simulation.step(demands, restart or None)
         for _ in range(steps):
-            world.step(demands)
-        assert world.max_total <= 1 + 1e-9
+            simulation.step(demands)
+        assert simulation.max_total <= 1 + 1e-9
 
 
-def restart_lender_under_demand(world: World, wait_for_loans: bool = True) -> World:
+def restart_lender_under_demand(simulation: LoanSimulation, wait_for_loans: bool = True) -> LoanSimulation:
     for _ in range(40):
-        world.step({"a": 1.0})
-    world.step({"a": 1.0, "b": 1.0, "c": 1.0}, restart="c", wait_for_loans=wait_for_loans)
+        simulation.step({"a": 1.0})
+    simulation.step({"a": 1.0, "b": 1.0, "c": 1.0}, restart="c", wait_for_loans=wait_for_loans)
     for _ in range(30):
-        world.step({"a": 1.0, "b": 1.0, "c": 1.0})
-    return world
+        simulation.step({"a": 1.0, "b": 1.0, "c": 1.0})
+    return simulation
 
 
-def test_single_site_with_demand_borrows_all_and_owners_get_theirs_back() -> None:
-    world = World(1, 0.0)
+def test_single_site_with_demand_borrows_all_and_returns_it_on_demand() -> None:
+    simulation = LoanSimulation(1, 0.0)
     for _ in range(40):
-        world.step({"a": 1.0})
-    assert world.sites["a"].available_fraction(world.now("a")) == pytest.approx(1.0)
+        simulation.step({"a": 1.0})
+    assert simulation.sites["a"].available_fraction(simulation.now("a")) == pytest.approx(1.0)
     for _ in range(40):
-        world.step({"a": 1.0, "b": 1.0, "c": 1.0})
-    parts = {site: each.available_fraction(world.now(site)) for site, each in world.sites.items()}
-    assert parts == pytest.approx({"a": 0.25, "b": 0.25, "c": 0.5})
-    assert world.max_total <= 1 + 1e-9
+        simulation.step({"a": 1.0, "b": 1.0, "c": 1.0})
+    fractions = {
+        site: each.available_fraction(simulation.now(site)) for site, each in simulation.sites.items()
+    }
+    assert fractions == pytest.approx({"a": 0.25, "b": 0.25, "c": 0.5})
+    assert simulation.max_total <= 1 + 1e-9
 
 
 def test_site_without_messages_keeps_its_own_fraction() -> None:
-    world = World(1, 1.0)
+    simulation = LoanSimulation(1, 1.0)
     for _ in range(60):
-        world.step({"a": 1.0})
-    assert world.sites["a"].available_fraction(world.now("a")) == pytest.approx(0.25)
+        simulation.step({"a": 1.0})
+    assert simulation.sites["a"].available_fraction(simulation.now("a")) == pytest.approx(0.25)
 
 
 def test_mutant_holder_that_does_not_wait_for_loans_is_detected() -> None:
-    """The mutant: what its predecessor lent is still in use."""
-    assert restart_lender_under_demand(World(3, 0.0)).max_total <= 1 + 1e-9
-    assert restart_lender_under_demand(World(3, 0.0), wait_for_loans=False).max_total > 1.2
+    """The mutant holder uses its own fraction while loans granted by its predecessor are in use."""
+    assert restart_lender_under_demand(LoanSimulation(3, 0.0)).max_total <= 1 + 1e-9
+    assert restart_lender_under_demand(LoanSimulation(3, 0.0), wait_for_loans=False).max_total > 1.2
 
 
 def test_mutant_loan_counted_from_its_receipt_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The mutant: a borrower that counts from the answer's arrival uses it after its lender has it back."""
+    """A borrower that measures the loan from the receipt of the grant uses it after the loan's end."""
     receive = CapacityLoans.receive
 
-    def late(
+    def receive_counting_from_receipt(
         self: CapacityLoans, now_s: float, requests: dict[str, LoanRequest], grants: dict[str, LoanGrant]
     ) -> None:
         self._open_requests = {number: now_s for number in self._open_requests}
         receive(self, now_s, requests, grants)
 
-    def game() -> World:
-        world = World(5, 0.0)
+    def run_simulation() -> LoanSimulation:
+        simulation = LoanSimulation(5, 0.0)
         for _ in range(20):
-            world.step({"a": 1.0})
+            simulation.step({"a": 1.0})
         for _ in range(30):
-            world.step({"a": 1.0, "b": 1.0, "c": 1.0})
-        return world
+            simulation.step({"a": 1.0, "b": 1.0, "c": 1.0})
+        return simulation
 
-    assert game().has_borrowed and game().max_total <= 1 + 1e-9
-    monkeypatch.setattr(CapacityLoans, "receive", late)
-    assert game().max_total > 1.0 + 1e-6
+    assert run_simulation().has_borrowed and run_simulation().max_total <= 1 + 1e-9
+    monkeypatch.setattr(CapacityLoans, "receive", receive_counting_from_receipt)
+    assert run_simulation().max_total > 1.0 + 1e-6
 
 
-def test_loans_are_shorter_for_who_borrows_than_for_who_lends() -> None:
+def test_loan_ends_earlier_for_the_borrower_than_for_the_lender() -> None:
     lender, borrower = CapacityLoans("b", WEIGHTS, 1, -100.0), CapacityLoans("a", WEIGHTS, 7, -100.0)
     borrower.update_demand(0.0, 1.0)
-    want = borrower.records()["want/a"]
-    assert isinstance(want, LoanRequest)
-    lender.receive(0.0, {"a": want}, {})
-    lend = lender.records()["lend/b/a"]
-    assert isinstance(lend, LoanGrant)
-    borrower.receive(0.1, {}, {"b": lend})
-    ends = partial(borrower.available_fraction), partial(lender.available_fraction)
+    request = borrower.records()["want/a"]
+    assert isinstance(request, LoanRequest)
+    lender.receive(0.0, {"a": request}, {})
+    grant = lender.records()["lend/b/a"]
+    assert isinstance(grant, LoanGrant)
+    borrower.receive(0.1, {}, {"b": grant})
+    fraction_at = partial(borrower.available_fraction), partial(lender.available_fraction)
     before_s, after_s = LOAN_DURATION_S * (1 - MAX_CLOCK_DRIFT), LOAN_DURATION_S * (1 + MAX_CLOCK_DRIFT)
-    assert ends[0](before_s - 0.01) == pytest.approx(0.5) and ends[0](before_s) == pytest.approx(0.25)
-    assert ends[1](after_s - 0.01) == 0.0 and ends[1](after_s) == pytest.approx(0.25)
-    assert before_s / 2 > loans_module.REQUEST_INTERVAL_S  # a renewal has two tries
+    assert fraction_at[0](before_s - 0.01) == pytest.approx(0.5) and fraction_at[0](
+        before_s
+    ) == pytest.approx(0.25)
+    assert fraction_at[1](after_s - 0.01) == 0.0 and fraction_at[1](after_s) == pytest.approx(0.25)
+    assert before_s / 2 > loans_module.REQUEST_INTERVAL_S  # a loan can be renewed by either of two requests
--- a/tests/decide/replay/test_partition_detection.py
+++ b/tests/decide/replay/test_partition_detection.py
@@ -64,7 +64,7 @@
 
 def test_gaps_shorter_than_the_bound_change_nothing() -> None:
     detector = PartitionDetector()
-    for number in range(20):  # unreachable for 0.4 s of each half second
+    for number in range(20):  # unreachable for 0.4 s of every 0.5 s
         at_s = number * 0.5
         assert detector.update(at_s, servers(reachable=False)) is SiteState.AVAILABLE
         assert detector.update(at_s + 0.4, servers()) is SiteState.AVAILABLE
@@ -74,7 +74,7 @@
     detector = partitioned_detector()
     assert (
         update_for(detector, 1.0, 60.0, servers()) is SiteState.PARTITIONED
-    )  # servers_seen as reachable, but without a response
+    )  # seen as reachable, but without a response
     assert update_for(detector, 70.0, AVAILABLE_AFTER_S, servers(last_response_s=69.0)) is SiteState.AVAILABLE
 
 
@@ -99,7 +99,7 @@
         rejecting.record_rejected()
     assert update_for(rejecting, 0.0, SATURATED_AFTER_S, servers()) is SiteState.SATURATED
     serving = PartitionDetector()
-    for number in range(60):  # some rejected, some served: that is what rejections are for
+    for number in range(60):  # congestion: some requests are rejected, others served
         serving.record_rejected()
         serving.record_served(number * 0.1)
         assert serving.update(number * 0.1, servers()) is SiteState.AVAILABLE
@@ -124,8 +124,8 @@
     )
     detector.receive(
         1.5, [("b", SiteReachability(SiteState.PARTITIONED.value)), ("c", SiteReachability(9))]
-    )  # 9: of a newer version
+    )  # 9: a state of a newer version
     assert detector.state(1.5) is SiteState.PARTITIONED
     detector.receive(2.0, [("b", SiteReachability(SiteState.AVAILABLE.value))])
     assert detector.state(2.0) is SiteState.AVAILABLE
-    assert detector.state(2.0 + PEER_STATE_TTL_S) is SiteState.PARTITIONED  # an expired report does not count
+    assert detector.state(2.0 + PEER_STATE_TTL_S) is SiteState.PARTITIONED  # the report has expired
--- a/tests/decide/replay/test_rate_control.py
+++ b/tests/decide/replay/test_rate_control.py
@@ -1,4 +1,4 @@
-"""The rate of replay: additive increase, multiplicative decrease, the spare capacity as ceiling, jitter."""
+"""Rate control of replay: additive increase, multiplicative decrease, spare capacity as ceiling, jitter."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 def send_all(
     controller: RateController, from_s: float, to_s: float, work: float, rejected: bool = False
 ) -> float:
-    """Send whenever it may, each served (or rejected) at once; returns the work sent."""
+    """Send whenever allowed; each entry is served (or rejected) at once. Returns the work sent."""
     at_s, sent = from_s, 0.0
     while at_s < to_s:
         while controller.may_send(at_s):
@@ -59,7 +59,7 @@
     controller = open_controller()
     send_all(controller, 0.0, 30.0, 100.0)
     before = controller.rate
-    for number in range(20):  # all that was sent at the old rate is rejected at once
+    for number in range(20):  # all entries sent at the old rate are rejected together
         controller.record_rejected(30.0 + number * 0.01)
     assert controller.rate == before * DECREASE_FACTOR
     assert not controller.may_send(30.3)
@@ -68,10 +68,10 @@
 def test_almost_nothing_is_sent_while_everything_is_rejected() -> None:
     controller = open_controller()
     send_all(controller, 0.0, 30.0, 100.0)
-    assert send_all(controller, 30.0, 60.0, 100.0, rejected=True) <= 100.0 * 61  # two a second at most
+    assert send_all(controller, 30.0, 60.0, 100.0, rejected=True) <= 100.0 * 61  # at most two per second
 
 
-def test_short_recoveries_of_the_link_get_little_work_each() -> None:
+def test_little_work_is_sent_in_each_short_recovery_of_the_link() -> None:
     controller, sent = open_controller(), list[float]()
     for number in range(10):
         at_s = number * 10.0
@@ -80,7 +80,7 @@
         controller.close()
         assert not controller.may_send(at_s + 4.0) and controller.next_send_s(at_s + 4.0) == inf
     assert all(0 < each < 3 * 10_000 * 0.25 for each in sent)
-    assert max(sent[1:]) < 1.5 * sent[0]  # nothing is carried over
+    assert max(sent[1:]) < 1.5 * sent[0]  # no allowance is carried over
 
 
 def test_sites_that_recover_together_start_at_different_times() -> None:
@@ -98,7 +98,7 @@
     assert send_all(controller, 500.0, 1500.0, 5_000.0) <= 1000 * 100.0 + 2 * 5_000.0
 
 
-def test_nothing_is_sent_at_ceiling_zero_and_rate_restarts_low_after() -> None:
+def test_nothing_is_sent_at_ceiling_zero_and_the_rate_restarts_low() -> None:
     controller = open_controller()
     send_all(controller, 0.0, 30.0, 100.0)
     controller.set_ceiling(30.0, 0.0)
@@ -117,7 +117,9 @@
 def test_capacity_is_median_of_observations_and_demand_is_summed() -> None:
     rates = (("a", 10.0), ("b", 1e9), ("c", 12.0))
     observations = {(m, "server/r"): ServerObservation(rate, 0.0, 1.0, 0) for m, rate in rates}
-    observations[("d", "server/r")] = ServerObservation(0.0, 0.0, 0.0, 0)  # has not measured it
+    observations[("d", "server/r")] = ServerObservation(
+        0.0, 0.0, 0.0, 0
+    )  # this member has not measured the rate
     observations[("a", "server/w")] = ServerObservation(0.0, 50.0, 0.5, 0)
     capacity = estimate_capacity(observations, {(m, "demand/q"): ClassDemand(1.0, 3.0, 2.0) for m in "ab"})
     assert capacity == Capacity(12.0, 25.0, 6.0, 4.0)
@@ -141,7 +143,7 @@
     assert abs(total - min(budget, sum(each.demand for each in requests.values()))) < 1e-6
     for name, request in requests.items():
         assert -1e-9 <= shares[name] <= request.demand + 1e-9
-        if shares[name] < request.demand - 1e-6:  # an unsatisfied one has as much by weight as any other
+        if shares[name] < request.demand - 1e-6:  # unsatisfied: no other has a larger share by weight
             share = shares[name] / request.weight
             assert all(shares[other] / requests[other].weight <= share + 1e-6 for other in requests)
 
--- a/tests/decide/replay/test_scheduler.py
+++ b/tests/decide/replay/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The order of replay: fair in work among tenants, by age within one, without starvation."""
+"""The order of replay: fair by work among tenants, by age within a tenant, without starvation."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def unlimited_scheduler(max_in_flight: int = 8) -> ReplayScheduler:
-    """A scheduler that is limited by nothing but the entries in flight."""
+    """A scheduler that is limited only by the number of entries in flight."""
     controller = RateController(random.Random(1), jitter_s=0.0)
     controller.set_ceiling(-10.0, 1e12)
     controller.open(-10.0)
@@ -30,7 +30,10 @@
 def serve(
     queue: StartTimeFairQueue, queues: dict[str, list[float]], rounds: int, by_count: bool = False
 ) -> dict[str, float]:
-    """Send so many, each tenant's oldest first; returns the work served by tenant. `by_count`: the mutant."""
+    """Send `rounds` entries, oldest first per tenant; returns the served work by tenant.
+
+    `by_count` is the mutant that charges each request as one unit of work.
+    """
     served, next_index = defaultdict[str, float](float), dict.fromkeys(queues, 0)
     for _ in range(rounds):
         heads = [
@@ -56,7 +59,7 @@
 def test_weighted_work_of_two_tenants_differs_by_at_most_their_largest_requests(
     queues: dict[str, list[float]], weights: dict[str, float]
 ) -> None:
-    """The bound of start-time fair queuing: between any two tenants, the largest of each over its weight."""
+    """Bound of start-time fair queuing: the sum of both tenants' largest requests, each by its weight."""
     served = serve(StartTimeFairQueue(weights), queues, 400)
     for one in queues:
         for other in queues:
@@ -66,7 +69,7 @@
 
 
 def test_mutant_fair_by_request_count_is_detected() -> None:
-    """The mutant: where requests differ a hundredfold in work, equal counts are no equal shares."""
+    """Equal request counts are not fair if requests differ a hundredfold in work."""
     queues = {"small": [10.0], "large": [1000.0]}
     by_work = serve(StartTimeFairQueue({}), queues, 2000)
     by_count = serve(StartTimeFairQueue({}), queues, 2000, by_count=True)
@@ -84,7 +87,7 @@
         assert head is not None
         queue.charge(head, 100.0)
         order.append(head.tenant)
-    assert 4 <= order.count("b") <= 6  # its share from now on, not fifty in a row
+    assert 4 <= order.count("b") <= 6  # its fair share from now on, not fifty entries in a row
 
 
 def test_oldest_entry_of_a_tenant_is_sent_first_and_none_twice() -> None:
@@ -100,7 +103,7 @@
     assert scheduler.choose_next(0.0, [first, other]) is first
     scheduler.record_outcome(0.0, "a1", SendOutcome.REJECTED)
     scheduler.rate_controller.rate = 1e12
-    assert scheduler.choose_next(2.0, [first, other]) is first  # its start tag is as before
+    assert scheduler.choose_next(2.0, [first, other]) is first  # its start tag has not advanced
     scheduler.record_outcome(2.0, "a1", SendOutcome.SERVED, work=5000.0)
     for number in range(9):
         head = scheduler.choose_next(
@@ -111,8 +114,8 @@
     assert scheduler.served_work_by_tenant == {"a": 5000.0, "b": 4500.0}
 
 
-def test_tenant_with_the_largest_backlog_takes_nothing_from_others() -> None:
-    """Its live demand is no claim on the replay, and its backlog none on the capacity of others."""
+def test_tenant_with_the_largest_backlog_does_not_reduce_the_shares_of_others() -> None:
+    """Neither live demand nor a large backlog gives a tenant a claim on the shares of others."""
     scheduler, position = unlimited_scheduler(max_in_flight=1), defaultdict[str, int](int)
     for number in range(300):
         heads = [make_head("big", position["big"])]
@@ -123,21 +126,19 @@
         position[head.tenant] += 1
         scheduler.record_outcome(float(number), head.name, SendOutcome.SERVED)
         if number == 60:
-            assert (
-                position["small"] >= 29
-            )  # all through after twice its own work, not behind the large backlog
+            assert position["small"] >= 29  # served after twice its own work, not after the large backlog
 
 
 def test_probe_prefers_an_idempotent_entry() -> None:
     scheduler = unlimited_scheduler()
     scheduler.rate_controller.close()
     heads = [QueueHead("book", "a", 1.0, 0.0, False), QueueHead("ask", "a", 1.0, 1.0, True)]
-    assert scheduler.choose_next(0.0, heads) is None  # closed: nothing but a probe
+    assert scheduler.choose_next(0.0, heads) is None  # closed: only a probe may be sent
     head = scheduler.choose_next(0.0, heads, probing=True)
     assert head is not None and head.name == "ask"
-    assert scheduler.choose_next(0.1, heads, probing=True) is None  # a single one
+    assert scheduler.choose_next(0.1, heads, probing=True) is None  # only one probe at a time
     scheduler.record_outcome(0.2, "ask", SendOutcome.REJECTED)
-    assert scheduler.choose_next(0.3, heads, probing=True) is None  # not again before the probe interval
+    assert scheduler.choose_next(0.3, heads, probing=True) is None  # the probe interval has not passed
     assert scheduler.choose_next(4.0, heads, probing=True) is not None
 
 
