--- a/ringledge/decide/overload/__init__.py
+++ b/ringledge/decide/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Overload control: which requests are admitted while the process is short of resources."""
+"""Overload control: admission of requests while the process is short of resources."""
--- a/ringledge/decide/overload/admission.py
+++ b/ringledge/decide/overload/admission.py
@@ -1,10 +1,10 @@
-"""Whether a request is admitted, by the process's own measurements; the lowest priority is rejected first.
+"""Admission control of requests by the process's own measurements; the lowest priority is rejected first.
 
-A budget of CPU time (a token bucket) fills at the rate at which this process may use its core, and each
-admitted request draws the estimated cost of such requests. Requests are in bands by priority weight. A band
-may draw the budget down to its own reserve only, and the reserves fall with priority: whenever a request of
-one band is admitted, those of all higher bands are as well, at each moment and without counting arrivals by
-band. Without pressure the budget is not enforced. Memory that runs short closes the bands one by one,
+A budget of CPU time (a token bucket) is refilled at the rate at which the process may use its core, and each
+admitted request is charged its estimated cost. Requests are divided into bands by priority weight. A band
+may use the budget only down to its own reserve, and reserves decrease with priority. Therefore, whenever a
+request of one band is admitted, requests of all higher bands are too, without counting arrivals by band. The
+budget is enforced only under pressure. If memory or descriptors run short, bands are closed one by one,
 whatever the level of the budget.
 """
 
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from ringledge.decide.overload.cost_model import CostModel
-from ringledge.decide.overload.cpu_budget import DEPTH_MS, CpuBudget
+from ringledge.decide.overload.cpu_budget import BUDGET_DEPTH_MS, CpuBudget
 from ringledge.decide.overload.messages import (
     OverloadLimits,
     Rejection,
@@ -27,15 +27,15 @@
 from ringledge.decide.overload.priority_bands import HIGHEST_RESERVE, PriorityBands, ResourceBands
 from ringledge.decide.overload.tenant_quotas import TenantQuota, TenantQuotas
 
-ADMISSION_WINDOW_MS = 1_000.0  # over which the admitted fraction is reported
-REJECTION_COST_WEIGHT = 0.4  # of a new sample in the moving average of the rejections' cost
-MAX_REJECTION_FRACTION = 0.5  # of the budget that rejections may use up: beyond it they would exclude all
-RETRY_AFTER_JITTER = (0.5, 1.5)  # factors, so that clients rejected together don't return together
+ADMISSION_WINDOW_MS = 1_000.0  # period of the reported admitted fraction
+REJECTION_COST_WEIGHT = 0.4  # weight of a new sample in the mean CPU use of rejections
+MAX_REJECTION_FRACTION = 0.5  # limit for the part of the budget used by rejections, else all are rejected
+RETRY_AFTER_JITTER = (0.5, 1.5)  # factors; clients rejected together should not retry together
 
 
 @dataclass(slots=True, frozen=True)
 class AdmissionDecision:
-    """One recent decision, for the reported fraction."""
+    """A recent decision, for the reported admitted fraction."""
 
     at_ms: float
     band: int
@@ -43,7 +43,7 @@
 
 
 class OverloadController:
-    """Decides on each request by its class and tenant; takes a resource sample some ten times a second."""
+    """Decides on each request by class and tenant; expects a resource sample about ten times per second."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         mean_retry_after_ms: float,
         rng: random.Random,
     ) -> None:
-        """`priority_weights` by class, `quotas` by tenant; `over_quota_weight` is a factor of the weights."""
+        """`priority_weights` by class, `quotas` by tenant; `over_quota_weight` multiplies the weights."""
         self._cpu_rate = limits.cpu_rate
         self._mean_retry_after_ms = mean_retry_after_ms
         self._rng = rng
@@ -64,7 +64,7 @@
         self._pressure = PressureDetector(limits)
         self._budget = CpuBudget(HIGHEST_RESERVE)
         self._quotas = TenantQuotas(quotas)
-        self._rejection_cpu_rate = 0.0  # CPU time per time that rejections take, smoothed
+        self._rejection_cpu_rate = 0.0  # smoothed CPU time of rejections per unit of time
         self._recent_decisions: deque[AdmissionDecision] = deque()
 
     @property
@@ -74,21 +74,21 @@
 
     @property
     def transition_count(self) -> int:
-        """How often `under_pressure` has changed."""
+        """The number of changes of `under_pressure`."""
         return self._pressure.transition_count
 
     @property
     def rate_correction(self) -> float:
-        """The factor by which measurements have corrected the budget's rate."""
+        """The present correction factor of the budget's refill rate."""
         return self._budget.rate_correction
 
     @property
     def band_count(self) -> int:
-        """How many priority bands there are."""
+        """The number of priority bands."""
         return self._bands.highest + 1
 
     def on_sample(self, sample: ResourceSample) -> None:
-        """Update by a measurement."""
+        """Update the state with a measurement."""
         span_ms = max(1.0, sample.span_ms)
         rejection_cpu_rate = self.cost_model.update(sample.cpu_ms) / span_ms
         self._rejection_cpu_rate += REJECTION_COST_WEIGHT * (rejection_cpu_rate - self._rejection_cpu_rate)
@@ -114,8 +114,8 @@
     ) -> Rejection | None:
         """Decide on one request; None admits it.
 
-        `loop_lag_ms` is how late the event loop is at this moment, and `cpu_rate` the CPU time per time that
-        the process has used since the last sample.
+        `loop_lag_ms` is the present delay of the event loop, and `cpu_rate` the CPU time per unit of time
+        that the process has used since the last sample.
         """
         over_quota = self._quotas.is_over_quota(now_ms, tenant)
         band = self._bands.band_of(class_index, over_quota)
@@ -134,16 +134,16 @@
         return Rejection(reason, over_quota, self.retry_after_ms())
 
     def retry_after_ms(self) -> float:
-        """When a rejected client should retry, with jitter."""
+        """The time after which a rejected client should retry, with jitter."""
         return self._mean_retry_after_ms * self._rng.uniform(*RETRY_AFTER_JITTER)
 
     @property
     def may_reject(self) -> bool:
-        """Whether any band may be rejected now."""
+        """Whether requests of any band may be rejected now."""
         return self.under_pressure or self._resources.any_closed
 
     def rejects_all(self, now_ms: float) -> RejectionReason | None:
-        """Why not even the highest band would be admitted now; None if it would."""
+        """Why even the highest band is rejected now; None if it is admitted."""
         return self.rejection_reason(now_ms, self._bands.highest)
 
     def rejection_reason(self, now_ms: float, band: int) -> RejectionReason | None:
@@ -156,12 +156,12 @@
             return None
         rejection_rate = min(self._rejection_cpu_rate, MAX_REJECTION_FRACTION * rate)
         level_ms = self._budget.refill(now_ms, self.rate_correction * (rate - rejection_rate))
-        if level_ms < DEPTH_MS * self._bands.reserve(band):
+        if level_ms < BUDGET_DEPTH_MS * self._bands.reserve(band):
             return self._pressure.reason
         return None
 
     def admitted_fraction(self, now_ms: float, class_index: int, over_quota: bool) -> float:
-        """The fraction of such requests admitted over the last second; 1 if none came."""
+        """The fraction of such requests that was admitted in the last second; 1 if none arrived."""
         band = self._bands.band_of(class_index, over_quota)
         since_ms = now_ms - ADMISSION_WINDOW_MS
         admitted = [
--- a/ringledge/decide/overload/messages.py
+++ b/ringledge/decide/overload/messages.py
@@ -7,41 +7,41 @@
 
 
 class RejectionReason(Enum):
-    """Why a request was rejected; the values are labels of metrics and fields of the log."""
+    """Why a request was rejected; the values are used in metric labels and in the log."""
 
-    CPU = "cpu"  # the core is at its target
-    DELAY = "delay"  # the event loop, or unread requests, are late
-    MEMORY = "memory"  # resident memory, or buffered responses
+    CPU = "cpu"  # CPU use is at its target
+    DELAY = "delay"  # the event loop or the reading of requests is delayed
+    MEMORY = "memory"  # resident memory or buffered data
     DESCRIPTORS = "descriptors"
 
 
 @dataclass(slots=True, frozen=True)
 class OverloadLimits:
-    """What the process may use."""
+    """Resources that the process may use."""
 
     cores: float = 1.0
-    cpu_target: float = 0.9  # of `cores`
-    max_delay_ms: float = 30.0  # that the event loop, or a request unread in its socket, may be late
+    cpu_target: float = 0.9  # fraction of `cores`
+    max_delay_ms: float = 30.0  # tolerated delay of the event loop, and of a request unread in its socket
     memory_shed_start: float = 0.80  # fraction of the memory at which the lowest priority is rejected
-    memory_shed_end: float = 0.95  # and the highest
+    memory_shed_end: float = 0.95  # fraction of the memory at which the highest priority is rejected too
 
     @property
     def cpu_rate(self) -> float:
-        """CPU time per time that the process may use."""
+        """CPU time that the process may use per unit of time."""
         return self.cores * self.cpu_target
 
 
 @dataclass(slots=True, frozen=True)
 class ResourceSample:
-    """Measurements since the previous sample; fractions are of the process's limits."""
+    """Measurements since the previous sample; fractions are relative to the process's limits."""
 
     at_ms: float
     span_ms: float
     cpu_ms: float
-    loop_lag_ms: float = 0.0  # the event loop's longest delay
-    queue_wait_ms: float = 0.0  # mean time that requests waited in their sockets
+    loop_lag_ms: float = 0.0  # longest delay of the event loop
+    queue_wait_ms: float = 0.0  # mean time that requests waited unread in their sockets
     memory_fraction: float = 0.0
-    buffered_fraction: float = 0.0  # by streams and retained responses, of what they may buffer
+    buffered_fraction: float = 0.0  # data buffered by streams and retained responses
     descriptor_fraction: float = 0.0
 
 
--- a/ringledge/decide/overload/pressure.py
+++ b/ringledge/decide/overload/pressure.py
@@ -1,4 +1,4 @@
-"""Whether the process is under pressure: short of CPU time, or late."""
+"""Detects whether the process is under pressure: short of CPU time, or delayed."""
 
 from __future__ import annotations
 
@@ -6,38 +6,44 @@
 
 from ringledge.decide.overload.messages import OverloadLimits, RejectionReason, ResourceSample
 
-HIGH_UTILIZATION = 0.9  # of the CPU target: from here on the CPU is short
-LOW_UTILIZATION = 0.6  # of the CPU target: below it nothing can be short of CPU
-QUIET_PERIOD_MS = 1_000.0  # without a rejection and without pressure until every request is admitted again
-IDLE_PERIOD_MS = 500.0  # of low utilization after which the same holds: the estimated costs were too high
+HIGH_UTILIZATION = 0.9  # of the CPU target; from here on CPU time is short
+LOW_UTILIZATION = 0.6  # of the CPU target; below it CPU time can't be short
+QUIET_PERIOD_MS = (
+    1_000.0  # time without rejections or signs of pressure after which all requests are admitted
+)
+# Time of low utilization after which pressure ends in spite of rejections: estimated costs were too high.
+IDLE_PERIOD_MS = 500.0
 
 
 class PressureDetector:
-    """Turns samples into a state, with hysteresis."""
+    """Determines the pressure state from samples, with hysteresis."""
 
     def __init__(self, limits: OverloadLimits) -> None:
         self._limits = limits
         self.under_pressure = False
-        self.transition_count = 0  # of `under_pressure`: few, also at a load that hovers at the limit
-        self.has_settled = False  # the last sample completed a quiet period
+        self.transition_count = 0  # changes of `under_pressure`; stays low even if the load is near the limit
+        self.has_settled = False  # True if a quiet period ended at the last sample
         self.reason = RejectionReason.CPU
-        self._was_late = False  # the last sample reported a delay
+        self._exceeded_max_delay = False  # at the last sample
         self._rejected_at_ms = -math.inf
         self._pressure_at_ms = -math.inf
         self._busy_at_ms = -math.inf
 
     def on_sample(self, sample: ResourceSample, utilization: float) -> bool:
-        """Update the state by a sample and the CPU's use relative to its target; whether a delay counts."""
+        """Update the state from a sample; returns whether its delay is treated as pressure.
+
+        `utilization` is the CPU use relative to its target.
+        """
         now_ms = sample.at_ms
-        is_late = max(sample.loop_lag_ms, sample.queue_wait_ms) > self._limits.max_delay_ms
-        # One late sample alone proves nothing: a process that was stopped is late, too, but used no CPU.
-        is_delayed = is_late and (self._was_late or utilization >= LOW_UTILIZATION)
-        self._was_late = is_late
+        exceeds_max_delay = max(sample.loop_lag_ms, sample.queue_wait_ms) > self._limits.max_delay_ms
+        # A single late sample is not sufficient: a process that was stopped is also late, but used no CPU.
+        is_delayed = exceeds_max_delay and (self._exceeded_max_delay or utilization >= LOW_UTILIZATION)
+        self._exceeded_max_delay = exceeds_max_delay
         has_pressure = utilization >= HIGH_UTILIZATION or is_delayed
         if has_pressure:
             self._pressure_at_ms = now_ms
-            by_delay = is_delayed and utilization < HIGH_UTILIZATION
-            self.reason = RejectionReason.DELAY if by_delay else RejectionReason.CPU
+            is_delay_only = is_delayed and utilization < HIGH_UTILIZATION
+            self.reason = RejectionReason.DELAY if is_delay_only else RejectionReason.CPU
         if utilization >= LOW_UTILIZATION or has_pressure:
             self._busy_at_ms = now_ms
         self._update_state(now_ms, has_pressure)
@@ -49,24 +55,24 @@
             quiet_ms = now_ms - max(self._rejected_at_ms, self._pressure_at_ms)
             self.has_settled = quiet_ms >= QUIET_PERIOD_MS
             if self.has_settled or now_ms - self._busy_at_ms >= IDLE_PERIOD_MS:
-                self._set(False)
+                self._set_under_pressure(False)
         elif has_pressure:
-            self._set(True)
+            self._set_under_pressure(True)
 
     def on_loop_lag(self, now_ms: float, loop_lag_ms: float, utilization: float) -> bool:
-        """Update the state between two samples by the event loop's lag; whether pressure begins with it."""
+        """Update the state from the event loop's lag between samples; returns whether pressure begins now."""
         if self.under_pressure or loop_lag_ms <= self._limits.max_delay_ms or utilization < LOW_UTILIZATION:
             return False
         self.reason = RejectionReason.DELAY
         self._pressure_at_ms = now_ms
         self._busy_at_ms = now_ms
-        self._set(True)
+        self._set_under_pressure(True)
         return True
 
     def record_rejection(self, now_ms: float) -> None:
-        """A request was rejected for pressure."""
+        """Record that a request was rejected because of pressure."""
         self._rejected_at_ms = now_ms
 
-    def _set(self, under_pressure: bool) -> None:
+    def _set_under_pressure(self, under_pressure: bool) -> None:
         self.under_pressure = under_pressure
         self.transition_count += 1
--- a/ringledge/decide/overload/priority_bands.py
+++ b/ringledge/decide/overload/priority_bands.py
@@ -1,4 +1,4 @@
-"""Bands of requests by priority: how much of the CPU budget, or of the memory, each of them may use."""
+"""Priority bands of requests, and how much of the CPU budget or of other resources each band may use."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from ringledge.decide.overload.messages import OverloadLimits, RejectionReason, ResourceSample
 
-# Reserves as fractions of the budget's depth: of the lowest band, of the last but one, and of the highest,
-# whose debt (a fifth of a second's work) chance must not use up.
+# Reserves of the lowest, the second highest and the highest band, as fractions of the budget's depth. The
+# debt allowed to the highest band (work of 0.2 s) is so large that random bursts do not use it up.
 LOWEST_RESERVE, UPPER_RESERVE, HIGHEST_RESERVE = 0.6, -0.5, -3.5
-HYSTERESIS = 0.03  # fraction of the memory that has to come free before a band is admitted again
+HYSTERESIS = 0.03  # fraction of the resource that has to be freed before a band is admitted again
 
 
 class PriorityBands:
-    """Requests in order of priority: a band for each class within its tenant's quota, and beyond it."""
+    """Ranks requests by priority; each class has a band within the tenant's quota and one over it."""
 
     def __init__(self, priority_weights: Sequence[float], over_quota_weight: float) -> None:
         self._priority_weights = list(priority_weights)
@@ -23,12 +23,12 @@
         self.highest = len(weights) - 1
 
     def band_of(self, class_index: int, over_quota: bool) -> int:
-        """The rank of such requests in the order of priority, from 0 up."""
+        """The band of requests of a class; 0 is the lowest priority."""
         factor = self._over_quota_weight if over_quota else 1.0
         return self._bands[self._priority_weights[class_index] * factor]
 
     def reserve(self, band: int) -> float:
-        """What a band has to leave in the budget, as a fraction of its depth; debt is below 0."""
+        """Budget that a band has to leave unused, as a fraction of the depth; negative values allow debt."""
         if band == self.highest:
             return HIGHEST_RESERVE
         position = band / (self.highest - 1) if self.highest > 1 else 1.0
@@ -36,7 +36,7 @@
 
 
 class ResourceBands:
-    """Closes bands one by one as memory or descriptors run short, the lowest priority first."""
+    """Closes bands one by one as memory or descriptors run short, starting with the lowest priority."""
 
     def __init__(self, limits: OverloadLimits, highest: int) -> None:
         self._limits = limits
@@ -46,21 +46,21 @@
 
     @property
     def any_closed(self) -> bool:
-        """Whether a band is closed now; the lowest closes first."""
+        """Whether any band is closed now; the lowest band closes first."""
         return self._closed[0]
 
     def update(self, sample: ResourceSample) -> None:
-        """Close and open bands by how much of the memory and of the descriptors is used."""
-        used = max(sample.memory_fraction, sample.buffered_fraction, sample.descriptor_fraction)
-        descriptors_are_short = sample.descriptor_fraction >= used
+        """Close and open bands by the used fractions of memory, buffers and descriptors."""
+        used_fraction = max(sample.memory_fraction, sample.buffered_fraction, sample.descriptor_fraction)
+        descriptors_are_short = sample.descriptor_fraction >= used_fraction
         self._reason = RejectionReason.DESCRIPTORS if descriptors_are_short else RejectionReason.MEMORY
-        start = self._limits.memory_shed_start
-        end = self._limits.memory_shed_end
+        first_bound = self._limits.memory_shed_start
+        last_bound = self._limits.memory_shed_end
         for band, closed in enumerate(self._closed):
             position = band / self._highest if self._highest else 1.0
-            bound = start + (end - start) * position
-            self._closed[band] = used >= bound - (HYSTERESIS if closed else 0.0)
+            bound = first_bound + (last_bound - first_bound) * position
+            self._closed[band] = used_fraction >= bound - (HYSTERESIS if closed else 0.0)
 
     def rejection_reason(self, band: int) -> RejectionReason | None:
-        """Which resource is short, if the band is closed."""
+        """The resource that is short if the band is closed, else None."""
         return self._reason if self._closed[band] else None
--- a/tests/decide/overload/test_admission.py
+++ b/tests/decide/overload/test_admission.py
@@ -1,4 +1,4 @@
-"""The overload decisions alone: priority order holds, rejections end with their cause, quotas hold."""
+"""Overload decisions: priority order, the end of rejections after their cause, and quotas."""
 
 from __future__ import annotations
 
@@ -24,7 +24,13 @@
 
 fractions = st.floats(0.0, 1.2)
 samples = st.builds(
-    lambda cpu, loop_ms, unread_ms, memory, held: (cpu, loop_ms, unread_ms, memory, held),
+    lambda cpu, loop_lag_ms, queue_wait_ms, memory, buffered: (
+        cpu,
+        loop_lag_ms,
+        queue_wait_ms,
+        memory,
+        buffered,
+    ),
     fractions,
     st.sampled_from((0.0, 5.0, 40.0, 1000.0)),
     st.sampled_from((0.0, 10.0, 80.0)),
@@ -39,7 +45,7 @@
     controller: OverloadController, history: list[tuple[tuple[float, ...], list[tuple[int, int, float]]]]
 ) -> float:
     now_ms = 0.0
-    for (cpu, loop_ms, unread_ms, memory, held), requests in history:
+    for (cpu, loop_lag_ms, queue_wait_ms, memory, buffered), requests in history:
         for class_index, tenant, kb in requests:
             now_ms += STEP_MS / (len(requests) + 1)
             controller.admit(now_ms, class_index, tenant, kb)
@@ -47,7 +53,9 @@
             closed = [controller.rejection_reason(now_ms, band) is not None for band in bands]
             assert closed == sorted(closed, reverse=True), "a lower band is admitted, a higher one is not"
         now_ms = (now_ms // STEP_MS + 1) * STEP_MS
-        controller.on_sample(ResourceSample(now_ms, STEP_MS, cpu * STEP_MS, loop_ms, unread_ms, memory, held))
+        controller.on_sample(
+            ResourceSample(now_ms, STEP_MS, cpu * STEP_MS, loop_lag_ms, queue_wait_ms, memory, buffered)
+        )
     return now_ms
 
 
@@ -65,7 +73,7 @@
     assert not controller.under_pressure
 
 
-def put_under_pressure(controller: OverloadController, now_ms: float = 0.0) -> float:
+def start_pressure(controller: OverloadController, now_ms: float = 0.0) -> float:
     controller.on_sample(ResourceSample(now_ms, STEP_MS, STEP_MS))
     assert controller.under_pressure
     return now_ms
@@ -103,13 +111,13 @@
     assert controller.under_pressure
 
 
-def test_highest_priority_is_rejected_last_and_retry_times_have_jitter() -> None:
+def test_highest_priority_is_rejected_last_and_retry_delays_have_jitter() -> None:
     controller = make_controller()
-    now_ms = put_under_pressure(controller)
+    now_ms = start_pressure(controller)
     rejections = [controller.admit(now_ms, 0, 3, 2.0) for _ in range(60)][20:]
     assert all(rejections) and all(controller.admit(now_ms, 1, 3, 2.0) is None for _ in range(20))
-    waits = [rejection.retry_after_ms for rejection in rejections if rejection]
-    assert min(waits) >= 500 and max(waits) <= 1500 and max(waits) - min(waits) > 300
+    delays_ms = [rejection.retry_after_ms for rejection in rejections if rejection]
+    assert min(delays_ms) >= 500 and max(delays_ms) <= 1500 and max(delays_ms) - min(delays_ms) > 300
     assert controller.admitted_fraction(now_ms, 0, False) < 0.5
     assert controller.admitted_fraction(now_ms, 1, False) == 1.0
 
@@ -128,7 +136,7 @@
     assert closed(0.81) == [True, False, False, False]
     assert closed(0.94) == [True, True, True, False]
     assert closed(0.96) == [True] * 4 and controller.rejects_all(0.0) is RejectionReason.MEMORY
-    assert closed(0.93) == [True] * 4  # it has to fall a little below where it closed
+    assert closed(0.93) == [True] * 4  # hysteresis: use must fall below the closing threshold
     assert closed(0.91) == [True, True, True, False]
     assert closed(0.76) == [False] * 4
 
@@ -141,7 +149,7 @@
     seed: int,
     rejection_cost_ms: float = 0.3,
 ) -> dict[str, float]:
-    """Simulate a core that serves admitted requests in order; Poisson arrivals, sampled as in production."""
+    """Simulate a core that serves admitted requests in order, with Poisson arrivals and regular samples."""
     rng, now_ms, backlog_ms, used_ms, late_ms = random.Random(seed), 0.0, 0.0, 0.0, 0.0
     counts = {
         "arrived": 0.0,
@@ -155,7 +163,7 @@
         step_ms = min(next_ms, sampled_ms + STEP_MS) - now_ms
         work_ms = min(step_ms, backlog_ms)
         now_ms, backlog_ms, used_ms = now_ms + step_ms, backlog_ms - work_ms, used_ms + work_ms
-        late_ms = max(late_ms, backlog_ms / 10)  # a turn works off part of what waits
+        late_ms = max(late_ms, backlog_ms / 10)  # one loop iteration processes part of the backlog
         if now_ms >= next_ms:
             next_ms = now_ms + rng.expovariate(rate / 1000)
             booking = rng.random() < 0.19
@@ -197,11 +205,11 @@
         )
 
 
-def test_tenant_far_over_its_quota_takes_nothing_from_quiet_tenants() -> None:
+def test_tenant_far_over_its_quota_puts_no_other_tenant_over_quota() -> None:
     quotas = TenantQuotas((TenantQuota(0.36), TenantQuota(0.27), TenantQuota(0.14)))
     over_quota_counts = {0: 0, 1: 0, 2: 0}
     for number in range(4000):
-        tenant = (0, 1, 2)[number % 20] if number % 20 < 3 else 0  # the first sends 18 of 20
+        tenant = (0, 1, 2)[number % 20] if number % 20 < 3 else 0  # the first tenant sends 18 of 20 requests
         over_quota_counts[tenant] += quotas.is_over_quota(number * 2.0, tenant)
     assert over_quota_counts[1] == over_quota_counts[2] == 0
     assert over_quota_counts[0] > 4000 * 0.9 - 4000 * 0.36 * 1.25 * 1.15
@@ -219,10 +227,10 @@
     assert not any(quotas.is_over_quota(number * 55.0, 0) for number in range(500))
 
 
-def test_unused_budget_has_not_grown_when_a_burst_comes() -> None:
+def test_unused_budget_does_not_grow_before_a_burst() -> None:
     controller = make_controller()
-    now_ms = put_under_pressure(controller)
-    for number in range(50):  # pressed, for the loop is late now and then, but with little to do
+    now_ms = start_pressure(controller)
+    for number in range(50):  # under pressure by occasional loop lag, but with little load
         now_ms += STEP_MS
         controller.admit(now_ms, 0, 3, 2.0)
         controller.on_sample(
