--- a/ringledge/decide/connections/__init__.py
+++ b/ringledge/decide/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about client connections: admission, and eviction when the limit is reached."""
+"""Decisions on client connections: admission, and eviction when the limit is reached."""
--- a/ringledge/decide/connections/eviction.py
+++ b/ringledge/decide/connections/eviction.py
@@ -1,4 +1,4 @@
-"""Which client connection is closed when a front is at its limit: by cost and benefit, not by age alone."""
+"""Chooses the client connection to close when a front is at its limit, by cost and benefit, then by age."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class EvictionClass(IntEnum):
-    """Order in which connections are evicted.
+    """Order in which connections are evicted; the lowest value goes first.
 
-    A connection without any request, as in a flood, costs a descriptor and brings nothing. An incomplete
-    request also holds a parser and a buffer, and may never be completed. An idle connection that has brought
-    a request before belongs to a client.
+    A connection without any request, as in a flood, uses a descriptor to no benefit. An incomplete request
+    also holds a parser and a buffer, and may never be completed. An idle connection on which a request has
+    arrived before belongs to a real client.
     """
 
     WITHOUT_REQUEST = 0
@@ -22,15 +22,15 @@
 
 @dataclass(slots=True, frozen=True)
 class EvictionCandidate:
-    """A connection that no response is owed to."""
+    """A connection without a pending response."""
 
-    state_since_s: float  # since when it has been in its present state, on any one clock
-    had_request: bool  # it has brought a complete request before
+    state_since_s: float  # time at which its present state began; all candidates use one clock
+    had_request: bool  # a complete request has arrived on it before
     request_incomplete: bool  # part of a request has arrived
 
     @property
     def eviction_class(self) -> EvictionClass:
-        """Its class in the order of eviction."""
+        """The connection's position in the order of eviction."""
         if self.request_incomplete:
             return EvictionClass.INCOMPLETE_REQUEST
         if self.had_request:
@@ -39,9 +39,9 @@
 
 
 def select_victim(candidates: Sequence[EvictionCandidate]) -> int | None:
-    """The index of the connection to close, None if there are no candidates.
+    """The index of the connection to close; None if there are no candidates.
 
-    The lowest `EvictionClass` goes first, within it the longest in its state, then the first candidate.
+    It is the one with the lowest `EvictionClass`, among these the longest in its state, then the first.
     """
 
     def rank(index: int) -> tuple[EvictionClass, float]:
--- a/tests/decide/connections/test_admission.py
+++ b/tests/decide/connections/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission of connections by client network, and the networks that send no requests."""
+"""Admission of client connections by network, and counts of connections without a request."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     admitted = sum(
         isinstance(admission.admit(number * 10.0, "10.0.0.1"), AdmittedConnection) for number in range(1000)
     )
-    assert 100 <= admitted <= 112  # ten seconds of ten, and the burst
+    assert 100 <= admitted <= 112  # ten per second for 10 s, and the initial burst
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.booleans()), max_size=200))
--- a/tests/decide/connections/test_eviction.py
+++ b/tests/decide/connections/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which connection is closed when a front is at its limit."""
+"""Choice of the connection to close when a front is at its limit."""
 
 from hypothesis import given
 from hypothesis import strategies as st
