--- a/tests/decide/discovery/test_watch_timeout.py
+++ b/tests/decide/discovery/test_watch_timeout.py
@@ -1,4 +1,4 @@
-"""When a watch counts as unresponsive, and how long a slow line may take; in virtual time."""
+"""The timeout of a watch and the allowance of a slow line, in virtual time."""
 
 from collections.abc import Callable
 from itertools import product
@@ -11,11 +11,11 @@
 from ringledge.wire.discovery import watcher as discovery
 
 IDLE_TIMEOUT_S = 3.0
-STALENESS_LIMIT_S = 6.0  # after it a missed change counts as known
+STALENESS_LIMIT_S = 6.0  # the router is expected to know a change after this time
 
 
 def trickle(timeout: WatchTimeout, start_s: float, interval_s: float = 1.0) -> float:
-    """Bytes of one line without an end; returns when the watch times out."""
+    """Deliver single bytes of one endless line; returns the time at which the watch times out."""
     timeout.watch_started(start_s)
     at_s = start_s + interval_s
     while at_s < timeout.deadline_s:
@@ -37,7 +37,7 @@
     assert trickle(WatchTimeout(IDLE_TIMEOUT_S), 10.0) == 13.0
     timeout = WatchTimeout(IDLE_TIMEOUT_S)
     timeout.watch_started(0.0)
-    for tenths in range(1, 30):  # white space that ends no line
+    for tenths in range(1, 30):  # white space that does not end a line
         timeout.data_received(tenths / 10, has_update=False, line_ended=False, line_incomplete=False)
     assert timeout.deadline_s == 3.0
 
@@ -51,7 +51,7 @@
 
 
 def test_slow_long_line_is_received_eventually() -> None:
-    """Its allowance doubles with each watch from the third on, and is reset once the line arrived."""
+    """The allowance doubles with each watch from the third on, and is reset once the line has arrived."""
     timeout, durations_s = WatchTimeout(IDLE_TIMEOUT_S), list[float]()
     for _ in range(9):
         durations_s.append(trickle(timeout, 0.0))
@@ -82,7 +82,7 @@
     timeout.data_received(0.0, has_update=False, line_ended=True, line_incomplete=False)
     assert timeout.allowance_s == allowance_s
     timeout.data_received(IDLE_TIMEOUT_S + 0.1, has_update=False, line_ended=True, line_incomplete=False)
-    assert timeout.allowance_s == IDLE_TIMEOUT_S  # an outstanding update would have come first
+    assert timeout.allowance_s == IDLE_TIMEOUT_S  # an outstanding update would have arrived first
 
 
 @pytest.mark.parametrize("first_failure", [no_data, trickle])
@@ -98,14 +98,14 @@
     assert at_s < STALENESS_LIMIT_S
 
 
-def make_push_timeout(complete_s: float = 0.0) -> WatchTimeout:
-    return WatchTimeout(discovery.PUSH_IDLE_TIMEOUT_S, discovery.PUSH_STALENESS_LIMIT_S, complete_s)
+def make_push_timeout(last_complete_s: float = 0.0) -> WatchTimeout:
+    return WatchTimeout(discovery.PUSH_IDLE_TIMEOUT_S, discovery.PUSH_STALENESS_LIMIT_S, last_complete_s)
 
 
 def next_request_s(
     failure: Callable[[WatchTimeout, float], float], timeout: WatchTimeout, at_s: float
 ) -> float:
-    """A watch is requested and fails; returns when the next one is requested at the latest."""
+    """Request a watch that fails; returns the latest time at which the next watch is requested."""
     timeout.watch_requested(at_s)
     return failure(timeout, at_s) + discovery.PUSH_MAX_BACKOFF_S
 
@@ -115,7 +115,7 @@
 
 
 def empty_lines(timeout: WatchTimeout, start_s: float) -> float:
-    """Empty lines alone, while the update that comes first is outstanding."""
+    """Deliver only empty lines, while an update that would come first is outstanding."""
     timeout.watch_started(start_s)
     at_s = start_s + 0.1
     while at_s < timeout.deadline_s:
@@ -125,7 +125,7 @@
 
 
 def no_response(timeout: WatchTimeout, at_s: float) -> float:
-    """The connection is accepted, and the request never answered."""
+    """Accept the connection but never respond; returns the time at which the request times out."""
     return min(at_s + discovery.RESPONSE_TIMEOUT_S, timeout.first_line_deadline_s)
 
 
@@ -135,7 +135,7 @@
 def test_three_failed_push_watches_end_before_the_staleness_limit(
     failures: tuple[Callable[[WatchTimeout, float], float], ...],
 ) -> None:
-    """The limit counts from the last time that the list was known line_ended, not from each watch."""
+    """The limit counts from the time at which the list was last known to be complete, not from each watch."""
     timeout = make_push_timeout()
     timeout.watch_requested(0.0)
     timeout.watch_started(0.0)
@@ -146,7 +146,7 @@
     assert at_s < STALENESS_LIMIT_S
 
 
-def test_watch_after_the_staleness_limit_has_its_whole_time() -> None:
+def test_watch_after_the_staleness_limit_has_its_full_time() -> None:
     timeout = make_push_timeout()
     timeout.watch_requested(discovery.PUSH_STALENESS_LIMIT_S)
     assert timeout.first_line_deadline_s == inf
@@ -188,6 +188,7 @@
 
 def test_three_unanswered_requests_after_an_idle_watch_end_before_the_staleness_limit() -> None:
     waits_s = sum(
-        min(discovery.PUSH_MAX_BACKOFF_S, discovery.PUSH_INITIAL_BACKOFF_S * 2**tries) for tries in range(4)
+        min(discovery.PUSH_MAX_BACKOFF_S, discovery.PUSH_INITIAL_BACKOFF_S * 2**attempt)
+        for attempt in range(4)
     )
     assert discovery.PUSH_IDLE_TIMEOUT_S + 3 * discovery.RESPONSE_TIMEOUT_S + waits_s < STALENESS_LIMIT_S
