--- a/ringledge/decide/replay/capacity_estimate.py
+++ b/ringledge/decide/replay/capacity_estimate.py
@@ -46,8 +46,8 @@
             _median_of_known([report.decode_rate * report.warmth for report in reports])
             for reports in by_server.values()
         ),
-        prefill_demand=sum(class_demand.prefill_tokens for class_demand in demand.values()),
-        decode_demand=sum(class_demand.decode_tokens for class_demand in demand.values()),
+        prefill_demand=sum(report.prefill_tokens for report in demand.values()),
+        decode_demand=sum(report.decode_tokens for report in demand.values()),
     )
 
 
--- a/tests/decide/replay/test_capacity_loans.py
+++ b/tests/decide/replay/test_capacity_loans.py
@@ -63,13 +63,13 @@
         for _, recipient, key, record in due:  # in any order: an older record may arrive after a newer one
             self.received[recipient][key] = record
         for site, loans in self.sites.items():
-            received = self.received[site]
+            site_records = self.received[site]
             requests = {
-                key[5:]: record for key, record in received.items() if isinstance(record, LoanRequest)
+                key[5:]: record for key, record in site_records.items() if isinstance(record, LoanRequest)
             }
             grants = {
                 key.split("/")[1]: record
-                for key, record in received.items()
+                for key, record in site_records.items()
                 if isinstance(record, LoanGrant) and key.endswith(f"/{site}")
             }
             loans.receive(self.now(site), requests, grants)
