--- a/ringledge/decide/ratio/settings.py
+++ b/ringledge/decide/ratio/settings.py
@@ -44,9 +44,9 @@
 
     def __post_init__(self) -> None:
         if self.slow_s < 2 * self.fast_s:
-            raise ValueError("slow_s is at least twice fast_s")
+            raise ValueError("slow_s must be at least twice fast_s")
         if self.min_dwell_s < self.max_change_s:
-            raise ValueError("least_stay_s is at least spread_s + drain_s + warm_s")
+            raise ValueError("least_stay_s must be at least spread_s + drain_s + warm_s")
 
     @property
     def max_change_s(self) -> float:
--- a/tests/decide/ratio/test_simulation.py
+++ b/tests/decide/ratio/test_simulation.py
@@ -226,8 +226,8 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("enabled = true\nslow_s = 5.0", "slow_s is at least twice"),
-        ("enabled = true\nleast_stay_s = 3.0", "least_stay_s is at least"),
+        ("enabled = true\nslow_s = 5.0", "slow_s must be at least twice"),
+        ("enabled = true\nleast_stay_s = 3.0", "least_stay_s must be at least"),
         ("enabled = true\nstay = 3", "stay: no such key; allowed are enabled, look_s"),
         ("enabled = true\nheadroom = 2", "headroom"),
     ],
