--- a/ringledge/decide/overload/cpu_budget.py
+++ b/ringledge/decide/overload/cpu_budget.py
@@ -11,9 +11,8 @@
 DECREASE_FACTOR, DECREASE_INTERVAL_MS = 0.8, 300.0
 # Gain of the correction by the distance of CPU use from its target, and largest step.
 INTEGRAL_GAIN, MAX_STEP = 0.5, 0.2
-RELAXATION_RATE = (
-    0.1  # fraction of its distance to 1 by which the correction moves per sample without rejections
-)
+# Fraction of its distance to 1 by which the correction moves per sample without rejections.
+RELAXATION_RATE = 0.1
 MIN_CORRECTION, MAX_CORRECTION = 0.1, 10.0  # estimated costs may be wrong by a factor of ten
 
 
@@ -25,7 +24,7 @@
         self._min_level_ms = min_level * BUDGET_DEPTH_MS
         self._bucket = TokenBucket(BUDGET_DEPTH_MS)
         self.rate_correction = 1.0
-        self._has_rejected = False  # since the last sample
+        self._has_rejected = False  # whether the budget has caused a rejection since the last sample
         self._decreased_at_ms = -math.inf
 
     def start_enforcing(self, now_ms: float, rate: float) -> None:
--- a/ringledge/decide/ratio/demand_estimate.py
+++ b/ringledge/decide/ratio/demand_estimate.py
@@ -2,9 +2,8 @@
 
 Token rates are averaged exponentially over two horizons. While the two averages agree within their noise, the
 slow one is used; once they differ significantly, the fast one is. The mix of prefill and decode is tracked
-between its turning points, where a reversal beyond noise ends a half-period. This distinguishes an
-oscillating mix from one that has shifted, and the remainder of the present half-period is predicted from
-earlier ones.
+between its turning points: a reversal beyond noise ends a half-period. So an oscillating mix is distinguished
+from one that has shifted, and the rest of the present half-period is predicted from earlier ones.
 """
 
 from __future__ import annotations
@@ -27,7 +26,8 @@
 
 OUTLIER_FACTOR = 8.0  # a member's demand is clipped to this multiple of the median of its site
 MIN_OUTLIER_REPORTS = 3  # fewer reports are not clipped
-MIN_REVERSAL = log(1.5)  # of the log ratio: 50 % more of one role corresponds to a tenth of the servers
+# Reversal of the log ratio that ends a half-period: 50 % more of one role is about a tenth of the servers.
+MIN_REVERSAL = log(1.5)
 OVERDUE_FACTOR = 1.25  # after this many median half-periods a reversal is no longer expected
 MAX_REPORTED_RATE_PER_S = 1e12  # requests or tokens: above any site's rate, and sums stay finite
 
@@ -53,7 +53,7 @@
 
     prefill_rate: float  # tokens per s to prefill that no server has cached
     decode_rate: float  # tokens per s to decode
-    # Larger standard deviation relative to its rate, plus an allowance for missing members.
+    # Standard deviation as a fraction of the rate, the larger of both, plus an allowance for missing members.
     relative_error: float
     mixes: tuple[TokenRates, ...]  # mixes to serve: one, or all of a fast oscillation
     expected_duration_s: float  # time until the present mix ends; inf: no end is expected
--- a/ringledge/decide/ratio/planner.py
+++ b/ringledge/decide/ratio/planner.py
@@ -140,9 +140,8 @@
         entry = self.registry.entries[listed.name]
         is_mixed = listed.kind == ServerRole.MIXED
         changing = entry.phase is not RolePhase.STABLE
-        scale = (
-            1.0 if changing else rate.warmth
-        )  # a changing server counts with its full rate in the new role
+        # A changing server counts with its full rate in the new role.
+        scale = 1.0 if changing else rate.warmth
         return ServerState(
             name=listed.name,
             site=listed.site,
--- a/ringledge/decide/ratio/role_registry.py
+++ b/ringledge/decide/ratio/role_registry.py
@@ -129,7 +129,7 @@
     def __init__(self, settings: RatioConfig) -> None:
         self.settings = settings
         self.assignments = dict[str, RoleAssignment]()  # newest assignment by server
-        self.entries = dict[str, RoleEntry]()  # by listed server
+        self.entries = dict[str, RoleEntry]()  # by server; only listed servers
         self.token = 0  # highest fencing token accepted; a lower one belongs to a planner that was replaced
         self.rejected = 0  # count of outdated assignments, and of those beyond `MAX_ASSIGNMENTS`
 
--- a/ringledge/decide/replay/capacity_loans.py
+++ b/ringledge/decide/replay/capacity_loans.py
@@ -68,7 +68,7 @@
         self._demand = 0.0
         self._request_number = 0  # number of the last request
         self._requested_s = -inf
-        self._open_requests: dict[int, float] = {}  # by number: send time, while its loans may last
+        self._open_requests: dict[int, float] = {}  # send time by number, while a loan may last
         self._granted: dict[str, list[_Loan]] = {}  # by borrower
         self._last_grants: dict[str, LoanGrant] = {}  # by borrower
         self._borrowed: dict[str, _Loan] = {}  # by lender
--- a/ringledge/decide/replay/rate_control.py
+++ b/ringledge/decide/replay/rate_control.py
@@ -23,9 +23,8 @@
 BACKOFF_S = 0.5  # pause after a rejection
 JITTER_S = 1.0  # largest random delay of the first entry after a partition
 PROBE_INTERVAL_S = 3.0  # time between probes while the site is partitioned or saturated
-MIN_ROLE_FRACTION = (
-    0.02  # lower bound for a role's fraction of the work, else its spare capacity is unbounded
-)
+# Lower bound for a role's fraction of the work, else its spare capacity is unbounded.
+MIN_ROLE_FRACTION = 0.02
 BUCKET_DEPTH_S = 0.25  # depth of the token bucket: bursts are no longer than those of live traffic
 
 
@@ -35,7 +34,7 @@
 
     prefill_capacity: float  # sum over servers, scaled by their warmth
     decode_capacity: float
-    prefill_demand: float  # of live traffic
+    prefill_demand: float  # live traffic only
     decode_demand: float
 
     def decode_fraction(self) -> float:
--- a/tests/decide/ratio/test_plan.py
+++ b/tests/decide/ratio/test_plan.py
@@ -95,15 +95,13 @@
 
 def test_capacity_that_covers_loss_of_largest_rack_stays() -> None:
     servers = make_site(4, 8)
-    covered = make_demand(
-        24_000, 6_800
-    )  # decode servers process 9,600 tokens per s, and 7,200 without a rack
+    # Decode servers process 9,600 tokens per s, and 7,200 without a rack.
+    covered = make_demand(24_000, 6_800)
     assert rack_loss_coverage(servers, "write", 6_800) > 1
     assert plan_site(servers, make_demand(26_000, 6_800), SETTINGS).moves == {}
     assert plan_site(servers, covered, SETTINGS).moves == {}
-    assert plan_site(
-        servers, make_demand(40_000, 3_000), SETTINGS
-    ).moves  # prefill covers much less of its demand
+    # Prefill covers much less of its demand.
+    assert plan_site(servers, make_demand(40_000, 3_000), SETTINGS).moves
 
 
 def test_mix_that_ends_before_a_change_is_worthwhile_is_not_followed() -> None:
--- a/tests/decide/ratio/test_role_registry.py
+++ b/tests/decide/ratio/test_role_registry.py
@@ -83,20 +83,16 @@
     registry = make_registry("a", "b")
     registry.receive(0.0, "a", RoleAssignment(1, 7, "read"))
     registry.tick(SETTINGS.propagation_s)
-    assert registry.receive(
-        2.0, "a", RoleAssignment(2, 1, "read")
-    )  # reissued: the change continues in its present phase
+    # The new planner reissues the assignment, and the change continues in its present phase.
+    assert registry.receive(2.0, "a", RoleAssignment(2, 1, "read"))
     assert (registry.entries["a"].phase, registry.entries["a"].requested_s) == (RolePhase.DRAINING, 0.0)
-    assert not registry.receive(
-        3.0, "a", RoleAssignment(1, 8, "write")
-    )  # a late assignment of the old planner
-    assert not registry.receive(
-        3.0, "b", RoleAssignment(1, 8, "write")
-    )  # also for a server without an assignment by the new planner
+    # A late assignment of the old planner is rejected.
+    assert not registry.receive(3.0, "a", RoleAssignment(1, 8, "write"))
+    # It is also rejected for a server without an assignment by the new planner.
+    assert not registry.receive(3.0, "b", RoleAssignment(1, 8, "write"))
     assert (registry.entries["a"].role, registry.entries["b"].role, registry.rejected) == ("read", "both", 2)
-    assert registry.receive(
-        4.0, "a", RoleAssignment(3, 1, "write")
-    )  # reversed: no work beyond the previous work is accepted
+    # After the reversal, no work beyond the previous work is accepted.
+    assert registry.receive(4.0, "a", RoleAssignment(3, 1, "write"))
     assert registry.entries["a"].accepted_work() == DECODE_WORK & registry.entries["a"].previous_work
 
 
--- a/tests/decide/replay/test_partition_detection.py
+++ b/tests/decide/replay/test_partition_detection.py
@@ -72,9 +72,8 @@
 
 def test_partition_ends_only_after_a_response_from_a_server() -> None:
     detector = partitioned_detector()
-    assert (
-        update_for(detector, 1.0, 60.0, servers()) is SiteState.PARTITIONED
-    )  # seen as reachable, but without a response
+    # The servers seem reachable, but have not responded.
+    assert update_for(detector, 1.0, 60.0, servers()) is SiteState.PARTITIONED
     assert update_for(detector, 70.0, AVAILABLE_AFTER_S, servers(last_response_s=69.0)) is SiteState.AVAILABLE
 
 
@@ -122,9 +121,8 @@
         update_for(detector, 0.0, 1.0, servers(reachable=False)) is SiteState.AVAILABLE
         and detector.own_state is SiteState.PARTITIONED
     )
-    detector.receive(
-        1.5, [("b", SiteReachability(SiteState.PARTITIONED.value)), ("c", SiteReachability(9))]
-    )  # 9: a state of a newer version
+    # The state 9 belongs to a newer version.
+    detector.receive(1.5, [("b", SiteReachability(SiteState.PARTITIONED.value)), ("c", SiteReachability(9))])
     assert detector.state(1.5) is SiteState.PARTITIONED
     detector.receive(2.0, [("b", SiteReachability(SiteState.AVAILABLE.value))])
     assert detector.state(2.0) is SiteState.AVAILABLE
--- a/tests/decide/replay/test_rate_control.py
+++ b/tests/decide/replay/test_rate_control.py
@@ -117,9 +117,8 @@
 def test_capacity_is_median_of_observations_and_demand_is_summed() -> None:
     rates = (("a", 10.0), ("b", 1e9), ("c", 12.0))
     observations = {(m, "server/r"): ServerObservation(rate, 0.0, 1.0, 0) for m, rate in rates}
-    observations[("d", "server/r")] = ServerObservation(
-        0.0, 0.0, 0.0, 0
-    )  # this member has not measured the rate
+    # This member has not measured the rate.
+    observations[("d", "server/r")] = ServerObservation(0.0, 0.0, 0.0, 0)
     observations[("a", "server/w")] = ServerObservation(0.0, 50.0, 0.5, 0)
     capacity = estimate_capacity(observations, {(m, "demand/q"): ClassDemand(1.0, 3.0, 2.0) for m in "ab"})
     assert capacity == Capacity(12.0, 25.0, 6.0, 4.0)
