--- a/ringledge/decide/discovery/watch_timeout.py
+++ b/ringledge/decide/discovery/watch_timeout.py
@@ -43,7 +43,7 @@
         self._last_line_s = last_complete_s
         self._last_byte_s = last_complete_s
         self._line_incomplete = False
-        self._awaits_update = True  # the update that a watch may begin with has not been ruled out
+        self._awaits_update = True  # whether an update that a watch begins with may be outstanding
 
     @property
     def allowance_s(self) -> float:
@@ -59,7 +59,7 @@
         deadline_s = min(last_progress_s + self._idle_timeout_s, self._last_line_s + self.allowance_s)
         if not self._awaits_update:
             return deadline_s
-        # The response may begin long after its request was sent.
+        # The response may begin long after its request, when others have been sent after it.
         return min(deadline_s, max(self.first_line_deadline_s, self._started_s + MIN_FIRST_LINE_S))
 
     @property
--- a/ringledge/decide/overload/admission.py
+++ b/ringledge/decide/overload/admission.py
@@ -60,7 +60,7 @@
         self._rng = rng
         self.cost_model = CostModel()
         self._bands = PriorityBands(priority_weights, over_quota_weight)
-        self._resources = ResourceBands(limits, self._bands.highest)
+        self._resources = ResourceBands(limits, self._bands.highest_band)
         self._pressure = PressureDetector(limits)
         self._budget = CpuBudget(HIGHEST_RESERVE)
         self._quotas = TenantQuotas(quotas)
@@ -85,7 +85,7 @@
     @property
     def band_count(self) -> int:
         """The number of priority bands."""
-        return self._bands.highest + 1
+        return self._bands.highest_band + 1
 
     def on_sample(self, sample: ResourceSample) -> None:
         """Update the state with a measurement."""
@@ -144,7 +144,7 @@
 
     def rejects_all(self, now_ms: float) -> RejectionReason | None:
         """Why even the highest band is rejected now; None if it is admitted."""
-        return self.rejection_reason(now_ms, self._bands.highest)
+        return self.rejection_reason(now_ms, self._bands.highest_band)
 
     def rejection_reason(self, now_ms: float, band: int) -> RejectionReason | None:
         """Why a band is rejected now; None if it is admitted."""
--- a/ringledge/decide/overload/pressure.py
+++ b/ringledge/decide/overload/pressure.py
@@ -23,7 +23,7 @@
         self.transition_count = 0  # changes of `under_pressure`; stays low even if the load is near the limit
         self.has_settled = False  # True if a quiet period ended at the last sample
         self.reason = RejectionReason.CPU
-        self._exceeded_max_delay = False  # whether the previous sample did
+        self._exceeded_max_delay = False  # by the loop lag or the queue wait of the previous sample
         self._rejected_at_ms = -math.inf
         self._pressure_at_ms = -math.inf
         self._busy_at_ms = -math.inf
--- a/ringledge/decide/overload/priority_bands.py
+++ b/ringledge/decide/overload/priority_bands.py
@@ -8,7 +8,7 @@
 
 # Reserves of the lowest, the second highest and the highest band, as fractions of the budget's depth. The
 # debt allowed to the highest band (work of 0.2 s) is so large that random bursts do not use it up.
-LOWEST_RESERVE, UPPER_RESERVE, HIGHEST_RESERVE = 0.6, -0.5, -3.5
+LOWEST_RESERVE, SECOND_HIGHEST_RESERVE, HIGHEST_RESERVE = 0.6, -0.5, -3.5
 HYSTERESIS = 0.03  # fraction of the resource that has to be freed before a band is admitted again
 
 
@@ -20,7 +20,7 @@
         self._over_quota_weight = over_quota_weight
         weights = {weight * factor for weight in priority_weights for factor in (1.0, over_quota_weight)}
         self._bands = {weight: band for band, weight in enumerate(sorted(weights))}
-        self.highest = len(weights) - 1
+        self.highest_band = len(weights) - 1
 
     def band_of(self, class_index: int, over_quota: bool) -> int:
         """The band of requests of a class; 0 is the lowest priority."""
@@ -29,19 +29,19 @@
 
     def reserve(self, band: int) -> float:
         """Budget that a band has to leave unused, as a fraction of the depth; negative values allow debt."""
-        if band == self.highest:
+        if band == self.highest_band:
             return HIGHEST_RESERVE
-        position = band / (self.highest - 1) if self.highest > 1 else 1.0
-        return LOWEST_RESERVE + (UPPER_RESERVE - LOWEST_RESERVE) * position
+        position = band / (self.highest_band - 1) if self.highest_band > 1 else 1.0
+        return LOWEST_RESERVE + (SECOND_HIGHEST_RESERVE - LOWEST_RESERVE) * position
 
 
 class ResourceBands:
     """Closes bands one by one as memory or descriptors run short, starting with the lowest priority."""
 
-    def __init__(self, limits: OverloadLimits, highest: int) -> None:
+    def __init__(self, limits: OverloadLimits, highest_band: int) -> None:
         self._limits = limits
-        self._highest = highest
-        self._closed = [False] * (highest + 1)
+        self._highest_band = highest_band
+        self._closed = [False] * (highest_band + 1)
         self._reason = RejectionReason.MEMORY
 
     @property
@@ -57,7 +57,7 @@
         first_bound = self._limits.memory_shed_start
         last_bound = self._limits.memory_shed_end
         for band, closed in enumerate(self._closed):
-            position = band / self._highest if self._highest else 1.0
+            position = band / self._highest_band if self._highest_band else 1.0
             bound = first_bound + (last_bound - first_bound) * position
             self._closed[band] = used_fraction >= bound - (HYSTERESIS if closed else 0.0)
 
