--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -98,8 +98,8 @@
     killed: set[tuple[str, int]] = set()
     times_s: list[float] = []
     for name in world.rng.sample(names, deaths):
-        me = world.nodes[name].membership.me
-        victim = (me.name, me.start)
+        local_member = world.nodes[name].membership.local_member
+        victim = (local_member.name, local_member.start)
         world.run(world.rng.uniform(0, 1))  # anywhere in an interval
         killed_s = world.now_s
         killed.add(victim)
--- a/benchmarks/members_world.py
+++ b/benchmarks/members_world.py
@@ -115,7 +115,7 @@
 
     def has_converged(self) -> bool:
         """Whether each running member considers exactly the running ones active."""
-        running = {name: node.membership.me for name, node in self.nodes.items()}
+        running = {name: node.membership.local_member for name, node in self.nodes.items()}
         wanted = tuple(sorted(running.values()))
         return all(node.membership.active_members() == wanted for node in self.nodes.values())
 
@@ -123,7 +123,7 @@
         heapq.heappush(self._events, (max(at_s, self.now_s), next(self._event_numbers), event))
 
     def _schedule_tick(self, name: str, node: SimulatedMember) -> None:
-        at_s = max(self.now_s, min(node.membership.next_s(), node.records.next_s()))
+        at_s = max(self.now_s, min(node.membership.next_tick_s(), node.records.next_tick_s()))
         if at_s < node.tick_s:
             node.tick_s = at_s
             self._schedule(at_s, lambda: self._tick(name, node, at_s))
@@ -146,7 +146,9 @@
     def _act(self, name: str, node: SimulatedMember, actions: list[Action]) -> None:
         if changes := node.membership.take_changes():
             node.changes += [(self.now_s, each) for each in changes]
-            node.records.update_members(self.now_s, node.membership.me, node.membership.active_members())
+            node.records.update_members(
+                self.now_s, node.membership.local_member, node.membership.active_members()
+            )
         for action in actions:
             assert isinstance(action, SendMessage)
             size = FIXED_HEADER_BYTES + len(name) + len(self._encoder.encode(action.message))
--- a/ringledge/decide/backoff.py
+++ b/ringledge/decide/backoff.py
@@ -20,7 +20,7 @@
         self._rng = rng
         self._bound_s = initial_s
 
-    def next_s(self, min_s: float = 0.0) -> float:
+    def next_delay_s(self, min_s: float = 0.0) -> float:
         """The delay after one more failure; `min_s`: delay that the peer asked for, to which it is added."""
         delay_s = min_s + self._rng.uniform(0.0, self._bound_s)
         self._bound_s = min(self._max_s, 2 * self._bound_s)
--- a/ringledge/decide/datagram.py
+++ b/ringledge/decide/datagram.py
@@ -15,12 +15,12 @@
 MAX_BODY_BYTES = (
     MAX_DATAGRAM_BYTES - FIXED_HEADER_BYTES - MAX_NAME_BYTES
 )  # bytes of an encoded message, with the longest sender's name
-MAX_START = (1 << 48) - 1  # a start number fits 6 bytes: ms of the wall clock until the year 10,889
+MAX_START_NUMBER = (1 << 48) - 1  # a start number fits 6 bytes: ms of the wall clock until the year 10,889
 
-Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
-Start = Annotated[int, Meta(ge=0, le=MAX_START)]
-Count = Annotated[int, Meta(ge=0, lt=1 << 53)]
-Word = Annotated[int, Meta(ge=0, lt=1 << 32)]
+MemberName = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
+StartNumber = Annotated[int, Meta(ge=0, le=MAX_START_NUMBER)]
+Uint53 = Annotated[int, Meta(ge=0, lt=1 << 53)]
+Uint32 = Annotated[int, Meta(ge=0, lt=1 << 32)]
 
 
 def validated_name(name: str) -> str:
--- a/ringledge/decide/interface.py
+++ b/ringledge/decide/interface.py
@@ -64,7 +64,7 @@
         """Do what is due; calling it early does no harm."""
         ...
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When the next call of `tick` is due."""
         ...
 
--- a/ringledge/decide/leases/acceptor.py
+++ b/ringledge/decide/leases/acceptor.py
@@ -37,12 +37,12 @@
         self._terms = terms
         self.recovery = AcceptorRecovery(now_s, name, start_number, terms)
         self._locks: dict[str, DutyLock] = {}  # by duty
-        self.mismatched_terms = 0  # messages under other terms: settings differ somewhere
+        self.mismatched_terms_count = 0  # messages under other terms: settings differ somewhere
 
     def receive(self, now_s: float, sender: str, message: AcceptorMessage) -> list[Action]:
         """Handle a message to acceptors; one under other terms is counted and ignored."""
         if not isinstance(message, LeaseRelease) and message.terms_digest != self._terms.digest:
-            self.mismatched_terms += 1
+            self.mismatched_terms_count += 1
             return []
         if isinstance(message, StateTransferRequest | StateTransferResponse):
             highest_tokens = (lock.highest_token for lock in self._locks.values())
@@ -61,9 +61,9 @@
         """Request the state of other acceptors, where that is due."""
         return self.recovery.tick(now_s)
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When the next call of `tick` is needed."""
-        return self.recovery.next_s()
+        return self.recovery.next_tick_s()
 
     def _lock(self, now_s: float, duty: str) -> DutyLock:
         """The duty's lock, made where there is none."""
--- a/ringledge/decide/leases/manager.py
+++ b/ringledge/decide/leases/manager.py
@@ -53,7 +53,7 @@
         self._ranking = CandidateRanking(name, self._delays.max_candidates)
         self._eligible = True
         self._stopped = False
-        self.counts: Counter[LeaseEvent] = Counter()  # of this process
+        self.event_counts: Counter[LeaseEvent] = Counter()  # of this process
 
     def start_seeking(self, now_s: float, duty: str) -> None:
         """Acquire the duty whenever it is free, from now on. Raises ValueError for a name too long."""
@@ -144,13 +144,13 @@
             actions += proposer.tick(now_s, self._delay_s(duty) if idle else float("inf"))
         return self._route(now_s, actions)
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When the next call of `tick` is needed."""
-        next_s = self.acceptor.next_s() if self.acceptor else float("inf")
+        next_tick_s = self.acceptor.next_tick_s() if self.acceptor else float("inf")
         for duty, proposer in self._proposers.items():
             delay_s = self._delay_s(duty) if proposer.state is ProposerState.IDLE else 0.0
-            next_s = min(next_s, proposer.next_s(delay_s))
-        return next_s
+            next_tick_s = min(next_tick_s, proposer.next_tick_s(delay_s))
+        return next_tick_s
 
     def _receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
         if isinstance(message, AcceptorMessage):
@@ -172,9 +172,9 @@
     def _count(self, action: Action) -> None:
         match action:
             case LeaseAcquired():
-                self.counts[LeaseEvent.BEGIN] += 1
+                self.event_counts[LeaseEvent.BEGIN] += 1
             case LeaseEnded(reason=reason):
-                self.counts[LeaseEvent(reason)] += 1
+                self.event_counts[LeaseEvent(reason)] += 1
 
     def _active_count(self) -> int:
         """How many duties this member holds or is acquiring."""
--- a/ringledge/decide/leases/proposer.py
+++ b/ringledge/decide/leases/proposer.py
@@ -67,13 +67,13 @@
         """The token, where the duty is held at this moment; else None."""
         return self.token if self.state is ProposerState.HOLDING and now_s < self.until_s else None
 
-    def next_s(self, delay_s: float) -> float:
+    def next_tick_s(self, delay_s: float) -> float:
         """When the next call of `tick` is needed."""
         if self.state is ProposerState.IDLE:
-            return min(self._release.next_s(), self.next_attempt_s + delay_s)
+            return min(self._release.next_tick_s(), self.next_attempt_s + delay_s)
         if self.state is ProposerState.HOLDING:
             return min(self.until_s, self._renewal_s, self._resend_s)
-        return min(self._release.next_s(), self._resend_s, self._phase_deadline_s)
+        return min(self._release.next_tick_s(), self._resend_s, self._phase_deadline_s)
 
     def tick(self, now_s: float, delay_s: float) -> list[Action]:
         """Do what is due; an idle proposer begins `delay_s` after `next_attempt_s` (infinite: never)."""
--- a/ringledge/decide/leases/recovery.py
+++ b/ringledge/decide/leases/recovery.py
@@ -72,7 +72,7 @@
         others = (acceptor for acceptor in self._terms.acceptors if acceptor != self._name)
         return [SendMessage(acceptor, request) for acceptor in others]
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When the next call of `tick` is needed."""
         return float("inf") if self.active else self._next_request_s
 
--- a/ringledge/decide/leases/requests.py
+++ b/ringledge/decide/leases/requests.py
@@ -42,7 +42,7 @@
     remaining_sends: int = 0
     due_s: float = 0.0
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When it is sent next; infinity where it has been sent often enough."""
         return self.due_s if self.remaining_sends else float("inf")
 
--- a/ringledge/decide/membership/failure_detector.py
+++ b/ringledge/decide/membership/failure_detector.py
@@ -66,7 +66,7 @@
         self._next_probe_s = -math.inf
         self._next_suspect_ping_s = -math.inf
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When the next probe, indirect probe or ping of a suspect is due."""
         indirect_s = math.inf if self._pending is None else self._pending.indirect_probe_due_s
         suspect_ping_s = self._next_suspect_ping_s if self._table.has_suspects() else math.inf
--- a/ringledge/decide/membership/message_builder.py
+++ b/ringledge/decide/membership/message_builder.py
@@ -32,8 +32,8 @@
     the order of sending.
     """
 
-    def __init__(self, me: Member, settings: ProbeConfig, table: MemberTable) -> None:
-        self.me = me
+    def __init__(self, local_member: Member, settings: ProbeConfig, table: MemberTable) -> None:
+        self.local_member = local_member
         self.incarnation = 0
         self._settings = settings
         self._table = table
@@ -51,7 +51,7 @@
     def bucket_digests(self) -> list[int]:
         """The digests over all active members by bucket, the local one included."""
         digests = self._table.bucket_digests.copy()
-        digests[bucket_of(self.me.name)] ^= member_digest(self.me)
+        digests[bucket_of(self.local_member.name)] ^= member_digest(self.local_member)
         return digests
 
     def differing_buckets(self, digests: tuple[int, ...]) -> list[int]:
@@ -61,8 +61,15 @@
 
     def local_update(self, status: MemberStatus = MemberStatus.ALIVE) -> MembershipUpdate:
         """The local member's update of itself."""
-        me = self.me
-        return MembershipUpdate(me.name, me.start, self.incarnation, status, me.address, me.site)
+        local_member = self.local_member
+        return MembershipUpdate(
+            local_member.name,
+            local_member.start,
+            self.incarnation,
+            status,
+            local_member.address,
+            local_member.site,
+        )
 
     def enqueue(self, update: MembershipUpdate, once: bool = False) -> None:
         """Piggyback an update on the next messages: `once`, or as often as the number of members demands."""
@@ -73,18 +80,22 @@
         """A probe of a member."""
         to_start = self.known_start(recipient)
         updates = self._piggyback(recipient)
-        return SendMessage(recipient, Ping(self.me.start, to_start, nonce, self.view_digest(), updates))
+        return SendMessage(
+            recipient, Ping(self.local_member.start, to_start, nonce, self.view_digest(), updates)
+        )
 
     def ack(self, recipient: str, nonce: int) -> SendMessage:
         """The answer to a member's ping or indirect ping request."""
         to_start = self.known_start(recipient)
         updates = self._piggyback(recipient)
-        return SendMessage(recipient, Ack(self.me.start, to_start, nonce, self.view_digest(), updates))
+        return SendMessage(
+            recipient, Ack(self.local_member.start, to_start, nonce, self.view_digest(), updates)
+        )
 
     def indirect_ping_request(self, recipient: str, nonce: int, target: str) -> SendMessage:
         """A request to a member to ping another one."""
         to_start = self.known_start(recipient)
-        return SendMessage(recipient, IndirectPingRequest(self.me.start, to_start, nonce, target))
+        return SendMessage(recipient, IndirectPingRequest(self.local_member.start, to_start, nonce, target))
 
     def join(self, recipient: str) -> SendMessage:
         """The local member's introduction to a member."""
@@ -92,12 +103,16 @@
 
     def member_list(self, recipient: str, *updates: MembershipUpdate) -> SendMessage:
         """A list of some members."""
-        return SendMessage(recipient, MemberList(self.me.start, self.known_start(recipient), updates))
+        return SendMessage(
+            recipient, MemberList(self.local_member.start, self.known_start(recipient), updates)
+        )
 
     def view_digests(self, recipient: str) -> SendMessage:
         """The digests by which a member finds where its view differs."""
         digests = tuple(self.bucket_digests())
-        return SendMessage(recipient, ViewDigests(self.me.start, self.known_start(recipient), digests))
+        return SendMessage(
+            recipient, ViewDigests(self.local_member.start, self.known_start(recipient), digests)
+        )
 
     def member_lists(
         self, recipient: str, max_datagrams: int, buckets: list[int] | None = None
--- a/ringledge/decide/membership/messages.py
+++ b/ringledge/decide/membership/messages.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from ringledge.decide.datagram import MAX_BODY_BYTES, MAX_NAME_BYTES, Count, Name, Start, Word
+from ringledge.decide.datagram import MAX_BODY_BYTES, MAX_NAME_BYTES, MemberName, StartNumber, Uint32, Uint53
 from ringledge.decide.paging import BUCKET_COUNT
 
 PING_OVERHEAD_BYTES = (
@@ -40,9 +40,9 @@
 class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True):
     """One member as the sender knows it. Address and site are set for active members only."""
 
-    name: Name
-    start: Start
-    incarnation: Count  # raised by the member itself alone, to refute a suspicion
+    name: MemberName
+    start: StartNumber
+    incarnation: Uint53  # raised by the member itself alone, to refute a suspicion
     status: MemberStatus
     address: Annotated[str, Meta(max_length=MAX_ADDRESS_BYTES)] = ""
     site: Annotated[str, Meta(max_length=MAX_NAME_BYTES)] = ""
@@ -51,44 +51,44 @@
 class Ping(msgspec.Struct, array_like=True, frozen=True):
     """A probe of the recipient. Answered by an Ack with the same nonce."""
 
-    start: Start
-    to_start: Start
-    nonce: Word
-    view_digest: Word  # 32-bit digest of the active members, to detect that two members' views differ
+    start: StartNumber
+    to_start: StartNumber
+    nonce: Uint32
+    view_digest: Uint32  # 32-bit digest of the active members, to detect that two members' views differ
     updates: tuple[MembershipUpdate, ...] = ()
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True):
     """The answer to a Ping, or to an IndirectPingRequest whose target has answered."""
 
-    start: Start
-    to_start: Start
-    nonce: Word
-    view_digest: Word
+    start: StartNumber
+    to_start: StartNumber
+    nonce: Uint32
+    view_digest: Uint32
     updates: tuple[MembershipUpdate, ...] = ()
 
 
 class IndirectPingRequest(msgspec.Struct, array_like=True, frozen=True):
     """SWIM's ping-req: the recipient shall ping the target and forward its acknowledgement."""
 
-    start: Start
-    to_start: Start
-    nonce: Word
-    target: Name
+    start: StartNumber
+    to_start: StartNumber
+    nonce: Uint32
+    target: MemberName
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True):
     """The sender introduces itself. Answered by MemberLists."""
 
-    to_start: Start
+    to_start: StartNumber
     sender: MembershipUpdate
 
 
 class MemberList(msgspec.Struct, array_like=True, frozen=True):
     """A part of the sender's member table."""
 
-    start: Start
-    to_start: Start
+    start: StartNumber
+    to_start: StartNumber
     updates: tuple[MembershipUpdate, ...]
 
 
@@ -99,9 +99,9 @@
 class ViewDigests(msgspec.Struct, array_like=True, frozen=True):
     """Digests of the active members by bucket of names. Answered by MemberLists of differing buckets."""
 
-    start: Start
-    to_start: Start
-    digests: Annotated[tuple[Word, ...], Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
+    start: StartNumber
+    to_start: StartNumber
+    digests: Annotated[tuple[Uint32, ...], Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
 
 
 MESSAGES: tuple[type[msgspec.Struct], ...] = (
--- a/ringledge/decide/membership/periodic.py
+++ b/ringledge/decide/membership/periodic.py
@@ -37,10 +37,10 @@
         self._expected_tick_s = math.inf
         self._next_rejoin_s = -math.inf
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When the next tick is due; the tick that follows is expected at this time."""
         self._expected_tick_s = min(
-            self._detector.next_s(), self._next_rejoin_s, self._table.next_deadline_s()
+            self._detector.next_tick_s(), self._next_rejoin_s, self._table.next_deadline_s()
         )
         return self._expected_tick_s
 
--- a/ringledge/decide/membership/swim.py
+++ b/ringledge/decide/membership/swim.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from ringledge.decide.datagram import MAX_START, validated_name
+from ringledge.decide.datagram import MAX_START_NUMBER, validated_name
 from ringledge.decide.interface import Action, Member
 from ringledge.decide.membership.changes import LocalMemberSuperseded, LocalStartRaised, MembershipChange
 from ringledge.decide.membership.failure_detector import BROADCAST, FailureDetector
@@ -54,19 +54,21 @@
     be taken by `take_changes` after each call. Once `stopped`, it sends and takes nothing more.
     """
 
-    def __init__(self, me: Member, seeds: Iterable[str], settings: ProbeConfig, rng: random.Random) -> None:
+    def __init__(
+        self, local_member: Member, seeds: Iterable[str], settings: ProbeConfig, rng: random.Random
+    ) -> None:
         """ValueError where the member's name does not fit a datagram."""
-        validated_name(me.name)
+        validated_name(local_member.name)
         self.stopped = False  # it has left, or was superseded
         self._settings = settings
         self._rng = rng
         self._table = MemberTable(settings)
-        self._builder = MessageBuilder(me, settings, self._table)
+        self._builder = MessageBuilder(local_member, settings, self._table)
         self._detector = FailureDetector(settings, rng, self._table)
         self._periodic = PeriodicTasks(
             settings,
             rng,
-            [name for name in dict.fromkeys(seeds) if name != me.name],
+            [name for name in dict.fromkeys(seeds) if name != local_member.name],
             self._table,
             self._builder,
             self._detector,
@@ -76,45 +78,48 @@
         self._next_sync_s = -math.inf
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """The local member; its start number may rise while it joins."""
-        return self._builder.me
+        return self._builder.local_member
 
     def set_address(self, address: str) -> None:
         """Set the local member's address, where it is known only once bound; before the first tick."""
-        self._builder.me = replace(self.me, address=address)
+        self._builder.local_member = replace(self.local_member, address=address)
 
     def active_members(self) -> tuple[Member, ...]:
         """All active members by name, the local one included."""
         active = [peer.member for peer in self._table.peers.values() if peer.is_active()]
-        return tuple(sorted([self.me, *active]))
+        return tuple(sorted([self.local_member, *active]))
 
     def statuses(self) -> dict[str, MemberStatus]:
         """The status of each known name, the local one included."""
         local = MemberStatus.LEFT if self.stopped else MemberStatus.ALIVE
-        return {self.me.name: local, **{name: peer.status for name, peer in self._table.peers.items()}}
+        return {
+            self.local_member.name: local,
+            **{name: peer.status for name, peer in self._table.peers.items()},
+        }
 
     def latest_member(self, name: str) -> Member | None:
         """The member with the latest known start of a name, active or not."""
-        if name == self.me.name:
-            return self.me
+        if name == self.local_member.name:
+            return self.local_member
         peer = self._table.peers.get(name)
         return None if peer is None else peer.member
 
     def is_active(self, name: str) -> bool:
         """Whether the latest member of a name is active."""
         peer = self._table.peers.get(name)
-        return name == self.me.name or (peer is not None and peer.is_active())
+        return name == self.local_member.name or (peer is not None and peer.is_active())
 
     def take_changes(self) -> list[MembershipChange]:
         """The changes since the last call."""
         return self._table.take_changes()
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When the next tick is due."""
         if self.stopped:
             return math.inf
-        return self._periodic.next_s()
+        return self._periodic.next_tick_s()
 
     def tick(self, now_s: float) -> list[Action]:
         """Expire suspicions, probe, and contact inactive members, as far as they are due."""
@@ -129,15 +134,15 @@
             return []
         if isinstance(message, MemberListQuery):
             return self._builder.member_lists(sender, MAX_JOIN_DATAGRAMS)
-        if sender == self.me.name:
+        if sender == self.local_member.name:
             return self._resolve_start_conflict(now_s, sender_start(message), has_ended=False)
-        addressed_start = self.me.start
+        addressed_start = self.local_member.start
         actions = self._merge(now_s, updates_of(message), from_list=isinstance(message, MemberList))
-        if message.to_start > self.me.start:
+        if message.to_start > self.local_member.start:
             actions += self._resolve_start_conflict(now_s, message.to_start, has_ended=False)
         if self.stopped:
             return actions
-        self._start_confirmed = self._start_confirmed or message.to_start == self.me.start
+        self._start_confirmed = self._start_confirmed or message.to_start == self.local_member.start
         if sender_start(message) < self._builder.known_start(sender):
             # The sender has a successor, or has to raise its start: its entry tells it so.
             entry = self._table.peers[sender].update()
@@ -184,7 +189,7 @@
         """Apply updates; those that are new are disseminated further."""
         actions: list[Action] = []
         for update in updates:
-            if update.name == self.me.name:
+            if update.name == self.local_member.name:
                 actions += self._merge_own(now_s, update)
             elif self._table.merge(now_s, update, from_list):
                 self._builder.enqueue(self._table.peers[update.name].update(), once=from_list)
@@ -193,8 +198,8 @@
     def _merge_own(self, now_s: float, update: MembershipUpdate) -> list[Action]:
         """Take another member's update of the local one: refute a suspicion or death of its start."""
         builder = self._builder
-        same_start = update.start == self.me.start
-        if update.start > self.me.start or (same_start and update.status is MemberStatus.LEFT):
+        same_start = update.start == self.local_member.start
+        if update.start > self.local_member.start or (same_start and update.status is MemberStatus.LEFT):
             has_ended = not update.status.is_active
             return self._resolve_start_conflict(now_s, update.start, has_ended)
         if same_start and update.status is not MemberStatus.ALIVE:
@@ -207,7 +212,7 @@
 
         `has_ended`: the member of that start is dead or has left, so it is no successor.
         """
-        if start < self.me.start or (start == self.me.start and not has_ended):
+        if start < self.local_member.start or (start == self.local_member.start and not has_ended):
             return []
         grace_s = START_GRACE_FACTOR * self._settings.suspicion_timeout_s(self._table.active_count + 1)
         within_grace = now_s - min(self._first_tick_s, now_s) < grace_s
@@ -216,10 +221,10 @@
             self._table.record_change(LocalMemberSuperseded(start))
             return []
         builder = self._builder
-        builder.me = replace(self.me, start=min(start + 1, MAX_START))
+        builder.local_member = replace(self.local_member, start=min(start + 1, MAX_START_NUMBER))
         builder.incarnation = 0
         self._start_confirmed = False
-        self._table.record_change(LocalStartRaised(self.me))
+        self._table.record_change(LocalStartRaised(self.local_member))
         builder.enqueue(builder.local_update())
         return [builder.join(name) for name in self._detector.sample_active(ANNOUNCE_FAN_OUT)]
 
--- a/ringledge/decide/records/messages.py
+++ b/ringledge/decide/records/messages.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from ringledge.decide.datagram import MAX_BODY_BYTES, Count, Name, Start, Word
+from ringledge.decide.datagram import MAX_BODY_BYTES, MemberName, StartNumber, Uint32, Uint53
 from ringledge.decide.paging import BUCKET_COUNT
 
 MAX_KEY_BYTES = 48
@@ -28,10 +28,10 @@
     `version`: who holds all up to the former holds all up to the latter with this one.
     """
 
-    writer: Name
-    start: Start
-    previous_version: Count
-    version: Count  # one counter for all keys of the writer
+    writer: MemberName
+    start: StartNumber
+    previous_version: Uint53
+    version: Uint53  # one counter for all keys of the writer
     key: Key
     value: Value | None  # None: deleted
 
@@ -39,22 +39,22 @@
 class WriterVersion(msgspec.Struct, array_like=True, frozen=True):
     """How far a member is up to date with a writer: an entry of its version vector."""
 
-    writer: Name
-    start: Start
-    version: Count  # all records up to this one are held
+    writer: MemberName
+    start: StartNumber
+    version: Uint53  # all records up to this one are held
 
 
 class VersionDigests(msgspec.Struct, array_like=True, frozen=True):
     """A digest of the version vector by bucket. Answered by the entries of the buckets that differ."""
 
-    digests: Annotated[tuple[Word, ...], Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
+    digests: Annotated[tuple[Uint32, ...], Meta(min_length=BUCKET_COUNT, max_length=BUCKET_COUNT)]
 
 
 class VersionVector(msgspec.Struct, array_like=True, frozen=True):
     """A part of the sender's version vector. Answered by records that it lacks, and by a RecordRequest."""
 
     versions: tuple[WriterVersion, ...]
-    complete_buckets: Word = 0  # a bit mask: of these buckets the sender has no other writers
+    complete_buckets: Uint32 = 0  # a bit mask: of these buckets the sender has no other writers
 
 
 class RecordRequest(msgspec.Struct, array_like=True, frozen=True):
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -54,15 +54,15 @@
     The owner reports the active members by `update_members`. `rng` draws recipients and orders.
     """
 
-    def __init__(self, me: Member, settings: RecordsConfig, rng: random.Random) -> None:
+    def __init__(self, local_member: Member, settings: RecordsConfig, rng: random.Random) -> None:
         """ValueError where the member's name does not fit a datagram."""
-        validated_name(me.name)
-        self.me = me
+        validated_name(local_member.name)
+        self.local_member = local_member
         self._settings = settings
         self._rng = rng
         self._logs = LogTable()
-        self._own_log = self._logs.create(me.name, me.start)
-        self._active: dict[str, int] = {me.name: me.start}  # start numbers by name
+        self._own_log = self._logs.create(local_member.name, local_member.start)
+        self._active: dict[str, int] = {local_member.name: local_member.start}  # start numbers by name
         self._expires_s: dict[str, float] = {}  # inactive writers: when their records are deleted
         self._unpushed: dict[tuple[str, str], Record] = {}  # by writer and key
         self._requests: dict[str, _PendingRequest] = {}  # by writer
@@ -89,12 +89,12 @@
             for key, value in log.values(prefix)
         }
 
-    def update_members(self, now_s: float, me: Member, members: Iterable[Member]) -> None:
+    def update_members(self, now_s: float, local_member: Member, members: Iterable[Member]) -> None:
         """Take the active members; `me` with another start writes its records again under that."""
         active = {member.name: member.start for member in members}
-        active[me.name] = me.start
-        if me.start != self.me.start:
-            self._restart(now_s, me)
+        active[local_member.name] = local_member.start
+        if local_member.start != self.local_member.start:
+            self._restart(now_s, local_member)
         for name in self._active.keys() - active.keys():
             if name in self._logs:
                 self._expires_s[name] = now_s + self._settings.retention_s
@@ -105,7 +105,7 @@
                 self._remove(name)
         self._active = active
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When the next tick is due."""
         return min(self._next_push_s, self._next_compare_s, min(self._expires_s.values(), default=math.inf))
 
@@ -155,11 +155,11 @@
         batches = [RecordBatch(group, pushed=True) for group in paginate(records, PAYLOAD_BYTES)]
         return [SendMessage(name, batch) for batch in batches for name in recipients]
 
-    def _restart(self, now_s: float, me: Member) -> None:
+    def _restart(self, now_s: float, local_member: Member) -> None:
         values = list(self._own_log.values(""))
-        self._remove(self.me.name)
-        self.me = me
-        self._own_log = self._logs.create(me.name, me.start)
+        self._remove(self.local_member.name)
+        self.local_member = local_member
+        self._own_log = self._logs.create(local_member.name, local_member.start)
         for key, value in values:
             self._append(now_s, key, value)
 
@@ -168,7 +168,7 @@
         self._logs.remove(writer)
 
     def _sample_others(self, max_count: int) -> list[str]:
-        others = [name for name in self._active if name != self.me.name]
+        others = [name for name in self._active if name != self.local_member.name]
         return self._rng.sample(others, min(max_count, len(others)))
 
     def _answer_digests(self, sender: str, digests: tuple[int, ...]) -> list[Action]:
@@ -218,7 +218,7 @@
 
     def _accepts(self, writer: str, start: int) -> bool:
         """Whether records of this start may be held: the writer is active, or its records are retained."""
-        if writer == self.me.name:
+        if writer == self.local_member.name:
             return False
         if writer in self._active:
             return start >= self._active[writer]
--- a/ringledge/lifecycle/components/lease_holder_duties.py
+++ b/ringledge/lifecycle/components/lease_holder_duties.py
@@ -33,9 +33,14 @@
 
     def __init__(self, fleet: ClusterMember, settings: DutiesConfig, tasks: anyio.abc.TaskGroup) -> None:
         self._fleet, self._members, self._tasks = fleet, fleet.members, tasks
-        me = fleet.members.membership.me
+        local_member = fleet.members.membership.local_member
         self._leases = LeaseManager(
-            boottime_s(), me.name, me.start, settings.terms(), random.Random(), settings.acquisition_delays()
+            boottime_s(),
+            local_member.name,
+            local_member.start,
+            settings.terms(),
+            random.Random(),
+            settings.acquisition_delays(),
         )
         self._duties = DutyRunner(fleet.duties, self._leases, tasks, self._give_up, boottime_s)
         fleet.release_duty = self._give_up
--- a/ringledge/lifecycle/components/role_planning.py
+++ b/ringledge/lifecycle/components/role_planning.py
@@ -21,7 +21,7 @@
     """
     config, members = context.config, fleet.members
     settings, zones = config.settings_of(RatioConfig), config.names.zones
-    if members.membership.me.site not in zones:
+    if members.membership.local_member.site not in zones:
         raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
     role_registry = RoleRegistry(settings)
     role_keeper = RoleFollower(
--- a/ringledge/members/clock_adapter.py
+++ b/ringledge/members/clock_adapter.py
@@ -36,6 +36,6 @@
         """Do what is due, at the decider's time instead of `now_s`."""
         return self._decider.tick(self._decider_clock())
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         """When the next call of `tick` is needed, on the runner's clock."""
-        return self._decider.next_s() - self._decider_clock() + self._runner_clock()
+        return self._decider.next_tick_s() - self._decider_clock() + self._runner_clock()
--- a/ringledge/members/codec.py
+++ b/ringledge/members/codec.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ringledge.decide.datagram import FIXED_HEADER_BYTES, MAX_START, TAG_BYTES, validated_name
+from ringledge.decide.datagram import FIXED_HEADER_BYTES, MAX_START_NUMBER, TAG_BYTES, validated_name
 from ringledge.decide.interface import MAX_DATAGRAM_BYTES
 
 VERSION = 1
@@ -115,8 +115,8 @@
                 bytes((VERSION, kind)),
                 self._cluster,
                 self._sequence.to_bytes(5, "big"),
-                min(start, MAX_START).to_bytes(6, "big"),
-                min(to_start, MAX_START).to_bytes(6, "big"),
+                min(start, MAX_START_NUMBER).to_bytes(6, "big"),
+                min(to_start, MAX_START_NUMBER).to_bytes(6, "big"),
                 bytes((len(self._name),)),
                 self._name,
             )
--- a/ringledge/members/component.py
+++ b/ringledge/members/component.py
@@ -111,7 +111,7 @@
                     self.membership.set_address(socket.address)
                 self.service = self._build_service(socket)
                 self._address = socket.address
-                log.info("member_listening", address=socket.address, start=self.membership.me.start)
+                log.info("member_listening", address=socket.address, start=self.membership.local_member.start)
                 self._bound.set()
                 await self.service.run()
             finally:
@@ -135,7 +135,9 @@
         if settings.broadcast_address:
             addresses[BROADCAST] = settings.broadcast_address
         policy = PeerPolicy(AddressBook(addresses), settings.accept_unlisted)
-        codec = Codec(settings.cluster, self._key, self.membership.me.name, self._deciders.message_types())
+        codec = Codec(
+            settings.cluster, self._key, self.membership.local_member.name, self._deciders.message_types()
+        )
         transport = Transport(codec, socket, time.monotonic, self._metrics)
         return MemberService(self._deciders, self.hooks, policy, transport)
 
--- a/ringledge/members/service.py
+++ b/ringledge/members/service.py
@@ -108,7 +108,7 @@
         self.wake()
 
     def _next_s(self) -> float:
-        return min(decider.next_s() for decider in self._deciders)
+        return min(decider.next_tick_s() for decider in self._deciders)
 
     async def _tick_loop(self) -> None:
         while True:
@@ -118,7 +118,7 @@
                     break
             now_s = self._clock()
             for decider in self._deciders:
-                if decider.next_s() <= now_s:
+                if decider.next_tick_s() <= now_s:
                     self._execute(self._without_messages_once_stopped(decider.tick(now_s)))
             self._scheduled_s = self._next_s()
             self._wake_event = anyio.Event()
@@ -172,7 +172,7 @@
             if not self._may_join(received.sender) and not isinstance(received.message, MemberListQuery):
                 raise DatagramError(DropReason.SENDER_UNKNOWN)
             return
-        if received.to_start != self._membership.me.start:
+        if received.to_start != self._membership.local_member.start:
             raise DatagramError(DropReason.OTHER_START)
         is_current = member is not None and member.start == received.start
         if not is_current or not self._membership.is_active(received.sender):
@@ -205,7 +205,7 @@
             return
         active = self._membership.active_members()
         self._metrics.active_members.set(len(active))
-        self._records.update_members(self._clock(), self._membership.me, active)
+        self._records.update_members(self._clock(), self._membership.local_member, active)
         for change in changes:
             if isinstance(change, MemberFailed):
                 self._metrics.record_failure(change.reason)
@@ -216,7 +216,7 @@
         member = self._membership.latest_member(action.recipient)
         to_start = 0 if member is None else member.start
         try:
-            datagram = self._codec.encode(action.message, self._membership.me.start, to_start)
+            datagram = self._codec.encode(action.message, self._membership.local_member.start, to_start)
             self._socket.send(datagram, self._policy.addresses.resolve(action.recipient, member))
         except DatagramError as error:
             self._metrics.record_dropped(Direction.SENT, error.reason)
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -143,10 +143,10 @@
             with anyio.CancelScope() as self._watch_scope:
                 await self._watch_once(tasks)
         except (TimeoutError, *PEER_ERRORS, ListError) as error:
-            delay_s = self._backoff.next_s()
+            delay_s = self._backoff.next_delay_s()
             _log_failure(error, delay_s)
             return delay_s
-        delay_s = 0.0 if self._watch_scope.cancelled_caught else self._backoff.next_s()
+        delay_s = 0.0 if self._watch_scope.cancelled_caught else self._backoff.next_delay_s()
         log.info("endpoint_watch_ended", again_s=round(delay_s, 3))
         return delay_s
 
--- a/ringledge/wire/exporters/remote_write.py
+++ b/ringledge/wire/exporters/remote_write.py
@@ -125,7 +125,7 @@
                 with anyio.fail_after(self._config.timeout_s):
                     status, told = await self._post(body)
             except PEER_ERRORS as error:
-                wait_s = backoff.next_s()
+                wait_s = backoff.next_delay_s()
                 log.warning("remote_write_failed", error=repr(error), again_s=round(wait_s, 3))
             else:
                 if status < 300:
@@ -133,7 +133,7 @@
                 if status != 429 and status < 500:
                     log.error("remote_write_dropped", status=status)
                     return "dropped"
-                wait_s = backoff.next_s(min_s=told)
+                wait_s = backoff.next_delay_s(min_s=told)
                 log.warning("remote_write_failed", status=status, again_s=round(wait_s, 3))
             await anyio.sleep(wait_s)
 
--- a/tests/compatibility/lease_trace.py
+++ b/tests/compatibility/lease_trace.py
@@ -73,4 +73,4 @@
         fleet.world.run_for(DAY_S)
         yield from fleet.steps
         for name, leases in sorted(fleet.leases.items()):
-            yield f"{name}: {render(leases.holders())} {render(sorted(leases.counts.items()))}"
+            yield f"{name}: {render(leases.holders())} {render(sorted(leases.event_counts.items()))}"
--- a/tests/decide/leases/test_acceptor.py
+++ b/tests/decide/leases/test_acceptor.py
@@ -58,7 +58,7 @@
     for message in (_prepare(), _propose(9), StateTransferRequest(7, DIGEST), state):
         assert acceptor.receive(silent_s, "b", message) == []
     assert acceptor.tick(silent_s) == []
-    now_s = acceptor.next_s()
+    now_s = acceptor.next_tick_s()
     assert now_s == TERMS.startup_silence_s
     recipients = [each.recipient for each in acceptor.tick(now_s) if isinstance(each, SendMessage)]
     assert recipients == ["b", "c"]
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -101,10 +101,10 @@
 
 def test_restarted_member_supersedes_its_previous_start_at_once() -> None:
     world = started_group(5)
-    old = world.nodes["n4"].membership.me
+    old = world.nodes["n4"].membership.local_member
     world.run(1.0)
     world.kill("n4")
-    new = world.start("n4", ["n0"]).membership.me
+    new = world.start("n4", ["n0"]).membership.local_member
     assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < 2.0 and new.start > old.start
     changes = [change for _, change in world.nodes["n0"].changes]
     superseded_index = changes.index(MemberFailed(old, FailureReason.SUPERSEDED))
@@ -122,17 +122,19 @@
     for start in (departed_start, departed_start - 1):
         for incarnation in (0, 7):
             stale = MembershipUpdate("n2", start, incarnation, MemberStatus.ALIVE, "n2:1", "s")
-            observer.receive(world.now_s, "n1", MemberList(sender_start, observer.me.start, (stale,)))
+            observer.receive(
+                world.now_s, "n1", MemberList(sender_start, observer.local_member.start, (stale,))
+            )
     assert observer.statuses()["n2"] is MemberStatus.LEFT and len(observer.active_members()) == 2
 
 
 def test_member_reported_dead_refutes_it() -> None:
     world = started_group(4)
-    accused = world.nodes["n2"].membership.me
+    accused = world.nodes["n2"].membership.local_member
     false_death = MembershipUpdate("n2", accused.start, 0, MemberStatus.DEAD)
     for name in ("n0", "n1", "n3"):
         receiver = world.nodes[name].membership
-        receiver.receive(world.now_s, "n9", MemberList(0, receiver.me.start, (false_death,)))
+        receiver.receive(world.now_s, "n9", MemberList(0, receiver.local_member.start, (false_death,)))
     assert world.run(CONVERGENCE_LIMIT_S, lambda: not world.nodes["n0"].membership.statuses()["n2"]) < 5.0
     world.run(10.0)
     assert world.has_converged() and failures(world) == []  # a death in a list raises a suspicion first
@@ -141,10 +143,10 @@
 def test_reported_death_of_a_recently_contacted_member_raises_a_suspicion_only() -> None:
     world = started_group(3)
     world.run(5.0)
-    accused = world.nodes["n2"].membership.me
+    accused = world.nodes["n2"].membership.local_member
     observer = world.nodes["n0"].membership
     false_death = MembershipUpdate("n2", accused.start, 5, MemberStatus.DEAD)
-    ack = Ack(latest_start(observer, "n1"), observer.me.start, 0, 0, (false_death,))
+    ack = Ack(latest_start(observer, "n1"), observer.local_member.start, 0, 0, (false_death,))
     observer.receive(world.now_s, "n1", ack)
     assert observer.statuses()["n2"] is MemberStatus.SUSPECT
     world.run(10.0)
@@ -175,11 +177,11 @@
 def test_member_restarted_with_an_earlier_clock_rejoins_under_a_higher_start() -> None:
     world = started_group(4)
     world.run(20.0)
-    old = world.nodes["n1"].membership.me
+    old = world.nodes["n1"].membership.local_member
     world.kill("n1")
     node = world.start("n1", ["n0"], start=0)
     assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) < 10.0
-    assert node.membership.me.start == old.start + 1
+    assert node.membership.local_member.start == old.start + 1
     assert any(isinstance(change, LocalStartRaised) for _, change in node.changes)
 
 
@@ -189,7 +191,7 @@
     predecessor = world.nodes["n1"]
     world.start("n1", ["n0"])  # the predecessor keeps running, and learns of it
     predecessor.membership.receive(
-        world.now_s, "n0", MemberList(0, world.nodes["n1"].membership.me.start, ())
+        world.now_s, "n0", MemberList(0, world.nodes["n1"].membership.local_member.start, ())
     )
     assert predecessor.membership.stopped and not predecessor.membership.tick(world.now_s)
     assert any(isinstance(change, LocalMemberSuperseded) for change in predecessor.membership.take_changes())
@@ -204,7 +206,7 @@
     def assert_starts_never_decrease(world: SimulatedGroup) -> None:
         for name, node in world.nodes.items():
             for member in node.membership.active_members():
-                key = (f"{name}/{node.membership.me.start}", member.name)
+                key = (f"{name}/{node.membership.local_member.start}", member.name)
                 assert latest_seen.get(key, 0) <= member.start
                 latest_seen[key] = member.start
 
--- a/tests/decide/records/test_replicated_records.py
+++ b/tests/decide/records/test_replicated_records.py
@@ -113,9 +113,9 @@
 
 
 def test_records_of_own_name_older_starts_or_unknown_writers_are_rejected() -> None:
-    me, other = Member("a", 5), Member("b", 7)
-    records = ReplicatedRecords(me, RecordsConfig(), random.Random(1))
-    records.update_members(0.0, me, [me, other])
+    local_member, other = Member("a", 5), Member("b", 7)
+    records = ReplicatedRecords(local_member, RecordsConfig(), random.Random(1))
+    records.update_members(0.0, local_member, [local_member, other])
     records.write(0.0, "k", b"mine")
     for writer, start in (("a", 5), ("a", 6), ("b", 6), ("c", 1)):
         records.receive(0.0, "b", RecordBatch((Record(writer, start, 0, 9, "k", b"forged"),), pushed=True))
--- a/tests/decide/test_backoff.py
+++ b/tests/decide/test_backoff.py
@@ -13,17 +13,17 @@
 
 def test_bound_doubles_up_to_the_maximum_and_is_reset_by_a_success() -> None:
     backoff = Backoff(0.05, 2.0, random.Random(1))
-    delays = [backoff.next_s() for _ in range(200)]
+    delays = [backoff.next_delay_s() for _ in range(200)]
     for number, delay_s in enumerate(delays):
         assert 0 <= delay_s <= min(2.0, 0.05 * 2**number)
     assert max(delays) > 1.8 and min(delays[10:]) < 0.2  # drawn from the whole of it
     backoff.reset()
-    assert backoff.next_s() <= 0.05
+    assert backoff.next_delay_s() <= 0.05
 
 
 def test_delay_asked_for_by_the_peer_is_added() -> None:
     backoff = Backoff(0.5, 30.0, random.Random(1))
-    assert 7.0 <= backoff.next_s(min_s=7.0) <= 7.5
+    assert 7.0 <= backoff.next_delay_s(min_s=7.0) <= 7.5
 
 
 def _count_answered(callers: list[Backoff], until_s: float) -> int:
@@ -44,7 +44,7 @@
         if free_s - at_s <= 2.0:
             answered += 1
         else:
-            calls.append((at_s + 2.0 + callers[number].next_s(), number))
+            calls.append((at_s + 2.0 + callers[number].next_delay_s(), number))
     return answered
 
 
--- a/tests/members/test_codec.py
+++ b/tests/members/test_codec.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ringledge.decide.datagram import FIXED_HEADER_BYTES, MAX_BODY_BYTES, MAX_NAME_BYTES, MAX_START
+from ringledge.decide.datagram import FIXED_HEADER_BYTES, MAX_BODY_BYTES, MAX_NAME_BYTES, MAX_START_NUMBER
 from ringledge.decide.interface import MAX_DATAGRAM_BYTES
 from ringledge.decide.membership import messages as membership_messages
 from ringledge.decide.membership.messages import (
@@ -38,7 +38,7 @@
 TABLES = {"membership": membership_messages.MESSAGES, "facts": record_messages.MESSAGES}
 
 names = st.text(st.characters(codec="ascii", categories=["L", "N"]), min_size=1, max_size=MAX_NAME_BYTES)
-starts = st.integers(0, MAX_START)
+starts = st.integers(0, MAX_START_NUMBER)
 words = st.integers(0, (1 << 32) - 1)
 news = st.builds(MembershipUpdate, names, starts, words, st.sampled_from(MemberStatus), names, names)
 few = st.lists(news, max_size=1).map(tuple)
--- a/tests/members/test_component.py
+++ b/tests/members/test_component.py
@@ -87,14 +87,16 @@
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
             members, address = await start_three(tasks, tmp_path)
-            others = {"n1": members[1].membership.me.address}
+            others = {"n1": members[1].membership.local_member.address}
             settings = msgspec.structs.replace(members[0]._settings, listen=address, peers=others)
             successor = MembersComponent(settings, "n0", {}, CollectorRegistry(), random.Random(1))
             successor.start(tasks)
             await anyio.lowlevel.checkpoint()
             members[0].stop()
             await successor.wait_bound()
-            await wait_until(lambda: successor.membership.me in members[2].membership.active_members())
+            await wait_until(
+                lambda: successor.membership.local_member in members[2].membership.active_members()
+            )
             for member in (*members[1:], successor):
                 member.stop()
 
@@ -125,7 +127,7 @@
             SendMessage("nobody", Greet("?")),
         ]
 
-    def next_s(self) -> float:
+    def next_tick_s(self) -> float:
         return float("inf") if self.has_sent or not self.recipient else 0.0
 
 
--- a/tests/simulated/test_lease_cases.py
+++ b/tests/simulated/test_lease_cases.py
@@ -165,7 +165,7 @@
     fleet.world.run_for(10)
     assert fleet.holder() == holder
     acceptor = fleet.leases["a"].acceptor
-    assert acceptor is not None and acceptor.mismatched_terms > 0
+    assert acceptor is not None and acceptor.mismatched_terms_count > 0
 
 
 def test_nobody_holds_without_an_active_majority_until_all_acceptors_or_a_new_list_are_there() -> None:
--- a/tests/simulated/world.py
+++ b/tests/simulated/world.py
@@ -66,7 +66,7 @@
 
     def schedule_tick(self) -> None:
         """Schedule a tick for when the first decider needs it."""
-        due_s = min((decider.next_s() for decider in self.deciders), default=float("inf"))
+        due_s = min((decider.next_tick_s() for decider in self.deciders), default=float("inf"))
         due_true_s = self._started_s + (due_s - self._initial_reading_s) / self.clock_rate
         tick_s = max(self.world.true_s, due_true_s)
         if tick_s < self._next_tick_s:
