--- a/ringledge/decide/leases/acceptor.py
+++ b/ringledge/decide/leases/acceptor.py
@@ -27,7 +27,7 @@
 from ringledge.decide.leases.recovery import AcceptorRecovery
 
 RESERVATION_S = 0.25  # for the response, and a ProposeRequest back, with one of them sent again
-MAX_DUTIES = 256  # remembered one by one; more are remembered together, by their highest token
+MAX_TRACKED_DUTIES = 256  # remembered one by one; more are remembered together, by their highest token
 
 
 class LeaseAcceptor:
@@ -69,15 +69,15 @@
         """The duty's lock, made where there is none."""
         lock = self._locks.get(duty)
         if lock is None:
-            if len(self._locks) >= MAX_DUTIES:
-                self._merge_unused(now_s)
+            if len(self._locks) >= MAX_TRACKED_DUTIES:
+                self._evict_unused_locks(now_s)
             lock = self._locks[duty] = DutyLock()
         return lock
 
-    def _merge_unused(self, now_s: float) -> None:
+    def _evict_unused_locks(self, now_s: float) -> None:
         """Forget what is neither locked nor reserved, but for the highest token of all."""
         for duty, lock in [*self._locks.items()]:
-            if lock.unused(now_s):
+            if lock.is_unused(now_s):
                 self.recovery.token_floor = max(self.recovery.token_floor, lock.highest_token)
                 del self._locks[duty]
 
@@ -88,11 +88,11 @@
         self, now_s: float, lock: DutyLock, proposer: ProposerId, message: PrepareRequest | ProposeRequest
     ) -> Rejected | None:
         """The rejection, where the duty is locked or reserved for another; else None."""
-        if lock.locked_for_other(now_s, proposer):
+        if lock.is_locked_for_other(now_s, proposer):
             lock.add_waiter(proposer.name)
             remaining_ms = _remaining_ms(now_s, lock.locked_until_s)
             return self._rejected(lock, message, lock.holder.name, remaining_ms)
-        if lock.reserved_for_other(now_s, proposer) and not _overrides_reservation(message):
+        if lock.is_reserved_for_other(now_s, proposer) and not _overrides_reservation(message):
             remaining_ms = _remaining_ms(now_s, lock.reserved_until_s)
             return self._rejected(lock, message, lock.reserved_for.name, remaining_ms)
         return None
@@ -132,17 +132,17 @@
         proposer = ProposerId(sender, message.start_number)
         if rejected := self._reject_unavailable(now_s, lock, proposer, message):
             return rejected
-        if not self._acceptable(lock, proposer, message):
+        if not self._is_acceptable(lock, proposer, message):
             return self._rejected(lock, message, "", 0)
         until_s = now_s + self._terms.acceptor_lock_s(message.lease_ms)
         lock.lock(proposer, message.token, until_s)
         return ProposeAccepted(message.duty, message.start_number, message.token, message.round_number)
 
-    def _acceptable(self, lock: DutyLock, proposer: ProposerId, message: ProposeRequest) -> bool:
+    def _is_acceptable(self, lock: DutyLock, proposer: ProposerId, message: ProposeRequest) -> bool:
         """Whether the token and the lease of a proposal for a free duty are valid."""
-        repeated = lock.holder == proposer and lock.holder_token == message.token
-        renews = message.renewal or repeated
-        token_too_low = not renews and message.token <= self._highest_token(lock)
+        is_repetition = lock.holder == proposer and lock.holder_token == message.token
+        is_renewal = message.renewal or is_repetition
+        token_too_low = not is_renewal and message.token <= self._highest_token(lock)
         lease_valid = 0 < message.lease_ms <= self._terms.max_lease_s * 1000
         return lease_valid and not token_too_low and not lock.was_released(proposer, message.token)
 
--- a/ringledge/decide/leases/duty_locks.py
+++ b/ringledge/decide/leases/duty_locks.py
@@ -34,15 +34,15 @@
     reserved_until_s: float = float("-inf")
     waiters: dict[str, None] = field(default_factory=dict)  # names of rejected proposers, the latest last
 
-    def locked_for_other(self, now_s: float, proposer: ProposerId) -> bool:
+    def is_locked_for_other(self, now_s: float, proposer: ProposerId) -> bool:
         """Whether another has the lock."""
         return now_s < self.locked_until_s and self.holder != proposer
 
-    def reserved_for_other(self, now_s: float, proposer: ProposerId) -> bool:
+    def is_reserved_for_other(self, now_s: float, proposer: ProposerId) -> bool:
         """Whether another has the reservation."""
         return now_s < self.reserved_until_s and self.reserved_for != proposer
 
-    def unused(self, now_s: float) -> bool:
+    def is_unused(self, now_s: float) -> bool:
         """Whether there is neither a lock nor a reservation."""
         return now_s >= max(self.locked_until_s, self.reserved_until_s)
 
--- a/ringledge/decide/leases/granted_rounds.py
+++ b/ringledge/decide/leases/granted_rounds.py
@@ -4,7 +4,7 @@
 
 from ringledge.decide.leases.messages import LeaseTerms
 
-MAX_ROUNDS = 40  # remembered: more than are sent within a lease
+MAX_REMEMBERED_ROUNDS = 40  # remembered: more than are sent within a lease
 
 
 class GrantedRounds:
@@ -27,9 +27,9 @@
         """Count and remember a round that is sent now; forget the oldest beyond `MAX_ROUNDS`."""
         self.round_number += 1
         self._sent_s[self.round_number] = now_s
-        self._sent_s.pop(self.round_number - MAX_ROUNDS, None)
+        self._sent_s.pop(self.round_number - MAX_REMEMBERED_ROUNDS, None)
 
-    def accept(self, acceptor: str, round_number: int) -> bool:
+    def record_acceptance(self, acceptor: str, round_number: int) -> bool:
         """Record an acceptance; False where the round is not of this holding, or forgotten."""
         sent_s = self._sent_s.get(round_number)
         if sent_s is None:
--- a/ringledge/decide/leases/manager.py
+++ b/ringledge/decide/leases/manager.py
@@ -176,7 +176,7 @@
             case LeaseEnded(reason=reason):
                 self.event_counts[LeaseEvent(reason)] += 1
 
-    def _active_count(self) -> int:
+    def _engaged_duty_count(self) -> int:
         """How many duties this member holds or is acquiring."""
         return sum(proposer.state is not ProposerState.IDLE for proposer in self._proposers.values())
 
@@ -189,7 +189,7 @@
             return 0.0
         delays = self._delays
         rank_s = delays.per_rank_s * self._ranking.rank(duty)
-        delay_s = min(delays.max_s, delays.per_duty_s * self._active_count() + rank_s)
+        delay_s = min(delays.max_s, delays.per_duty_s * self._engaged_duty_count() + rank_s)
         delay_s *= 1 if proposer.duty_released else delays.unreleased_factor
         if not self._ranking.is_candidate(duty):
             delay_s += delays.non_candidate_s
--- a/ringledge/decide/leases/proposer.py
+++ b/ringledge/decide/leases/proposer.py
@@ -29,11 +29,11 @@
 from ringledge.decide.leases.proposer_state import ProposerState
 from ringledge.decide.leases.requests import ProposerRequests, ReleaseRetransmission
 
-RESEND_S = (0.1, 0.2)  # to acceptors that have not answered: above a round trip (2 times 27 ms)
+RESEND_DELAY_RANGE_S = (0.1, 0.2)  # to acceptors that have not answered: above a round trip (2 times 27 ms)
 PHASE_TIMEOUT_S = 0.6  # of prepare and propose: four sends; at half lost, nine acceptors of ten were reached
 RENEWAL_FRACTION = 0.25  # of the lease after which the holder renews: several rounds may be lost whole
-RELEASED_DELAY_S = (0.05, 0.08)  # after a release: behind the nominated successor, apart from the rest
-REJECTED_JITTER_S = 0.2  # max beyond the end of the lock: apart from others that wait for the same
+RELEASED_DELAY_RANGE_S = (0.05, 0.08)  # after a release: behind the nominated successor, apart from the rest
+MAX_REJECTED_JITTER_S = 0.2  # max beyond the end of the lock: apart from others that wait for the same
 
 
 class LeaseProposer:
@@ -154,7 +154,7 @@
         return self._send_prepare(now_s, self._terms.acceptors)
 
     def _send_prepare(self, now_s: float, acceptors: Iterable[str]) -> list[Action]:
-        self._resend_s = now_s + self._random.uniform(*RESEND_S)
+        self._resend_s = now_s + self._random.uniform(*RESEND_DELAY_RANGE_S)
         request = self._requests.prepare(self._prepare_number, self.nominated)
         return [SendMessage(acceptor, request) for acceptor in acceptors]
 
@@ -174,7 +174,7 @@
 
     def _resend_propose(self, now_s: float) -> list[Action]:
         """Send a round to those that have not granted since the last full one, until a majority has."""
-        self._resend_s = now_s + self._random.uniform(*RESEND_S)  # `_send_round` draws it anew
+        self._resend_s = now_s + self._random.uniform(*RESEND_DELAY_RANGE_S)  # `_send_round` draws it anew
         missing = self._rounds.missing_grants()
         if len(missing) > len(self._terms.acceptors) - self._terms.majority:
             return self._send_round(now_s, missing)
@@ -183,7 +183,7 @@
 
     def _send_round(self, now_s: float, acceptors: Iterable[str]) -> list[Action]:
         self._rounds.begin_round(now_s)
-        self._resend_s = now_s + self._random.uniform(*RESEND_S)
+        self._resend_s = now_s + self._random.uniform(*RESEND_DELAY_RANGE_S)
         holding = self.state is ProposerState.HOLDING
         request = self._requests.propose(self.token, self._rounds.round_number, renewal=holding)
         return [SendMessage(acceptor, request) for acceptor in acceptors]
@@ -196,7 +196,7 @@
         return self._begin_propose(now_s) if self._responses.majority_prepared() else []
 
     def _on_accepted(self, now_s: float, sender: str, message: ProposeAccepted) -> list[Action]:
-        if message.token != self.token or not self._rounds.accept(sender, message.round_number):
+        if message.token != self.token or not self._rounds.record_acceptance(sender, message.round_number):
             return []
         lease_end_s = self._rounds.lease_end_s()
         if lease_end_s is None or now_s >= lease_end_s:
@@ -232,7 +232,7 @@
         self._backoff.reset()
         release = self._requests.release(self.token)
         actions: list[Action] = [SendMessage(acceptor, release) for acceptor in self._responses.prepared()]
-        self._become_idle(self._responses.majority_free_s() + self._random.uniform(0, REJECTED_JITTER_S))
+        self._become_idle(self._responses.majority_free_s() + self._random.uniform(0, MAX_REJECTED_JITTER_S))
         return actions
 
     def _on_released(self, now_s: float, sender: str, message: LeaseReleased) -> list[Action]:
@@ -240,7 +240,7 @@
         if message.token >= self._highest_token:
             self.holder = ""
         if self.state is ProposerState.IDLE:
-            delay_s = 0.0 if message.nominated_successor else self._random.uniform(*RELEASED_DELAY_S)
+            delay_s = 0.0 if message.nominated_successor else self._random.uniform(*RELEASED_DELAY_RANGE_S)
             self.next_attempt_s = min(self.next_attempt_s, now_s + delay_s)
             self.nominated = self.nominated or message.nominated_successor
             self.duty_released = True
--- a/ringledge/decide/leases/recovery.py
+++ b/ringledge/decide/leases/recovery.py
@@ -22,7 +22,7 @@
     StateTransferResponse,
 )
 
-RETRY_INTERVAL_S = 0.3  # of state transfer requests: a request or its response is lost at times
+STATE_REQUEST_INTERVAL_S = 0.3  # of state transfer requests: a request or its response is lost at times
 
 
 class AcceptorRecovery:
@@ -67,7 +67,7 @@
         """Request the state of all other acceptors; one that was not active may be by now."""
         if self.active or now_s < self._next_request_s:
             return []
-        self._next_request_s = now_s + RETRY_INTERVAL_S
+        self._next_request_s = now_s + STATE_REQUEST_INTERVAL_S
         request = StateTransferRequest(self._start_number, self._terms.digest)
         others = (acceptor for acceptor in self._terms.acceptors if acceptor != self._name)
         return [SendMessage(acceptor, request) for acceptor in others]
--- a/ringledge/decide/leases/requests.py
+++ b/ringledge/decide/leases/requests.py
@@ -6,8 +6,8 @@
 
 from ringledge.decide.leases.messages import LeaseRelease, LeaseTerms, PrepareRequest, ProposeRequest
 
-RELEASE_SENDS = 3  # times that a release is sent
-RELEASE_RESEND_S = 0.05
+RELEASE_SEND_COUNT = 3  # times that a release is sent
+RELEASE_RESEND_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,13 +49,13 @@
     def begin(self, now_s: float, message: LeaseRelease) -> None:
         """Retransmit a release that is sent for the first time now."""
         self.message = message
-        self.remaining_sends = RELEASE_SENDS - 1
-        self.due_s = now_s + RELEASE_RESEND_S
+        self.remaining_sends = RELEASE_SEND_COUNT - 1
+        self.due_s = now_s + RELEASE_RESEND_INTERVAL_S
 
     def due_message(self, now_s: float) -> LeaseRelease | None:
         """The release, where a retransmission is due now; counted as sent."""
         if not self.remaining_sends or now_s < self.due_s:
             return None
         self.remaining_sends -= 1
-        self.due_s = now_s + RELEASE_RESEND_S
+        self.due_s = now_s + RELEASE_RESEND_INTERVAL_S
         return self.message
--- a/ringledge/decide/membership/failure_detector.py
+++ b/ringledge/decide/membership/failure_detector.py
@@ -13,7 +13,7 @@
 
 BROADCAST = "*"  # as a seed: the address at which all members receive
 SUSPECT_PINGS_PER_INTERVAL = 4  # a suspect is pinged so often, each time with the suspicion to refute
-LAST_CALL_INTERVALS = 3.0  # before a suspicion times out all who know of it ping the suspect for so long
+FINAL_PING_INTERVALS = 3.0  # before a suspicion times out all who know of it ping the suspect for so long
 MAX_RELAYED_PROBES = 64  # probes on behalf of others that wait for their acknowledgement
 NONCE_RANGE = 1 << 32
 
@@ -59,39 +59,39 @@
         self._rng = rng
         self._table = table
         self._last_nonce = rng.randrange(NONCE_RANGE)
-        self._round: list[str] = []  # targets left in this round, the next one last
-        self._pending: _PendingProbe | None = None
+        self._remaining_targets: list[str] = []  # targets left in this round, the next one last
+        self._pending_probe: _PendingProbe | None = None
         self._relayed: dict[int, RelayedProbe] = {}  # by the nonce of our ping
-        self._own_suspects: set[str] = set()  # suspects that missed a probe of this member
+        self._direct_suspects: set[str] = set()  # suspects that missed a probe of this member
         self._next_probe_s = -math.inf
         self._next_suspect_ping_s = -math.inf
 
     def next_tick_s(self) -> float:
         """When the next probe, indirect probe or ping of a suspect is due."""
-        indirect_s = math.inf if self._pending is None else self._pending.indirect_probe_due_s
+        indirect_s = math.inf if self._pending_probe is None else self._pending_probe.indirect_probe_due_s
         suspect_ping_s = self._next_suspect_ping_s if self._table.has_suspects() else math.inf
         return min(self._next_probe_s, indirect_s, suspect_ping_s)
 
-    def cancel_pending(self) -> None:
+    def cancel_pending_probe(self) -> None:
         """Suspect nobody for the probe that is under way."""
-        self._pending = None
+        self._pending_probe = None
 
     def next_nonce(self) -> int:
         """A nonce that no probe of the last hours had."""
         self._last_nonce = (self._last_nonce + 1) % NONCE_RANGE
         return self._last_nonce
 
-    def take_failed(self, now_s: float) -> str | None:
+    def suspect_unresponsive(self, now_s: float) -> str | None:
         """At the end of an interval: the member that has just become suspected, since its Ack is missing."""
-        if now_s < self._next_probe_s or self._pending is None:
+        if now_s < self._next_probe_s or self._pending_probe is None:
             return None
-        pending, self._pending = self._pending, None
+        pending, self._pending_probe = self._pending_probe, None
         peer = self._table.peers.get(pending.target)
         if peer is None or peer.member.start != pending.start:
             return None
         if not self._table.suspect(now_s, pending.target):
             return None
-        self._own_suspects.add(pending.target)
+        self._direct_suspects.add(pending.target)
         return pending.target
 
     def start_probe(self, now_s: float) -> Probe | None:
@@ -104,12 +104,12 @@
             return None
         start = self._table.peers[target].member.start
         nonce = self.next_nonce()
-        self._pending = _PendingProbe(target, start, nonce, now_s + self._settings.ack_timeout_s)
+        self._pending_probe = _PendingProbe(target, start, nonce, now_s + self._settings.ack_timeout_s)
         return Probe(target, nonce)
 
     def start_indirect_probe(self, now_s: float) -> IndirectProbe | None:
         """Where the Ack is late: the probe to repeat, and the helpers to request it from."""
-        pending = self._pending
+        pending = self._pending_probe
         if pending is None or now_s < pending.indirect_probe_due_s:
             return None
         pending.indirect_probe_due_s = math.inf
@@ -126,15 +126,15 @@
             return []
         self._next_suspect_ping_s = now_s + self._settings.interval_s / SUSPECT_PINGS_PER_INTERVAL
         suspects = self._table.suspects()
-        self._own_suspects.intersection_update(peer.member.name for peer in suspects)
-        last_call_s = now_s + LAST_CALL_INTERVALS * self._settings.interval_s
+        self._direct_suspects.intersection_update(peer.member.name for peer in suspects)
+        final_ping_horizon_s = now_s + FINAL_PING_INTERVALS * self._settings.interval_s
         return [
             peer.member.name
             for peer in suspects
-            if peer.member.name in self._own_suspects or peer.suspicion_deadline_s <= last_call_s
+            if peer.member.name in self._direct_suspects or peer.suspicion_deadline_s <= final_ping_horizon_s
         ]
 
-    def relay(self, origin: str, nonce: int) -> int:
+    def register_relayed_probe(self, origin: str, nonce: int) -> int:
         """Register a probe on behalf of another member; the nonce for our ping."""
         relay_nonce = self.next_nonce()
         self._relayed[relay_nonce] = RelayedProbe(origin, nonce)
@@ -142,10 +142,10 @@
             del self._relayed[next(iter(self._relayed))]
         return relay_nonce
 
-    def acknowledge(self, nonce: int) -> RelayedProbe | None:
+    def record_ack(self, nonce: int) -> RelayedProbe | None:
         """Take an Ack; the request that it answers, where the probe was on behalf of another member."""
-        if self._pending is not None and nonce == self._pending.nonce:
-            self._pending = None
+        if self._pending_probe is not None and nonce == self._pending_probe.nonce:
+            self._pending_probe = None
         return self._relayed.pop(nonce, None)
 
     def sample_active(self, max_count: int, exclude: Collection[str] = ()) -> list[str]:
@@ -171,16 +171,16 @@
 
     def _next_target(self) -> str | None:
         """The next active member in this round's order; a new round is shuffled where it has none left."""
-        target = self._take_target()
+        target = self._pop_active_target()
         if target is None:
-            self._round = self._active_names()
-            self._rng.shuffle(self._round)
-            target = self._take_target()
+            self._remaining_targets = self._active_names()
+            self._rng.shuffle(self._remaining_targets)
+            target = self._pop_active_target()
         return target
 
-    def _take_target(self) -> str | None:
-        while self._round:
-            name = self._round.pop()
+    def _pop_active_target(self) -> str | None:
+        while self._remaining_targets:
+            name = self._remaining_targets.pop()
             peer = self._table.peers.get(name)
             if peer is not None and peer.is_active():
                 return name
--- a/ringledge/decide/membership/message_builder.py
+++ b/ringledge/decide/membership/message_builder.py
@@ -9,7 +9,7 @@
 from ringledge.decide.membership.gossip import TransmitLimitedQueue
 from ringledge.decide.membership.member_table import MemberTable, member_digest
 from ringledge.decide.membership.messages import (
-    UPDATES_BYTES,
+    MAX_UPDATES_BYTES,
     Ack,
     IndirectPingRequest,
     Join,
@@ -132,7 +132,7 @@
         first = [self.local_update()]
         if recipient in peers:
             first.append(peers[recipient].update())
-        groups = paginate(first + updates, UPDATES_BYTES)
+        groups = paginate(first + updates, MAX_UPDATES_BYTES)
         return [self.member_list(recipient, *group) for group in groups[:max_datagrams]]
 
     def _piggyback(self, recipient: str) -> tuple[MembershipUpdate, ...]:
@@ -141,4 +141,4 @@
         to_refute = None
         if peer is not None and peer.status is not MemberStatus.ALIVE:
             to_refute = peer.update()
-        return self._queue.take(UPDATES_BYTES, recipient, to_refute)
+        return self._queue.take(MAX_UPDATES_BYTES, recipient, to_refute)
--- a/ringledge/decide/membership/messages.py
+++ b/ringledge/decide/membership/messages.py
@@ -20,7 +20,7 @@
     32  # a Ping without updates: array heads, two starts, a nonce and a digest at their longest
 )
 MAX_ADDRESS_BYTES = 64  # of host:port; an IPv6 address with its port takes 47
-UPDATES_BYTES = MAX_BODY_BYTES - PING_OVERHEAD_BYTES  # available for updates in one message
+MAX_UPDATES_BYTES = MAX_BODY_BYTES - PING_OVERHEAD_BYTES  # available for updates in one message
 
 
 class MemberStatus(enum.IntEnum):
--- a/ringledge/decide/membership/periodic.py
+++ b/ringledge/decide/membership/periodic.py
@@ -46,27 +46,27 @@
 
     def tick(self, now_s: float) -> list[Action]:
         """Expire suspicions, probe, and contact inactive members, as far as they are due."""
-        self._compensate_stall(now_s)
-        self._declare_failures(now_s)
+        self._compensate_for_stall(now_s)
+        self._update_suspicions(now_s)
         actions = self._probe(now_s)
         if now_s >= self._next_rejoin_s:
             actions += self._rejoin(now_s)
         return actions
 
-    def _compensate_stall(self, now_s: float) -> None:
+    def _compensate_for_stall(self, now_s: float) -> None:
         """Suspect nobody where the tick is late: what others sent meanwhile is unread."""
         delay_s = now_s - self._expected_tick_s
         self._expected_tick_s = math.inf
         if MAX_TICK_DELAY_INTERVALS * self._settings.interval_s < delay_s < math.inf:
-            self._detector.cancel_pending()
+            self._detector.cancel_pending_probe()
             self._table.extend_suspicions(delay_s)
 
-    def _declare_failures(self, now_s: float) -> None:
+    def _update_suspicions(self, now_s: float) -> None:
         for peer in self._table.expire_suspects(now_s):
             self._builder.enqueue(peer.update())
-        failed = self._detector.take_failed(now_s)
-        if failed is not None:
-            self._builder.enqueue(self._table.peers[failed].update())
+        suspect_name = self._detector.suspect_unresponsive(now_s)
+        if suspect_name is not None:
+            self._builder.enqueue(self._table.peers[suspect_name].update())
 
     def _probe(self, now_s: float) -> list[Action]:
         """The pings and indirect ping requests that are due."""
--- a/ringledge/decide/membership/settings.py
+++ b/ringledge/decide/membership/settings.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 Seconds = Annotated[float, Meta(ge=0.02, le=60)]
-Few = Annotated[int, Meta(ge=1, le=16)]
+SmallCount = Annotated[int, Meta(ge=1, le=16)]
 
 
 class ProbeConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -18,11 +18,11 @@
     interval_s: Seconds = 0.5  # between two probes by one member
     # An Ack that takes longer makes the member request indirect probes; a datagram takes 27 ms at most.
     ack_timeout_s: Seconds = msgspec.field(name="answer_s", default=0.15)
-    indirect_probes: Few = msgspec.field(name="indirect", default=3)  # helpers for one indirect probe
+    indirect_probes: SmallCount = msgspec.field(name="indirect", default=3)  # helpers for one indirect probe
     # Intervals until a suspect is declared dead, with up to 10 members.
     suspicion_intervals: Annotated[float, Meta(ge=1, le=100)] = msgspec.field(name="suspicion", default=4.0)
     # Times that a member transmits an update, with up to 10 members.
-    retransmit_multiplier: Few = msgspec.field(name="repeats", default=4)
+    retransmit_multiplier: SmallCount = msgspec.field(name="repeats", default=4)
 
     def __post_init__(self) -> None:
         if self.ack_timeout_s > self.interval_s / 2:
--- a/ringledge/decide/membership/swim.py
+++ b/ringledge/decide/membership/swim.py
@@ -44,7 +44,9 @@
 MAX_SYNC_DATAGRAMS = 8  # of member lists in answer to digests that differ
 MAX_JOIN_DATAGRAMS = 100  # of member lists in answer to a join or a query
 ANNOUNCE_FAN_OUT = 8  # members that are notified directly when this one leaves or raises its start
-START_GRACE_FACTOR = 2.0  # suspicion timeouts after the first tick in which a higher start is a predecessor's
+START_CONFLICT_GRACE_FACTOR = (
+    2.0  # suspicion timeouts after the first tick in which a higher start is a predecessor's
+)
 
 
 class Membership:
@@ -136,7 +138,7 @@
             return self._builder.member_lists(sender, MAX_JOIN_DATAGRAMS)
         if sender == self.local_member.name:
             return self._resolve_start_conflict(now_s, sender_start(message), has_ended=False)
-        addressed_start = self.local_member.start
+        start_on_arrival = self.local_member.start
         actions = self._merge(now_s, updates_of(message), from_list=isinstance(message, MemberList))
         if message.to_start > self.local_member.start:
             actions += self._resolve_start_conflict(now_s, message.to_start, has_ended=False)
@@ -149,7 +151,7 @@
             return [*actions, self._builder.member_list(sender, entry)]
         self._table.record_contact(now_s, sender, sender_start(message))
         actions += self._answer(sender, message)
-        if message.to_start != addressed_start and not isinstance(message, Join):
+        if message.to_start != start_on_arrival and not isinstance(message, Join):
             actions.append(self._builder.join(sender))
         if isinstance(message, Ping | Ack) and message.view_digest != self._builder.view_digest():
             actions += self._sync(now_s, sender)
@@ -171,10 +173,10 @@
             case Ping():
                 return [builder.ack(sender, message.nonce)]
             case Ack():
-                relayed = self._detector.acknowledge(message.nonce)
+                relayed = self._detector.record_ack(message.nonce)
                 return [] if relayed is None else [builder.ack(relayed.origin, relayed.nonce)]
             case IndirectPingRequest() if message.target in self._table.peers:
-                nonce = self._detector.relay(sender, message.nonce)
+                nonce = self._detector.register_relayed_probe(sender, message.nonce)
                 return [builder.ping(message.target, nonce)]
             case Join():
                 return builder.member_lists(sender, MAX_JOIN_DATAGRAMS)
@@ -190,12 +192,12 @@
         actions: list[Action] = []
         for update in updates:
             if update.name == self.local_member.name:
-                actions += self._merge_own(now_s, update)
+                actions += self._merge_own_update(now_s, update)
             elif self._table.merge(now_s, update, from_list):
                 self._builder.enqueue(self._table.peers[update.name].update(), once=from_list)
         return actions
 
-    def _merge_own(self, now_s: float, update: MembershipUpdate) -> list[Action]:
+    def _merge_own_update(self, now_s: float, update: MembershipUpdate) -> list[Action]:
         """Take another member's update of the local one: refute a suspicion or death of its start."""
         builder = self._builder
         same_start = update.start == self.local_member.start
@@ -214,7 +216,9 @@
         """
         if start < self.local_member.start or (start == self.local_member.start and not has_ended):
             return []
-        grace_s = START_GRACE_FACTOR * self._settings.suspicion_timeout_s(self._table.active_count + 1)
+        grace_s = START_CONFLICT_GRACE_FACTOR * self._settings.suspicion_timeout_s(
+            self._table.active_count + 1
+        )
         within_grace = now_s - min(self._first_tick_s, now_s) < grace_s
         if self._start_confirmed and not within_grace and not has_ended:
             self.stopped = True
--- a/ringledge/decide/paging.py
+++ b/ringledge/decide/paging.py
@@ -23,14 +23,14 @@
     return len(_encoder.encode(row))
 
 
-def paginate(rows: Iterable[Row], page_bytes: int) -> list[tuple[Row, ...]]:
+def paginate(rows: Iterable[Row], max_page_bytes: int) -> list[tuple[Row, ...]]:
     """Rows in their order, in pages of at most so many bytes; a single row may exceed its page."""
     pages: list[tuple[Row, ...]] = []
     page: list[Row] = []
     used_bytes = 0
     for row in rows:
         row_bytes = encoded_size(row)
-        if page and used_bytes + row_bytes > page_bytes:
+        if page and used_bytes + row_bytes > max_page_bytes:
             pages.append(tuple(page))
             page = []
             used_bytes = 0
--- a/ringledge/decide/records/log_table.py
+++ b/ringledge/decide/records/log_table.py
@@ -39,7 +39,7 @@
             self._toggle_digest(log)
 
     @contextmanager
-    def modifying(self, log: WriterLog) -> Iterator[None]:
+    def updating_digest(self, log: WriterLog) -> Iterator[None]:
         """Keep the digests right while a log is modified."""
         self._toggle_digest(log)
         yield
@@ -54,7 +54,7 @@
         pairs = zip(self._digests, digests, strict=True)
         return [bucket for bucket, (local, remote) in enumerate(pairs) if local != remote]
 
-    def versions_in(self, bucket: int) -> list[WriterVersion]:
+    def versions_in_bucket(self, bucket: int) -> list[WriterVersion]:
         """The entries of the version vector in a bucket."""
         return [log.held_version() for log in self if log.version and bucket_of(log.writer) == bucket]
 
@@ -78,7 +78,7 @@
             and log.writer not in listed
         ]
 
-    def records_beyond(self, versions: Iterable[WriterVersion]) -> list[Record]:
+    def missing_records(self, versions: Iterable[WriterVersion]) -> list[Record]:
         """The records that a holder of these versions lacks, writer by writer."""
         records: list[Record] = []
         for remote in versions:
--- a/ringledge/decide/records/messages.py
+++ b/ringledge/decide/records/messages.py
@@ -15,7 +15,7 @@
 
 MAX_KEY_BYTES = 48
 MAX_VALUE_BYTES = 120
-PAYLOAD_BYTES = MAX_BODY_BYTES - 10  # for the versions or records of one message, without its array heads
+MAX_PAYLOAD_BYTES = MAX_BODY_BYTES - 10  # for the versions or records of one message, without its array heads
 
 Key = Annotated[str, Meta(min_length=1, max_length=MAX_KEY_BYTES)]
 Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -19,8 +19,8 @@
 from ringledge.decide.paging import paginate
 from ringledge.decide.records.log_table import LogTable, version_vectors
 from ringledge.decide.records.messages import (
+    MAX_PAYLOAD_BYTES,
     MESSAGES,
-    PAYLOAD_BYTES,
     Message,
     Record,
     RecordBatch,
@@ -35,7 +35,10 @@
 
 PUSH_DELAY_S = 0.02  # that a change waits for others to be pushed with it
 FAST_COMPARE_FACTOR = 4  # times sooner the next comparison follows one that found something missing
-INTERVAL_JITTER = (0.9, 1.1)  # factors of the interval, so that members do not compare in step
+COMPARE_JITTER_FACTORS = (
+    0.9,
+    1.1,
+)  # factors of the interval, so that members do not compare in step
 REQUEST_TIMEOUT_S = 0.2  # within which a request is answered: several round trips
 MAX_VECTOR_DATAGRAMS = 2  # in answer to digests; other buckets follow later, for their order is shuffled
 
@@ -62,10 +65,12 @@
         self._rng = rng
         self._logs = LogTable()
         self._own_log = self._logs.create(local_member.name, local_member.start)
-        self._active: dict[str, int] = {local_member.name: local_member.start}  # start numbers by name
-        self._expires_s: dict[str, float] = {}  # inactive writers: when their records are deleted
-        self._unpushed: dict[tuple[str, str], Record] = {}  # by writer and key
-        self._requests: dict[str, _PendingRequest] = {}  # by writer
+        self._active_start_numbers: dict[str, int] = {
+            local_member.name: local_member.start
+        }  # start numbers by name
+        self._expiry_s: dict[str, float] = {}  # inactive writers: when their records are deleted
+        self._pending_pushes: dict[tuple[str, str], Record] = {}  # by writer and key
+        self._pending_requests: dict[str, _PendingRequest] = {}  # by writer
         self._next_push_s = math.inf
         self._next_compare_s = -math.inf
 
@@ -85,7 +90,7 @@
         return {
             (log.writer, key): value
             for log in self._logs
-            if self._expires_s.get(log.writer, math.inf) > now_s
+            if self._expiry_s.get(log.writer, math.inf) > now_s
             for key, value in log.values(prefix)
         }
 
@@ -95,31 +100,33 @@
         active[local_member.name] = local_member.start
         if local_member.start != self.local_member.start:
             self._restart(now_s, local_member)
-        for name in self._active.keys() - active.keys():
+        for name in self._active_start_numbers.keys() - active.keys():
             if name in self._logs:
-                self._expires_s[name] = now_s + self._settings.retention_s
+                self._expiry_s[name] = now_s + self._settings.retention_s
         for name, start in active.items():
-            self._expires_s.pop(name, None)
+            self._expiry_s.pop(name, None)
             log = self._logs.get(name)
             if log is not None and log.start < start:
                 self._remove(name)
-        self._active = active
+        self._active_start_numbers = active
 
     def next_tick_s(self) -> float:
         """When the next tick is due."""
-        return min(self._next_push_s, self._next_compare_s, min(self._expires_s.values(), default=math.inf))
+        return min(self._next_push_s, self._next_compare_s, min(self._expiry_s.values(), default=math.inf))
 
     def tick(self, now_s: float) -> list[Action]:
         """Delete expired records, push changes, and compare with another member, as far as they are due."""
-        for name in [name for name, expires_s in self._expires_s.items() if expires_s <= now_s]:
-            del self._expires_s[name]
+        for name in [name for name, expires_s in self._expiry_s.items() if expires_s <= now_s]:
+            del self._expiry_s[name]
             self._remove(name)
         actions: list[Action] = []
         if now_s >= self._next_push_s:
             self._next_push_s = math.inf
             actions += self._push()
         if now_s >= self._next_compare_s:
-            self._next_compare_s = now_s + self._settings.interval_s * self._rng.uniform(*INTERVAL_JITTER)
+            self._next_compare_s = now_s + self._settings.interval_s * self._rng.uniform(
+                *COMPARE_JITTER_FACTORS
+            )
             digests = VersionDigests(self._logs.digests())
             actions += [SendMessage(name, digests) for name in self._sample_others(1)]
         return actions
@@ -140,19 +147,19 @@
                 return []
 
     def _append(self, now_s: float, key: str, value: bytes | None) -> None:
-        with self._logs.modifying(self._own_log):
+        with self._logs.updating_digest(self._own_log):
             record = self._own_log.write(key, value)
         self._queue_push(now_s, record)
 
     def _queue_push(self, now_s: float, record: Record) -> None:
-        self._unpushed[record.writer, record.key] = record
+        self._pending_pushes[record.writer, record.key] = record
         self._next_push_s = min(self._next_push_s, now_s + PUSH_DELAY_S)
 
     def _push(self) -> list[Action]:
-        records = list(self._unpushed.values())
-        self._unpushed = {}
+        records = list(self._pending_pushes.values())
+        self._pending_pushes = {}
         recipients = self._sample_others(self._settings.fan_out)
-        batches = [RecordBatch(group, pushed=True) for group in paginate(records, PAYLOAD_BYTES)]
+        batches = [RecordBatch(group, pushed=True) for group in paginate(records, MAX_PAYLOAD_BYTES)]
         return [SendMessage(name, batch) for batch in batches for name in recipients]
 
     def _restart(self, now_s: float, local_member: Member) -> None:
@@ -164,19 +171,19 @@
             self._append(now_s, key, value)
 
     def _remove(self, writer: str) -> None:
-        self._requests.pop(writer, None)
+        self._pending_requests.pop(writer, None)
         self._logs.remove(writer)
 
     def _sample_others(self, max_count: int) -> list[str]:
-        others = [name for name in self._active if name != self.local_member.name]
+        others = [name for name in self._active_start_numbers if name != self.local_member.name]
         return self._rng.sample(others, min(max_count, len(others)))
 
     def _answer_digests(self, sender: str, digests: tuple[int, ...]) -> list[Action]:
         """Send the version vector in the buckets that differ; shuffled, since not all of them may fit."""
         buckets = self._logs.differing_buckets(digests)
         self._rng.shuffle(buckets)
-        entries = [(bucket, self._logs.versions_in(bucket)) for bucket in buckets]
-        messages = version_vectors(entries, PAYLOAD_BYTES)[:MAX_VECTOR_DATAGRAMS]
+        entries = [(bucket, self._logs.versions_in_bucket(bucket)) for bucket in buckets]
+        messages = version_vectors(entries, MAX_PAYLOAD_BYTES)[:MAX_VECTOR_DATAGRAMS]
         return [SendMessage(sender, message) for message in messages]
 
     def _answer_vector(self, now_s: float, sender: str, vector: VersionVector) -> list[Action]:
@@ -188,13 +195,15 @@
             if (remote.start, remote.version) < (local.start, local.version):
                 behind.append(remote)
             elif remote != local and self._may_request(now_s, sender, remote):
-                self._requests[remote.writer] = _PendingRequest(sender, now_s + REQUEST_TIMEOUT_S)
+                self._pending_requests[remote.writer] = _PendingRequest(sender, now_s + REQUEST_TIMEOUT_S)
                 held = local.version if remote.start == local.start else 0
                 wanted.append(WriterVersion(remote.writer, remote.start, held))
         if wanted:  # there may be more, here or elsewhere
             soon_s = now_s + self._settings.interval_s / FAST_COMPARE_FACTOR
             self._next_compare_s = min(self._next_compare_s, soon_s)
-        requests = [SendMessage(sender, RecordRequest(group)) for group in paginate(wanted, PAYLOAD_BYTES)]
+        requests = [
+            SendMessage(sender, RecordRequest(group)) for group in paginate(wanted, MAX_PAYLOAD_BYTES)
+        ]
         return [*self._send_records(sender, behind), *requests]
 
     def _send_records(self, recipient: str, versions: Sequence[WriterVersion]) -> list[Action]:
@@ -202,32 +211,32 @@
 
         By the latter it requests the rest.
         """
-        records = self._logs.records_beyond(versions)
-        batches = paginate(records, PAYLOAD_BYTES)[: self._settings.max_answer_datagrams]
+        records = self._logs.missing_records(versions)
+        batches = paginate(records, MAX_PAYLOAD_BYTES)[: self._settings.max_answer_datagrams]
         if not batches:
             return []
-        vectors = paginate(self._logs.held_versions(versions), PAYLOAD_BYTES)[:1]
+        vectors = paginate(self._logs.held_versions(versions), MAX_PAYLOAD_BYTES)[:1]
         messages = (*map(RecordBatch, batches), *map(VersionVector, vectors))
         return [SendMessage(recipient, message) for message in messages]
 
     def _may_request(self, now_s: float, sender: str, remote: WriterVersion) -> bool:
         """Whether to request a writer's records: from one member at a time, lest they come twice."""
-        pending = self._requests.get(remote.writer)
+        pending = self._pending_requests.get(remote.writer)
         is_free = pending is None or pending.recipient == sender or pending.expires_s <= now_s
-        return is_free and self._accepts(remote.writer, remote.start)
+        return is_free and self._is_acceptable(remote.writer, remote.start)
 
-    def _accepts(self, writer: str, start: int) -> bool:
+    def _is_acceptable(self, writer: str, start: int) -> bool:
         """Whether records of this start may be held: the writer is active, or its records are retained."""
         if writer == self.local_member.name:
             return False
-        if writer in self._active:
-            return start >= self._active[writer]
+        if writer in self._active_start_numbers:
+            return start >= self._active_start_numbers[writer]
         log = self._logs.get(writer)
-        return writer in self._expires_s and log is not None and log.start == start
+        return writer in self._expiry_s and log is not None and log.start == start
 
     def _apply(self, record: Record) -> bool:
         """Take a record of another writer; whether it was new."""
-        if not self._accepts(record.writer, record.start):
+        if not self._is_acceptable(record.writer, record.start):
             return False
         log = self._logs.get(record.writer)
         if log is not None and record.start > log.start:
@@ -237,5 +246,5 @@
             log = self._logs.create(record.writer, record.start)
         if record.start < log.start:
             return False
-        with self._logs.modifying(log):
+        with self._logs.updating_digest(log):
             return log.apply(record)
--- a/ringledge/decide/records/settings.py
+++ b/ringledge/decide/records/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-Few = Annotated[int, Meta(ge=1, le=16)]
+SmallCount = Annotated[int, Meta(ge=1, le=16)]
 
 
 class RecordsConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -16,5 +16,7 @@
     interval_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # between two comparisons by one member
     # How long records are retained after their writer has died or left.
     retention_s: Annotated[float, Meta(ge=1, le=3600)] = msgspec.field(name="lifetime_s", default=30.0)
-    fan_out: Few = 3  # members to which a change is pushed, by its writer and by each one to which it is new
-    max_answer_datagrams: Few = msgspec.field(name="answer", default=6)  # of records, in one answer
+    fan_out: SmallCount = (
+        3  # members to which a change is pushed, by its writer and by each one to which it is new
+    )
+    max_answer_datagrams: SmallCount = msgspec.field(name="answer", default=6)  # of records, in one answer
--- a/ringledge/decide/records/writer_log.py
+++ b/ringledge/decide/records/writer_log.py
@@ -8,13 +8,13 @@
 from ringledge.decide.paging import encoded_size
 from ringledge.decide.records.messages import (
     MAX_KEY_BYTES,
+    MAX_PAYLOAD_BYTES,
     MAX_VALUE_BYTES,
-    PAYLOAD_BYTES,
     Record,
     WriterVersion,
 )
 
-MAX_KEYS = (
+MAX_KEYS_PER_WRITER = (
     1024  # of one writer, deleted ones too: they are retained, so that the deletion reaches all members
 )
 MAX_VERSION = (1 << 53) - 1  # the version with the longest encoding
@@ -47,10 +47,10 @@
                 f"a fact has a key of 1 to {MAX_KEY_BYTES} bytes and a value of {MAX_VALUE_BYTES} at most"
             )
         longest = Record(self.writer, self.start, MAX_VERSION, MAX_VERSION, key, value)
-        if encoded_size(longest) > PAYLOAD_BYTES:
+        if encoded_size(longest) > MAX_PAYLOAD_BYTES:
             raise ValueError(f"fact {key!r}: longer than a datagram with its writer's name")
-        if key not in self._records and len(self._records) >= MAX_KEYS:
-            raise ValueError(f"fact {key!r}: more than {MAX_KEYS} keys of one writer")
+        if key not in self._records and len(self._records) >= MAX_KEYS_PER_WRITER:
+            raise ValueError(f"fact {key!r}: more than {MAX_KEYS_PER_WRITER} keys of one writer")
 
     def write(self, key: str, value: bytes | None) -> Record:
         """Add a new version, by the writer itself; None deletes the key's value."""
@@ -73,7 +73,7 @@
             self._records[record.key] = record
         if record.previous_version <= self.version < record.version:
             self.version = record.version
-            self._advance()
+            self._advance_version()
         return is_new
 
     def records_after(self, version: int) -> Iterator[Record]:
@@ -94,7 +94,7 @@
             if record.value is not None and key.startswith(prefix):
                 yield key, record.value
 
-    def _advance(self) -> None:
+    def _advance_version(self) -> None:
         """Count the records that were held beyond a gap which is closed now."""
         for record in self._by_version():
             if record.previous_version <= self.version < record.version:
--- a/tests/decide/leases/test_acceptor.py
+++ b/tests/decide/leases/test_acceptor.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ringledge.decide.interface import Action, SendMessage
-from ringledge.decide.leases.acceptor import MAX_DUTIES, RESERVATION_S, LeaseAcceptor
+from ringledge.decide.leases.acceptor import MAX_TRACKED_DUTIES, RESERVATION_S, LeaseAcceptor
 from ringledge.decide.leases.duty_locks import MAX_WAITERS
 from ringledge.decide.leases.messages import (
     LeaseRelease,
@@ -137,11 +137,11 @@
 
 def test_memory_is_bounded_and_no_token_is_forgotten() -> None:
     acceptor = _active_acceptor()
-    duties = 3 * MAX_DUTIES
+    duties = 3 * MAX_TRACKED_DUTIES
     for number in range(duties):
         proposal = ProposeRequest(f"d{number}", 1, 100 + number, 1, 3000, False, DIGEST)
         acceptor.receive(ACTIVE_S + 10 * number, "x", proposal)
-    assert len(acceptor._locks) <= MAX_DUTIES + 1
+    assert len(acceptor._locks) <= MAX_TRACKED_DUTIES + 1
     late_s = ACTIVE_S + 10 * duties
     forgotten = ProposeRequest("d0", 1, 100, 1, 3000, False, DIGEST)
     assert isinstance(_only_message(acceptor.receive(late_s, "y", forgotten)), Rejected)
--- a/tests/decide/leases/test_restart.py
+++ b/tests/decide/leases/test_restart.py
@@ -34,11 +34,11 @@
         for manager in self.managers.values():
             manager.set_live_members(self.managers)
 
-    def carry_out(self, sender: str, actions: list[Action]) -> None:
+    def execute(self, sender: str, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case SendMessage(recipient, message) if recipient in self.managers:
-                    self.carry_out(recipient, self.managers[recipient].receive(self.now_s, sender, message))
+                    self.execute(recipient, self.managers[recipient].receive(self.now_s, sender, message))
                 case LeaseEnded():
                     self.ended.append(action)
 
@@ -47,7 +47,7 @@
         while self.now_s < until_s:
             self.now_s += STEP_S
             for name, manager in list(self.managers.items()):
-                self.carry_out(name, manager.tick(self.now_s))
+                self.execute(name, manager.tick(self.now_s))
             assert len(self.holders()) <= 1
 
     def holders(self) -> dict[str, int]:
@@ -56,17 +56,17 @@
         return {name: token for name, token in tokens.items() if token is not None}
 
 
-@pytest.mark.parametrize("stepped", [("b",), ("b", "c"), ("c", "a")])
-def test_duty_moves_on_after_restarts_with_a_clock_set_back(stepped: tuple[str, ...]) -> None:
+@pytest.mark.parametrize("restarted_names", [("b",), ("b", "c"), ("c", "a")])
+def test_duty_moves_on_after_restarts_with_a_clock_set_back(restarted_names: tuple[str, ...]) -> None:
     """Guards against a duty that nobody holds until the clock is where it was: its voters voted no more."""
     group = Group()
     group.run(RECOVERED_S)
     before = max(group.holders().values())
-    for name in stepped:
+    for name in restarted_names:
         group.start(name, START - HOUR)
         group.run(STEP_S)
         # Its membership has heard of the predecessor, and has raised its start.
-        group.carry_out(name, group.managers[name].restart(group.now_s, START + 1))
+        group.execute(name, group.managers[name].restart(group.now_s, START + 1))
     group.run(RECOVERED_S)
     for lost in NAMES:  # whoever holds it, the others can take it over
         if lost in group.holders():
@@ -83,7 +83,7 @@
     group = Group()
     group.run(RECOVERED_S)
     (holder, token), *_ = group.holders().items()
-    group.carry_out(holder, group.managers[holder].restart(group.now_s, START + 1))
+    group.execute(holder, group.managers[holder].restart(group.now_s, START + 1))
     assert group.managers[holder].token(group.now_s, DUTY) is None
     assert [each.token for each in group.ended] == [token]
     acceptor = group.managers[holder].acceptor
@@ -95,7 +95,7 @@
 def test_member_that_has_stopped_does_not_restart() -> None:
     group = Group()
     group.run(RECOVERED_S)
-    group.carry_out("a", group.managers["a"].stop(group.now_s))
+    group.execute("a", group.managers["a"].stop(group.now_s))
     assert group.managers["a"].restart(group.now_s, START + 1) == []
     assert group.managers["a"].acceptor is None
 
--- a/tests/decide/membership/test_mutants.py
+++ b/tests/decide/membership/test_mutants.py
@@ -12,22 +12,22 @@
 
 
 def test_without_refutation_loss_causes_failures(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Membership, "_merge_own", lambda self, now_s, update: [])
-    world = started_group(7, seed=3, loss=0.2)
-    world.run(120.0)
-    assert failures(world)
+    monkeypatch.setattr(Membership, "_merge_own_update", lambda self, now_s, update: [])
+    group = started_group(7, seed=3, loss=0.2)
+    group.run(120.0)
+    assert failures(group)
 
 
 def test_without_rejoin_attempts_a_partitioned_group_stays_partitioned(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(periodic, "REJOIN_INTERVALS", 1e9)
-    world = started_group(8)
+    group = started_group(8)
     minority_side = {"n0", "n3", "n4", "n5"}
-    world.is_partitioned = lambda a, b: (a in minority_side) != (b in minority_side)
-    world.run(20.0)
-    world.is_partitioned = lambda a, b: False
-    assert world.run(CONVERGENCE_LIMIT_S, world.has_converged) == CONVERGENCE_LIMIT_S
+    group.is_partitioned = lambda a, b: (a in minority_side) != (b in minority_side)
+    group.run(20.0)
+    group.is_partitioned = lambda a, b: False
+    assert group.run(CONVERGENCE_LIMIT_S, group.has_converged) == CONVERGENCE_LIMIT_S
 
 
 def test_without_stall_detection_a_stalled_member_suspects_others(
@@ -36,17 +36,17 @@
     monkeypatch.setattr(periodic, "MAX_TICK_DELAY_INTERVALS", 1e9)
     runs_with_failures = 0
     for seed in range(8):
-        world: SimulatedGroup = started_group(4, seed)
-        world.run(0.2 + seed / 10)
-        world.is_partitioned = lambda a, b: b == "n2"
-        world.run(1.0)  # long enough to suspect others
-        world.pause("n2")
-        world.is_partitioned = lambda a, b: False
-        world.run(10.0)
-        world.nodes["n2"].inbox.clear()  # an overflowed socket buffer lost them
-        world.resume("n2")
-        world.run(5.0)
-        runs_with_failures += any(observer == "n2" for observer, _, _ in failures(world))
+        group: SimulatedGroup = started_group(4, seed)
+        group.run(0.2 + seed / 10)
+        group.is_partitioned = lambda a, b: b == "n2"
+        group.run(1.0)  # long enough to suspect others
+        group.pause("n2")
+        group.is_partitioned = lambda a, b: False
+        group.run(10.0)
+        group.nodes["n2"].inbox.clear()  # an overflowed socket buffer lost them
+        group.resume("n2")
+        group.run(5.0)
+        runs_with_failures += any(observer == "n2" for observer, _, _ in failures(group))
     assert runs_with_failures
 
 
--- a/tests/decide/records/test_replicated_records.py
+++ b/tests/decide/records/test_replicated_records.py
@@ -15,99 +15,99 @@
 from tests.decide.membership.test_swim import CONVERGENCE_LIMIT_S, started_group
 
 
-def write(world: SimulatedGroup, name: str, key: str, value: bytes) -> None:
-    world.nodes[name].records.write(world.now_s, key, value)
-    world.notify_written(name)
+def write(group: SimulatedGroup, name: str, key: str, value: bytes) -> None:
+    group.nodes[name].records.write(group.now_s, key, value)
+    group.notify_written(name)
 
 
-def views(world: SimulatedGroup, prefix: str = "") -> list[dict[tuple[str, str], bytes]]:
-    return [node.records.values(world.now_s, prefix) for node in world.nodes.values()]
+def views(group: SimulatedGroup, prefix: str = "") -> list[dict[tuple[str, str], bytes]]:
+    return [node.records.values(group.now_s, prefix) for node in group.nodes.values()]
 
 
 def test_latest_write_reaches_all_members_and_a_deletion_too() -> None:
-    world = started_group(6)
-    store: RecordStore = world.nodes["n0"].records
+    group = started_group(6)
+    store: RecordStore = group.nodes["n0"].records
     for number in range(5):
-        store.write(world.now_s, "plan/a", b"%d" % number)
-        write(world, "n1", "plan/a", b"other")
-        world.run(0.01)
+        store.write(group.now_s, "plan/a", b"%d" % number)
+        write(group, "n1", "plan/a", b"other")
+        group.run(0.01)
     wanted = {("n0", "plan/a"): b"4", ("n1", "plan/a"): b"other"}
-    assert world.run(CONVERGENCE_LIMIT_S, lambda: all(view == wanted for view in views(world, "plan/"))) < 3.0
-    store.delete(world.now_s, "plan/a")
-    world.notify_written("n0")
+    assert group.run(CONVERGENCE_LIMIT_S, lambda: all(view == wanted for view in views(group, "plan/"))) < 3.0
+    store.delete(group.now_s, "plan/a")
+    group.notify_written("n0")
     del wanted["n0", "plan/a"]
-    assert world.run(CONVERGENCE_LIMIT_S, lambda: all(view == wanted for view in views(world))) < 3.0
-    assert views(world, "plan/b") == [{}] * 6
+    assert group.run(CONVERGENCE_LIMIT_S, lambda: all(view == wanted for view in views(group))) < 3.0
+    assert views(group, "plan/b") == [{}] * 6
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_hundred_keys_of_each_writer_reach_a_new_member(loss: float) -> None:
-    world = started_group(4)
-    for name in list(world.nodes):
+    group = started_group(4)
+    for name in list(group.nodes):
         for number in range(100):
-            write(world, name, f"server/{number}", bytes(60))
-    world.loss = loss
-    assert world.run(60.0, lambda: all(len(view) == 400 for view in views(world))) < 60.0
-    world.start("n9", ["n1"])
-    assert world.run(60.0, lambda: len(world.nodes["n9"].records.values(world.now_s, "")) == 400) < 60.0
+            write(group, name, f"server/{number}", bytes(60))
+    group.loss = loss
+    assert group.run(60.0, lambda: all(len(view) == 400 for view in views(group))) < 60.0
+    group.start("n9", ["n1"])
+    assert group.run(60.0, lambda: len(group.nodes["n9"].records.values(group.now_s, "")) == 400) < 60.0
 
 
 def test_records_of_a_dead_writer_are_retained_for_the_configured_time_only() -> None:
-    world = started_group(4)
-    write(world, "n3", "backlog/a", b"9")
-    world.run(5.0)
-    world.kill("n3")
-    world.run(CONVERGENCE_LIMIT_S, world.has_converged)
-    agreed_s = world.now_s
-    retention_s = world.records_config.retention_s
-    world.run(retention_s - 10.0)
-    assert views(world) == [{("n3", "backlog/a"): b"9"}] * 3
-    world.run(agreed_s + retention_s + 1.0 - world.now_s)
-    assert views(world) == [{}] * 3
-    world.run(3 * retention_s)  # and no member replicates them again
-    assert views(world) == [{}] * 3
+    group = started_group(4)
+    write(group, "n3", "backlog/a", b"9")
+    group.run(5.0)
+    group.kill("n3")
+    group.run(CONVERGENCE_LIMIT_S, group.has_converged)
+    agreed_s = group.now_s
+    retention_s = group.records_config.retention_s
+    group.run(retention_s - 10.0)
+    assert views(group) == [{("n3", "backlog/a"): b"9"}] * 3
+    group.run(agreed_s + retention_s + 1.0 - group.now_s)
+    assert views(group) == [{}] * 3
+    group.run(3 * retention_s)  # and no member replicates them again
+    assert views(group) == [{}] * 3
 
 
 def test_restarted_writer_starts_without_records() -> None:
-    world = started_group(4)
+    group = started_group(4)
     for number in range(9):
-        write(world, "n3", f"demand/{number}", b"old")
-    world.run(5.0)
-    world.kill("n3")
-    world.start("n3", ["n0"])
-    write(world, "n3", "demand/0", b"new")
+        write(group, "n3", f"demand/{number}", b"old")
+    group.run(5.0)
+    group.kill("n3")
+    group.start("n3", ["n0"])
+    write(group, "n3", "demand/0", b"new")
     assert (
-        world.run(
-            CONVERGENCE_LIMIT_S, lambda: all(view == {("n3", "demand/0"): b"new"} for view in views(world))
+        group.run(
+            CONVERGENCE_LIMIT_S, lambda: all(view == {("n3", "demand/0"): b"new"} for view in views(group))
         )
         < 5.0
     )
 
 
 def test_writer_that_raises_its_start_republishes_its_records() -> None:
-    world = started_group(4)
-    world.run(20.0)
-    world.kill("n1")
-    world.start("n1", ["n0"], start=0)
-    write(world, "n1", "plan/a", b"x")
+    group = started_group(4)
+    group.run(20.0)
+    group.kill("n1")
+    group.start("n1", ["n0"], start=0)
+    write(group, "n1", "plan/a", b"x")
     assert (
-        world.run(CONVERGENCE_LIMIT_S, lambda: all(view == {("n1", "plan/a"): b"x"} for view in views(world)))
+        group.run(CONVERGENCE_LIMIT_S, lambda: all(view == {("n1", "plan/a"): b"x"} for view in views(group)))
         < 10.0
     )
 
 
 def test_healed_partition_exchanges_missed_records() -> None:
-    world = started_group(6)
+    group = started_group(6)
     minority_side = {"n0", "n3", "n4"}
-    world.is_partitioned = lambda a, b: (a in minority_side) != (b in minority_side)
-    world.run(15.0)
-    write(world, "n3", "plan/a", b"left")
-    write(world, "n5", "plan/a", b"right")
-    world.run(10.0)
-    assert all(len(view) == 1 for view in views(world))
-    world.is_partitioned = lambda a, b: False
+    group.is_partitioned = lambda a, b: (a in minority_side) != (b in minority_side)
+    group.run(15.0)
+    write(group, "n3", "plan/a", b"left")
+    write(group, "n5", "plan/a", b"right")
+    group.run(10.0)
+    assert all(len(view) == 1 for view in views(group))
+    group.is_partitioned = lambda a, b: False
     assert (
-        world.run(CONVERGENCE_LIMIT_S, lambda: all(len(view) == 2 for view in views(world)))
+        group.run(CONVERGENCE_LIMIT_S, lambda: all(len(view) == 2 for view in views(group)))
         < CONVERGENCE_LIMIT_S
     )
 
