--- a/ringledge/decide/__init__.py
+++ b/ringledge/decide/__init__.py
@@ -1,1 +1,4 @@
-"""Decisions outside the policy: no I/O, no clock, no global randomness; events and a time in, actions out."""
+"""Deterministic decision logic beside the routing policy: events and the time in, actions out.
+
+Nothing here does I/O, reads a clock or uses global randomness.
+"""
--- a/ringledge/decide/paging.py
+++ b/ringledge/decide/paging.py
@@ -1,4 +1,4 @@
-"""Groups of rows that fit a datagram each, and buckets of names whose digests are compared."""
+"""Pages of rows that fit into one datagram each, and buckets of names whose digests members compare."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 import msgspec
 
 Row = TypeVar("Row", bound=msgspec.Struct)
-BUCKET_COUNT = 16  # their digests take 80 bytes; of 200 names a bucket has a dozen: a few datagrams of rows
+BUCKET_COUNT = 16  # 80 bytes of digests; of 200 names a bucket holds a dozen: a few datagrams of rows
 _encoder = msgspec.msgpack.Encoder()
 
 
 def bucket_of(name: str) -> int:
-    """The bucket of a name."""
+    """The number of the bucket to which a name belongs."""
     return zlib.crc32(name.encode()) % BUCKET_COUNT
 
 
 def encoded_size(row: msgspec.Struct) -> int:
-    """The size of a row in bytes, encoded as msgpack."""
+    """The size of a row in bytes when it is encoded as msgpack."""
     return len(_encoder.encode(row))
 
 
 def paginate(rows: Iterable[Row], max_page_bytes: int) -> list[tuple[Row, ...]]:
-    """Rows in their order, in pages of at most so many bytes; a single row may exceed its page."""
+    """Split rows, in their order, into pages of at most `max_page_bytes`; a larger row has its own page."""
     pages: list[tuple[Row, ...]] = []
     page: list[Row] = []
     used_bytes = 0
