--- a/ringledge/decide/leases/__init__.py
+++ b/ringledge/decide/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases of duties by a majority of acceptors (PaxosLease), with fencing tokens."""
+"""Leases of duties, granted by a majority of acceptors (PaxosLease), with fencing tokens."""
--- a/ringledge/decide/leases/acceptor.py
+++ b/ringledge/decide/leases/acceptor.py
@@ -1,9 +1,10 @@
-"""One acceptor: for whom each duty is locked, and the highest token accepted; all in memory.
+"""One acceptor: it keeps in memory for which proposer each duty is locked, and the highest token accepted.
 
-Safety rests on `_on_propose` alone. A duty is locked for one proposer until the lock expires; any two
-majorities share an acceptor, so no two holdings overlap. A proposer that does not hold the duty needs a
-token above the highest accepted or recovered, so each token is above those begun before. A `PrepareRequest`
-only reads, and reserves the duty for its sender for a moment, so that proposers don't split the acceptors.
+Safety depends on `_on_propose` alone. A duty is locked for one proposer until the lock expires; any two
+majorities share an acceptor, so no two holdings of a duty overlap. A proposer that does not hold the duty
+needs a token above the highest that the acceptor accepted or recovered, so tokens grow from one holding to
+the next. A `PrepareRequest` only reads the state and reserves the duty for its sender for a short time, so
+that concurrent proposers do not each win some of the acceptors and none a majority.
 """
 
 from __future__ import annotations
@@ -26,21 +27,21 @@
 )
 from ringledge.decide.leases.recovery import AcceptorRecovery
 
-RESERVATION_S = 0.25  # for the response, and a ProposeRequest back, with one of them sent again
-MAX_TRACKED_DUTIES = 256  # remembered one by one; more are remembered together, by their highest token
+RESERVATION_S = 0.25  # lets the response and the following ProposeRequest arrive, even if one is resent
+MAX_TRACKED_DUTIES = 256  # with a lock of their own; of all others only the highest token is kept
 
 
 class LeaseAcceptor:
-    """Answers proposers and other acceptors; after a start it recovers before it votes."""
+    """Answers proposers and other acceptors; after a start it recovers its state before it votes."""
 
     def __init__(self, now_s: float, name: str, start_number: int, terms: LeaseTerms) -> None:
         self._terms = terms
         self.recovery = AcceptorRecovery(now_s, name, start_number, terms)
         self._locks: dict[str, DutyLock] = {}  # by duty
-        self.mismatched_terms_count = 0  # messages under other terms: settings differ somewhere
+        self.mismatched_terms_count = 0  # messages under other terms: some member's settings differ
 
     def receive(self, now_s: float, sender: str, message: AcceptorMessage) -> list[Action]:
-        """Handle a message to acceptors; one under other terms is counted and ignored."""
+        """Handle a message to acceptors; a message under other lease terms is counted and ignored."""
         if not isinstance(message, LeaseRelease) and message.terms_digest != self._terms.digest:
             self.mismatched_terms_count += 1
             return []
@@ -58,15 +59,15 @@
                 return self._on_release(now_s, sender, message)
 
     def tick(self, now_s: float) -> list[Action]:
-        """Request the state of other acceptors, where that is due."""
+        """Request the state of the other acceptors, if that is due."""
         return self.recovery.tick(now_s)
 
     def next_tick_s(self) -> float:
-        """When the next call of `tick` is needed."""
+        """The time at which `tick` has to be called next."""
         return self.recovery.next_tick_s()
 
     def _lock(self, now_s: float, duty: str) -> DutyLock:
-        """The duty's lock, made where there is none."""
+        """The state of the duty, created on first use."""
         lock = self._locks.get(duty)
         if lock is None:
             if len(self._locks) >= MAX_TRACKED_DUTIES:
@@ -75,7 +76,7 @@
         return lock
 
     def _evict_unused_locks(self, now_s: float) -> None:
-        """Forget what is neither locked nor reserved, but for the highest token of all."""
+        """Forget the duties that are neither locked nor reserved; only their highest token is kept."""
         for duty, lock in [*self._locks.items()]:
             if lock.is_unused(now_s):
                 self.recovery.token_floor = max(self.recovery.token_floor, lock.highest_token)
@@ -87,7 +88,7 @@
     def _reject_unavailable(
         self, now_s: float, lock: DutyLock, proposer: ProposerId, message: PrepareRequest | ProposeRequest
     ) -> Rejected | None:
-        """The rejection, where the duty is locked or reserved for another; else None."""
+        """The rejection if the duty is locked or reserved for another proposer, else None."""
         if lock.is_locked_for_other(now_s, proposer):
             lock.add_waiter(proposer.name)
             remaining_ms = _remaining_ms(now_s, lock.locked_until_s)
@@ -123,10 +124,10 @@
     def _on_propose(self, now_s: float, sender: str, message: ProposeRequest) -> ProposeAccepted | Rejected:
         """Lock the duty, or extend the lock.
 
-        A holder renews under its token wherever no other has the lock: also at an acceptor that restarted
-        since, or that accepted a higher token of a proposer that gave up. Where the renewal is so late that
-        another holding has begun since, its sender holds no more and counts no response; the acceptor locks
-        the duty for a lease.
+        A holder renews under its token at any acceptor where no other proposer has the lock, even at one that
+        has restarted since, or that accepted a higher token from a proposer that gave up. If a renewal is so
+        late that another holding has begun, its sender has lost the lease and ignores the response; the only
+        effect is that this acceptor locks the duty for the duration of a lease.
         """
         lock = self._lock(now_s, message.duty)
         proposer = ProposerId(sender, message.start_number)
@@ -139,7 +140,7 @@
         return ProposeAccepted(message.duty, message.start_number, message.token, message.round_number)
 
     def _is_acceptable(self, lock: DutyLock, proposer: ProposerId, message: ProposeRequest) -> bool:
-        """Whether the token and the lease of a proposal for a free duty are valid."""
+        """Whether a proposal for a free duty has a valid token and a valid lease duration."""
         is_repetition = lock.holder == proposer and lock.holder_token == message.token
         is_renewal = message.renewal or is_repetition
         token_too_low = not is_renewal and message.token <= self._highest_token(lock)
@@ -147,7 +148,7 @@
         return lease_valid and not token_too_low and not lock.was_released(proposer, message.token)
 
     def _on_release(self, now_s: float, sender: str, message: LeaseRelease) -> list[Action]:
-        """Unlock the duty, and remember the token: a late ProposeRequest under it locks nothing."""
+        """Unlock the duty, and remember the token so that a late ProposeRequest under it is rejected."""
         lock = self._lock(now_s, message.duty)
         if not lock.release(ProposerId(sender, message.start_number), message.token):
             return []
@@ -156,10 +157,10 @@
 
 
 def _remaining_ms(now_s: float, until_s: float) -> int:
-    """Rounded up, so that the proposer doesn't retry too early."""
+    """The remaining time, rounded up so that the proposer does not retry too early."""
     return int((until_s - now_s) * 1000) + 1
 
 
 def _overrides_reservation(message: PrepareRequest | ProposeRequest) -> bool:
-    """Whether it is a holder's or its nominated successor's, whom others' reservations don't hinder."""
+    """Whether a reservation for another proposer is ignored: for renewals and nominated successors."""
     return message.nominated_successor if isinstance(message, PrepareRequest) else message.renewal
--- a/ringledge/decide/leases/events.py
+++ b/ringledge/decide/leases/events.py
@@ -1,4 +1,4 @@
-"""Begin and reasons of the end of a holding; the values appear in logs and counters."""
+"""Events of a lease: its acquisition and the reasons for its end; the values appear in logs and counters."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class LeaseEvent(StrEnum):
-    """What happened to a holding of this member; all but `BEGIN` are reasons of `LeaseEnded`."""
+    """What happened to a lease of this member; all but `BEGIN` are reasons of a `LeaseEnded` action."""
 
     BEGIN = "begin"
-    GIVEN_UP = "given_up"  # released in good order, so that another member takes over
-    EXPIRED = "expired"  # not renewed in time by a majority, or the process was suspended
+    GIVEN_UP = "given_up"  # released on purpose, so that another member takes over
+    EXPIRED = "expired"  # a majority did not renew it in time, or the process was suspended
     STOPPED = "stopped"  # the member shuts down, or no longer seeks the duty
--- a/ringledge/decide/leases/fencing.py
+++ b/ringledge/decide/leases/fencing.py
@@ -1,7 +1,7 @@
-"""The receiver's side of fencing tokens: effects under a token below the highest seen are rejected.
+"""The receiver's check of fencing tokens: effects under a token below the highest seen are rejected.
 
-A holder may be suspended between its check of the clock and its effect, for any length of time, and resume
-when another member holds the duty. No lease can prevent that; the receiver of the effect can.
+A lease holder may be suspended for any length of time between the check of its clock and its effect, and
+resume when another member holds the duty. The lease cannot prevent such an effect, but its receiver can.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class FencingTokenCheck:
-    """The highest token seen of each duty.
+    """Checks the token of each effect against the highest token seen for its duty.
 
     Invariant: an effect is admitted only under a token not below any admitted before for its duty.
     """
@@ -20,18 +20,19 @@
         highest_tokens: Mapping[str, int] | None = None,
         persist: Callable[[str, int], None] | None = None,
     ) -> None:
-        """`highest_tokens`: as persisted; `persist(duty, token)`: returns once it is durable, or raises.
+        """`highest_tokens` are those persisted earlier; `persist(duty, token)` returns once it is durable.
 
-        Needed where the effect itself is durable: a receiver that forgot would admit an old holder.
+        Both are needed if the effect itself is durable: after a restart the receiver would otherwise admit a
+        former holder.
         """
         self._highest_tokens = dict(highest_tokens or {})
         self._persist = persist
         self.rejected = 0
 
     def admit(self, duty: str, token: int) -> bool:
-        """Whether an effect under the token may be applied; a higher token is persisted first.
+        """Whether an effect under the token may be applied; a new highest token is persisted first.
 
-        Raises what `persist` raises; then nothing is remembered and nothing may be applied.
+        If `persist` raises, the exception passes on, the token is not recorded and nothing may be applied.
         """
         highest_token = self.highest(duty)
         if token < highest_token:
@@ -44,5 +45,5 @@
         return True
 
     def highest(self, duty: str) -> int:
-        """The highest token seen; 0 where none was."""
+        """The highest token seen for the duty; 0 if there was none."""
         return self._highest_tokens.get(duty, 0)
--- a/ringledge/decide/leases/manager.py
+++ b/ringledge/decide/leases/manager.py
@@ -1,7 +1,7 @@
-"""The leases of one member: its acceptor, where it is one, and a proposer for each duty that it seeks.
+"""The leases of one member: its acceptor, if it has one, and a proposer for each duty that it seeks.
 
-Free of I/O and clocks: events and a time in, actions out. The time is one monotonic clock of this process
-that runs on while the process is suspended; it is never compared with another process's.
+Events and the time go in, actions come out; there is no I/O. The time is that of one monotonic clock of this
+process, which also advances while the process is suspended. It is never compared with another process's time.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class LeaseManager:
-    """Implements Decider and LeaseTokens: votes, where it is an acceptor, and seeks and holds duties."""
+    """Votes if this member is an acceptor, and seeks and holds duties; implements Decider and LeaseTokens."""
 
     def __init__(
         self,
@@ -40,9 +40,9 @@
         random: Random,
         delays: AcquisitionDelays | None = None,
     ) -> None:
-        """`start_number`: below 2**42 and above that of every earlier process of this name."""
+        """`start_number` is below 2**42, and above that of every earlier process of this name."""
         if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
-            raise ValueError(f"name: 1 to {MAX_NAME_BYTES} bytes")
+            raise ValueError(f"name: must have 1 to {MAX_NAME_BYTES} bytes")
         self._name = name
         self._start_number = start_number
         self._terms = terms
@@ -53,42 +53,42 @@
         self._ranking = CandidateRanking(name, self._delays.max_candidates)
         self._eligible = True
         self._stopped = False
-        self.event_counts: Counter[LeaseEvent] = Counter()  # of this process
+        self.event_counts: Counter[LeaseEvent] = Counter()  # since the process started
 
     def start_seeking(self, now_s: float, duty: str) -> None:
-        """Acquire the duty whenever it is free, from now on. Raises ValueError for a name too long."""
+        """From now on, acquire the duty whenever it is free. ValueError: its name is empty or too long."""
         if not 0 < len(duty.encode()) <= MAX_NAME_BYTES:
-            raise ValueError(f"duty: 1 to {MAX_NAME_BYTES} bytes")
+            raise ValueError(f"duty: must have 1 to {MAX_NAME_BYTES} bytes")
         if duty not in self._proposers:
             proposer = LeaseProposer(duty, self._name, self._start_number, self._terms, self._random)
             proposer.next_attempt_s = now_s
             self._proposers[duty] = proposer
 
     def stop_seeking(self, now_s: float, duty: str) -> list[Action]:
-        """Seek the duty no more; release it where it is held."""
+        """Stop seeking the duty, and release it if it is held."""
         actions = self.release(now_s, duty, LeaseEvent.STOPPED)
         self._proposers.pop(duty, None)
         return actions
 
     def set_live_members(self, names: Iterable[str]) -> None:
-        """Tell which members are alive, as far as known: decides on candidates and successors alone."""
+        """Set the members believed to be alive; affects only the choice of candidates and successors."""
         self._ranking.set_live_members(names)
 
     def set_eligible(self, eligible: bool) -> None:
-        """Whether this member should acquire duties: not while it is overloaded."""
+        """Set whether this member should acquire duties, which it should not while it is overloaded."""
         self._eligible = eligible
 
     def token(self, now_s: float, duty: str) -> int | None:
-        """The token, where this member holds the duty at this moment of its own clock; else None."""
+        """The token if this member holds the duty now, by its own clock, else None."""
         proposer = self._proposers.get(duty)
         return proposer.token_at(now_s) if proposer else None
 
     def holders(self) -> dict[str, str]:
-        """The last known holder by duty; "" for nobody. For information: it may be out of date."""
+        """The last known holder of each duty, "" for none. It is informational and may be out of date."""
         return {duty: proposer.holder for duty, proposer in self._proposers.items()}
 
     def release(self, now_s: float, duty: str, reason: LeaseEvent = LeaseEvent.GIVEN_UP) -> list[Action]:
-        """End the holding in good order, and nominate a successor."""
+        """Release the duty, and nominate a successor if this member holds it."""
         proposer = self._proposers.get(duty)
         if proposer is None:
             return []
@@ -102,7 +102,7 @@
         return self._route(now_s, actions)
 
     def stop(self, now_s: float) -> list[Action]:
-        """Release all, and neither seek nor vote again: a successor of this name may run already."""
+        """Release all duties and never seek or vote again: a successor of this name may already run."""
         actions = [
             action for duty in self._proposers for action in self.release(now_s, duty, LeaseEvent.STOPPED)
         ]
@@ -111,10 +111,10 @@
         return actions
 
     def restart(self, now_s: float, start_number: int) -> list[Action]:
-        """Release all and go on as a new process of this name would, under a higher start number.
+        """Release all duties, and continue under a higher start number as a new process of this name would.
 
-        For a member that learns of a predecessor with a start number above its own: under its own it must
-        neither vote nor hold a lease, but for the rest of its life its vote may be missing to a majority.
+        This is for a member that learns of a predecessor with a start number above its own. Under its own
+        number it must neither vote nor hold a lease; but without its vote there may be no majority.
         """
         if self._stopped:
             return []
@@ -133,11 +133,11 @@
         return LeaseAcceptor(now_s, self._name, self._start_number, self._terms)
 
     def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
-        """Handle a message of `MESSAGES` from the member of that name."""
+        """Handle a message of one of the types in `MESSAGES`; `sender` is a member's name."""
         return self._route(now_s, self._receive(now_s, sender, message))
 
     def tick(self, now_s: float) -> list[Action]:
-        """Do what is due; may be called early."""
+        """Do the work that is due; an early call is harmless."""
         actions = self.acceptor.tick(now_s) if self.acceptor else []
         for duty, proposer in self._proposers.items():
             idle = proposer.state is ProposerState.IDLE
@@ -145,7 +145,7 @@
         return self._route(now_s, actions)
 
     def next_tick_s(self) -> float:
-        """When the next call of `tick` is needed."""
+        """The time at which `tick` has to be called next."""
         next_tick_s = self.acceptor.next_tick_s() if self.acceptor else float("inf")
         for duty, proposer in self._proposers.items():
             delay_s = self._delay_s(duty) if proposer.state is ProposerState.IDLE else 0.0
@@ -159,7 +159,7 @@
         return proposer.receive(now_s, sender, message) if proposer else []
 
     def _route(self, now_s: float, actions: list[Action]) -> list[Action]:
-        """Deliver this member's messages to itself; count and return the other actions."""
+        """Deliver messages of this member to itself directly; count and return the other actions."""
         remaining: list[Action] = []
         for action in actions:
             if isinstance(action, SendMessage) and action.recipient == self._name:
@@ -177,11 +177,11 @@
                 self.event_counts[LeaseEvent(reason)] += 1
 
     def _engaged_duty_count(self) -> int:
-        """How many duties this member holds or is acquiring."""
+        """The number of duties that this member holds or is acquiring."""
         return sum(proposer.state is not ProposerState.IDLE for proposer in self._proposers.values())
 
     def _delay_s(self, duty: str) -> float:
-        """By how much this member delays its attempt at a duty; infinity: it makes none."""
+        """The delay before this member's attempt to acquire a duty; infinity if it makes none."""
         if self._stopped:
             return float("inf")
         proposer = self._proposers[duty]
--- a/ringledge/decide/leases/proposer.py
+++ b/ringledge/decide/leases/proposer.py
@@ -1,9 +1,9 @@
 """The proposer of one duty: prepare, propose, hold and renew, release (PaxosLease).
 
-An acceptor that accepts a `ProposeRequest` locks the duty for at least a lease from when it received the
-request, hence from when the proposer sent it. The proposer holds the duty while such grants of a majority
-last, by its own clock and shortened by the bound on clock drift. An acceptance counts for the round that it
-names.
+An acceptor that accepts a `ProposeRequest` locks the duty for at least the duration of a lease after it
+received the request, which is later than the proposer sent it. The proposer holds the duty as long as the
+grants of a majority last, by its own clock and less the bound on clock drift. An acceptance counts for the
+round that it names.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 from ringledge.decide.leases.proposer_state import ProposerState
 from ringledge.decide.leases.requests import ProposerRequests, ReleaseRetransmission
 
-RESEND_DELAY_RANGE_S = (0.1, 0.2)  # to acceptors that have not answered: above a round trip (2 times 27 ms)
-PHASE_TIMEOUT_S = 0.6  # of prepare and propose: four sends; at half lost, nine acceptors of ten were reached
-RENEWAL_FRACTION = 0.25  # of the lease after which the holder renews: several rounds may be lost whole
-RELEASED_DELAY_RANGE_S = (0.05, 0.08)  # after a release: behind the nominated successor, apart from the rest
-MAX_REJECTED_JITTER_S = 0.2  # max beyond the end of the lock: apart from others that wait for the same
+RESEND_DELAY_RANGE_S = (0.1, 0.2)  # for acceptors that do not answer; above a round trip (2 x 27 ms)
+PHASE_TIMEOUT_S = 0.6  # per phase: four sends, which reach nine of ten acceptors at 50% loss
+RENEWAL_FRACTION = 0.25  # of the lease until the holder renews it, so that whole rounds may be lost
+RELEASED_DELAY_RANGE_S = (0.05, 0.08)  # lets the nominated successor be first, and spreads the others
+MAX_REJECTED_JITTER_S = 0.2  # after a lock expires: spreads the proposers that wait for it
 
 
 class LeaseProposer:
-    """Acquires, renews and releases one duty; `receive`, `tick` and `end` return the actions to carry out."""
+    """Acquires, renews and releases one duty; `receive`, `tick` and `end` return the actions to execute."""
 
     def __init__(self, duty: str, name: str, start_number: int, terms: LeaseTerms, random: Random) -> None:
         self.duty = duty
@@ -47,15 +47,15 @@
         self._random = random
         self._requests = ProposerRequests(duty, start_number, terms)
         self.state = ProposerState.IDLE
-        self.next_attempt_s = 0.0  # of an idle proposer; `tick` adds the member's delay
-        self.duty_released = False  # the last holder released the duty, and others were notified too
-        self.nominated = False  # and nominated this member as its successor
+        self.next_attempt_s = 0.0  # earliest next attempt of an idle proposer; `tick` adds the member's delay
+        self.duty_released = False  # the last holder released the duty, and other proposers know it too
+        self.nominated = False  # the last holder nominated this member as its successor
         # Invariant: the token changes only as a propose phase begins; renewals repeat it.
         self.token = 0  # of the current or the last holding
-        self._highest_token = 0  # known from acceptors, or proposed
-        # Invariant: until `until_s` a majority of acceptors has the duty locked for this process.
+        self._highest_token = 0  # highest one that acceptors reported or this proposer used
+        # Invariant: until `until_s` a majority of acceptors keeps the duty locked for this process.
         self.until_s = float("-inf")
-        self.holder = ""  # the last known one, as acceptors reported; "": nobody
+        self.holder = ""  # last one that acceptors reported; "" if none
         self._prepare_number = 0
         self._rounds = GrantedRounds(terms)
         self._responses = PhaseResponses(terms)
@@ -64,11 +64,11 @@
         self._backoff = AttemptBackoff(random)
 
     def token_at(self, now_s: float) -> int | None:
-        """The token, where the duty is held at this moment; else None."""
+        """The token if the duty is held at this time, else None."""
         return self.token if self.state is ProposerState.HOLDING and now_s < self.until_s else None
 
     def next_tick_s(self, delay_s: float) -> float:
-        """When the next call of `tick` is needed."""
+        """The time at which `tick` has to be called next."""
         if self.state is ProposerState.IDLE:
             return min(self._release.next_tick_s(), self.next_attempt_s + delay_s)
         if self.state is ProposerState.HOLDING:
@@ -76,7 +76,7 @@
         return min(self._release.next_tick_s(), self._resend_s, self._phase_deadline_s)
 
     def tick(self, now_s: float, delay_s: float) -> list[Action]:
-        """Do what is due; an idle proposer begins `delay_s` after `next_attempt_s` (infinite: never)."""
+        """Do the work that is due; an idle proposer begins `delay_s` (or infinity) after `next_attempt_s`."""
         actions = self._expire(now_s)
         if (release := self._release.due_message(now_s)) is not None:
             actions += self._to_acceptors(release)
@@ -100,7 +100,7 @@
             case LeaseReleased():
                 actions += self._on_released(now_s, sender, message)
             case _ if sender not in self._terms.acceptors or message.start_number != self._start_number:
-                pass  # of no acceptor, or to a predecessor of this process
+                pass  # not from an acceptor, or a response to a predecessor of this process
             case PrepareResponse():
                 actions += self._on_prepare_response(now_s, sender, message)
             case ProposeAccepted():
@@ -110,14 +110,14 @@
         return actions
 
     def end(self, now_s: float, reason: LeaseEvent, idle_s: float) -> list[Action]:
-        """End the holding or the attempt, release the duty, and stay idle for a time."""
+        """End the holding or the attempt, release the duty, and stay idle for `idle_s`."""
         actions: list[Action] = []
         if self.state is ProposerState.HOLDING:
             actions.append(LeaseEnded(self.duty, self.token, reason))
         return actions + self._abandon(now_s, idle_s)
 
     def _abandon(self, now_s: float, idle_s: float) -> list[Action]:
-        """Release what acceptors may have locked, and become idle."""
+        """Release the locks that acceptors may have set, and become idle."""
         actions: list[Action] = []
         if self.state in (ProposerState.PROPOSING, ProposerState.HOLDING):
             release = self._requests.release(self.token)
@@ -135,7 +135,7 @@
         self._rounds.clear()
 
     def _expire(self, now_s: float) -> list[Action]:
-        """End an expired holding before anything else is done: the process may have been suspended."""
+        """End an expired holding before any other work, as the process may have been suspended."""
         if self.state is not ProposerState.HOLDING or now_s < self.until_s:
             return []
         return self.end(now_s, LeaseEvent.EXPIRED, self._backoff.base_delay_s())
@@ -167,14 +167,14 @@
         return self._send_full_round(now_s)
 
     def _send_full_round(self, now_s: float) -> list[Action]:
-        """Propose to, or renew at, all acceptors."""
+        """Send a round of propose requests or renewals to all acceptors."""
         self._rounds.begin_full_round(now_s)
         self._renewal_s = now_s + RENEWAL_FRACTION * self._terms.lease_s
         return self._send_round(now_s, self._terms.acceptors)
 
     def _resend_propose(self, now_s: float) -> list[Action]:
-        """Send a round to those that have not granted since the last full one, until a majority has."""
-        self._resend_s = now_s + self._random.uniform(*RESEND_DELAY_RANGE_S)  # `_send_round` draws it anew
+        """Resend to acceptors that have not granted since the last full round, until a majority has."""
+        self._resend_s = now_s + self._random.uniform(*RESEND_DELAY_RANGE_S)  # `_send_round` draws it again
         missing = self._rounds.missing_grants()
         if len(missing) > len(self._terms.acceptors) - self._terms.majority:
             return self._send_round(now_s, missing)
@@ -222,13 +222,13 @@
         return self._wait_for_holder()
 
     def _is_current(self, message: Rejected) -> bool:
-        """Whether the message rejects the request of the phase that the proposer is in."""
+        """Whether the message rejects a request of the current phase."""
         if message.prepare_number:
             return self.state is ProposerState.PREPARING and message.prepare_number == self._prepare_number
         return self.state is ProposerState.PROPOSING and message.token == self.token
 
     def _wait_for_holder(self) -> list[Action]:
-        """Become idle until a majority may be free; release reservations, which would only hinder others."""
+        """Become idle until a majority may be free; release reservations, which would only block others."""
         self._backoff.reset()
         release = self._requests.release(self.token)
         actions: list[Action] = [SendMessage(acceptor, release) for acceptor in self._responses.prepared()]
@@ -236,7 +236,7 @@
         return actions
 
     def _on_released(self, now_s: float, sender: str, message: LeaseReleased) -> list[Action]:
-        """Seek at once, or repeat the prepare request where this acceptor rejected for that holding."""
+        """Seek the duty soon, or repeat the prepare request if the sender rejected it before the release."""
         if message.token >= self._highest_token:
             self.holder = ""
         if self.state is ProposerState.IDLE:
--- a/ringledge/decide/leases/proposer_state.py
+++ b/ringledge/decide/leases/proposer_state.py
@@ -6,9 +6,9 @@
 
 
 class ProposerState(Enum):
-    """What a proposer does about its duty."""
+    """The phase that a proposer is in."""
 
-    IDLE = auto()  # until its next attempt
-    PREPARING = auto()  # asks the acceptors whether the duty is free, and for the highest token
+    IDLE = auto()  # waits for its next attempt
+    PREPARING = auto()  # asks the acceptors whether the duty is free, and for its highest token
     PROPOSING = auto()  # asks the acceptors to lock the duty
-    HOLDING = auto()  # a majority has locked the duty; the locks are renewed
+    HOLDING = auto()  # a majority has locked the duty; the proposer renews the locks
--- a/ringledge/decide/leases/recovery.py
+++ b/ringledge/decide/leases/recovery.py
@@ -1,15 +1,17 @@
-"""How a restarted acceptor regains what it needs to vote, without a disk.
+"""Recovery of a restarted acceptor's state from the other acceptors, without a disk.
 
-First it is silent for the longest lease, so that every lock of its predecessor has expired. Then it requests
-the state of the other acceptors, and becomes active once it knows a token not below any that was ever begun:
+First the acceptor is silent for the longest lease, so that every lock of its predecessor expires. Then it
+requests the state of the other acceptors, and becomes active once it knows a token that is not below any that
+was ever begun. That is so in two cases:
 
-- a majority of acceptors responded that are active: one of them knows the highest token, or
-- every acceptor responded, active or not: then either one of the majority that accepted the highest token
-  still runs, or all of that majority have restarted since, and the sum of all acceptors' start numbers, which
-  heads the token, has grown.
+- A majority of acceptors that are active have responded: one of them knows the highest token.
+- All other acceptors have responded, active or not: either one of the majority that accepted the highest
+  token still runs, or all of that majority have restarted, and then the sum of all acceptors' start numbers,
+  which forms the upper bits of the token, has grown.
 
-Relies on: start numbers of a name grow; a name is one process at a time; fewer than 2**COUNTER_BITS holdings
-of a duty for each unit by which the sum of start numbers grows. Proof: docs/design/coordination-leases.md.
+Assumptions: the start numbers of a name grow; at most one process runs under a name; a duty has fewer than
+2**COUNTER_BITS holdings per unit by which the sum of start numbers grows. The proof is in
+docs/design/coordination-leases.md.
 """
 
 from __future__ import annotations
@@ -22,27 +24,27 @@
     StateTransferResponse,
 )
 
-STATE_REQUEST_INTERVAL_S = 0.3  # of state transfer requests: a request or its response is lost at times
+STATE_REQUEST_INTERVAL_S = 0.3  # requests are repeated, as a request or its response may be lost
 
 
 class AcceptorRecovery:
-    """The recovery of one acceptor: silent, then requesting state, then active."""
+    """The recovery of one acceptor, which is silent at first, then requests state, then is active."""
 
     def __init__(self, now_s: float, name: str, start_number: int, terms: LeaseTerms) -> None:
         if not 0 <= start_number < START_NUMBER_LIMIT:
-            raise ValueError(f"start: 0 to {START_NUMBER_LIMIT - 1}, such as milliseconds since 1970")
+            raise ValueError(f"start: must be 0 to {START_NUMBER_LIMIT - 1}, such as milliseconds since 1970")
         self._name = name
         self._start_number = start_number
         self._terms = terms
         self._silent_until_s = now_s + terms.startup_silence_s
         self._next_request_s = self._silent_until_s
-        self._responses: dict[str, StateTransferResponse] = {}  # the latest, by acceptor
+        self._responses: dict[str, StateTransferResponse] = {}  # latest response by acceptor
         self.active = False
-        # Invariant: once active, not below any token that any predecessor of this acceptor accepted.
+        # Invariant: once active, not below any token that a predecessor of this acceptor accepted.
         self.token_floor = 0
 
     def restart_silence(self, now_s: float) -> None:
-        """Begin the silence now: only from here on no other process can vote under this name."""
+        """Restart the silence now: from this time on no other process can vote under this name."""
         self._silent_until_s = now_s + self._terms.startup_silence_s
         self._next_request_s = self._silent_until_s
 
@@ -53,7 +55,7 @@
         message: StateTransferRequest | StateTransferResponse,
         highest_token: int,
     ) -> list[Action]:
-        """Handle a message between acceptors; `highest_token`: that this acceptor accepted itself."""
+        """Handle a message between acceptors; `highest_token` is the highest that this acceptor accepted."""
         if now_s < self._silent_until_s or sender not in self._terms.acceptors:
             return []
         match message:
@@ -64,7 +66,7 @@
         return []
 
     def tick(self, now_s: float) -> list[Action]:
-        """Request the state of all other acceptors; one that was not active may be by now."""
+        """Request the state of all other acceptors, also again of those that were not active."""
         if self.active or now_s < self._next_request_s:
             return []
         self._next_request_s = now_s + STATE_REQUEST_INTERVAL_S
@@ -73,7 +75,7 @@
         return [SendMessage(acceptor, request) for acceptor in others]
 
     def next_tick_s(self) -> float:
-        """When the next call of `tick` is needed."""
+        """The time at which `tick` has to be called next."""
         return float("inf") if self.active else self._next_request_s
 
     def _response(self, request: StateTransferRequest, highest_token: int) -> StateTransferResponse:
@@ -92,7 +94,7 @@
         self._activate_if_recovered()
 
     def _activate_if_recovered(self) -> None:
-        """Become active, where the responses tell a token not below any that was begun."""
+        """Become active if the responses yield a token not below any that was begun."""
         responses = self._responses.values()
         highest_token = max(response.highest_token for response in responses)
         if sum(response.active for response in responses) >= self._terms.majority:
