--- a/ringledge/decide/membership/__init__.py
+++ b/ringledge/decide/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Group membership by SWIM: probes, gossip, suspicion and refutation."""
+"""Group membership by the SWIM protocol: probes, gossip, suspicion and refutation."""
--- a/ringledge/decide/membership/changes.py
+++ b/ringledge/decide/membership/changes.py
@@ -1,4 +1,4 @@
-"""The changes that the membership protocol reports: members that join, leave, fail, or are suspected."""
+"""The changes that the membership protocol reports: members join, leave, fail or are suspected."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class FailureReason(enum.StrEnum):
     """Why a member is considered failed."""
 
-    SILENT = "silent"  # its suspicion timed out, or another member reported its death
-    SUPERSEDED = "superseded"  # a higher start of its name was seen
+    SILENT = "silent"  # its suspicion timed out, or another member reported it dead
+    SUPERSEDED = "superseded"  # a later process of its name was seen
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberLeft:
-    """A member announced that it leaves."""
+    """A member announced that it leaves the group."""
 
     member: Member
 
@@ -39,23 +39,23 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSuspected:
-    """A member is suspected; it remains active until its suspicion times out."""
+    """A member is suspected; it remains active until the suspicion times out."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class LocalStartRaised:
-    """The local member continues under a higher start number: a predecessor of its name had a higher one."""
+    """The local member continues under a higher start number, since a predecessor's was above its own."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class LocalMemberSuperseded:
-    """A successor has started under the local member's name; the local one sends nothing more."""
+    """A successor runs under the local member's name; the local member sends nothing more."""
 
-    start: int
+    start: int  # start number of the successor
 
 
 MembershipChange = (
--- a/ringledge/decide/membership/gossip.py
+++ b/ringledge/decide/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Dissemination of membership updates: they are piggybacked on messages, each a bounded number of times."""
+"""Gossip: membership updates are piggybacked on messages, each a limited number of times."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class TransmitLimitedQueue:
-    """The latest update of each member, until it has been transmitted often enough."""
+    """Queue of the latest update of each member, until it has been transmitted often enough."""
 
     def __init__(self) -> None:
         self._queued: dict[str, _QueuedUpdate] = {}  # by the member's name
 
     def enqueue(self, update: MembershipUpdate, transmit_limit: int) -> None:
-        """Transmit an update so many times; it replaces an earlier one of the same member."""
+        """Queue an update for `transmit_limit` messages; it replaces an earlier one of the same member."""
         self._queued[update.name] = _QueuedUpdate(update, encoded_size(update), transmit_limit)
 
     def take(
@@ -30,7 +30,7 @@
     ) -> tuple[MembershipUpdate, ...]:
         """The updates for one message: `first`, then the least transmitted ones that fit into the budget.
 
-        A queued update of the recipient itself is left out.
+        A queued update about the recipient itself is left out.
         """
         chosen: list[MembershipUpdate] = []
         if first is not None:
--- a/ringledge/decide/membership/member_table.py
+++ b/ringledge/decide/membership/member_table.py
@@ -1,8 +1,8 @@
-"""The member table: the state of each other member as this one knows it, and how updates change it.
+"""The member table: the state of every other member as the local one knows it, and the merging of updates.
 
-A higher start number of a name supersedes a lower one at once, and a lower one never comes back. Within a
-start the higher incarnation overrides, then the higher status. Recent direct contact outweighs a death
-reported by another member: the peer becomes a suspect and has the suspicion timeout to refute it.
+A higher start number of a name supersedes a lower one at once, and a lower one is never accepted again. For
+the same start number the higher incarnation wins, then the higher status. Recent direct contact outweighs a
+death reported by another member: the peer becomes a suspect only, and has the suspicion timeout to refute it.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 from ringledge.decide.membership.settings import ProbeConfig
 from ringledge.decide.paging import BUCKET_COUNT, bucket_of
 
-MAX_TOMBSTONES = 1024  # dead and departed members that are remembered, so that no late update revives them
+MAX_TOMBSTONES = 1024  # dead and departed members, remembered so that no late update revives them
 
 
 @dataclass(slots=True)
 class PeerState:
-    """The state of one other member."""
+    """The state of another member."""
 
     member: Member
     incarnation: int
     status: MemberStatus
-    suspicion_deadline_s: float = math.inf  # when a suspect is declared dead
-    last_contact_s: float = -math.inf  # when this member last received a message from it
+    suspicion_deadline_s: float = math.inf  # time at which a suspect is declared dead
+    last_contact_s: float = -math.inf  # time of the last message received directly from it
 
     def is_active(self) -> bool:
-        """Whether it belongs to the group."""
+        """Whether the member belongs to the group."""
         return self.status.is_active
 
     def update(self) -> MembershipUpdate:
-        """The update that disseminates this state; one of an inactive member carries no address."""
+        """The update that disseminates this state; for an inactive member it has no address."""
         member = self.member
         if self.is_active():
             return MembershipUpdate(
@@ -52,15 +52,15 @@
 
 
 def member_digest(member: Member) -> int:
-    """A member's share in the digest of the active members, 32 bits."""
+    """A 32-bit hash of one member; a digest of members is the XOR of their hashes."""
     return zlib.crc32(f"{member.name}/{member.start}".encode())
 
 
 class MemberTable:
-    """All other members by name, the digests of the active ones, and the changes not yet taken.
+    """All other members by name, digests of the active ones, and the changes that were not yet taken.
 
     Invariants: `active_count` and `bucket_digests` cover exactly the active peers; `peers` is in the order in
-    which their starts were first seen.
+    which their current start numbers were first seen.
     """
 
     def __init__(self, settings: ProbeConfig) -> None:
@@ -72,9 +72,10 @@
         self._suspects: set[str] = set()
 
     def merge(self, now_s: float, update: MembershipUpdate, from_list: bool) -> bool:
-        """Apply an update of another member; whether it changed anything.
+        """Apply an update about another member; return whether it changed anything.
 
-        `from_list`: it is part of a member list; a death in a list may be old, so it only raises a suspicion.
+        `from_list`: the update is part of a member list. A death in a list may be old, so it only raises a
+        suspicion.
         """
         peer = self.peers.get(update.name)
         if peer is None or update.start > peer.member.start:
@@ -86,7 +87,7 @@
             return False
         if peer.status is MemberStatus.LEFT:
             return False
-        if status.is_active and update.address:  # a member first known by its death has no address yet
+        if status.is_active and update.address:  # a member first known from its death has no address yet
             peer.member = _member_of(update)
         if status.is_active and not peer.member.address:
             return False
@@ -95,7 +96,7 @@
         return True
 
     def suspect(self, now_s: float, name: str) -> bool:
-        """Suspect a member that did not acknowledge a probe; False where it was not alive before."""
+        """Suspect a member that did not acknowledge a probe; False if its status is not ALIVE."""
         peer = self.peers.get(name)
         if peer is None or peer.status is not MemberStatus.ALIVE:
             return False
@@ -103,14 +104,14 @@
         return True
 
     def expire_suspects(self, now_s: float) -> list[PeerState]:
-        """Declare the suspects dead whose suspicion has timed out; those peers."""
+        """Declare dead the suspects whose suspicion has timed out, and return them."""
         dead = [peer for peer in self.suspects() if peer.suspicion_deadline_s <= now_s]
         for peer in dead:
             self._set_status(now_s, peer, MemberStatus.DEAD)
         return dead
 
     def next_deadline_s(self) -> float:
-        """When the next suspicion times out; infinite without suspects."""
+        """The time at which the next suspicion times out; infinity without suspects."""
         return min((peer.suspicion_deadline_s for peer in self.suspects()), default=math.inf)
 
     def has_suspects(self) -> bool:
@@ -118,33 +119,33 @@
         return bool(self._suspects)
 
     def suspects(self) -> list[PeerState]:
-        """The suspected members, by name."""
+        """The suspected members, sorted by name."""
         return [self.peers[name] for name in sorted(self._suspects)]
 
     def extend_suspicions(self, by_s: float) -> None:
-        """Give the suspects more time: this process was stalled and could not receive their refutations."""
+        """Give the suspects more time, as this process was stalled and received no refutations meanwhile."""
         for peer in self.suspects():
             peer.suspicion_deadline_s += by_s
 
     def record_contact(self, now_s: float, name: str, start: int) -> None:
-        """Note that a message came from this start of a member directly."""
+        """Record that a message came directly from the member with this start number."""
         peer = self.peers.get(name)
         if peer is not None and peer.member.start == start:
             peer.last_contact_s = now_s
 
     def record_change(self, change: MembershipChange) -> None:
-        """Add a change to those that `take_changes` returns next."""
+        """Add a change to those that the next `take_changes` returns."""
         self._changes.append(change)
 
     def take_changes(self) -> list[MembershipChange]:
-        """The changes since the last call, in their order."""
+        """Return the changes since the last call, in order."""
         changes, self._changes = self._changes, []
         return changes
 
     def _credible_status(
         self, now_s: float, peer: PeerState, update: MembershipUpdate, from_list: bool
     ) -> MemberStatus:
-        """The status that an update justifies: a doubtful death is a suspicion only."""
+        """The status to apply: an unconfirmed death counts as a suspicion only."""
         if update.status is not MemberStatus.DEAD or not peer.is_active():
             return update.status
         if from_list or self._contacted_recently(now_s, peer):
@@ -158,13 +159,13 @@
         return self._settings.suspicion_timeout_s(self.active_count + 1)
 
     def _add_start(self, now_s: float, previous: PeerState | None, update: MembershipUpdate) -> bool:
-        """Add a start that was not known; it supersedes the previous one of its name."""
+        """Add a new start number of a name; it supersedes the previous one."""
         if update.status.is_active and not update.address:
             return False
         if previous is not None and previous.is_active():
             self._deactivate(previous)
             self.record_change(MemberFailed(previous.member, FailureReason.SUPERSEDED))
-        self.peers.pop(update.name, None)  # the new start goes to the end of the order
+        self.peers.pop(update.name, None)  # moves the name to the end of the order
         self._suspects.discard(update.name)
         peer = PeerState(_member_of(update), update.incarnation, update.status)
         self.peers[update.name] = peer
@@ -177,7 +178,7 @@
         return True
 
     def _set_status(self, now_s: float, peer: PeerState, status: MemberStatus) -> None:
-        """Change the status of a peer within its start, and record the change."""
+        """Change the status of a peer whose start number stays the same, and record the change."""
         was_active = peer.is_active()
         peer.status = status
         self._suspects.discard(peer.member.name)
@@ -205,7 +206,7 @@
         self.active_count -= 1
 
     def _evict_tombstones(self) -> None:
-        """Forget the oldest of the inactive members beyond MAX_TOMBSTONES."""
+        """Forget the oldest inactive members above `MAX_TOMBSTONES`."""
         inactive = [name for name, peer in self.peers.items() if not peer.is_active()]
         for name in inactive[: max(0, len(inactive) - MAX_TOMBSTONES)]:
             del self.peers[name]
--- a/ringledge/decide/membership/message_builder.py
+++ b/ringledge/decide/membership/message_builder.py
@@ -1,4 +1,4 @@
-"""Builds the messages that the local member sends, with membership updates piggybacked on pings and acks."""
+"""Builds the local member's messages, with membership updates piggybacked on pings and acks."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from ringledge.decide.membership.settings import ProbeConfig
 from ringledge.decide.paging import bucket_of, paginate
 
-MAX_LISTED_TOMBSTONES = 32  # inactive members in member lists, the latest ones
+MAX_LISTED_TOMBSTONES = 32  # the latest inactive members that member lists contain
 
 
 class MessageBuilder:
-    """Messages of the local member `me`, from its member table and its queue of updates.
+    """Builds messages from the member table and the queue of updates.
 
-    `me` and `incarnation` are set by the owner. Building a ping or an ack takes queued updates: build in
-    the order of sending.
+    The caller sets `local_member` and `incarnation`. Building a ping or an ack takes queued updates, so
+    messages have to be built in the order in which they are sent.
     """
 
     def __init__(self, local_member: Member, settings: ProbeConfig, table: MemberTable) -> None:
@@ -40,27 +40,27 @@
         self._queue = TransmitLimitedQueue()
 
     def known_start(self, name: str) -> int:
-        """The latest start number known of another member; 0: none."""
+        """The latest known start number of another member; 0 if it is unknown."""
         peer = self._table.peers.get(name)
         return 0 if peer is None else peer.member.start
 
     def view_digest(self) -> int:
-        """One digest over all active members, the local one included."""
+        """The digest of all active members, the local one included."""
         return reduce(operator.xor, self.bucket_digests())
 
     def bucket_digests(self) -> list[int]:
-        """The digests over all active members by bucket, the local one included."""
+        """The digest of each bucket of active members, the local one included."""
         digests = self._table.bucket_digests.copy()
         digests[bucket_of(self.local_member.name)] ^= member_digest(self.local_member)
         return digests
 
     def differing_buckets(self, digests: tuple[int, ...]) -> list[int]:
-        """The buckets in which another member's view differs."""
+        """The numbers of the buckets in which another member's view differs."""
         pairs = zip(self.bucket_digests(), digests, strict=True)
         return [bucket for bucket, (local, remote) in enumerate(pairs) if local != remote]
 
     def local_update(self, status: MemberStatus = MemberStatus.ALIVE) -> MembershipUpdate:
-        """The local member's update of itself."""
+        """The local member's update about itself."""
         local_member = self.local_member
         return MembershipUpdate(
             local_member.name,
@@ -72,12 +72,12 @@
         )
 
     def enqueue(self, update: MembershipUpdate, once: bool = False) -> None:
-        """Piggyback an update on the next messages: `once`, or as often as the number of members demands."""
+        """Queue an update to be piggybacked `once`, or as often as the number of members requires."""
         limit = 1 if once else self._settings.transmit_limit(self._table.active_count + 1)
         self._queue.enqueue(update, limit)
 
     def ping(self, recipient: str, nonce: int) -> SendMessage:
-        """A probe of a member."""
+        """A ping that probes a member."""
         to_start = self.known_start(recipient)
         updates = self._piggyback(recipient)
         return SendMessage(
@@ -93,22 +93,22 @@
         )
 
     def indirect_ping_request(self, recipient: str, nonce: int, target: str) -> SendMessage:
-        """A request to a member to ping another one."""
+        """A request to a member to ping another member."""
         to_start = self.known_start(recipient)
         return SendMessage(recipient, IndirectPingRequest(self.local_member.start, to_start, nonce, target))
 
     def join(self, recipient: str) -> SendMessage:
-        """The local member's introduction to a member."""
+        """A message by which the local member introduces itself."""
         return SendMessage(recipient, Join(self.known_start(recipient), self.local_update()))
 
     def member_list(self, recipient: str, *updates: MembershipUpdate) -> SendMessage:
-        """A list of some members."""
+        """A member list with the given updates."""
         return SendMessage(
             recipient, MemberList(self.local_member.start, self.known_start(recipient), updates)
         )
 
     def view_digests(self, recipient: str) -> SendMessage:
-        """The digests by which a member finds where its view differs."""
+        """The bucket digests, by which the recipient finds where its view differs."""
         digests = tuple(self.bucket_digests())
         return SendMessage(
             recipient, ViewDigests(self.local_member.start, self.known_start(recipient), digests)
@@ -117,9 +117,9 @@
     def member_lists(
         self, recipient: str, max_datagrams: int, buckets: list[int] | None = None
     ) -> list[Action]:
-        """The member table in lists, all of it or some buckets in their order.
+        """The whole member table, or the given buckets in their order, as member lists.
 
-        The local member and the recipient's own entry come first; what exceeds `max_datagrams` is left out.
+        The local member and the recipient's own entry come first; lists above `max_datagrams` are left out.
         """
         peers = self._table.peers
         active = [peer.update() for peer in peers.values() if peer.is_active()]
@@ -136,7 +136,7 @@
         return [self.member_list(recipient, *group) for group in groups[:max_datagrams]]
 
     def _piggyback(self, recipient: str) -> tuple[MembershipUpdate, ...]:
-        """Queued updates for a member: first its own entry to refute, where it is not considered alive."""
+        """Updates for a recipient; its own entry comes first if it is not considered alive."""
         peer = self._table.peers.get(recipient)
         to_refute = None
         if peer is not None and peer.status is not MemberStatus.ALIVE:
--- a/ringledge/decide/membership/messages.py
+++ b/ringledge/decide/membership/messages.py
@@ -1,8 +1,9 @@
-"""The messages of the membership protocol, as SWIM has them, with those that join members and compare views.
+"""The messages of the membership protocol: those of SWIM, and others to join and to compare member tables.
 
-Each message carries the sender's start number and the recipient's as the sender knows it (0: unknown), so
-that a member addressed under its predecessor's start number can introduce itself. Messages are encoded
-as arrays: the order of the fields, and of the types in `MESSAGES`, is the wire format.
+Each message carries the sender's start number (`start`) and the recipient's as the sender knows it
+(`to_start`, 0 if unknown), so that a member that is addressed under its predecessor's start number can
+introduce itself. Messages are encoded as arrays: the order of the fields, and of the types in `MESSAGES`, is
+the wire format.
 """
 
 from __future__ import annotations
@@ -16,50 +17,48 @@
 from ringledge.decide.datagram import MAX_BODY_BYTES, MAX_NAME_BYTES, MemberName, StartNumber, Uint32, Uint53
 from ringledge.decide.paging import BUCKET_COUNT
 
-PING_OVERHEAD_BYTES = (
-    32  # a Ping without updates: array heads, two starts, a nonce and a digest at their longest
-)
-MAX_ADDRESS_BYTES = 64  # of host:port; an IPv6 address with its port takes 47
+PING_OVERHEAD_BYTES = 32  # array heads, two start numbers, a nonce and a digest at their maximum lengths
+MAX_ADDRESS_BYTES = 64  # of host:port; an IPv6 address and port take 47
 MAX_UPDATES_BYTES = MAX_BODY_BYTES - PING_OVERHEAD_BYTES  # available for updates in one message
 
 
 class MemberStatus(enum.IntEnum):
-    """The state of a member; with equal incarnations the higher value overrides the lower one."""
+    """The state of a member; for equal incarnations the higher value overrides the lower one."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # announced by the member itself; final for this start
+    LEFT = 3  # announced by the member itself; final for this start number
 
     @property
     def is_active(self) -> bool:
-        """Whether the member belongs to the group: a suspect does until its suspicion times out."""
+        """Whether the member belongs to the group; a suspect does until the suspicion times out."""
         return self <= MemberStatus.SUSPECT
 
 
 class MembershipUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """One member as the sender knows it. Address and site are set for active members only."""
+    """The state of one member as the sender knows it; address and site are set only if it is active."""
 
     name: MemberName
     start: StartNumber
-    incarnation: Uint53  # raised by the member itself alone, to refute a suspicion
+    incarnation: Uint53  # only the member itself raises it, to refute a suspicion
     status: MemberStatus
     address: Annotated[str, Meta(max_length=MAX_ADDRESS_BYTES)] = ""
     site: Annotated[str, Meta(max_length=MAX_NAME_BYTES)] = ""
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True):
-    """A probe of the recipient. Answered by an Ack with the same nonce."""
+    """A probe of the recipient, answered by an Ack with the same nonce."""
 
     start: StartNumber
     to_start: StartNumber
     nonce: Uint32
-    view_digest: Uint32  # 32-bit digest of the active members, to detect that two members' views differ
+    view_digest: Uint32  # digest of the active members, by which differing views are detected
     updates: tuple[MembershipUpdate, ...] = ()
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True):
-    """The answer to a Ping, or to an IndirectPingRequest whose target has answered."""
+    """The answer to a Ping, or to an IndirectPingRequest after its target has answered."""
 
     start: StartNumber
     to_start: StartNumber
@@ -69,7 +68,7 @@
 
 
 class IndirectPingRequest(msgspec.Struct, array_like=True, frozen=True):
-    """SWIM's ping-req: the recipient shall ping the target and forward its acknowledgement."""
+    """SWIM's ping-req: asks the recipient to ping the target and to forward the acknowledgement."""
 
     start: StartNumber
     to_start: StartNumber
@@ -78,7 +77,7 @@
 
 
 class Join(msgspec.Struct, array_like=True, frozen=True):
-    """The sender introduces itself. Answered by MemberLists."""
+    """The introduction of the sender, answered by MemberLists."""
 
     to_start: StartNumber
     sender: MembershipUpdate
@@ -93,11 +92,11 @@
 
 
 class MemberListQuery(msgspec.Struct, array_like=True, frozen=True):
-    """A request for the member table, from a process that is no member. Answered by MemberLists."""
+    """A request for the member table by a process that is not a member, answered by MemberLists."""
 
 
 class ViewDigests(msgspec.Struct, array_like=True, frozen=True):
-    """Digests of the active members by bucket of names. Answered by MemberLists of differing buckets."""
+    """Digests of the active members by bucket, answered by MemberLists of the buckets that differ."""
 
     start: StartNumber
     to_start: StartNumber
@@ -113,7 +112,7 @@
     MemberListQuery,
     ViewDigests,
 )
-MemberMessage = Ping | Ack | IndirectPingRequest | Join | MemberList | ViewDigests  # from members
+MemberMessage = Ping | Ack | IndirectPingRequest | Join | MemberList | ViewDigests  # sent by members
 Message = MemberMessage | MemberListQuery
 
 
--- a/ringledge/decide/membership/periodic.py
+++ b/ringledge/decide/membership/periodic.py
@@ -1,4 +1,4 @@
-"""The timed work of the membership protocol: suspicion timeouts, probes and attempts to rejoin."""
+"""The periodic work of the membership protocol: suspicion timeouts, probes and attempts to rejoin."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ringledge.decide.membership.message_builder import MessageBuilder
 from ringledge.decide.membership.settings import ProbeConfig
 
-REJOIN_INTERVALS = 5  # between attempts to reach inactive members; one interval while no other is active
-MAX_TICK_DELAY_INTERVALS = 0.5  # a tick that is later than this means that the local process was stalled
-MAX_JOIN_ATTEMPTS = 3  # seeds contacted at once while no other member is active
+REJOIN_INTERVALS = 5  # between attempts to contact inactive members; 1 while no other member is active
+MAX_TICK_DELAY_INTERVALS = 0.5  # a later tick means that the local process was stalled
+MAX_JOIN_ATTEMPTS = 3  # names contacted at once while no other member is active
 
 
 class PeriodicTasks:
-    """Runs what is due at each tick. `seeds`: names of other members to join by."""
+    """Runs the work that is due at each tick; `seeds` are the names of other members to join through."""
 
     def __init__(
         self,
@@ -38,14 +38,14 @@
         self._next_rejoin_s = -math.inf
 
     def next_tick_s(self) -> float:
-        """When the next tick is due; the tick that follows is expected at this time."""
+        """The time at which the next tick is due, kept so that a late tick is noticed."""
         self._expected_tick_s = min(
             self._detector.next_tick_s(), self._next_rejoin_s, self._table.next_deadline_s()
         )
         return self._expected_tick_s
 
     def tick(self, now_s: float) -> list[Action]:
-        """Expire suspicions, probe, and contact inactive members, as far as they are due."""
+        """Expire suspicions, probe and contact inactive members, as far as each is due."""
         self._compensate_for_stall(now_s)
         self._update_suspicions(now_s)
         actions = self._probe(now_s)
@@ -54,7 +54,7 @@
         return actions
 
     def _compensate_for_stall(self, now_s: float) -> None:
-        """Suspect nobody where the tick is late: what others sent meanwhile is unread."""
+        """Suspect nobody after a late tick, since messages that arrived meanwhile are not yet processed."""
         delay_s = now_s - self._expected_tick_s
         self._expected_tick_s = math.inf
         if MAX_TICK_DELAY_INTERVALS * self._settings.interval_s < delay_s < math.inf:
@@ -86,7 +86,7 @@
         return actions
 
     def _rejoin(self, now_s: float) -> list[Action]:
-        """Contact seeds and dead members, in case they are active."""
+        """Contact some seeds and dead members, in case they are active."""
         alone = not self._table.active_count
         intervals = 1 if alone else REJOIN_INTERVALS
         self._next_rejoin_s = now_s + intervals * self._settings.interval_s
--- a/ringledge/decide/membership/swim.py
+++ b/ringledge/decide/membership/swim.py
@@ -1,10 +1,10 @@
-"""Group membership by SWIM (Das, Gupta, Motivala 2002) with suspicion and refutation, as events and actions.
+"""Group membership by SWIM (Das, Gupta, Motivala 2002) with suspicion and refutation.
 
-Each interval a member probes the next of the others, in an order that it shuffles for each round. One that
-does not acknowledge is probed indirectly by way of some others, then suspected, then declared dead. Updates
-are piggybacked on pings and acks. A member that learns of its own suspicion or death refutes it by a higher
-incarnation. Beyond the paper: members whose digests of the group differ exchange their member lists, and dead
-members are contacted now and then, so that the sides of a partition merge again.
+In each interval a member probes one other member, in an order that it shuffles for each round. A member that
+does not acknowledge is probed indirectly through some others, then suspected, then declared dead. Updates are
+piggybacked on pings and acks. A member that learns of its own suspicion or death refutes it with a higher
+incarnation. Two additions to the paper let the sides of a partition merge again: members whose digests of the
+group differ exchange their member lists, and dead members are contacted from time to time.
 """
 
 from __future__ import annotations
@@ -41,27 +41,27 @@
 
 __all__ = ["BROADCAST", "MESSAGES", "Membership"]
 
-MAX_SYNC_DATAGRAMS = 8  # of member lists in answer to digests that differ
-MAX_JOIN_DATAGRAMS = 100  # of member lists in answer to a join or a query
-ANNOUNCE_FAN_OUT = 8  # members that are notified directly when this one leaves or raises its start
-START_CONFLICT_GRACE_FACTOR = (
-    2.0  # suspicion timeouts after the first tick in which a higher start is a predecessor's
-)
+MAX_SYNC_DATAGRAMS = 8  # of member lists that answer differing digests
+MAX_JOIN_DATAGRAMS = 100  # of member lists that answer a join or a query
+ANNOUNCE_FAN_OUT = 8  # members notified directly when this one leaves or raises its start number
+# For so many suspicion timeouts after the first tick, a higher start number is taken for a predecessor's.
+START_CONFLICT_GRACE_FACTOR = 2.0
 
 
 class Membership:
-    """The local member's protocol instance; implements Decider. Times are in s of its own monotonic clock.
+    """The local member's instance of the protocol; implements Decider.
 
-    `seeds`: names of members to join by. `rng`: draws the order of probes and all samples. The changes are to
-    be taken by `take_changes` after each call. Once `stopped`, it sends and takes nothing more.
+    `seeds` are names of members to join through; `rng` draws the order of probes and all samples. The caller
+    fetches the changes with `take_changes` after each call. Once `stopped`, the instance neither sends nor
+    handles any message.
     """
 
     def __init__(
         self, local_member: Member, seeds: Iterable[str], settings: ProbeConfig, rng: random.Random
     ) -> None:
-        """ValueError where the member's name does not fit a datagram."""
+        """Raise ValueError if the member's name does not fit a datagram."""
         validated_name(local_member.name)
-        self.stopped = False  # it has left, or was superseded
+        self.stopped = False  # the local member has left or was superseded
         self._settings = settings
         self._rng = rng
         self._table = MemberTable(settings)
@@ -75,7 +75,7 @@
             self._builder,
             self._detector,
         )
-        self._start_confirmed = False  # another member has addressed it by its present start
+        self._start_confirmed = False  # another member has addressed the current start number
         self._first_tick_s = math.inf
         self._next_sync_s = -math.inf
 
@@ -85,11 +85,11 @@
         return self._builder.local_member
 
     def set_address(self, address: str) -> None:
-        """Set the local member's address, where it is known only once bound; before the first tick."""
+        """Set the local member's address once its socket is bound; must precede the first tick."""
         self._builder.local_member = replace(self.local_member, address=address)
 
     def active_members(self) -> tuple[Member, ...]:
-        """All active members by name, the local one included."""
+        """All active members sorted by name, the local one included."""
         active = [peer.member for peer in self._table.peers.values() if peer.is_active()]
         return tuple(sorted([self.local_member, *active]))
 
@@ -102,7 +102,7 @@
         }
 
     def latest_member(self, name: str) -> Member | None:
-        """The member with the latest known start of a name, active or not."""
+        """The member with the latest known start number of a name, active or not."""
         if name == self.local_member.name:
             return self.local_member
         peer = self._table.peers.get(name)
@@ -114,24 +114,24 @@
         return name == self.local_member.name or (peer is not None and peer.is_active())
 
     def take_changes(self) -> list[MembershipChange]:
-        """The changes since the last call."""
+        """Return the changes since the last call."""
         return self._table.take_changes()
 
     def next_tick_s(self) -> float:
-        """When the next tick is due."""
+        """The time at which the next tick is due."""
         if self.stopped:
             return math.inf
         return self._periodic.next_tick_s()
 
     def tick(self, now_s: float) -> list[Action]:
-        """Expire suspicions, probe, and contact inactive members, as far as they are due."""
+        """Expire suspicions, probe and contact inactive members, as far as each is due."""
         if self.stopped:
             return []
         self._first_tick_s = min(self._first_tick_s, now_s)
         return self._periodic.tick(now_s)
 
     def receive(self, now_s: float, sender: str, message: Message) -> list[Action]:
-        """Take a message; one under the local member's own name is a successor's, or its own and late."""
+        """Handle a message. One under the local name is from a successor, or a late one of this member."""
         if self.stopped:
             return []
         if isinstance(message, MemberListQuery):
@@ -146,7 +146,7 @@
             return actions
         self._start_confirmed = self._start_confirmed or message.to_start == self.local_member.start
         if sender_start(message) < self._builder.known_start(sender):
-            # The sender has a successor, or has to raise its start: its entry tells it so.
+            # The sender has a successor, or must raise its start number; its own entry informs it.
             entry = self._table.peers[sender].update()
             return [*actions, self._builder.member_list(sender, entry)]
         self._table.record_contact(now_s, sender, sender_start(message))
@@ -167,7 +167,7 @@
         return [self._builder.member_list(name, update) for name in recipients]
 
     def _answer(self, sender: str, message: MemberMessage) -> list[Action]:
-        """The answer that a message demands by its type."""
+        """The answer that the type of a message requires."""
         builder = self._builder
         match message:
             case Ping():
@@ -182,13 +182,13 @@
                 return builder.member_lists(sender, MAX_JOIN_DATAGRAMS)
             case ViewDigests():
                 buckets = builder.differing_buckets(message.digests)
-                self._rng.shuffle(buckets)  # not all of them may fit
+                self._rng.shuffle(buckets)  # not all buckets may fit
                 return builder.member_lists(sender, MAX_SYNC_DATAGRAMS, buckets)
             case _:
                 return []
 
     def _merge(self, now_s: float, updates: Iterable[MembershipUpdate], from_list: bool) -> list[Action]:
-        """Apply updates; those that are new are disseminated further."""
+        """Apply updates, and disseminate those that changed something."""
         actions: list[Action] = []
         for update in updates:
             if update.name == self.local_member.name:
@@ -198,7 +198,7 @@
         return actions
 
     def _merge_own_update(self, now_s: float, update: MembershipUpdate) -> list[Action]:
-        """Take another member's update of the local one: refute a suspicion or death of its start."""
+        """Handle an update about the local member; refute a suspicion or death of its start number."""
         builder = self._builder
         same_start = update.start == self.local_member.start
         if update.start > self.local_member.start or (same_start and update.status is MemberStatus.LEFT):
@@ -206,13 +206,13 @@
             return self._resolve_start_conflict(now_s, update.start, has_ended)
         if same_start and update.status is not MemberStatus.ALIVE:
             builder.incarnation = max(builder.incarnation, update.incarnation + 1)
-            builder.enqueue(builder.local_update())  # also where refuted before: the sender has not seen it
+            builder.enqueue(builder.local_update())  # again if refuted before: the sender has not seen it
         return []
 
     def _resolve_start_conflict(self, now_s: float, start: int, has_ended: bool) -> list[Action]:
-        """React to another start of the local name: a predecessor's, whose clock ran ahead, or a successor's.
+        """Handle another start number of the local name: a successor's, or a predecessor's with a fast clock.
 
-        `has_ended`: the member of that start is dead or has left, so it is no successor.
+        `has_ended`: the member with that start number is dead or has left, so it is not a successor.
         """
         if start < self.local_member.start or (start == self.local_member.start and not has_ended):
             return []
@@ -233,7 +233,7 @@
         return [builder.join(name) for name in self._detector.sample_active(ANNOUNCE_FAN_OUT)]
 
     def _sync(self, now_s: float, name: str) -> list[Action]:
-        """Send the digests to a member whose view differs, once per interval at most."""
+        """Send the digests to a member whose view differs, at most once per interval."""
         if now_s < self._next_sync_s:
             return []
         self._next_sync_s = now_s + self._settings.interval_s
