--- a/ringledge/decide/records/__init__.py
+++ b/ringledge/decide/records/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated records: one writer each, spread by anti-entropy."""
+"""Replicated records with one writer each, spread by push and anti-entropy."""
--- a/ringledge/decide/records/log_table.py
+++ b/ringledge/decide/records/log_table.py
@@ -1,4 +1,4 @@
-"""The logs of all writers, with digests of their versions by bucket of writers."""
+"""The logs of all writers, with a digest of the versions in each bucket of writers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LogTable:
-    """Logs by writer. Invariant: the digests cover all logs that hold a version, each as it is now."""
+    """Logs by writer. Invariant: the digests cover the current state of all logs that hold a version."""
 
     def __init__(self) -> None:
         self._logs: dict[str, WriterLog] = {}
@@ -24,11 +24,11 @@
         return iter(self._logs.values())
 
     def get(self, writer: str) -> WriterLog | None:
-        """The log of a writer."""
+        """The log of a writer, or None if there is none."""
         return self._logs.get(writer)
 
     def create(self, writer: str, start: int) -> WriterLog:
-        """A new log of a writer that has none."""
+        """Create the log of a writer that has none."""
         log = self._logs[writer] = WriterLog(writer, start)
         return log
 
@@ -40,7 +40,7 @@
 
     @contextmanager
     def updating_digest(self, log: WriterLog) -> Iterator[None]:
-        """Keep the digests right while a log is modified."""
+        """Context in which a log is modified; updates the digest of its bucket."""
         self._toggle_digest(log)
         yield
         self._toggle_digest(log)
@@ -50,25 +50,25 @@
         return tuple(self._digests)
 
     def differing_buckets(self, digests: tuple[int, ...]) -> list[int]:
-        """The buckets in which another member's digests differ."""
+        """The numbers of the buckets whose digests differ from another member's."""
         pairs = zip(self._digests, digests, strict=True)
         return [bucket for bucket, (local, remote) in enumerate(pairs) if local != remote]
 
     def versions_in_bucket(self, bucket: int) -> list[WriterVersion]:
-        """The entries of the version vector in a bucket."""
+        """The entries of the version vector that belong to a bucket."""
         return [log.held_version() for log in self if log.version and bucket_of(log.writer) == bucket]
 
     def held_version(self, writer: str) -> WriterVersion:
-        """The entry of a writer in the version vector; start and version are 0 where it has no log."""
+        """A writer's entry in the version vector; start number and version are 0 if it has no log."""
         log = self._logs.get(writer)
         return WriterVersion(writer, 0, 0) if log is None else log.held_version()
 
     def held_versions(self, versions: Iterable[WriterVersion]) -> list[WriterVersion]:
-        """The local entries of the writers of another member's entries, as far as they have logs."""
+        """The local entries for the writers of another member's entries, as far as there are logs."""
         return [self._logs[entry.writer].held_version() for entry in versions if entry.writer in self._logs]
 
     def writers_missing_in(self, vector: VersionVector) -> list[WriterVersion]:
-        """Writers of whom the vector's sender has nothing: they lack in buckets that are complete."""
+        """Writers of whom the sender holds nothing: absent from its vector in a complete bucket."""
         listed = {entry.writer for entry in vector.versions}
         return [
             WriterVersion(log.writer, log.start, 0)
@@ -79,7 +79,7 @@
         ]
 
     def missing_records(self, versions: Iterable[WriterVersion]) -> list[Record]:
-        """The records that a holder of these versions lacks, writer by writer."""
+        """The records that a member with these versions lacks, writer by writer."""
         records: list[Record] = []
         for remote in versions:
             log = self._logs.get(remote.writer)
@@ -95,7 +95,7 @@
 def version_vectors(
     buckets: Iterable[tuple[int, list[WriterVersion]]], budget_bytes: int
 ) -> list[VersionVector]:
-    """Entries by bucket as messages; a bucket whose entries fit into one message is marked as complete."""
+    """Pack entries into messages; a bucket whose entries fit into one message is marked as complete."""
     messages: list[VersionVector] = []
     versions: list[WriterVersion] = []
     complete_buckets = 0
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -1,10 +1,10 @@
-"""Small versioned records, one writer each, replicated to all members by push and anti-entropy.
+"""Small versioned records with one writer each, replicated to all members by push and anti-entropy.
 
-A change is pushed to a few members, and by each one to which it is new to a few more. What the pushes miss is
-found by anti-entropy (van Renesse, Dumitriu, Gough, Thomas 2008): each interval a member sends another one
-digests of its version vector by bucket of writers; for those that differ it is answered with entries of the
-version vector, and requests or sends the records in between. A restart of a writer replaces all its records;
-those of a writer that has died or left are deleted after a retention time.
+A change is pushed to a few members, and each member to which it is new pushes it to a few more. Anti-entropy
+(van Renesse, Dumitriu, Gough, Thomas 2008) finds what the pushes miss: in each interval a member sends to
+another one the digests of its version vector by bucket of writers. The answer contains the entries of the
+buckets that differ, and the member requests or sends the records in between. A restart of a writer replaces
+all of its records; the records of a writer that has died or left are deleted after a retention time.
 """
 
 from __future__ import annotations
@@ -33,32 +33,29 @@
 
 __all__ = ["MESSAGES", "ReplicatedRecords"]
 
-PUSH_DELAY_S = 0.02  # that a change waits for others to be pushed with it
-FAST_COMPARE_FACTOR = 4  # times sooner the next comparison follows one that found something missing
-COMPARE_JITTER_FACTORS = (
-    0.9,
-    1.1,
-)  # factors of the interval, so that members do not compare in step
-REQUEST_TIMEOUT_S = 0.2  # within which a request is answered: several round trips
-MAX_VECTOR_DATAGRAMS = 2  # in answer to digests; other buckets follow later, for their order is shuffled
+PUSH_DELAY_S = 0.02  # a change waits for so long, to be pushed together with others
+FAST_COMPARE_FACTOR = 4  # divisor of the interval after a comparison that found missing records
+COMPARE_JITTER_FACTORS = (0.9, 1.1)  # of the interval, so that members do not compare in step
+REQUEST_TIMEOUT_S = 0.2  # several round trips; after it another member may be asked
+MAX_VECTOR_DATAGRAMS = 2  # per answer to digests; other buckets follow later, as their order is shuffled
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingRequest:
-    """A request for a writer's records: to whom it was sent, and when it times out."""
+    """A request for the records of a writer: its recipient and when it times out."""
 
     recipient: str
     expires_s: float
 
 
 class ReplicatedRecords:
-    """The local member's replica; implements RecordStore and Decider. Times in s of its own monotonic clock.
+    """The local member's replica; implements RecordStore and Decider.
 
-    The owner reports the active members by `update_members`. `rng` draws recipients and orders.
+    The caller reports the active members with `update_members`; `rng` draws recipients and orders.
     """
 
     def __init__(self, local_member: Member, settings: RecordsConfig, rng: random.Random) -> None:
-        """ValueError where the member's name does not fit a datagram."""
+        """Raise ValueError if the member's name does not fit a datagram."""
         validated_name(local_member.name)
         self.local_member = local_member
         self._settings = settings
@@ -68,14 +65,14 @@
         self._active_start_numbers: dict[str, int] = {
             local_member.name: local_member.start
         }  # start numbers by name
-        self._expiry_s: dict[str, float] = {}  # inactive writers: when their records are deleted
+        self._expiry_s: dict[str, float] = {}  # when the records of inactive writers are deleted
         self._pending_pushes: dict[tuple[str, str], Record] = {}  # by writer and key
         self._pending_requests: dict[str, _PendingRequest] = {}  # by writer
         self._next_push_s = math.inf
         self._next_compare_s = -math.inf
 
     def write(self, now_s: float, key: str, value: bytes) -> None:
-        """Write a record of the local member; ValueError: it is too long, or there are too many keys."""
+        """Write a record of the local member. ValueError: it is too long or there are too many keys."""
         self._own_log.validate(key, value)
         if self._own_log.value(key) != value:
             self._append(now_s, key, value)
@@ -86,7 +83,7 @@
             self._append(now_s, key, None)
 
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
-        """All known values under keys with a prefix, by the writer's name and the key."""
+        """All known values whose key has the prefix, by the writer's name and the key."""
         return {
             (log.writer, key): value
             for log in self._logs
@@ -95,7 +92,7 @@
         }
 
     def update_members(self, now_s: float, local_member: Member, members: Iterable[Member]) -> None:
-        """Take the active members; `me` with another start writes its records again under that."""
+        """Set the active members; under a new start number the local member's records are written again."""
         active = {member.name: member.start for member in members}
         active[local_member.name] = local_member.start
         if local_member.start != self.local_member.start:
@@ -111,11 +108,11 @@
         self._active_start_numbers = active
 
     def next_tick_s(self) -> float:
-        """When the next tick is due."""
+        """The time at which the next tick is due."""
         return min(self._next_push_s, self._next_compare_s, min(self._expiry_s.values(), default=math.inf))
 
     def tick(self, now_s: float) -> list[Action]:
-        """Delete expired records, push changes, and compare with another member, as far as they are due."""
+        """Delete expired records, push changes and compare with another member, as far as each is due."""
         for name in [name for name, expires_s in self._expiry_s.items() if expires_s <= now_s]:
             del self._expiry_s[name]
             self._remove(name)
@@ -132,7 +129,7 @@
         return actions
 
     def receive(self, now_s: float, sender: str, message: Message) -> list[Action]:
-        """Take a message."""
+        """Handle a message of another member."""
         match message:
             case VersionDigests(digests):
                 return self._answer_digests(sender, digests)
@@ -179,7 +176,7 @@
         return self._rng.sample(others, min(max_count, len(others)))
 
     def _answer_digests(self, sender: str, digests: tuple[int, ...]) -> list[Action]:
-        """Send the version vector in the buckets that differ; shuffled, since not all of them may fit."""
+        """Send the version vector of the buckets that differ, shuffled, since not all of them may fit."""
         buckets = self._logs.differing_buckets(digests)
         self._rng.shuffle(buckets)
         entries = [(bucket, self._logs.versions_in_bucket(bucket)) for bucket in buckets]
@@ -187,7 +184,7 @@
         return [SendMessage(sender, message) for message in messages]
 
     def _answer_vector(self, now_s: float, sender: str, vector: VersionVector) -> list[Action]:
-        """Send the records that the sender lacks, and request those that it has more."""
+        """Send the records that the sender lacks, and request those that are missing here."""
         behind = self._logs.writers_missing_in(vector)
         wanted: list[WriterVersion] = []
         for remote in vector.versions:
@@ -198,7 +195,7 @@
                 self._pending_requests[remote.writer] = _PendingRequest(sender, now_s + REQUEST_TIMEOUT_S)
                 held = local.version if remote.start == local.start else 0
                 wanted.append(WriterVersion(remote.writer, remote.start, held))
-        if wanted:  # there may be more, here or elsewhere
+        if wanted:  # more records may be missing, at this member or at others
             soon_s = now_s + self._settings.interval_s / FAST_COMPARE_FACTOR
             self._next_compare_s = min(self._next_compare_s, soon_s)
         requests = [
@@ -207,9 +204,9 @@
         return [*self._send_records(sender, behind), *requests]
 
     def _send_records(self, recipient: str, versions: Sequence[WriterVersion]) -> list[Action]:
-        """Records beyond the recipient's versions, as many as one answer takes, then the local versions.
+        """Send records that the recipient lacks, up to the limit of one answer, then the local versions.
 
-        By the latter it requests the rest.
+        From the versions the recipient sees what else to request.
         """
         records = self._logs.missing_records(versions)
         batches = paginate(records, MAX_PAYLOAD_BYTES)[: self._settings.max_answer_datagrams]
@@ -220,13 +217,13 @@
         return [SendMessage(recipient, message) for message in messages]
 
     def _may_request(self, now_s: float, sender: str, remote: WriterVersion) -> bool:
-        """Whether to request a writer's records: from one member at a time, lest they come twice."""
+        """Whether to request a writer's records: only from one member at a time, to avoid duplicates."""
         pending = self._pending_requests.get(remote.writer)
         is_free = pending is None or pending.recipient == sender or pending.expires_s <= now_s
         return is_free and self._is_acceptable(remote.writer, remote.start)
 
     def _is_acceptable(self, writer: str, start: int) -> bool:
-        """Whether records of this start may be held: the writer is active, or its records are retained."""
+        """Whether to hold records of this start number: the writer is active or its records are retained."""
         if writer == self.local_member.name:
             return False
         if writer in self._active_start_numbers:
@@ -235,7 +232,7 @@
         return writer in self._expiry_s and log is not None and log.start == start
 
     def _apply(self, record: Record) -> bool:
-        """Take a record of another writer; whether it was new."""
+        """Apply a record of another writer, and return whether it was new."""
         if not self._is_acceptable(record.writer, record.start):
             return False
         log = self._logs.get(record.writer)
--- a/ringledge/decide/records/settings.py
+++ b/ringledge/decide/records/settings.py
@@ -11,12 +11,13 @@
 
 
 class RecordsConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Times and counts of the exchange of records."""
+    """Times and counts of the replication of records."""
 
-    interval_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # between two comparisons by one member
+    interval_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # between two comparisons of one member
     # How long records are retained after their writer has died or left.
     retention_s: Annotated[float, Meta(ge=1, le=3600)] = msgspec.field(name="lifetime_s", default=30.0)
-    fan_out: SmallCount = (
-        3  # members to which a change is pushed, by its writer and by each one to which it is new
-    )
-    max_answer_datagrams: SmallCount = msgspec.field(name="answer", default=6)  # of records, in one answer
+    # Members to which a change is pushed by its writer, and by each member to which it is new.
+    fan_out: SmallCount = 3
+    max_answer_datagrams: SmallCount = msgspec.field(
+        name="answer", default=6
+    )  # datagrams of records in one answer
--- a/ringledge/decide/records/writer_log.py
+++ b/ringledge/decide/records/writer_log.py
@@ -14,14 +14,13 @@
     WriterVersion,
 )
 
-MAX_KEYS_PER_WRITER = (
-    1024  # of one writer, deleted ones too: they are retained, so that the deletion reaches all members
-)
+# Deleted keys count too: they are retained, so that the deletion reaches all members.
+MAX_KEYS_PER_WRITER = 1024
 MAX_VERSION = (1 << 53) - 1  # the version with the longest encoding
 
 
 class WriterLog:
-    """The records of one start of a writer, as far as they are known here.
+    """The known records of a writer under one start number.
 
     Invariant: all of the writer's records up to `version` are held, or have been replaced by later ones.
     """
@@ -33,27 +32,27 @@
         self._records: dict[str, Record] = {}  # by key
 
     def digest(self) -> int:
-        """Its share in the digest of its bucket, 32 bits."""
+        """A 32-bit hash of this log's version; a bucket's digest is the XOR of these."""
         return zlib.crc32(f"{self.writer}/{self.start}/{self.version}".encode())
 
     def held_version(self) -> WriterVersion:
-        """Its entry in the version vector."""
+        """The entry of this log in the version vector."""
         return WriterVersion(self.writer, self.start, self.version)
 
     def validate(self, key: str, value: bytes) -> None:
-        """ValueError where a write would not fit a datagram with the writer's name, or add a key too many."""
+        """Raise ValueError if a write would not fit a datagram, or would add a key above the limit."""
         if not 0 < len(key.encode()) <= MAX_KEY_BYTES or len(value) > MAX_VALUE_BYTES:
             raise ValueError(
-                f"a fact has a key of 1 to {MAX_KEY_BYTES} bytes and a value of {MAX_VALUE_BYTES} at most"
+                f"a record has a key of 1 to {MAX_KEY_BYTES} and a value of at most {MAX_VALUE_BYTES} bytes"
             )
         longest = Record(self.writer, self.start, MAX_VERSION, MAX_VERSION, key, value)
         if encoded_size(longest) > MAX_PAYLOAD_BYTES:
-            raise ValueError(f"fact {key!r}: longer than a datagram with its writer's name")
+            raise ValueError(f"record {key!r}: longer than a datagram with its writer's name")
         if key not in self._records and len(self._records) >= MAX_KEYS_PER_WRITER:
-            raise ValueError(f"fact {key!r}: more than {MAX_KEYS_PER_WRITER} keys of one writer")
+            raise ValueError(f"record {key!r}: more than {MAX_KEYS_PER_WRITER} keys of one writer")
 
     def write(self, key: str, value: bytes | None) -> Record:
-        """Add a new version, by the writer itself; None deletes the key's value."""
+        """Add a new version at the writer itself; None deletes the key's value."""
         record = Record(self.writer, self.start, self.version, self.version + 1, key, value)
         self._records.pop(key, None)
         self._records[key] = record
@@ -61,12 +60,12 @@
         return record
 
     def value(self, key: str) -> bytes | None:
-        """The value of a key; None where it has none."""
+        """The value of a key, or None if it has none."""
         record = self._records.get(key)
         return None if record is None else record.value
 
     def apply(self, record: Record) -> bool:
-        """Take a record of this start from another member; whether it was new."""
+        """Apply a record with this start number from another member; return whether it was new."""
         known = self._records.get(record.key)
         is_new = known is None or known.version < record.version
         if is_new:
@@ -77,11 +76,11 @@
         return is_new
 
     def records_after(self, version: int) -> Iterator[Record]:
-        """What a holder of all records up to a version lacks, in order, up to the first gap here."""
+        """The records, up to the first gap here, that a member with all records up to `version` lacks."""
         previous_version = 0
         for record in self._by_version():
             if record.version > self.version:
-                return  # beyond a gap: the records in between are not known here
+                return  # beyond a gap: the records before it are not known here
             if record.version > version:
                 yield Record(
                     record.writer, record.start, previous_version, record.version, record.key, record.value
@@ -89,13 +88,13 @@
             previous_version = record.version
 
     def values(self, prefix: str) -> Iterator[tuple[str, bytes]]:
-        """Keys with a prefix, and their values."""
+        """The keys with the prefix, and their values."""
         for key, record in self._records.items():
             if record.value is not None and key.startswith(prefix):
                 yield key, record.value
 
     def _advance_version(self) -> None:
-        """Count the records that were held beyond a gap which is closed now."""
+        """Advance the version over records that were held beyond a gap which is now closed."""
         for record in self._by_version():
             if record.previous_version <= self.version < record.version:
                 self.version = record.version
--- a/tests/decide/records/test_replicated_records.py
+++ b/tests/decide/records/test_replicated_records.py
@@ -131,7 +131,7 @@
         ("k", bytes(MAX_VALUE_BYTES + 1)),
         ("k" * 48, bytes(MAX_VALUE_BYTES)),
     ):
-        with pytest.raises(ValueError, match="^(a fact has a key|fact .*(longer than|more than))"):
+        with pytest.raises(ValueError, match="^(a record has a key|record .*(longer than|more than))"):
             records.write(0.0, key, value)
 
 
