--- a/ringledge/decide/leases/backoff.py
+++ b/ringledge/decide/leases/backoff.py
@@ -5,7 +5,7 @@
 from random import Random
 
 BACKOFF_RANGE_S = (0.05, 0.3)  # after a failed attempt; random, to spread proposers that failed together
-BACKOFF_FACTORS = (1, 2, 4)  # by failed attempts in a row, as no majority may be reachable
+BACKOFF_FACTORS = (1, 2, 4)  # by failed attempts in a row; longer while no majority is reachable
 
 
 class AttemptBackoff:
--- a/ringledge/decide/leases/messages.py
+++ b/ringledge/decide/leases/messages.py
@@ -25,9 +25,7 @@
     """From a proposer to acceptors: asks whether the duty is free, and for its highest token."""
 
     duty: str
-    start_number: (
-        int  # of the proposer; echoed, so that responses to its predecessor's requests are recognised
-    )
+    start_number: int  # of the proposer; echoed, to recognise responses to its predecessor
     prepare_number: int  # number of the proposer's prepare phase
     nominated_successor: bool  # whether the last holder nominated the sender as its successor
     terms_digest: int  # `LeaseTerms.digest`
--- a/ringledge/decide/leases/proposer.py
+++ b/ringledge/decide/leases/proposer.py
@@ -31,7 +31,7 @@
 
 RESEND_DELAY_RANGE_S = (0.1, 0.2)  # for acceptors that do not answer; above a round trip (2 x 27 ms)
 PHASE_TIMEOUT_S = 0.6  # per phase: four sends, which reach nine of ten acceptors at 50% loss
-RENEWAL_FRACTION = 0.25  # of the lease until the holder renews it, so that whole rounds may be lost
+RENEWAL_FRACTION = 0.25  # of the lease, after which the holder renews it; whole rounds may be lost
 RELEASED_DELAY_RANGE_S = (0.05, 0.08)  # lets the nominated successor be first, and spreads the others
 MAX_REJECTED_JITTER_S = 0.2  # after a lock expires: spreads the proposers that wait for it
 
@@ -55,7 +55,7 @@
         self._highest_token = 0  # highest one that acceptors reported or this proposer used
         # Invariant: until `until_s` a majority of acceptors keeps the duty locked for this process.
         self.until_s = float("-inf")
-        self.holder = ""  # last one that acceptors reported; "" if none
+        self.holder = ""  # last known holder; "" if none
         self._prepare_number = 0
         self._rounds = GrantedRounds(terms)
         self._responses = PhaseResponses(terms)
--- a/ringledge/decide/membership/swim.py
+++ b/ringledge/decide/membership/swim.py
@@ -44,7 +44,7 @@
 MAX_SYNC_DATAGRAMS = 8  # of member lists that answer differing digests
 MAX_JOIN_DATAGRAMS = 100  # of member lists that answer a join or a query
 ANNOUNCE_FAN_OUT = 8  # members notified directly when this one leaves or raises its start number
-# For so many suspicion timeouts after the first tick, a higher start number is taken for a predecessor's.
+# Suspicion timeouts after the first tick within which a higher start number is taken for a predecessor's.
 START_CONFLICT_GRACE_FACTOR = 2.0
 
 
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -62,9 +62,7 @@
         self._rng = rng
         self._logs = LogTable()
         self._own_log = self._logs.create(local_member.name, local_member.start)
-        self._active_start_numbers: dict[str, int] = {
-            local_member.name: local_member.start
-        }  # start numbers by name
+        self._active_start_numbers: dict[str, int] = {local_member.name: local_member.start}
         self._expiry_s: dict[str, float] = {}  # when the records of inactive writers are deleted
         self._pending_pushes: dict[tuple[str, str], Record] = {}  # by writer and key
         self._pending_requests: dict[str, _PendingRequest] = {}  # by writer
--- a/ringledge/decide/records/settings.py
+++ b/ringledge/decide/records/settings.py
@@ -18,6 +18,4 @@
     retention_s: Annotated[float, Meta(ge=1, le=3600)] = msgspec.field(name="lifetime_s", default=30.0)
     # Members to which a change is pushed by its writer, and by each member to which it is new.
     fan_out: SmallCount = 3
-    max_answer_datagrams: SmallCount = msgspec.field(
-        name="answer", default=6
-    )  # datagrams of records in one answer
+    max_answer_datagrams: SmallCount = msgspec.field(name="answer", default=6)  # of records per answer
