--- a/tests/decide/leases/test_acceptor.py
+++ b/tests/decide/leases/test_acceptor.py
@@ -24,11 +24,11 @@
 TERMS = LeaseTerms(("a", "b", "c"))
 DIGEST = TERMS.digest
 LOCK_S = TERMS.acceptor_lock_s(3000)
-ACTIVE_S = TERMS.startup_silence_s  # when an acceptor started at 0 is active at the earliest
+ACTIVE_S = TERMS.startup_silence_s  # earliest time at which an acceptor started at 0 can be active
 
 
 def _active_acceptor() -> LeaseAcceptor:
-    """An acceptor that has recovered from two active ones, at `ACTIVE_S`; they knew token 10."""
+    """An acceptor that recovered at `ACTIVE_S` from two active ones, which knew token 10."""
     acceptor = LeaseAcceptor(0.0, "a", 5, TERMS)
     acceptor.tick(ACTIVE_S)
     for name in "bc":
@@ -67,7 +67,9 @@
     assert response == StateTransferResponse(7, 5, False, 0, DIGEST)
     acceptor.receive(now_s, "b", StateTransferResponse(5, 3, True, 9, DIGEST))
     assert acceptor.receive(now_s, "x", _prepare()) == []  # one active acceptor is no majority
-    acceptor.receive(now_s, "c", StateTransferResponse(4, 3, True, 99, DIGEST))  # to its predecessor
+    acceptor.receive(
+        now_s, "c", StateTransferResponse(4, 3, True, 99, DIGEST)
+    )  # a response to its predecessor
     assert acceptor.receive(now_s, "x", _prepare()) == []
     acceptor.receive(now_s, "c", StateTransferResponse(5, 3, True, 8, DIGEST))
     assert _only_message(acceptor.receive(now_s, "x", _prepare())) == PrepareResponse("d", 1, 1, 9)
@@ -105,7 +107,7 @@
     assert isinstance(_only_message(acceptor.receive(ACTIVE_S, "x", renewal)), ProposeAccepted)
     rejected = _only_message(acceptor.receive(ACTIVE_S, "y", _prepare()))
     assert isinstance(rejected, Rejected)
-    assert rejected.highest_token == 10  # as recovered, above the holder's
+    assert rejected.highest_token == 10  # the recovered token, which is above the holder's
     released = _only_message(acceptor.receive(ACTIVE_S, "x", LeaseRelease("d", 1, 7)))
     assert released == LeaseReleased("d", 7, False)
     assert isinstance(_only_message(acceptor.receive(ACTIVE_S, "x", renewal)), Rejected)
--- a/tests/decide/leases/test_fencing.py
+++ b/tests/decide/leases/test_fencing.py
@@ -1,4 +1,4 @@
-"""The check of fencing tokens by the receiver of effects."""
+"""The check of fencing tokens at the receiver of effects."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         raise OSError("no space")
 
     fence = FencingTokenCheck({"d": 5}, disk_full)
-    assert fence.admit("d", 5)  # known already
+    assert fence.admit("d", 5)  # needs no persisting, as it is not above the highest token
     with pytest.raises(OSError, match="no space"):
         fence.admit("d", 6)
     assert fence.highest("d") == 5
--- a/tests/decide/leases/test_messages.py
+++ b/tests/decide/leases/test_messages.py
@@ -1,4 +1,4 @@
-"""The size of messages, the range of tokens, and the check of terms, names and start numbers."""
+"""Message sizes, the range of tokens, and the validation of terms, names and start numbers."""
 
 from __future__ import annotations
 
--- a/tests/decide/leases/test_restart.py
+++ b/tests/decide/leases/test_restart.py
@@ -1,4 +1,4 @@
-"""A member that learns of a predecessor with a later start votes again, as a new process would."""
+"""A member that learns of a predecessor with a higher start number votes again, as a new process would."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 TERMS = LeaseTerms(NAMES)
 DUTY = "planner"
 STEP_S = 0.05
-START, HOUR = 1_800_000_000_000, 3_600_000  # ms
-RECOVERED_S = 30.0  # far more than the silence of a start and the delays before an acquisition
+START_NUMBER, HOUR_MS = 1_800_000_000_000, 3_600_000  # ms
+RECOVERED_S = 30.0  # far more than the silence after a start and the delays before an acquisition
 
 
 class Group:
-    """Managers whose messages arrive at once, in virtual time."""
+    """Lease managers in virtual time, whose messages arrive immediately."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
         self.managers: dict[str, LeaseManager] = {}
         self.ended: list[LeaseEnded] = []
         for name in NAMES:
-            self.start(name, START)
+            self.start(name, START_NUMBER)
 
     def start(self, name: str, start_number: int) -> None:
-        """Start a process of that name; it knows nothing of the one before."""
+        """Start a process of that name, without any state of the previous one."""
         self.managers[name] = LeaseManager(self.now_s, name, start_number, TERMS, Random(name))
         self.managers[name].start_seeking(self.now_s, DUTY)
         for manager in self.managers.values():
@@ -58,17 +58,17 @@
 
 @pytest.mark.parametrize("restarted_names", [("b",), ("b", "c"), ("c", "a")])
 def test_duty_moves_on_after_restarts_with_a_clock_set_back(restarted_names: tuple[str, ...]) -> None:
-    """Guards against a duty that nobody holds until the clock is where it was: its voters voted no more."""
+    """Guards against a duty without a holder until the clock catches up, as its acceptors no longer voted."""
     group = Group()
     group.run(RECOVERED_S)
     before = max(group.holders().values())
     for name in restarted_names:
-        group.start(name, START - HOUR)
+        group.start(name, START_NUMBER - HOUR_MS)
         group.run(STEP_S)
-        # Its membership has heard of the predecessor, and has raised its start.
-        group.execute(name, group.managers[name].restart(group.now_s, START + 1))
+        # Its membership has learnt of the predecessor, and has raised the start number.
+        group.execute(name, group.managers[name].restart(group.now_s, START_NUMBER + 1))
     group.run(RECOVERED_S)
-    for lost in NAMES:  # whoever holds it, the others can take it over
+    for lost in NAMES:  # whichever member holds the duty, the others can take it over
         if lost in group.holders():
             token = group.holders()[lost]
             assert token >= before
@@ -83,11 +83,11 @@
     group = Group()
     group.run(RECOVERED_S)
     (holder, token), *_ = group.holders().items()
-    group.execute(holder, group.managers[holder].restart(group.now_s, START + 1))
+    group.execute(holder, group.managers[holder].restart(group.now_s, START_NUMBER + 1))
     assert group.managers[holder].token(group.now_s, DUTY) is None
     assert [each.token for each in group.ended] == [token]
     acceptor = group.managers[holder].acceptor
-    assert acceptor is not None and not acceptor.recovery.active  # silent first, like a new process
+    assert acceptor is not None and not acceptor.recovery.active  # silent at first, like a new process
     group.run(RECOVERED_S)
     assert min(group.holders().values()) > token
 
@@ -96,17 +96,17 @@
     group = Group()
     group.run(RECOVERED_S)
     group.execute("a", group.managers["a"].stop(group.now_s))
-    assert group.managers["a"].restart(group.now_s, START + 1) == []
+    assert group.managers["a"].restart(group.now_s, START_NUMBER + 1) == []
     assert group.managers["a"].acceptor is None
 
 
 def test_tokens_grow_where_all_voters_restart_with_a_clock_set_back() -> None:
-    """Guards against a holder whose effects are rejected as stale until the clock is where it was."""
+    """Guards against a holder whose effects are rejected as stale until the clock catches up."""
     group = Group()
     group.run(RECOVERED_S)
     before = max(group.holders().values())
     group.managers.clear()
     for name in NAMES:
-        group.start(name, START - HOUR)
+        group.start(name, START_NUMBER - HOUR_MS)
     group.run(RECOVERED_S)
     assert min(group.holders().values()) > before, "the token is lower than before"
--- a/tests/decide/membership/test_mutants.py
+++ b/tests/decide/membership/test_mutants.py
@@ -1,4 +1,4 @@
-"""Mutation tests: without each rule of the membership protocol a scenario fails that passes with it."""
+"""Mutation tests: without any one rule of the membership protocol, a scenario fails that passes with it."""
 
 import pytest
 
@@ -43,7 +43,7 @@
         group.pause("n2")
         group.is_partitioned = lambda a, b: False
         group.run(10.0)
-        group.nodes["n2"].inbox.clear()  # an overflowed socket buffer lost them
+        group.nodes["n2"].inbox.clear()  # as if the socket buffer had overflowed
         group.resume("n2")
         group.run(5.0)
         runs_with_failures += any(observer == "n2" for observer, _, _ in failures(group))
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -14,7 +14,7 @@
 from ringledge.decide.membership.messages import Ack, MemberList, MembershipUpdate, MemberStatus
 from ringledge.decide.membership.swim import BROADCAST, Membership
 
-CONVERGENCE_LIMIT_S = 30.0  # within which every group here has to converge
+CONVERGENCE_LIMIT_S = 30.0  # every group has to converge within this time
 
 
 def started_group(count: int, seed: int = 1, loss: float = 0.0) -> SimulatedGroup:
@@ -28,7 +28,7 @@
 
 
 def failures(group: SimulatedGroup) -> list[tuple[str, str, FailureReason]]:
-    """Who declared whom failed, and the reason."""
+    """The observer, the failed member and the reason of each failure that was declared."""
     return [
         (name, change.member.name, change.reason)
         for name, node in group.nodes.items()
@@ -69,7 +69,7 @@
 
 def test_partitioned_group_merges_without_failures_inside_a_partition() -> None:
     group = started_group(8)
-    minority_side = {"n0", "n3", "n4", "n5"}  # n1 and n2, the other seeds, on the other side
+    minority_side = {"n0", "n3", "n4", "n5"}  # the other seeds, n1 and n2, are on the other side
     group.is_partitioned = lambda a, b: (a in minority_side) != (b in minority_side)
     group.run(20.0)
     assert {
@@ -86,7 +86,7 @@
     group = started_group(5)
     group.is_partitioned = lambda a, b: {a, b} == {"n1", "n4"}
     group.run(60.0)
-    assert group.lost_datagrams > 20 and failures(group) == []  # helpers probe it indirectly
+    assert group.lost_datagrams > 20 and failures(group) == []  # other members probe it indirectly
 
 
 def test_members_without_seed_names_discover_each_other_by_broadcast() -> None:
@@ -95,7 +95,7 @@
         group.start(name, [BROADCAST])
     assert group.run(CONVERGENCE_LIMIT_S, group.has_converged) < 2.0
     before = [node.datagrams for node in group.nodes.values()]
-    group.run(20.0)  # and no member keeps broadcasting
+    group.run(20.0)  # no member keeps broadcasting
     assert all(now.datagrams - then < 20 * 6 for now, then in zip(group.nodes.values(), before, strict=True))
 
 
@@ -137,7 +137,7 @@
         receiver.receive(group.now_s, "n9", MemberList(0, receiver.local_member.start, (false_death,)))
     assert group.run(CONVERGENCE_LIMIT_S, lambda: not group.nodes["n0"].membership.statuses()["n2"]) < 5.0
     group.run(10.0)
-    assert group.has_converged() and failures(group) == []  # a death in a list raises a suspicion first
+    assert group.has_converged() and failures(group) == []  # a death in a member list only raises a suspicion
 
 
 def test_reported_death_of_a_recently_contacted_member_raises_a_suspicion_only() -> None:
@@ -189,7 +189,7 @@
     group = started_group(3)
     group.run(30.0)
     predecessor = group.nodes["n1"]
-    group.start("n1", ["n0"])  # the predecessor keeps running, and learns of it
+    group.start("n1", ["n0"])  # the predecessor keeps running, and learns of its successor
     predecessor.membership.receive(
         group.now_s, "n0", MemberList(0, group.nodes["n1"].membership.local_member.start, ())
     )
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_group_converges_after_random_faults(seed: int) -> None:
-    """Random loss, duplication, restarts, partitions and stalls: all converge, no start decreases."""
+    """After random loss, restarts, partitions and stalls all converge, and no start number decreases."""
     group = started_group(6, seed)
     latest_seen: dict[tuple[str, str], int] = {}
 
--- a/tests/decide/records/test_replicated_records.py
+++ b/tests/decide/records/test_replicated_records.py
@@ -1,4 +1,4 @@
-"""Replicated records: replication, deletion, supersession, retention."""
+"""Replicated records: replication, deletion, supersession and retention."""
 
 import random
 
@@ -64,7 +64,7 @@
     assert views(group) == [{("n3", "backlog/a"): b"9"}] * 3
     group.run(agreed_s + retention_s + 1.0 - group.now_s)
     assert views(group) == [{}] * 3
-    group.run(3 * retention_s)  # and no member replicates them again
+    group.run(3 * retention_s)  # no member replicates them again
     assert views(group) == [{}] * 3
 
 
@@ -143,7 +143,7 @@
 def test_no_record_up_to_the_held_version_is_missing(
     writes: list[tuple[str, bytes | None]], rng: random.Random
 ) -> None:
-    """Records in any order, some lost: a log that holds all up to a version has what its writer has."""
+    """Records arrive in any order and some are lost; a log with a version has every record up to it."""
     writer, reader = WriterLog("w", 1), WriterLog("w", 1)
     for key, value in writes:
         written = writer.write(key, value)
@@ -161,7 +161,7 @@
 
 
 def test_without_previous_versions_a_lost_record_goes_unnoticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A mutant that counts each version as held violates the property above."""
+    """The property above does not hold for a mutant that counts each received version as held."""
 
     def apply_without_check(self: WriterLog, record: Record) -> bool:
         self._records[record.key] = record
@@ -173,7 +173,7 @@
     reader.apply(second)
     assert reader.version == 0
     reader.apply(first)
-    assert reader.version == 2  # records beyond a gap count once it is closed
+    assert reader.version == 2  # records beyond a gap count as held once the gap is closed
     monkeypatch.setattr(WriterLog, "apply", apply_without_check)
     reader = WriterLog("w", 1)
     reader.apply(second)
--- a/tests/decide/test_backoff.py
+++ b/tests/decide/test_backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts: bounded, spread, and reset by a success."""
+"""Delays between attempts are bounded, spread, and reset by a success."""
 
 import random
 from heapq import heapify, heappop
@@ -16,7 +16,7 @@
     delays = [backoff.next_delay_s() for _ in range(200)]
     for number, delay_s in enumerate(delays):
         assert 0 <= delay_s <= min(2.0, 0.05 * 2**number)
-    assert max(delays) > 1.8 and min(delays[10:]) < 0.2  # drawn from the whole of it
+    assert max(delays) > 1.8 and min(delays[10:]) < 0.2  # drawn from the whole interval
     backoff.reset()
     assert backoff.next_delay_s() <= 0.05
 
@@ -27,9 +27,10 @@
 
 
 def _count_answered(callers: list[Backoff], until_s: float) -> int:
-    """How many callers that ask in the same second get an answer from a discovery that serves eight a second.
+    """The number of callers that get an answer from a discovery server which serves eight calls a second.
 
-    Calls queue in order; a caller gives up after 2 s, yet its call is served when its turn comes.
+    All begin within the same second. Calls are queued in order; a caller gives up after 2 s, but the server
+    processes its call all the same.
     """
     rng = random.Random(7)
     free_s = 0.0
@@ -52,7 +53,9 @@
     def make_callers(initial_s: float, max_s: float) -> list[Backoff]:
         return [Backoff(initial_s, max_s, random.Random(seed)) for seed in range(40)]
 
-    assert _count_answered(make_callers(0.05, 0.05), 40.0) < 20  # at a constant rate only the first callers
+    assert (
+        _count_answered(make_callers(0.05, 0.05), 40.0) < 20
+    )  # a constant rate serves only the first callers
     assert _count_answered(make_callers(0.05, 2.0), 40.0) < 20
     assert (
         _count_answered(
