--- a/ringledge/decide/membership/message_builder.py
+++ b/ringledge/decide/membership/message_builder.py
@@ -28,8 +28,8 @@
 class MessageBuilder:
     """Builds messages from the member table and the queue of updates.
 
-    The caller sets `local_member` and `incarnation`. Building a ping or an ack takes queued updates, so
-    messages have to be built in the order in which they are sent.
+    The caller sets `local_member` and `incarnation`. Building a ping or an ack takes updates from the queue,
+    so callers build messages in the order in which they send them.
     """
 
     def __init__(self, local_member: Member, settings: ProbeConfig, table: MemberTable) -> None:
