--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -183,12 +183,12 @@
 
     def _answer_vector(self, now_s: float, sender: str, vector: VersionVector) -> list[Action]:
         """Send the records that the sender lacks, and request those that are missing here."""
-        behind = self._logs.writers_missing_in(vector)
+        outdated = self._logs.writers_missing_in(vector)
         wanted: list[WriterVersion] = []
         for remote in vector.versions:
             local = self._logs.held_version(remote.writer)
             if (remote.start, remote.version) < (local.start, local.version):
-                behind.append(remote)
+                outdated.append(remote)
             elif remote != local and self._may_request(now_s, sender, remote):
                 self._pending_requests[remote.writer] = _PendingRequest(sender, now_s + REQUEST_TIMEOUT_S)
                 held = local.version if remote.start == local.start else 0
@@ -199,7 +199,7 @@
         requests = [
             SendMessage(sender, RecordRequest(group)) for group in paginate(wanted, MAX_PAYLOAD_BYTES)
         ]
-        return [*self._send_records(sender, behind), *requests]
+        return [*self._send_records(sender, outdated), *requests]
 
     def _send_records(self, recipient: str, versions: Sequence[WriterVersion]) -> list[Action]:
         """Send records that the recipient lacks, up to the limit of one answer, then the local versions.
--- a/tests/decide/records/test_replicated_records.py
+++ b/tests/decide/records/test_replicated_records.py
@@ -144,20 +144,20 @@
     writes: list[tuple[str, bytes | None]], rng: random.Random
 ) -> None:
     """Records arrive in any order and some are lost; a log with a version has every record up to it."""
-    writer, reader = WriterLog("w", 1), WriterLog("w", 1)
+    writer, replica = WriterLog("w", 1), WriterLog("w", 1)
     for key, value in writes:
         written = writer.write(key, value)
-        batch = [written, *writer.records_after(reader.version)]
+        batch = [written, *writer.records_after(replica.version)]
         rng.shuffle(batch)
         for record in batch[: rng.randrange(len(batch) + 1)]:
-            reader.apply(record)
+            replica.apply(record)
         latest = {record.key: record for record in writer.records_after(0)}
-        held = {record.key: record.version for record in reader.records_after(0)}
+        held = {record.key: record.version for record in replica.records_after(0)}
         for record in latest.values():
-            assert record.version > reader.version or held[record.key] == record.version
-    for record in writer.records_after(reader.version):
-        reader.apply(record)
-    assert reader.version == writer.version and dict(reader.values("")) == dict(writer.values(""))
+            assert record.version > replica.version or held[record.key] == record.version
+    for record in writer.records_after(replica.version):
+        replica.apply(record)
+    assert replica.version == writer.version and dict(replica.values("")) == dict(writer.values(""))
 
 
 def test_without_previous_versions_a_lost_record_goes_unnoticed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -168,13 +168,13 @@
         self.version = max(self.version, record.version)
         return True
 
-    writer, reader = WriterLog("w", 1), WriterLog("w", 1)
+    writer, replica = WriterLog("w", 1), WriterLog("w", 1)
     first, second = writer.write("a", b"1"), writer.write("b", b"2")
-    reader.apply(second)
-    assert reader.version == 0
-    reader.apply(first)
-    assert reader.version == 2  # records beyond a gap count as held once the gap is closed
+    replica.apply(second)
+    assert replica.version == 0
+    replica.apply(first)
+    assert replica.version == 2  # records beyond a gap count as held once the gap is closed
     monkeypatch.setattr(WriterLog, "apply", apply_without_check)
-    reader = WriterLog("w", 1)
-    reader.apply(second)
-    assert reader.version == 2 and dict(reader.values("")) != dict(writer.values(""))
+    replica = WriterLog("w", 1)
+    replica.apply(second)
+    assert replica.version == 2 and dict(replica.values("")) != dict(writer.values(""))
