--- a/ringledge/decide/membership/messages.py
+++ b/ringledge/decide/membership/messages.py
@@ -17,7 +17,8 @@
 from ringledge.decide.datagram import MAX_BODY_BYTES, MAX_NAME_BYTES, MemberName, StartNumber, Uint32, Uint53
 from ringledge.decide.paging import BUCKET_COUNT
 
-PING_OVERHEAD_BYTES = 32  # array heads, two start numbers, a nonce and a digest at their maximum lengths
+# Of a Ping without updates: array heads, two start numbers, a nonce and a digest at their maximum lengths.
+PING_OVERHEAD_BYTES = 32
 MAX_ADDRESS_BYTES = 64  # of host:port; an IPv6 address and port take 47
 MAX_UPDATES_BYTES = MAX_BODY_BYTES - PING_OVERHEAD_BYTES  # available for updates in one message
 
--- a/ringledge/decide/membership/swim.py
+++ b/ringledge/decide/membership/swim.py
@@ -49,7 +49,7 @@
 
 
 class Membership:
-    """The local member's instance of the protocol; implements Decider.
+    """The local member's instance of the protocol; implements Decider. Times are in s of its monotonic clock.
 
     `seeds` are names of members to join through; `rng` draws the order of probes and all samples. The caller
     fetches the changes with `take_changes` after each call. Once `stopped`, the instance neither sends nor
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -49,7 +49,7 @@
 
 
 class ReplicatedRecords:
-    """The local member's replica; implements RecordStore and Decider.
+    """The local member's replica; implements RecordStore and Decider. Times are in s of its monotonic clock.
 
     The caller reports the active members with `update_members`; `rng` draws recipients and orders.
     """
--- a/tests/decide/membership/test_swim.py
+++ b/tests/decide/membership/test_swim.py
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_group_converges_after_random_faults(seed: int) -> None:
-    """After random loss, restarts, partitions and stalls all converge, and no start number decreases."""
+    """All converge after random loss, duplication, restarts, partitions and stalls; no start decreases."""
     group = started_group(6, seed)
     latest_seen: dict[tuple[str, str], int] = {}
 
