--- a/ringledge/decide/membership/swim.py
+++ b/ringledge/decide/membership/swim.py
@@ -1,10 +1,10 @@
-"""Group membership by SWIM (Das, Gupta, Motivala 2002) with suspicion and refutation, as events and actions.
+"""Group membership by SWIM (Das, Gupta, Motivala 2002) with suspicion and refutation.
 
-Each interval a member probes the next of the others, in an order that it shuffles for each round. One that
-does not acknowledge is probed indirectly by way of some others, then suspected, then declared dead. Updates
-are piggybacked on pings and acks. A member that learns of its own suspicion or death refutes it by a higher
-incarnation. Beyond the paper: members whose digests of the group differ exchange their member lists, and dead
-members are contacted now and then, so that the sides of a partition merge again.
+In each interval a member probes one other member, in an order that it shuffles for each round. A member that
+does not acknowledge is probed indirectly through some others, then suspected, then declared dead. Updates are
+piggybacked on pings and acks. A member that learns of its own suspicion or death refutes it with a higher
+incarnation. Two additions to the paper let the sides of a partition merge again: members whose digests of the
+group differ exchange their member lists, and dead members are contacted from time to time.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from ringledge.decide.datagram import MAX_START, validated_name
+from ringledge.decide.datagram import MAX_START_NUMBER, validated_name
 from ringledge.decide.interface import Action, Member
 from ringledge.decide.membership.changes import LocalMemberSuperseded, LocalStartRaised, MembershipChange
 from ringledge.decide.membership.failure_detector import BROADCAST, FailureDetector
@@ -41,110 +41,117 @@
 
 __all__ = ["BROADCAST", "MESSAGES", "Membership"]
 
-MAX_SYNC_DATAGRAMS = 8  # of member lists in answer to digests that differ
-MAX_JOIN_DATAGRAMS = 100  # of member lists in answer to a join or a query
-ANNOUNCE_FAN_OUT = 8  # members that are notified directly when this one leaves or raises its start
-START_GRACE_FACTOR = 2.0  # suspicion timeouts after the first tick in which a higher start is a predecessor's
+MAX_SYNC_DATAGRAMS = 8  # of member lists that answer differing digests
+MAX_JOIN_DATAGRAMS = 100  # of member lists that answer a join or a query
+ANNOUNCE_FAN_OUT = 8  # members notified directly when this one leaves or raises its start number
+# Suspicion timeouts after the first tick within which a higher start number is taken for a predecessor's.
+START_CONFLICT_GRACE_FACTOR = 2.0
 
 
 class Membership:
-    """The local member's protocol instance; implements Decider. Times are in s of its own monotonic clock.
+    """The local member's instance of the protocol; implements Decider. Times are in s of its monotonic clock.
 
-    `seeds`: names of members to join by. `rng`: draws the order of probes and all samples. The changes are to
-    be taken by `take_changes` after each call. Once `stopped`, it sends and takes nothing more.
+    `seeds` are names of members to join through; `rng` draws the order of probes and all samples. The caller
+    fetches the changes with `take_changes` after each call. Once `stopped`, the instance neither sends nor
+    handles any message.
     """
 
-    def __init__(self, me: Member, seeds: Iterable[str], settings: ProbeConfig, rng: random.Random) -> None:
-        """ValueError where the member's name does not fit a datagram."""
-        validated_name(me.name)
-        self.stopped = False  # it has left, or was superseded
+    def __init__(
+        self, local_member: Member, seeds: Iterable[str], settings: ProbeConfig, rng: random.Random
+    ) -> None:
+        """Raise ValueError if the member's name does not fit a datagram."""
+        validated_name(local_member.name)
+        self.stopped = False  # the local member has left or was superseded
         self._settings = settings
         self._rng = rng
         self._table = MemberTable(settings)
-        self._builder = MessageBuilder(me, settings, self._table)
+        self._builder = MessageBuilder(local_member, settings, self._table)
         self._detector = FailureDetector(settings, rng, self._table)
         self._periodic = PeriodicTasks(
             settings,
             rng,
-            [name for name in dict.fromkeys(seeds) if name != me.name],
+            [name for name in dict.fromkeys(seeds) if name != local_member.name],
             self._table,
             self._builder,
             self._detector,
         )
-        self._start_confirmed = False  # another member has addressed it by its present start
+        self._start_confirmed = False  # another member has addressed the current start number
         self._first_tick_s = math.inf
         self._next_sync_s = -math.inf
 
     @property
-    def me(self) -> Member:
+    def local_member(self) -> Member:
         """The local member; its start number may rise while it joins."""
-        return self._builder.me
+        return self._builder.local_member
 
     def set_address(self, address: str) -> None:
-        """Set the local member's address, where it is known only once bound; before the first tick."""
-        self._builder.me = replace(self.me, address=address)
+        """Set the local member's address once its socket is bound; must precede the first tick."""
+        self._builder.local_member = replace(self.local_member, address=address)
 
     def active_members(self) -> tuple[Member, ...]:
-        """All active members by name, the local one included."""
+        """All active members sorted by name, the local one included."""
         active = [peer.member for peer in self._table.peers.values() if peer.is_active()]
-        return tuple(sorted([self.me, *active]))
+        return tuple(sorted([self.local_member, *active]))
 
     def statuses(self) -> dict[str, MemberStatus]:
         """The status of each known name, the local one included."""
         local = MemberStatus.LEFT if self.stopped else MemberStatus.ALIVE
-        return {self.me.name: local, **{name: peer.status for name, peer in self._table.peers.items()}}
+        return {
+            self.local_member.name: local,
+            **{name: peer.status for name, peer in self._table.peers.items()},
+        }
 
     def latest_member(self, name: str) -> Member | None:
-        """The member with the latest known start of a name, active or not."""
-        if name == self.me.name:
-            return self.me
+        """The member with the latest known start number of a name, active or not."""
+        if name == self.local_member.name:
+            return self.local_member
         peer = self._table.peers.get(name)
         return None if peer is None else peer.member
 
     def is_active(self, name: str) -> bool:
         """Whether the latest member of a name is active."""
         peer = self._table.peers.get(name)
-        return name == self.me.name or (peer is not None and peer.is_active())
+        return name == self.local_member.name or (peer is not None and peer.is_active())
 
     def take_changes(self) -> list[MembershipChange]:
-        """The changes since the last call."""
+        """Return the changes since the last call."""
         return self._table.take_changes()
 
-    def next_s(self) -> float:
-        """When the next tick is due."""
+    def next_tick_s(self) -> float:
+        """The time at which the next tick is due."""
         if self.stopped:
             return math.inf
-        return self._periodic.next_s()
+        return self._periodic.next_tick_s()
 
     def tick(self, now_s: float) -> list[Action]:
-        """Expire suspicions, probe, and contact inactive members, as far as they are due."""
+        """Expire suspicions, probe and contact inactive members, as far as each is due."""
         if self.stopped:
             return []
         self._first_tick_s = min(self._first_tick_s, now_s)
         return self._periodic.tick(now_s)
 
     def receive(self, now_s: float, sender: str, message: Message) -> list[Action]:
-        """Take a message; one under the local member's own name is a successor's, or its own and late."""
+        """Handle a message. One under the local name is from a successor, or a late one of this member."""
         if self.stopped:
             return []
         if isinstance(message, MemberListQuery):
             return self._builder.member_lists(sender, MAX_JOIN_DATAGRAMS)
-        if sender == self.me.name:
+        if sender == self.local_member.name:
             return self._resolve_start_conflict(now_s, sender_start(message), has_ended=False)
-        addressed_start = self.me.start
+        start_on_arrival = self.local_member.start
         actions = self._merge(now_s, updates_of(message), from_list=isinstance(message, MemberList))
-        if message.to_start > self.me.start:
+        if message.to_start > self.local_member.start:
             actions += self._resolve_start_conflict(now_s, message.to_start, has_ended=False)
         if self.stopped:
             return actions
-        self._start_confirmed = self._start_confirmed or message.to_start == self.me.start
+        self._start_confirmed = self._start_confirmed or message.to_start == self.local_member.start
         if sender_start(message) < self._builder.known_start(sender):
-            # The sender has a successor, or has to raise its start: its entry tells it so.
+            # The sender has a successor, or must raise its start number; its own entry informs it.
             entry = self._table.peers[sender].update()
             return [*actions, self._builder.member_list(sender, entry)]
         self._table.record_contact(now_s, sender, sender_start(message))
         actions += self._answer(sender, message)
-        if message.to_start != addressed_start and not isinstance(message, Join):
+        if message.to_start != start_on_arrival and not isinstance(message, Join):
             actions.append(self._builder.join(sender))
         if isinstance(message, Ping | Ack) and message.view_digest != self._builder.view_digest():
             actions += self._sync(now_s, sender)
@@ -160,71 +167,73 @@
         return [self._builder.member_list(name, update) for name in recipients]
 
     def _answer(self, sender: str, message: MemberMessage) -> list[Action]:
-        """The answer that a message demands by its type."""
+        """The answer that the type of a message requires."""
         builder = self._builder
         match message:
             case Ping():
                 return [builder.ack(sender, message.nonce)]
             case Ack():
-                relayed = self._detector.acknowledge(message.nonce)
+                relayed = self._detector.record_ack(message.nonce)
                 return [] if relayed is None else [builder.ack(relayed.origin, relayed.nonce)]
             case IndirectPingRequest() if message.target in self._table.peers:
-                nonce = self._detector.relay(sender, message.nonce)
+                nonce = self._detector.register_relayed_probe(sender, message.nonce)
                 return [builder.ping(message.target, nonce)]
             case Join():
                 return builder.member_lists(sender, MAX_JOIN_DATAGRAMS)
             case ViewDigests():
                 buckets = builder.differing_buckets(message.digests)
-                self._rng.shuffle(buckets)  # not all of them may fit
+                self._rng.shuffle(buckets)  # not all buckets may fit
                 return builder.member_lists(sender, MAX_SYNC_DATAGRAMS, buckets)
             case _:
                 return []
 
     def _merge(self, now_s: float, updates: Iterable[MembershipUpdate], from_list: bool) -> list[Action]:
-        """Apply updates; those that are new are disseminated further."""
+        """Apply updates, and disseminate those that changed something."""
         actions: list[Action] = []
         for update in updates:
-            if update.name == self.me.name:
-                actions += self._merge_own(now_s, update)
+            if update.name == self.local_member.name:
+                actions += self._merge_own_update(now_s, update)
             elif self._table.merge(now_s, update, from_list):
                 self._builder.enqueue(self._table.peers[update.name].update(), once=from_list)
         return actions
 
-    def _merge_own(self, now_s: float, update: MembershipUpdate) -> list[Action]:
-        """Take another member's update of the local one: refute a suspicion or death of its start."""
+    def _merge_own_update(self, now_s: float, update: MembershipUpdate) -> list[Action]:
+        """Handle an update about the local member; refute a suspicion or death of its start number."""
         builder = self._builder
-        same_start = update.start == self.me.start
-        if update.start > self.me.start or (same_start and update.status is MemberStatus.LEFT):
+        same_start = update.start == self.local_member.start
+        if update.start > self.local_member.start or (same_start and update.status is MemberStatus.LEFT):
             has_ended = not update.status.is_active
             return self._resolve_start_conflict(now_s, update.start, has_ended)
         if same_start and update.status is not MemberStatus.ALIVE:
             builder.incarnation = max(builder.incarnation, update.incarnation + 1)
-            builder.enqueue(builder.local_update())  # also where refuted before: the sender has not seen it
+            builder.enqueue(builder.local_update())  # again if refuted before: the sender has not seen it
         return []
 
     def _resolve_start_conflict(self, now_s: float, start: int, has_ended: bool) -> list[Action]:
-        """React to another start of the local name: a predecessor's, whose clock ran ahead, or a successor's.
+        """Handle another start number of the local name: a successor's, or a predecessor's with a fast clock.
 
-        `has_ended`: the member of that start is dead or has left, so it is no successor.
+        `has_ended`: the member with that start number is dead or has left, so it is not a successor.
         """
-        if start < self.me.start or (start == self.me.start and not has_ended):
+        if start < self.local_member.start or (start == self.local_member.start and not has_ended):
             return []
-        grace_s = START_GRACE_FACTOR * self._settings.suspicion_timeout_s(self._table.active_count + 1)
+        grace_s = START_CONFLICT_GRACE_FACTOR * self._settings.suspicion_timeout_s(
+            self._table.active_count + 1
+        )
         within_grace = now_s - min(self._first_tick_s, now_s) < grace_s
         if self._start_confirmed and not within_grace and not has_ended:
             self.stopped = True
             self._table.record_change(LocalMemberSuperseded(start))
             return []
         builder = self._builder
-        builder.me = replace(self.me, start=min(start + 1, MAX_START))
+        builder.local_member = replace(self.local_member, start=min(start + 1, MAX_START_NUMBER))
         builder.incarnation = 0
         self._start_confirmed = False
-        self._table.record_change(LocalStartRaised(self.me))
+        self._table.record_change(LocalStartRaised(self.local_member))
         builder.enqueue(builder.local_update())
         return [builder.join(name) for name in self._detector.sample_active(ANNOUNCE_FAN_OUT)]
 
     def _sync(self, now_s: float, name: str) -> list[Action]:
-        """Send the digests to a member whose view differs, once per interval at most."""
+        """Send the digests to a member whose view differs, at most once per interval."""
         if now_s < self._next_sync_s:
             return []
         self._next_sync_s = now_s + self._settings.interval_s
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -1,10 +1,10 @@
-"""Small versioned records, one writer each, replicated to all members by push and anti-entropy.
+"""Small versioned records with one writer each, replicated to all members by push and anti-entropy.
 
-A change is pushed to a few members, and by each one to which it is new to a few more. What the pushes miss is
-found by anti-entropy (van Renesse, Dumitriu, Gough, Thomas 2008): each interval a member sends another one
-digests of its version vector by bucket of writers; for those that differ it is answered with entries of the
-version vector, and requests or sends the records in between. A restart of a writer replaces all its records;
-those of a writer that has died or left are deleted after a retention time.
+A change is pushed to a few members, and each member to which it is new pushes it to a few more. Anti-entropy
+(van Renesse, Dumitriu, Gough, Thomas 2008) finds what the pushes miss: in each interval a member sends to
+another one the digests of its version vector by bucket of writers. The answer contains the entries of the
+buckets that differ, and the member requests or sends the records in between. A restart of a writer replaces
+all of its records; the records of a writer that has died or left are deleted after a retention time.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from ringledge.decide.paging import paginate
 from ringledge.decide.records.log_table import LogTable, version_vectors
 from ringledge.decide.records.messages import (
+    MAX_PAYLOAD_BYTES,
     MESSAGES,
-    PAYLOAD_BYTES,
     Message,
     Record,
     RecordBatch,
@@ -33,44 +33,44 @@
 
 __all__ = ["MESSAGES", "ReplicatedRecords"]
 
-PUSH_DELAY_S = 0.02  # that a change waits for others to be pushed with it
-FAST_COMPARE_FACTOR = 4  # times sooner the next comparison follows one that found something missing
-INTERVAL_JITTER = (0.9, 1.1)  # factors of the interval, so that members do not compare in step
-REQUEST_TIMEOUT_S = 0.2  # within which a request is answered: several round trips
-MAX_VECTOR_DATAGRAMS = 2  # in answer to digests; other buckets follow later, for their order is shuffled
+PUSH_DELAY_S = 0.02  # a change waits for so long, to be pushed together with others
+FAST_COMPARE_FACTOR = 4  # divisor of the interval after a comparison that found missing records
+COMPARE_JITTER_FACTORS = (0.9, 1.1)  # of the interval, so that members do not compare in step
+REQUEST_TIMEOUT_S = 0.2  # several round trips; after it another member may be asked
+MAX_VECTOR_DATAGRAMS = 2  # per answer to digests; other buckets follow later, as their order is shuffled
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingRequest:
-    """A request for a writer's records: to whom it was sent, and when it times out."""
+    """A request for the records of a writer: its recipient and when it times out."""
 
     recipient: str
     expires_s: float
 
 
 class ReplicatedRecords:
-    """The local member's replica; implements RecordStore and Decider. Times in s of its own monotonic clock.
+    """The local member's replica; implements RecordStore and Decider. Times are in s of its monotonic clock.
 
-    The owner reports the active members by `update_members`. `rng` draws recipients and orders.
+    The caller reports the active members with `update_members`; `rng` draws recipients and orders.
     """
 
-    def __init__(self, me: Member, settings: RecordsConfig, rng: random.Random) -> None:
-        """ValueError where the member's name does not fit a datagram."""
-        validated_name(me.name)
-        self.me = me
+    def __init__(self, local_member: Member, settings: RecordsConfig, rng: random.Random) -> None:
+        """Raise ValueError if the member's name does not fit a datagram."""
+        validated_name(local_member.name)
+        self.local_member = local_member
         self._settings = settings
         self._rng = rng
         self._logs = LogTable()
-        self._own_log = self._logs.create(me.name, me.start)
-        self._active: dict[str, int] = {me.name: me.start}  # start numbers by name
-        self._expires_s: dict[str, float] = {}  # inactive writers: when their records are deleted
-        self._unpushed: dict[tuple[str, str], Record] = {}  # by writer and key
-        self._requests: dict[str, _PendingRequest] = {}  # by writer
+        self._own_log = self._logs.create(local_member.name, local_member.start)
+        self._active_start_numbers: dict[str, int] = {local_member.name: local_member.start}
+        self._expiry_s: dict[str, float] = {}  # when the records of inactive writers are deleted
+        self._pending_pushes: dict[tuple[str, str], Record] = {}  # by writer and key
+        self._pending_requests: dict[str, _PendingRequest] = {}  # by writer
         self._next_push_s = math.inf
         self._next_compare_s = -math.inf
 
     def write(self, now_s: float, key: str, value: bytes) -> None:
-        """Write a record of the local member; ValueError: it is too long, or there are too many keys."""
+        """Write a record of the local member. ValueError: it is too long or there are too many keys."""
         self._own_log.validate(key, value)
         if self._own_log.value(key) != value:
             self._append(now_s, key, value)
@@ -81,51 +81,53 @@
             self._append(now_s, key, None)
 
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
-        """All known values under keys with a prefix, by the writer's name and the key."""
+        """All known values whose key has the prefix, by the writer's name and the key."""
         return {
             (log.writer, key): value
             for log in self._logs
-            if self._expires_s.get(log.writer, math.inf) > now_s
+            if self._expiry_s.get(log.writer, math.inf) > now_s
             for key, value in log.values(prefix)
         }
 
-    def update_members(self, now_s: float, me: Member, members: Iterable[Member]) -> None:
-        """Take the active members; `me` with another start writes its records again under that."""
+    def update_members(self, now_s: float, local_member: Member, members: Iterable[Member]) -> None:
+        """Set the active members; under a new start number the local member's records are written again."""
         active = {member.name: member.start for member in members}
-        active[me.name] = me.start
-        if me.start != self.me.start:
-            self._restart(now_s, me)
-        for name in self._active.keys() - active.keys():
+        active[local_member.name] = local_member.start
+        if local_member.start != self.local_member.start:
+            self._restart(now_s, local_member)
+        for name in self._active_start_numbers.keys() - active.keys():
             if name in self._logs:
-                self._expires_s[name] = now_s + self._settings.retention_s
+                self._expiry_s[name] = now_s + self._settings.retention_s
         for name, start in active.items():
-            self._expires_s.pop(name, None)
+            self._expiry_s.pop(name, None)
             log = self._logs.get(name)
             if log is not None and log.start < start:
                 self._remove(name)
-        self._active = active
+        self._active_start_numbers = active
 
-    def next_s(self) -> float:
-        """When the next tick is due."""
-        return min(self._next_push_s, self._next_compare_s, min(self._expires_s.values(), default=math.inf))
+    def next_tick_s(self) -> float:
+        """The time at which the next tick is due."""
+        return min(self._next_push_s, self._next_compare_s, min(self._expiry_s.values(), default=math.inf))
 
     def tick(self, now_s: float) -> list[Action]:
-        """Delete expired records, push changes, and compare with another member, as far as they are due."""
-        for name in [name for name, expires_s in self._expires_s.items() if expires_s <= now_s]:
-            del self._expires_s[name]
+        """Delete expired records, push changes and compare with another member, as far as each is due."""
+        for name in [name for name, expires_s in self._expiry_s.items() if expires_s <= now_s]:
+            del self._expiry_s[name]
             self._remove(name)
         actions: list[Action] = []
         if now_s >= self._next_push_s:
             self._next_push_s = math.inf
             actions += self._push()
         if now_s >= self._next_compare_s:
-            self._next_compare_s = now_s + self._settings.interval_s * self._rng.uniform(*INTERVAL_JITTER)
+            self._next_compare_s = now_s + self._settings.interval_s * self._rng.uniform(
+                *COMPARE_JITTER_FACTORS
+            )
             digests = VersionDigests(self._logs.digests())
             actions += [SendMessage(name, digests) for name in self._sample_others(1)]
         return actions
 
     def receive(self, now_s: float, sender: str, message: Message) -> list[Action]:
-        """Take a message."""
+        """Handle a message of another member."""
         match message:
             case VersionDigests(digests):
                 return self._answer_digests(sender, digests)
@@ -140,94 +142,96 @@
                 return []
 
     def _append(self, now_s: float, key: str, value: bytes | None) -> None:
-        with self._logs.modifying(self._own_log):
+        with self._logs.updating_digest(self._own_log):
             record = self._own_log.write(key, value)
         self._queue_push(now_s, record)
 
     def _queue_push(self, now_s: float, record: Record) -> None:
-        self._unpushed[record.writer, record.key] = record
+        self._pending_pushes[record.writer, record.key] = record
         self._next_push_s = min(self._next_push_s, now_s + PUSH_DELAY_S)
 
     def _push(self) -> list[Action]:
-        records = list(self._unpushed.values())
-        self._unpushed = {}
+        records = list(self._pending_pushes.values())
+        self._pending_pushes = {}
         recipients = self._sample_others(self._settings.fan_out)
-        batches = [RecordBatch(group, pushed=True) for group in paginate(records, PAYLOAD_BYTES)]
+        batches = [RecordBatch(group, pushed=True) for group in paginate(records, MAX_PAYLOAD_BYTES)]
         return [SendMessage(name, batch) for batch in batches for name in recipients]
 
-    def _restart(self, now_s: float, me: Member) -> None:
+    def _restart(self, now_s: float, local_member: Member) -> None:
         values = list(self._own_log.values(""))
-        self._remove(self.me.name)
-        self.me = me
-        self._own_log = self._logs.create(me.name, me.start)
+        self._remove(self.local_member.name)
+        self.local_member = local_member
+        self._own_log = self._logs.create(local_member.name, local_member.start)
         for key, value in values:
             self._append(now_s, key, value)
 
     def _remove(self, writer: str) -> None:
-        self._requests.pop(writer, None)
+        self._pending_requests.pop(writer, None)
         self._logs.remove(writer)
 
     def _sample_others(self, max_count: int) -> list[str]:
-        others = [name for name in self._active if name != self.me.name]
+        others = [name for name in self._active_start_numbers if name != self.local_member.name]
         return self._rng.sample(others, min(max_count, len(others)))
 
     def _answer_digests(self, sender: str, digests: tuple[int, ...]) -> list[Action]:
-        """Send the version vector in the buckets that differ; shuffled, since not all of them may fit."""
+        """Send the version vector of the buckets that differ, shuffled, since not all of them may fit."""
         buckets = self._logs.differing_buckets(digests)
         self._rng.shuffle(buckets)
-        entries = [(bucket, self._logs.versions_in(bucket)) for bucket in buckets]
-        messages = version_vectors(entries, PAYLOAD_BYTES)[:MAX_VECTOR_DATAGRAMS]
+        entries = [(bucket, self._logs.versions_in_bucket(bucket)) for bucket in buckets]
+        messages = version_vectors(entries, MAX_PAYLOAD_BYTES)[:MAX_VECTOR_DATAGRAMS]
         return [SendMessage(sender, message) for message in messages]
 
     def _answer_vector(self, now_s: float, sender: str, vector: VersionVector) -> list[Action]:
-        """Send the records that the sender lacks, and request those that it has more."""
-        behind = self._logs.writers_missing_in(vector)
+        """Send the records that the sender lacks, and request those that are missing here."""
+        outdated = self._logs.writers_missing_in(vector)
         wanted: list[WriterVersion] = []
         for remote in vector.versions:
             local = self._logs.held_version(remote.writer)
             if (remote.start, remote.version) < (local.start, local.version):
-                behind.append(remote)
+                outdated.append(remote)
             elif remote != local and self._may_request(now_s, sender, remote):
-                self._requests[remote.writer] = _PendingRequest(sender, now_s + REQUEST_TIMEOUT_S)
+                self._pending_requests[remote.writer] = _PendingRequest(sender, now_s + REQUEST_TIMEOUT_S)
                 held = local.version if remote.start == local.start else 0
                 wanted.append(WriterVersion(remote.writer, remote.start, held))
-        if wanted:  # there may be more, here or elsewhere
+        if wanted:  # more records may be missing, at this member or at others
             soon_s = now_s + self._settings.interval_s / FAST_COMPARE_FACTOR
             self._next_compare_s = min(self._next_compare_s, soon_s)
-        requests = [SendMessage(sender, RecordRequest(group)) for group in paginate(wanted, PAYLOAD_BYTES)]
-        return [*self._send_records(sender, behind), *requests]
+        requests = [
+            SendMessage(sender, RecordRequest(group)) for group in paginate(wanted, MAX_PAYLOAD_BYTES)
+        ]
+        return [*self._send_records(sender, outdated), *requests]
 
     def _send_records(self, recipient: str, versions: Sequence[WriterVersion]) -> list[Action]:
-        """Records beyond the recipient's versions, as many as one answer takes, then the local versions.
+        """Send records that the recipient lacks, up to the limit of one answer, then the local versions.
 
-        By the latter it requests the rest.
+        From the versions the recipient sees what else to request.
         """
-        records = self._logs.records_beyond(versions)
-        batches = paginate(records, PAYLOAD_BYTES)[: self._settings.max_answer_datagrams]
+        records = self._logs.missing_records(versions)
+        batches = paginate(records, MAX_PAYLOAD_BYTES)[: self._settings.max_answer_datagrams]
         if not batches:
             return []
-        vectors = paginate(self._logs.held_versions(versions), PAYLOAD_BYTES)[:1]
+        vectors = paginate(self._logs.held_versions(versions), MAX_PAYLOAD_BYTES)[:1]
         messages = (*map(RecordBatch, batches), *map(VersionVector, vectors))
         return [SendMessage(recipient, message) for message in messages]
 
     def _may_request(self, now_s: float, sender: str, remote: WriterVersion) -> bool:
-        """Whether to request a writer's records: from one member at a time, lest they come twice."""
-        pending = self._requests.get(remote.writer)
+        """Whether to request a writer's records: only from one member at a time, to avoid duplicates."""
+        pending = self._pending_requests.get(remote.writer)
         is_free = pending is None or pending.recipient == sender or pending.expires_s <= now_s
-        return is_free and self._accepts(remote.writer, remote.start)
+        return is_free and self._is_acceptable(remote.writer, remote.start)
 
-    def _accepts(self, writer: str, start: int) -> bool:
-        """Whether records of this start may be held: the writer is active, or its records are retained."""
-        if writer == self.me.name:
+    def _is_acceptable(self, writer: str, start: int) -> bool:
+        """Whether to hold records of this start number: the writer is active or its records are retained."""
+        if writer == self.local_member.name:
             return False
-        if writer in self._active:
-            return start >= self._active[writer]
+        if writer in self._active_start_numbers:
+            return start >= self._active_start_numbers[writer]
         log = self._logs.get(writer)
-        return writer in self._expires_s and log is not None and log.start == start
+        return writer in self._expiry_s and log is not None and log.start == start
 
     def _apply(self, record: Record) -> bool:
-        """Take a record of another writer; whether it was new."""
-        if not self._accepts(record.writer, record.start):
+        """Apply a record of another writer, and return whether it was new."""
+        if not self._is_acceptable(record.writer, record.start):
             return False
         log = self._logs.get(record.writer)
         if log is not None and record.start > log.start:
@@ -237,5 +241,5 @@
             log = self._logs.create(record.writer, record.start)
         if record.start < log.start:
             return False
-        with self._logs.modifying(log):
+        with self._logs.updating_digest(log):
             return log.apply(record)
