--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -14,7 +14,7 @@
 from ringledge.core.context import Context
 from ringledge.core.invariants import Invariant, InvariantChecker
 from ringledge.core.port import Payload, ResponseSink
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.server_port import ServerTransport
 from ringledge.core.stages import accept, admit, record_outcome, relay, send
@@ -85,20 +85,20 @@
 
     # Calls from the clients' side.
 
-    def accept(self, request: Request, payload: Payload, sink: ResponseSink) -> Record:
+    def accept(self, request: Request, payload: Payload, sink: ResponseSink) -> RequestRecord:
         """Register a client's request; exactly one final answer goes to `sink`.
 
-        Raises `DuplicateError` if a request with this id is open.
+        Raises `DuplicateRequestError` if a request with this id is open.
         """
         record = accept.accept(self.context, request, payload, sink)
         admit.admit(self.context, record)
         return record
 
-    def may_reject(self, record: Record) -> bool:
+    def may_reject(self, record: RequestRecord) -> bool:
         """Whether the request may be rejected, which promises the client that a retry is safe."""
         return admit.may_reject(self.context, record)
 
-    def on_client_disconnected(self, record: Record) -> None:
+    def on_client_disconnected(self, record: RequestRecord) -> None:
         """The client has closed its connection."""
         accept.on_client_disconnected(self.context, record)
 
--- a/ringledge/core/invariants.py
+++ b/ringledge/core/invariants.py
@@ -13,7 +13,7 @@
 
 from ringledge.core import retry_guard
 from ringledge.core.clock import Clock
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
@@ -84,16 +84,16 @@
         if timeout_ms > record.deadline_ms - now_ms + TIMEOUT_SLACK_MS:
             yield Invariant.TIMEOUT_BEYOND_DEADLINE
 
-    def check_rejection(self, record: Record) -> None:
+    def check_rejection(self, record: RequestRecord) -> None:
         """Check a rejection, however it is worded to the client, as it is given."""
         request_class = self._settings.classes[record.request.class_index]
         if not retry_guard.may_reject(request_class, record):
             self.record_violation(Invariant.REJECTED_AFTER_RUN, record.request_id, attempts=record.history())
 
-    def check_open_requests(self, records: Iterable[Record]) -> list[Record]:
+    def check_open_requests(self, records: Iterable[RequestRecord]) -> list[RequestRecord]:
         """Check all open requests, periodically; returns those that should have been answered by now."""
         now_ms = self._clock.now_ms()
-        overdue: list[Record] = []
+        overdue: list[RequestRecord] = []
         for record in records:
             is_unanswered = not (record.closed or record.streaming)
             if is_unanswered and now_ms > record.deadline_ms + RESPONSE_SLACK_MS:
@@ -103,14 +103,14 @@
                 self._record_once(record, Invariant.CACHE_HELD_TOO_LONG)
         return overdue
 
-    def _is_cache_held_too_long(self, record: Record, now_ms: float) -> bool:
+    def _is_cache_held_too_long(self, record: RequestRecord, now_ms: float) -> bool:
         if self._max_cache_hold_ms is None:
             return False
         if record.has_delivered_attempt:
             return False
         return record.cache.held_ms(now_ms) > self._max_cache_hold_ms
 
-    def _record_once(self, record: Record, invariant: Invariant) -> None:
+    def _record_once(self, record: RequestRecord, invariant: Invariant) -> None:
         """Record a violation that lasts, once for its request."""
         if invariant.value not in record.violations:
             record.violations.add(invariant.value)
--- a/ringledge/core/observer.py
+++ b/ringledge/core/observer.py
@@ -4,14 +4,14 @@
 
 from typing import Protocol
 
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.routing.interface import AttemptStatus
 
 
 class RequestObserver(Protocol):
     """Is notified of requests and attempts; it changes nothing."""
 
-    def on_request_accepted(self, record: Record) -> None:
+    def on_request_accepted(self, record: RequestRecord) -> None:
         """A request was registered."""
         ...
 
--- a/ringledge/core/records.py
+++ b/ringledge/core/records.py
@@ -25,7 +25,7 @@
 class Attempt:
     """One send of a request to one server; it gets exactly one outcome."""
 
-    record: Record
+    record: RequestRecord
     number: int
     server: str
     is_prefill: bool  # the server prefills: it may hold a KV cache entry afterwards
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Record:
+class RequestRecord:
     """One request, from its arrival until the last of its attempts has an outcome."""
 
     request: Request
--- a/ringledge/core/registry.py
+++ b/ringledge/core/registry.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from ringledge.core.records import Record
+from ringledge.core.records import RequestRecord
 
 
 class PeerProcess(Protocol):
@@ -20,7 +20,7 @@
     """The open requests by id."""
 
     def __init__(self) -> None:
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, RequestRecord] = {}
         self.peers: list[PeerProcess] = []
 
     def is_open(self, request_id: str) -> bool:
@@ -31,13 +31,13 @@
         """How many requests still await their final answer."""
         return sum(not record.closed for record in self.records.values())
 
-    def add(self, record: Record) -> None:
+    def add(self, record: RequestRecord) -> None:
         """Register a request and notify the peers."""
         self.records[record.request_id] = record
         for peer in self.peers:
             peer.on_request_change(record.request_id, True)
 
-    def remove(self, record: Record) -> None:
+    def remove(self, record: RequestRecord) -> None:
         """Remove a request that is done and notify the peers."""
         del self.records[record.request_id]
         for peer in self.peers:
--- a/ringledge/core/retry_guard.py
+++ b/ringledge/core/retry_guard.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.routing.interface import (
     DedupScope,
     Idempotency,
@@ -16,7 +16,7 @@
 )
 
 
-def may_reject(request_class: RequestClass, record: Record) -> bool:
+def may_reject(request_class: RequestClass, record: RequestRecord) -> bool:
     """Whether a rejection, which promises that a retry is safe, would be true of this request."""
     if request_class.idempotency is Idempotency.IDEMPOTENT or not record.may_have_run:
         return True
--- a/ringledge/core/stages/accept.py
+++ b/ringledge/core/stages/accept.py
@@ -4,21 +4,21 @@
 
 from ringledge.core.context import Context
 from ringledge.core.port import Payload, ResponseSink
-from ringledge.core.records import Record, RequestResult
+from ringledge.core.records import RequestRecord, RequestResult
 from ringledge.core.stages import record_outcome
 from ringledge.observe.logging import log
 from ringledge.routing.interface import AttemptStatus, ClientDisconnected, Request
 
 
-class DuplicateError(Exception):
+class DuplicateRequestError(Exception):
     """A request with this id is open already: accepting it again could run it twice."""
 
 
-def accept(context: Context, request: Request, payload: Payload, sink: ResponseSink) -> Record:
+def accept(context: Context, request: Request, payload: Payload, sink: ResponseSink) -> RequestRecord:
     """Register the request; from here on exactly one final answer is owed."""
     if context.registry.is_open(request.request):
-        raise DuplicateError(request.request)
-    record = Record(request, payload, sink, context.clock.now_ms())
+        raise DuplicateRequestError(request.request)
+    record = RequestRecord(request, payload, sink, context.clock.now_ms())
     context.registry.add(record)
     context.metrics.requests.labels(str(request.class_index)).inc()
     if context.observer is not None:
@@ -26,7 +26,7 @@
     return record
 
 
-def on_client_disconnected(context: Context, record: Record) -> None:
+def on_client_disconnected(context: Context, record: RequestRecord) -> None:
     """Close the request: no answer is owed any more, but the policy has to release what it holds."""
     if record.closed:
         return
--- a/ringledge/core/stages/admit.py
+++ b/ringledge/core/stages/admit.py
@@ -4,12 +4,12 @@
 
 from ringledge.core import retry_guard
 from ringledge.core.context import Context
-from ringledge.core.records import Record, RequestResult
+from ringledge.core.records import RequestRecord, RequestResult
 from ringledge.core.stages import record_outcome
 from ringledge.routing.interface import FailRequest, GiveUpReason, RejectRequest
 
 
-def admit(context: Context, record: Record) -> None:
+def admit(context: Context, record: RequestRecord) -> None:
     """Have the policy decide on the request."""
     context.dispatch(record.request)
 
@@ -34,12 +34,14 @@
         record.sink.fail()
 
 
-def may_reject(context: Context, record: Record) -> bool:
+def may_reject(context: Context, record: RequestRecord) -> bool:
     """Whether the request may be rejected, which promises the client that a retry is safe."""
     return retry_guard.may_reject(context.settings.classes[record.request.class_index], record)
 
 
-def _close(context: Context, request_id: str, result: RequestResult, reason: GiveUpReason) -> Record | None:
+def _close(
+    context: Context, request_id: str, result: RequestResult, reason: GiveUpReason
+) -> RequestRecord | None:
     """Close the request; None if it is closed or streaming, so that its one answer is given or under way."""
     record = context.registry.records.get(request_id)
     if record is None or record.closed or record.streaming:
--- a/ringledge/core/stages/record_outcome.py
+++ b/ringledge/core/stages/record_outcome.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ringledge.core.context import Context
-from ringledge.core.records import Attempt, Record, RequestResult
+from ringledge.core.records import Attempt, RequestRecord, RequestResult
 from ringledge.observe.logging import log
 from ringledge.routing.interface import AttemptOutcome, AttemptStatus, LoadReport
 
@@ -69,7 +69,7 @@
     )
 
 
-def _finish_response(context: Context, record: Record, status: AttemptStatus) -> None:
+def _finish_response(context: Context, record: RequestRecord, status: AttemptStatus) -> None:
     """End the client's response, cleanly only where it is complete."""
     if record.closed:
         return
@@ -99,14 +99,14 @@
     return attempt.is_prefill or (attempt.fetches_cache and not attempt.streaming)
 
 
-def close_request(context: Context, record: Record, result: RequestResult) -> None:
+def close_request(context: Context, record: RequestRecord, result: RequestResult) -> None:
     """Mark the request closed: no answer is owed any more."""
     record.closed = True
     record.result = result
     context.metrics.answers.labels(result.value, str(record.request.class_index)).inc()
 
 
-def release_cache(context: Context, record: Record) -> None:
+def release_cache(context: Context, record: RequestRecord) -> None:
     """Release the request's KV cache entry on every server that may hold it.
 
     Only once no attempt will follow: a server that is sent the release drops everything held for the request
@@ -117,7 +117,7 @@
         context.transport.release(record.request_id, holders, unobserved, record.streaming)
 
 
-def remove_if_done(context: Context, record: Record) -> None:
+def remove_if_done(context: Context, record: RequestRecord) -> None:
     """Release the cache of a request that is done and remove the request.
 
     The policy may have ended it while it handled the outcome: a request is removed and logged only once.
--- a/ringledge/core/stages/route.py
+++ b/ringledge/core/stages/route.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ringledge.core.context import Context
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.routing.interface import (
     AttemptOutcome,
     AttemptStatus,
@@ -38,7 +38,9 @@
     return None
 
 
-def _new_attempt(context: Context, record: Record, server: str, sent_ms: float, expires_ms: float) -> Attempt:
+def _new_attempt(
+    context: Context, record: RequestRecord, server: str, sent_ms: float, expires_ms: float
+) -> Attempt:
     is_prefill = context.servers.role(server) == Role.PREFILL
     return Attempt(
         record=record,
@@ -67,6 +69,6 @@
     return attempt.number < context.settings.max_attempts
 
 
-def _is_idempotent(context: Context, record: Record) -> bool:
+def _is_idempotent(context: Context, record: RequestRecord) -> bool:
     request_class = context.settings.classes[record.request.class_index]
     return request_class.idempotency is Idempotency.IDEMPOTENT
--- a/ringledge/decide/servers/cache_hold.py
+++ b/ringledge/decide/servers/cache_hold.py
@@ -44,7 +44,7 @@
     _suspended_ms: dict[str, float] = field(default_factory=dict)  # when the attempts that may yet run ended
     # Since when an entry may be held while no attempt is known to be out; inf: none is held.
     idle_since_ms: float = inf
-    released: bool = False  # the entry was released while the policy still counts on it
+    released_early: bool = False  # the entry was released while the policy still counts on it
     _release: _Release | None = None
 
     @property
@@ -71,7 +71,7 @@
     def prefilled(self, server: str) -> None:
         """A prefill has ended well: its server holds an entry."""
         self.holders.add(server)
-        self.released = False
+        self.released_early = False
 
     def fetched_elsewhere(self, now_ms: float) -> None:
         """A decode found no entry: its holder has none any more; an earlier decode may have fetched it."""
@@ -108,7 +108,7 @@
         Until a server has answered, they count as holding it, and the time counts on. `attempt_in_flight`:
         an attempt that was written is in flight, so that the release may be void.
         """
-        self.released = self.released or bool(self.holders)
+        self.released_early = self.released_early or bool(self.holders)
         self.unobserved = dict.fromkeys(self.holders, now_ms) | self.unobserved
         self.holders.clear()
         self._release = _Release(self.idle_since_ms, dict(self.unobserved), attempt_in_flight)
@@ -142,7 +142,7 @@
 
     # Servers that hung.
 
-    def suspended(self) -> list[tuple[str, float]]:
+    def unresponsive_servers(self) -> list[tuple[str, float]]:
         """The servers that may yet run an attempt, and when that attempt ended."""
         return [
             (server, at_ms)
@@ -150,12 +150,12 @@
             if self.unobserved.get(server) == inf
         ]
 
-    def resumed(self, server: str, now_ms: float) -> None:
+    def record_resumption(self, server: str, now_ms: float) -> None:
         """Such a server has answered something: it may have run the attempt by now, and will not later."""
         self.unobserved[server] = now_ms
         self.idle_since_ms = min(self.idle_since_ms, now_ms)
 
-    def settled(self, server: str) -> None:
+    def record_release_answered(self, server: str) -> None:
         """Such a server has answered a release of this request."""
         if self.unobserved.get(server) == inf:
             del self.unobserved[server]
--- a/ringledge/decide/servers/release_state.py
+++ b/ringledge/decide/servers/release_state.py
@@ -11,7 +11,7 @@
 
     DONE = "done"  # a server answered the call
     NO_SERVER = "gone"  # no server is listed any more
-    GAVE_UP = "lost"  # no server answered in time
+    TIMED_OUT = "lost"  # no server answered in time
 
 
 @dataclass(slots=True, frozen=True)
--- a/ringledge/decide/servers/releases.py
+++ b/ringledge/decide/servers/releases.py
@@ -194,7 +194,7 @@
         if not listed:
             return ReleaseResult(release.request, ReleaseOutcome.NO_SERVER, release.calls, elapsed_ms)
         if elapsed_ms >= GIVE_UP_MS:
-            return ReleaseResult(release.request, ReleaseOutcome.GAVE_UP, release.calls, elapsed_ms)
+            return ReleaseResult(release.request, ReleaseOutcome.TIMED_OUT, release.calls, elapsed_ms)
         return None
 
     def _unanswered_holders(self, release: ActiveRelease, listed: Mapping[str, bool]) -> list[str]:
--- a/ringledge/members/role_keeper.py
+++ b/ringledge/members/role_keeper.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ringledge.core.conductor import Conductor
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.decide.interface import (
     DEMAND_PREFIX,
     SERVER_PREFIX,
@@ -78,7 +78,7 @@
 
     # Observer
 
-    def on_request_accepted(self, record: Record) -> None:
+    def on_request_accepted(self, record: RequestRecord) -> None:
         """A request was admitted."""
         request = record.request
         self._measurements.request_received(
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -10,7 +10,7 @@
 
 from ringledge.core.conductor import Conductor
 from ringledge.core.port import Payload
-from ringledge.core.stages.accept import DuplicateError
+from ringledge.core.stages.accept import DuplicateRequestError
 from ringledge.decide.replay.scheduler import SendOutcome
 from ringledge.members.replay_sender import SendHandle, SendResult
 from ringledge.memory.names import Names
@@ -111,7 +111,7 @@
         attempt = _ReplayAttempt(session, self._conductor, ended, idempotent)
         try:
             session.record = self._conductor.accept(request, _payload(question, request), attempt)
-        except DuplicateError:  # the previous attempt is not closed yet
+        except DuplicateRequestError:  # the previous attempt is not closed yet
             ended(SendResult(SendOutcome.REJECTED, False))
         return attempt
 
--- a/ringledge/wire/clients/chat/stream_sessions.py
+++ b/ringledge/wire/clients/chat/stream_sessions.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from ringledge.core.records import Record
+from ringledge.core.records import RequestRecord
 
 
 class SessionEnd(Enum):
@@ -40,7 +40,7 @@
     max_tokens: float  # of the whole response
     size_bytes: int = 0  # of the request and the response so far
     resume_count: int = 0  # how often the response was continued after a break
-    record: Record | None = None  # the request that the core runs for it now
+    record: RequestRecord | None = None  # the request that the core runs for it now
     events: list[str] = field(default_factory=list)  # the text of each event; event numbers start at 1
     finish_reason: str | None = None
     usage: dict[str, Any] | None = None
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -13,7 +13,7 @@
 
 from ringledge.core.conductor import Conductor
 from ringledge.core.port import Payload
-from ringledge.core.stages.accept import DuplicateError
+from ringledge.core.stages.accept import DuplicateRequestError
 from ringledge.memory.names import Names
 from ringledge.wire.clients.platform_request import read_request
 from ringledge.wire.clients.response import STREAM_HEAD, PlatformResponse, write_while_connected
@@ -86,7 +86,7 @@
         exchange = PlatformResponse(conn, self._held)
         try:
             record = self._conductor.accept(request, payload, exchange)
-        except DuplicateError as error:
+        except DuplicateRequestError as error:
             raise HttpError(400, f"request {error} is open already") from error
         try:
             await write_while_connected(
--- a/ringledge/wire/servers/entry_releases.py
+++ b/ringledge/wire/servers/entry_releases.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ringledge.core.records import Record
+from ringledge.core.records import RequestRecord
 from ringledge.decide.servers.cache_hold import ReleaseReason
 from ringledge.observe.logging import log
 from ringledge.wire.servers.context import UpstreamContext
@@ -16,16 +16,16 @@
         self._context = context
         self._sender = sender
 
-    def start(self, record: Record, reason: ReleaseReason) -> None:
+    def start(self, record: RequestRecord, reason: ReleaseReason) -> None:
         """Release a request's entries beside its attempt in flight."""
         servers = self._begin(record, reason)
         self._context.tasks.start_soon(self._finish, record, servers)
 
-    async def release(self, record: Record, reason: ReleaseReason) -> None:
+    async def release(self, record: RequestRecord, reason: ReleaseReason) -> None:
         """Release a request's entries, and wait until no call of the release is in flight, or too long."""
         await self._finish(record, self._begin(record, reason))
 
-    def _begin(self, record: Record, reason: ReleaseReason) -> set[str]:
+    def _begin(self, record: RequestRecord, reason: ReleaseReason) -> set[str]:
         cache, now_ms = record.cache, self._context.clock.now_ms()
         log.info(
             "cache_entry_released",
@@ -38,7 +38,7 @@
         self._context.metrics.entry_releases.labels(reason.value).inc()
         return cache.begin_release(now_ms, record.has_written_attempt)
 
-    async def _finish(self, record: Record, servers: set[str]) -> None:
+    async def _finish(self, record: RequestRecord, servers: set[str]) -> None:
         answered_by = frozenset[str]()
         try:
             answered_by = await self._sender.release_and_wait(
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -9,7 +9,7 @@
 import h11
 
 from ringledge.core.conductor import Conductor
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.decide.servers.cache_hold import ReleaseReason
 from ringledge.decide.servers.connect_timeout import hold_remaining_s
 from ringledge.observe.logging import log
@@ -75,7 +75,7 @@
         """A connection within the hold limit of the request's entry, or the result if there is none."""
         record = attempt.record
         timeout_s = self.connections.connect_timeout_s()
-        if record.cache.released and not attempt.is_prefill:
+        if record.cache.released_early and not attempt.is_prefill:
             return await self._await_release(record)
         if record.cache.holders and not attempt.is_prefill:
             remaining_s = self._hold_remaining_s(record)
@@ -173,24 +173,24 @@
             return SEND_TIMEOUT_S
         return min(SEND_TIMEOUT_S, self._hold_remaining_s(attempt.record))
 
-    def _hold_remaining_s(self, record: Record) -> float:
+    def _hold_remaining_s(self, record: RequestRecord) -> float:
         now_ms = self.context.clock.now_ms()
         return hold_remaining_s(now_ms, record.cache.idle_since_ms, self.context.hold_limit_ms)
 
-    async def _await_release(self, record: Record) -> ExchangeResult:
+    async def _await_release(self, record: RequestRecord) -> ExchangeResult:
         """The entry was released already: a new prefill may start once no release call is in flight."""
         await self.release_sender.wait_until_finished(record.request_id)
-        record.cache.released = False
+        record.cache.released_early = False
         return ExchangeResult(AttemptStatus.FULL, 1)
 
-    async def _release_expired_entry(self, record: Record) -> ExchangeResult:
+    async def _release_expired_entry(self, record: RequestRecord) -> ExchangeResult:
         """No decode server was reached within the hold limit: release the entry, and prefill anew."""
         await self.entry_releases.release(record, ReleaseReason.NO_SERVER_REACHED)
-        record.cache.released = False
+        record.cache.released_early = False
         return ExchangeResult(AttemptStatus.FULL, 1)
 
 
-def _request_events(record: Record, address: str, budget_ms: int) -> tuple[h11.Event, ...]:
+def _request_events(record: RequestRecord, address: str, budget_ms: int) -> tuple[h11.Event, ...]:
     """The client's request as it is sent to a server, with the time that the client has left."""
     payload = record.payload
     request = h11.Request(
--- a/ringledge/wire/servers/releases.py
+++ b/ringledge/wire/servers/releases.py
@@ -119,7 +119,7 @@
         """Count and log a finished release."""
         self._metrics.releases.labels(result.outcome.value).inc()
         self._metrics.release_ms.observe(result.duration_ms / 1000)
-        write_log = log.warning if result.outcome is ReleaseOutcome.GAVE_UP else log.info
+        write_log = log.warning if result.outcome is ReleaseOutcome.TIMED_OUT else log.info
         write_log(
             "release_ended",
             request=result.request,
--- a/tests/core/test_admit.py
+++ b/tests/core/test_admit.py
@@ -9,7 +9,7 @@
 
 from ringledge.core.invariants import InvariantChecker
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.stages import admit
 from ringledge.memory.server_list import ServerList
@@ -50,7 +50,9 @@
         transport=SimpleNamespace(release=lambda *_: None),
         invariants=InvariantChecker(settings, clock, ServerList(()), metrics),
     )
-    record = Record(Request("a", class_index=class_index, expires_in_ms=5000), Payload(b"/", b""), sink, 0.0)
+    record = RequestRecord(
+        Request("a", class_index=class_index, expires_in_ms=5000), Payload(b"/", b""), sink, 0.0
+    )
     attempt = Attempt(record, 0, "w0", False, True, 0.0, 5000.0)
     attempt.written, attempt.outcome = written, AttemptStatus.RESET
     record.attempts.append(attempt)
--- a/tests/core/test_client_disconnect.py
+++ b/tests/core/test_client_disconnect.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.stages.accept import on_client_disconnected
 from ringledge.observe.metrics import Metrics
@@ -38,7 +38,7 @@
         dispatch=events.append,
         observer=None,
     )
-    record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), SimpleNamespace(), 0.0)
+    record = RequestRecord(Request("a", expires_in_ms=5000), Payload(b"/", b""), SimpleNamespace(), 0.0)
     attempt = Attempt(record, 0, "r0", True, False, 0.0, 5000.0)
     attempt.written, attempt.streaming = stage
     record.attempts.append(attempt)
--- a/tests/core/test_hung_prefill.py
+++ b/tests/core/test_hung_prefill.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.stages.record_outcome import record_outcome
 from ringledge.decide.servers.reachability import Reachability
@@ -27,7 +27,7 @@
 SENT_MS, CANCELLED_MS, GOES_ON_MS, ENDED_MS = 0.0, 500.0, 700.0, 800.0
 
 
-def cancelled_prefill(answered: bool, status: AttemptStatus = AttemptStatus.CANCELLED) -> Record:
+def cancelled_prefill(answered: bool, status: AttemptStatus = AttemptStatus.CANCELLED) -> RequestRecord:
     """The record of a request whose prefill was written and ended so."""
     context: Any = SimpleNamespace(
         transport=SimpleNamespace(answered_since=lambda server, at_ms: answered),
@@ -38,7 +38,7 @@
         observer=None,
     )
     sink: Any = SimpleNamespace()
-    record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, SENT_MS)
+    record = RequestRecord(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, SENT_MS)
     attempt = Attempt(record, 0, "p0", True, False, SENT_MS, 5000.0)
     attempt.written = True
     record.attempts.append(attempt)
--- a/tests/core/test_invariants.py
+++ b/tests/core/test_invariants.py
@@ -17,7 +17,7 @@
     InvariantChecker,
 )
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -56,7 +56,7 @@
         clock: Any = SimpleNamespace(now_ms=lambda: self.now_ms)
         self.checker = InvariantChecker(settings, clock, self.servers, self.metrics)
         sink: Any = SimpleNamespace()
-        self.record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, self.now_ms)
+        self.record = RequestRecord(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, self.now_ms)
         self.first, self.second = self.add_attempt(), self.add_attempt()
         self.first.outcome = AttemptStatus.CONNECT_FAILED
 
--- a/tests/core/test_route.py
+++ b/tests/core/test_route.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.core.registry import RequestRegistry
 from ringledge.core.stages.route import route
 from ringledge.observe.metrics import Metrics
@@ -57,7 +57,7 @@
 ) -> None:
     """Settings that allow hedging used to allow it for any class, also for one that must not run twice."""
     context = make_context(idempotency, hedging_allowed)
-    record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), SimpleNamespace(), 0.0)
+    record = RequestRecord(Request("a", expires_in_ms=5000), Payload(b"/", b""), SimpleNamespace(), 0.0)
     record.attempts.append(Attempt(record, 0, "r0", True, False, 0.0, 5000.0))
     context.registry.add(record)
     attempt = route(context, SendAttempt("a", "r1"))
--- a/tests/core/test_send_guard.py
+++ b/tests/core/test_send_guard.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.core.send_guard import (
     MAX_TRANSIT_MS,
     MIN_REMAINING_MS,
@@ -40,7 +40,7 @@
         self.harness.prefill("a")
         self.client_disconnected = False
         sink: Any = SimpleNamespace(is_disconnected=lambda: self.client_disconnected)
-        self.record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, self.now_ms)
+        self.record = RequestRecord(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, self.now_ms)
         self.attempt = self.add_attempt()
 
     @property
--- a/tests/decide/servers/test_releases.py
+++ b/tests/decide/servers/test_releases.py
@@ -165,5 +165,5 @@
     unreachable.run(30_000.0)
     assert [result.outcome for result in simulation.results + unreachable.results] == [
         ReleaseOutcome.NO_SERVER,
-        ReleaseOutcome.GAVE_UP,
+        ReleaseOutcome.TIMED_OUT,
     ]
--- a/tests/wire/servers/test_abandoned_attempts.py
+++ b/tests/wire/servers/test_abandoned_attempts.py
@@ -17,7 +17,7 @@
 from ringledge.core.conductor import Conductor
 from ringledge.core.invariants import InvariantChecker
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.lifecycle.config import Names
 from ringledge.memory.connection_pool import MIN_SAFE_IDLE_S
 from ringledge.memory.server_list import ServerList
@@ -102,7 +102,7 @@
     def attempt(self) -> Attempt:
         now_ms = self.clock.now_ms()
         request = Request("a", expires_in_ms=5000)
-        record = Record(request, Payload(b"/", b"{}"), self.caller, now_ms)
+        record = RequestRecord(request, Payload(b"/", b"{}"), self.caller, now_ms)
         return Attempt(record, 0, SERVER, False, True, now_ms, now_ms + 5000)
 
     def written(self) -> bytes:
@@ -157,9 +157,9 @@
 
     async def run() -> None:
         async with upstream_harness() as harness, client_connection(harness) as client:
-            disconnected = list[Record]()
+            disconnected = list[RequestRecord]()
 
-            def client_gone(record: Record) -> None:
+            def client_gone(record: RequestRecord) -> None:
                 disconnected.append(record)
                 harness.upstream.abandon(attempt)
 
--- a/tests/wire/servers/test_unresponsive_peers.py
+++ b/tests/wire/servers/test_unresponsive_peers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.decide.servers.delivery import CHECK_AFTER_MS
 from ringledge.decide.servers.reachability import Reachability
 from ringledge.observe.metrics import Metrics
@@ -36,7 +36,7 @@
         self.connection_attempted = anyio.Event()
         caller: Any = SimpleNamespace()
         written_ms = self.now_ms - unanswered_ms
-        self.record = Record(Request("a", expires_in_ms=9000), Payload(b"/", b""), caller, written_ms)
+        self.record = RequestRecord(Request("a", expires_in_ms=9000), Payload(b"/", b""), caller, written_ms)
         self.record.cache.holders, self.record.cache.idle_since_ms = {"r0"}, written_ms
         self.attempt = Attempt(self.record, 0, "w0", False, True, written_ms, 20_000.0)
         self.attempt.written = self.attempt.fetches_cache = True
@@ -139,7 +139,7 @@
             tasks.start_soon(harness.upstream.detect_unresponsive_peers)
             while len(checks) < 4:  # the first checks have ended
                 await anyio.sleep(0)
-            assert record.cache.released == released
+            assert record.cache.released_early == released
             assert attempt.delivered is not released
             harness.peer.close()
             await harness.ended.wait()
