--- a/ringledge/core/action_executor.py
+++ b/ringledge/core/action_executor.py
@@ -1,8 +1,8 @@
-"""Carries out the actions that the routing policy returns, each by the stage it belongs to."""
+"""Executes the actions that the routing policy returns, each in its stage."""
 
 from __future__ import annotations
 
-from ringledge.core.context import Context
+from ringledge.core.context import StageContext
 from ringledge.core.stages import admit, record_outcome, route, send
 from ringledge.core.timer_queue import TimerQueue
 from ringledge.observe.logging import log
@@ -22,14 +22,14 @@
 
 
 class ActionExecutor:
-    """Maps each type of action to what it does."""
+    """Dispatches each action by its type."""
 
-    def __init__(self, context: Context, timers: TimerQueue) -> None:
+    def __init__(self, context: StageContext, timers: TimerQueue) -> None:
         self._context = context
         self._timers = timers
 
     def execute(self, action: RoutingAction) -> None:
-        """Carry out one action."""
+        """Execute one action."""
         context = self._context
         match action:
             case SendAttempt():
@@ -49,7 +49,7 @@
             case PollEndpoints():
                 context.transport.poll_endpoints()
             case WatchEndpoints():
-                pass  # discovery is watched from the start, whether or not the policy requests it
+                pass  # discovery is always watched from the start
             case LogMessage(text):
                 log.info("routing_message_logged", text=text)
 
--- a/ringledge/core/clock.py
+++ b/ringledge/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the routing policy."""
+"""The clock that the routing policy's times are read from."""
 
 from __future__ import annotations
 
@@ -6,22 +6,23 @@
 
 
 class Clock:
-    """Unix milliseconds that never go back.
+    """A monotonic clock that reads Unix time in milliseconds.
 
-    Readings must be comparable with the list's ``since_ms``, which is Unix time. The system's clock may be
-    stepped, so it is read once, and the monotonic clock counts from there. A process that takes over from
-    another one on this machine uses its offset, because the state it takes over has times of that clock.
+    Readings are compared with `since_ms` of the server list, which is Unix time. The system clock may be
+    stepped, so it is read once at the start, and the monotonic clock advances the reading from there. A
+    successor process on the same machine uses its predecessor's offset, because the state that it takes over
+    contains readings of the predecessor's clock.
     """
 
     def __init__(self, offset_ms: float | None = None) -> None:
-        """`offset_ms`: the predecessor's; None: computed from the system's clock now."""
+        """`offset_ms`: the offset of the predecessor's clock; None computes it from the system clock."""
         self._offset_ms = time.time() * 1000 - time.monotonic() * 1000 if offset_ms is None else offset_ms
 
     @property
     def offset_ms(self) -> float:
-        """Unix time minus the machine's monotonic clock, as this clock assumes it."""
+        """The constant that is added to the machine's monotonic clock, in ms."""
         return self._offset_ms
 
     def now_ms(self) -> float:
-        """The current reading."""
+        """The current time."""
         return self._offset_ms + time.monotonic() * 1000
--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -1,4 +1,4 @@
-"""The conductor: feeds events to the routing policy one at a time and executes the actions it returns."""
+"""The conductor passes events to the routing policy one at a time and executes the actions it returns."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ringledge.core import send_guard
 from ringledge.core.action_executor import ActionExecutor
 from ringledge.core.clock import Clock
-from ringledge.core.context import Context
+from ringledge.core.context import StageContext
 from ringledge.core.invariants import Invariant, InvariantChecker
 from ringledge.core.port import Payload, ResponseSink
 from ringledge.core.records import Attempt, RequestRecord
@@ -44,14 +44,14 @@
 from ringledge.routing.policy import Policy
 from ringledge.routing.server_views import server_views
 
-OVERDUE_CHECK_INTERVAL_S = 0.2  # an overdue response is too late to count 0.5 s after its deadline
-MAX_TIMER_WAIT_S = 1.0  # the timer loop runs at least this often, so that `timers_running` can see it
+OVERDUE_CHECK_INTERVAL_S = 0.2  # a response no longer counts 0.5 s after its deadline
+MAX_TIMER_WAIT_S = 1.0  # longest interval between iterations of the timer loop, for `timers_running`
 
 
 class Conductor:
-    """Owns the timers and the registry of requests; every choice of a server is the policy's.
+    """Owns the timers and the registry of requests; the policy makes every choice of a server.
 
-    Not re-entrant: an event that arrives while another is handled waits in the queue behind it.
+    Not re-entrant: an event that arrives while another one is being handled is queued.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self.policy = Policy(settings, seed)
         self.clock = clock
         self.registry = RequestRegistry()
-        self.context = Context(
+        self.context = StageContext(
             settings=settings,
             clock=clock,
             registry=self.registry,
@@ -80,32 +80,32 @@
         self._processing = False
         self._unreachable = frozenset[str]()  # as last reported to the policy
         self._timers = TimerQueue(clock, metrics)
-        self._timers_checked_s = -math.inf  # monotonic time of the timer loop's last turn
+        self._timers_checked_s = -math.inf  # monotonic time of the timer loop's last iteration
         self._executor = ActionExecutor(self.context, self._timers)
 
-    # Calls from the clients' side.
+    # Called by the fronts.
 
     def accept(self, request: Request, payload: Payload, sink: ResponseSink) -> RequestRecord:
-        """Register a client's request; exactly one final answer goes to `sink`.
+        """Register a client's request, which gets exactly one final answer through `sink`.
 
-        Raises `DuplicateRequestError` if a request with this id is open.
+        Raises `DuplicateRequestError` if a request with the same id is open.
         """
         record = accept.accept(self.context, request, payload, sink)
         admit.admit(self.context, record)
         return record
 
     def may_reject(self, record: RequestRecord) -> bool:
-        """Whether the request may be rejected, which promises the client that a retry is safe."""
+        """Whether the request may be rejected: a rejection tells the client that a retry is safe."""
         return admit.may_reject(self.context, record)
 
     def on_client_disconnected(self, record: RequestRecord) -> None:
-        """The client has closed its connection."""
+        """Called when the client has closed its connection."""
         accept.on_client_disconnected(self.context, record)
 
-    # Calls from discovery and from operators.
+    # Called by discovery, by operators and by the role planner.
 
     def update_endpoints(self, update: EndpointUpdate, addresses: dict[str, str]) -> None:
-        """Apply an update of the server list before all queued events, so that no send overtakes a drain."""
+        """Apply a server list update before all queued events, so that no send overtakes a drain."""
         changed = self.context.servers.apply(update, addresses)
         if changed:
             log.info("endpoints_changed", version=update.version, **summarize_changes(changed))
@@ -114,18 +114,18 @@
         self._process_events()
 
     def override_server(self, server: str, excluded: bool) -> None:
-        """Exclude a server by operator override, or include it again, before all queued events."""
+        """Exclude a server, or end its exclusion, by an operator override that precedes all queued events."""
         self._events.appendleft(OperatorOverride(server, excluded))
         self._process_events()
 
     def update_role_plan(self, plan: RolePlan) -> None:
-        """Apply a plan of which mixed servers get no new work of one role."""
+        """Apply a role plan, by which some mixed servers get no new work of one role."""
         self._dispatch(plan)
 
-    # Calls from the servers' side.
+    # Called by the transport.
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether the attempt may be written; call it in the same loop turn that writes its first byte."""
+        """Whether the attempt may be sent; call it in the event-loop iteration that writes its first byte."""
         reason = send_guard.send_rejection_reason(self.context, self.policy, attempt)
         if reason is None:
             return True
@@ -133,46 +133,46 @@
         request_id = attempt.record.request_id
         log.info("attempt_prevented", request=request_id, server=attempt.server, why=reason.value)
         if reason is send_guard.SendRejectionReason.CLIENT_DISCONNECTED:
-            self.on_client_disconnected(attempt.record)  # the loop may not have reached its socket yet
+            self.on_client_disconnected(attempt.record)  # the event loop may not have polled its socket yet
         return False
 
     def on_attempt_sent(self, attempt: Attempt, timeout_ms: float) -> None:
-        """The attempt is being written; `timeout_ms` is the time limit that its server is told."""
+        """Called as the attempt is being written; `timeout_ms` is the time limit that its server receives."""
         self.context.invariants.check_send(attempt, timeout_ms)
 
     def on_first_token(self, attempt: Attempt) -> bool:
-        """A response has started; False if the client no longer wants it."""
+        """Called when a response has started; returns False if it is no longer to be relayed."""
         return relay.begin_stream(self.context, attempt)
 
     async def relay_chunk(self, attempt: Attempt, data: bytes) -> None:
-        """Forward a chunk of the response to the client; waits while the client does not read."""
+        """Forward a chunk of the response to the client; blocks while the client does not read."""
         await relay.relay_chunk(attempt, data)
 
     def on_attempt_outcome(
         self, attempt: Attempt, status: AttemptStatus, note: int = 0, load: LoadReport | None = None
     ) -> None:
-        """The attempt has ended; for `note` see `AttemptOutcome`."""
+        """Called when the attempt has ended; `AttemptOutcome` describes `note`."""
         record_outcome.record_outcome(self.context, attempt, status, note, load)
 
     def on_probe_result(self, result: ProbeResult) -> None:
-        """A health check has been answered or has failed."""
+        """Called when a health check has been answered or has failed."""
         self._dispatch(result)
 
-    # Handover between two processes of one conductor.
+    # Hand-over between the predecessor and the successor process.
 
     def dump_snapshot(self) -> Iterator[dict[str, Any]]:
-        """What the policy has learned, one table at a time."""
+        """Yield the policy's learned state, one table at a time."""
         return snapshot.dump(self.policy)
 
     def load_snapshot(self, part: dict[str, Any]) -> None:
-        """Restore what a predecessor's policy has learned; an unreadable part is logged and skipped."""
+        """Restore one table of the predecessor's snapshot; an unreadable one is logged and skipped."""
         try:
             snapshot.load(self.policy, part)
-        except (ValueError, TypeError, KeyError) as error:  # written by another version: learn it anew
+        except (ValueError, TypeError, KeyError) as error:  # written by another version of the program
             log.warning("snapshot_unreadable", error=repr(error))
 
     def shut_down(self) -> None:
-        """Give up all requests that have not started streaming: the process is about to end."""
+        """End all requests that are not streaming yet, because the process is about to exit."""
         self._dispatch(Shutdown())
 
     # Timers.
@@ -185,39 +185,39 @@
             now_ms = self.clock.now_ms()
             while (token := self._timers.pop_due(now_ms)) is not None:
                 self._dispatch(TimerFired(token))
-            # After the timers, because a stall of the event loop delays those as well.
+            # Checked after firing the due timers, which a stall of the event loop delays as well.
             if self._timers_checked_s - overdue_checked_s >= OVERDUE_CHECK_INTERVAL_S:
                 overdue_checked_s = self._timers_checked_s
                 self._fail_overdue_requests()
             await self._timers.wait(OVERDUE_CHECK_INTERVAL_S if self.registry.records else MAX_TIMER_WAIT_S)
 
     def _fail_overdue_requests(self) -> None:
-        """Fail each open request past its deadline and cancel its attempts."""
+        """Fail each overdue request and cancel its attempts."""
         for record in self.context.invariants.check_open_requests(list(self.registry.records.values())):
             admit.fail(self.context, FailRequest(record.request_id, GiveUpReason.OUT_OF_TIME))
             for attempt in record.attempts:
                 send.cancel(self.context, CancelAttempt(record.request_id, attempt.number))
 
     def take_max_timer_lag_ms(self) -> float:
-        """The longest delay of a timer since the last call, in ms."""
+        """Return the longest delay of a timer since the last call, in ms, and reset it."""
         return self._timers.take_max_lag_ms()
 
     def timers_running(self) -> bool:
-        """Whether the timer loop runs (a liveness check)."""
+        """Whether the timer loop is running, for liveness checks."""
         return time.monotonic() - self._timers_checked_s < 2 * MAX_TIMER_WAIT_S
 
     def avoided_server_count(self) -> int:
-        """How many servers of the list the policy avoids now."""
+        """The number of listed servers that the policy currently avoids."""
         return sum(view.avoided for view in server_views(self.policy, self.clock.now_ms()))
 
-    # Events to the policy, actions to the stages.
+    # Events go to the policy, its actions to the stages.
 
     def _dispatch(self, event: RoutingEvent) -> None:
         self._events.append(event)
         self._process_events()
 
     def _process_events(self) -> None:
-        """Handle queued events one by one, those that their own actions bring about as well."""
+        """Handle the queued events one by one, including those that their actions add."""
         if self._processing:
             return
         self._processing = True
@@ -228,7 +228,7 @@
             self._processing = False
 
     def _handle_safely(self, event: RoutingEvent) -> None:
-        """Handle one event; an exception is counted, and costs only the requests of this event."""
+        """Handle one event; an exception is logged and counted, and affects only this event's requests."""
         started_s = time.perf_counter()
         event_type = type(event).__name__
         try:
@@ -240,9 +240,9 @@
             stall_detector.longest_event_s, stall_detector.longest_event = duration_s, event_type
 
     def _handle(self, event: RoutingEvent) -> None:
-        """Feed one event to the policy and execute the actions it returns."""
+        """Pass one event to the policy and execute the actions it returns."""
         unreachable = self.context.transport.unreachable_servers()
-        if unreachable != self._unreachable:  # the policy has to know before it decides anything more
+        if unreachable != self._unreachable:  # reported before the event, whose decisions depend on it
             self._unreachable = unreachable
             self.policy.handle(self.clock.now_ms(), UnreachableServers(unreachable))
         for action in self.policy.handle(self.clock.now_ms(), event):
--- a/ringledge/core/context.py
+++ b/ringledge/core/context.py
@@ -1,4 +1,4 @@
-"""What the stages share."""
+"""The state and collaborators that the stages share."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 @dataclass(slots=True)
-class Context:
-    """The conductor's collaborators, passed to each stage."""
+class StageContext:
+    """The conductor's collaborators, which each stage receives."""
 
     settings: RouterSettings
     clock: Clock
@@ -25,6 +25,6 @@
     servers: ServerList
     metrics: Metrics
     transport: ServerTransport
-    dispatch: Callable[[RoutingEvent], None]  # queues an event for the policy
+    dispatch: Callable[[RoutingEvent], None]  # enqueues an event for the policy
     invariants: InvariantChecker
     observer: RequestObserver | None = None
--- a/ringledge/core/gate.py
+++ b/ringledge/core/gate.py
@@ -1,7 +1,7 @@
-"""The admission gate: applies the overload decisions to each request before its body is read.
+"""The admission gate admits or rejects each request before its body is read.
 
-It also feeds the decisions with measurements of the process. A request rejected here was never accepted:
-neither the registry nor the policy knows of it.
+The decisions are those of the overload controller, which the gate supplies with measurements of the process.
+A request that is rejected here never reaches the registry or the policy.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 from ringledge.observe.metrics import BODY_KB, Metrics
 from ringledge.routing.interface import RouterSettings
 
-DEFAULT_RETRY_AFTER_MS = 1000.0  # on average, where the deployment sets no maximum
-EVICTION_THRESHOLD = 0.9  # position between the bounds of the lowest and the highest band
-EVICTION_FRACTION = 0.1  # of the memory that is to be freed at a time
-TRIM_INTERVAL_MS = 1000.0  # between two calls that have the allocator return memory to the system
+DEFAULT_RETRY_AFTER_MS = 1000.0  # mean Retry-After where the deployment sets no maximum
+EVICTION_THRESHOLD = 0.9  # of the way from `memory_shed_start` to `memory_shed_end`
+EVICTION_FRACTION = 0.1  # of the process's memory, evicted per reading
+TRIM_INTERVAL_MS = 1000.0  # minimum time between requests to the allocator to return memory to the system
 
 
 @dataclass(slots=True, frozen=True)
 class ResourceLimits:
-    """What the platform allows the process."""
+    """The resources that the platform grants the process."""
 
     cores: float
     memory_bytes: float
@@ -44,17 +44,17 @@
 
 @dataclass(slots=True, frozen=True)
 class GateOptions:
-    """The settings of the admission gate."""
+    """Options of the admission gate."""
 
     config: OverloadConfig
     limits: ResourceLimits
     settings: RouterSettings
     class_names: tuple[str, ...]  # by class index
-    seed: int  # of the jitter of retry times
+    seed: int  # for the jitter of Retry-After times
 
 
 class AdmissionGate:
-    """Admits or rejects requests by the load of the process."""
+    """Admits or rejects requests depending on the load of the process."""
 
     def __init__(
         self,
@@ -72,13 +72,13 @@
         self._buffered_bytes = buffered_bytes
         self._metrics = metrics
         self._overload = _overload_controller(options)
-        self._memory_bytes = options.limits.memory_bytes  # this process's part of it, while there are two
+        self._memory_bytes = options.limits.memory_bytes  # divided between two processes during a hand-over
         self._last_trim_ms = 0.0
         weights = [each.priority_weight for each in options.settings.classes]
         self._max_priority_names = {
             name for name, weight in zip(options.class_names, weights, strict=True) if weight == max(weights)
         }
-        self._rejections = 0  # since the last log line of a change
+        self._rejections = 0  # since the last `overload_state_changed` log line
         self._export_metrics()
 
     def _export_metrics(self) -> None:
@@ -90,18 +90,18 @@
         self._metrics.held.set_function(lambda: self._buffered_bytes.total_bytes)
 
     def start(self) -> None:
-        """Start measuring."""
+        """Start receiving readings of the process statistics."""
         self._process_statistics.start(self.on_reading)
 
     def set_process_count(self, processes: int) -> None:
-        """Divide the memory among the processes of this conductor that run now."""
+        """Divide the memory limit among the running processes of this router."""
         self._memory_bytes = self._limits.memory_bytes / processes
 
     def _admitted_fraction(self, class_index: int, over_quota: bool) -> float:
         return self._overload.admitted_fraction(self._clock.now_ms(), class_index, over_quota)
 
     def admit(self, class_index: int, tenant: int, body_bytes: int) -> Rejection | None:
-        """Decide on one request by its class, its tenant and the size of its body; None admits it."""
+        """Decide on a request by its class, its tenant and the size of its body; None admits it."""
         loop_lag_ms = self._process_statistics.loop_lag_ms()
         cpu_rate = self._process_statistics.cpu_rate() if loop_lag_ms else 0.0
         now_ms = self._clock.now_ms()
@@ -121,16 +121,16 @@
         return self._overload.may_reject
 
     def rejects_all(self) -> RejectionReason | None:
-        """Why every request is rejected now, if so; for callers that don't know the request's class yet."""
+        """Why every request is rejected now, or None; for callers that don't know a request's class yet."""
         return self._overload.rejects_all(self._clock.now_ms())
 
     def record_body_check(self, body_bytes: int, seconds: float) -> None:
-        """Record how long the validation of a body of that size took."""
+        """Record how long validating a body of that size took."""
         kb = BODY_KB[bisect_left(BODY_KB[:-1], body_bytes / 1024)]
         self._metrics.body.labels(str(kb)).observe(seconds)
 
     def reject(self, class_index: int, reason: RejectionReason) -> Rejection:
-        """Reject a request whose class is no more than a guess."""
+        """Reject a request whose class was assumed because it is not known yet."""
         self._record_rejection(class_index, reason)
         return Rejection(reason, False, self._overload.retry_after_ms())
 
@@ -141,7 +141,7 @@
         log.rate_limited("request_shed", **{"class": class_name}, reason=reason.value)
 
     def on_reading(self, reading: ProcessReading) -> None:
-        """Feed a reading to the decisions, and free memory if it is short."""
+        """Pass a reading to the overload controller, and free memory if it is short."""
         overload = self._overload
         sample = self._sample(reading)
         was_under_pressure = overload.under_pressure
@@ -185,13 +185,13 @@
         self._rejections = 0
 
     def _evict_responses(self) -> None:
-        """Evict retained responses, oldest first."""
+        """Evict cached responses, oldest first."""
         evicted = self._buffered_bytes.evict(int(EVICTION_FRACTION * self._memory_bytes))
         if evicted:
             log.rate_limited("cached_answers_dropped", bytes=evicted)
 
     def _trim_memory(self) -> None:
-        """Return free memory to the system, at most once an interval."""
+        """Return free memory to the system, at most once per `TRIM_INTERVAL_MS`."""
         now_ms = self._clock.now_ms()
         if now_ms - self._last_trim_ms >= TRIM_INTERVAL_MS:
             self._last_trim_ms = now_ms
@@ -222,5 +222,5 @@
 
 
 def _quota_per_router(quota_per_s: float | None, routers: int) -> float | None:
-    """One conductor's part of a tenant's quota."""
+    """One router's part of a tenant's quota."""
     return None if quota_per_s is None else quota_per_s / max(1, routers)
--- a/ringledge/core/invariants.py
+++ b/ringledge/core/invariants.py
@@ -1,9 +1,9 @@
-"""Invariants that must hold whatever the guards and the policy do: checked beside each act, and counted.
+"""Run-time checks of invariants that must hold whatever the guards and the policy decide.
 
-A guard (`send_guard.send_rejection_reason`, `retry_guard.may_reject`) prevents an act. These checks observe
-the acts that do happen. They go by the request's record and the server list alone, never by the decisions
-that led to the act, so that a fault in one does not hide in the other. Each count has to stay 0; one that
-does not raises an alert.
+A guard (`send_guard.send_rejection_reason`, `retry_guard.may_reject`) prevents an operation; the checks here
+inspect the operations that take place. They use only the request's record and the server list, not the
+decisions that led to the operation, so that a fault in those cannot hide a violation. Each violation is
+logged and counted; every count must stay 0, and an alert is raised otherwise.
 """
 
 from __future__ import annotations
@@ -19,29 +19,33 @@
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import Availability, RouterSettings
 
-RESPONSE_SLACK_MS = 150.0  # past the deadline; a response counts until 0.5 s after it
-CACHE_HOLD_SLACK_MS = 350.0  # beyond the setting: 50 ms for sockets, 300 ms for the rest of the fleet
-TIMEOUT_SLACK_MS = 150.0  # that a server's time limit may exceed the time until the deadline
+RESPONSE_SLACK_MS = 150.0  # after the deadline; a response still counts until 0.5 s after it
+CACHE_HOLD_SLACK_MS = 350.0  # beyond `release_within_ms`: 50 ms for sockets, 300 ms for the rest of the fleet
+TIMEOUT_SLACK_MS = 150.0  # by which a server's time limit may exceed the time to the deadline
 
 
 class Invariant(StrEnum):
-    """What was found violated; the values are labels of a metric and fields of the log."""
+    """The invariants; each value names a violation as a metric label and in log lines."""
 
     RESPONSE_OVERDUE = "answer_overdue"  # the final answer was not given in time
-    CLOSED_UNANSWERED = "closed_unanswered"  # a connection was closed under a request that had been read
-    REJECTED_AFTER_RUN = "refused_after_run"  # a retry was called safe, and is not
+    CLOSED_UNANSWERED = (
+        "closed_unanswered"  # a client's connection was closed before a request read from it was answered
+    )
+    REJECTED_AFTER_RUN = "refused_after_run"  # a request was rejected although a retry is unsafe
     UNSAFE_RETRY = "repeated_run"  # an attempt was sent after one that may have run
-    CONCURRENT_ATTEMPT = "second_copy"  # an attempt was sent beside another one
+    CONCURRENT_ATTEMPT = "second_copy"  # an attempt was sent while another one was in flight
     TOO_MANY_ATTEMPTS = "too_many_attempts"
-    SENT_AFTER_END = "sent_after_end"  # an attempt was sent for a closed request
-    SENT_TO_UNAVAILABLE = "sent_to_closed"  # an attempt was sent to a server that drains or is not listed
-    TIMEOUT_BEYOND_DEADLINE = "told_too_much"  # a server's time limit is after the client's deadline
+    SENT_AFTER_END = "sent_after_end"  # an attempt was sent that had ended, or whose request was closed
+    SENT_TO_UNAVAILABLE = "sent_to_closed"  # an attempt was sent to a draining or unlisted server
+    TIMEOUT_BEYOND_DEADLINE = "told_too_much"  # a server's time limit ended after the client's deadline
     CACHE_HELD_TOO_LONG = "held_too_long"  # a KV cache entry may be held with no delivered attempt in flight
-    EVENT_HANDLING_FAILED = "handling_failed"  # an exception in the policy or in executing its actions
+    EVENT_HANDLING_FAILED = (
+        "handling_failed"  # the policy or the execution of its actions raised an exception
+    )
 
 
 class InvariantChecker:
-    """The checks of one conductor; each violation is logged and counted."""
+    """Performs the checks of one router; each violation is logged and counted."""
 
     def __init__(self, settings: RouterSettings, clock: Clock, servers: ServerList, metrics: Metrics) -> None:
         self._settings = settings
@@ -52,15 +56,15 @@
         if settings.release_within_ms:
             self._max_cache_hold_ms = settings.release_within_ms + CACHE_HOLD_SLACK_MS
         for invariant in Invariant:
-            metrics.violations.labels(invariant.value)  # so that each is exported as 0 from the start
+            metrics.violations.labels(invariant.value)  # creates the series, exported as 0 from the start
 
     def record_violation(self, invariant: Invariant, request: str = "", **facts: object) -> None:
-        """Count and log one violation."""
+        """Log and count one violation."""
         self._metrics.violations.labels(invariant.value).inc()
         log.error("invariant_violated", invariant=invariant.value, request=request, **facts)
 
     def check_send(self, attempt: Attempt, timeout_ms: float) -> None:
-        """Check an attempt in the loop turn that writes it; `timeout_ms` is what its server is told."""
+        """Check an attempt as it is written; `timeout_ms` is the time limit that its server receives."""
         record = attempt.record
         for invariant in self._violations_at_send(attempt, timeout_ms, self._clock.now_ms()):
             self.record_violation(invariant, record.request_id, server=attempt.server, attempt=attempt.number)
@@ -85,13 +89,15 @@
             yield Invariant.TIMEOUT_BEYOND_DEADLINE
 
     def check_rejection(self, record: RequestRecord) -> None:
-        """Check a rejection, however it is worded to the client, as it is given."""
+        """Check a rejection as it is given, whatever response the client gets for it."""
         request_class = self._settings.classes[record.request.class_index]
         if not retry_guard.may_reject(request_class, record):
-            self.record_violation(Invariant.REJECTED_AFTER_RUN, record.request_id, attempts=record.history())
+            self.record_violation(
+                Invariant.REJECTED_AFTER_RUN, record.request_id, attempts=record.attempt_summaries()
+            )
 
     def check_open_requests(self, records: Iterable[RequestRecord]) -> list[RequestRecord]:
-        """Check all open requests, periodically; returns those that should have been answered by now."""
+        """Check all open requests periodically; returns the requests whose final answer is overdue."""
         now_ms = self._clock.now_ms()
         overdue: list[RequestRecord] = []
         for record in records:
@@ -111,7 +117,7 @@
         return record.cache.held_ms(now_ms) > self._max_cache_hold_ms
 
     def _record_once(self, record: RequestRecord, invariant: Invariant) -> None:
-        """Record a violation that lasts, once for its request."""
+        """Record a violation that each check would find again, once per request."""
         if invariant.value not in record.violations:
             record.violations.add(invariant.value)
-            self.record_violation(invariant, record.request_id, attempts=record.history())
+            self.record_violation(invariant, record.request_id, attempts=record.attempt_summaries())
--- a/ringledge/core/observer.py
+++ b/ringledge/core/observer.py
@@ -1,4 +1,4 @@
-"""The interface for parts of the program that observe requests and attempts beside the policy."""
+"""The interface of components, other than the policy, that observe requests and attempts."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class RequestObserver(Protocol):
-    """Is notified of requests and attempts; it changes nothing."""
+    """Receives notifications of requests and attempts, and must not modify them."""
 
     def on_request_accepted(self, record: RequestRecord) -> None:
-        """A request was registered."""
+        """Called after a request was registered."""
         ...
 
     def on_attempt_ended(self, attempt: Attempt, status: AttemptStatus, note: int) -> None:
-        """An attempt has its outcome; for `note` see `AttemptOutcome`."""
+        """Called after an attempt got its outcome; `AttemptOutcome` describes `note`."""
         ...
--- a/ringledge/core/port.py
+++ b/ringledge/core/port.py
@@ -1,4 +1,4 @@
-"""The port through which the core reaches clients."""
+"""The interface between the core and the fronts, which speak the client protocols."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Payload:
-    """What a server receives of a request, byte for byte; opaque to the core."""
+    """The part of a client's request that servers receive unchanged; the core does not interpret it."""
 
     target: bytes
     body: bytes
@@ -16,22 +16,25 @@
 
 
 class ResponseSink(Protocol):
-    """The client's side of one request. Exactly one of the first four calls ends it."""
+    """Delivers the response of one request to its client.
+
+    Exactly one call of `reject`, `fail`, `finish` or `abort` ends the response.
+    """
 
     def reject(self, retry_after_ms: float | None) -> None:
-        """Final answer: rejected, and a retry is safe."""
+        """Answer that the request was rejected and may safely be retried."""
 
     def fail(self) -> None:
-        """Final answer: failed, with nothing promised."""
+        """Answer that the request failed; it may have run."""
 
     def finish(self) -> None:
-        """The stream is complete: end it cleanly."""
+        """End a complete stream."""
 
     def abort(self) -> None:
-        """The stream broke: end the client's connection, never cleanly."""
+        """Close the client's connection so that the client can tell that the stream is incomplete."""
 
     def is_disconnected(self) -> bool:
-        """Whether the client is known to have disconnected; called right before a request is sent for it."""
+        """Whether the client is known to have disconnected; checked right before an attempt is sent."""
 
     async def relay(self, chunk: bytes) -> None:
-        """Forward a chunk of the stream unchanged; waits while the client does not read."""
+        """Forward a chunk of the stream unchanged; blocks while the client does not read."""
--- a/ringledge/core/records.py
+++ b/ringledge/core/records.py
@@ -1,4 +1,4 @@
-"""Records of requests and of their attempts, and how each ended."""
+"""Records of requests and their attempts, including how each ended."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from enum import StrEnum
 
 from ringledge.core.port import Payload, ResponseSink
-from ringledge.decide.servers.cache_hold import CacheHold
+from ringledge.decide.servers.cache_hold import CacheEntryTracker
 from ringledge.routing.events import NEVER_RAN
 from ringledge.routing.interface import AttemptStatus, Request
 
 
 class RequestResult(StrEnum):
-    """How a request ended; the values are labels of metrics and fields of the log."""
+    """How a request ended; the values appear as metric labels and in log lines."""
 
-    SERVED = "served"  # the response was relayed completely
-    BROKEN = "broken"  # the response broke off after its first token
-    REJECTED = "refused"  # a retry is safe
-    FAILED = "failed"  # it may have run
+    SERVED = "served"  # the complete response was relayed
+    BROKEN = "broken"  # the response was cut off after its first token
+    REJECTED = "refused"  # the client may safely retry the request
+    FAILED = "failed"  # the request may have run
     CLIENT_DISCONNECTED = "gone"
 
 
@@ -28,29 +28,29 @@
     record: RequestRecord
     number: int
     server: str
-    is_prefill: bool  # the server prefills: it may hold a KV cache entry afterwards
-    at_most_once: bool  # it must never run twice
+    is_prefill: bool  # whether it goes to a prefill server, which may hold a KV cache entry afterwards
+    at_most_once: bool  # whether a second run of the request would be unsafe
     sent_ms: float
     expires_ms: float  # clock reading at which it times out, unless its response has started
-    server_started_ms: float = 0.0  # start time of the server process that was chosen
-    written: bool = False  # the request's last byte was passed to the socket: it may run from here on
-    delivered: bool = False  # its server has begun to answer: nothing less proves that it has arrived
-    on_new_connection: bool = False  # it rarely is dead; a reused one may be, and nobody is told
-    fetches_cache: bool = False  # sent while a KV cache entry was held, which it may have fetched
-    streaming: bool = False  # the first token has arrived: the response is being relayed
+    server_started_ms: float = 0.0  # start time of the server process that the policy chose
+    written: bool = False  # whether its last byte was passed to the socket, after which it may run
+    delivered: bool = False  # whether the server has begun to answer: the only proof that the request arrived
+    on_new_connection: bool = False  # a reused connection may be dead without an error; a new one rarely is
+    fetches_cache: bool = False  # whether a KV cache entry was held when it was sent; it may have fetched it
+    streaming: bool = False  # whether the first token has arrived and the response is being relayed
     outcome: AttemptStatus | None = None
     duration_ms: float = 0.0
-    first_token_ms: float = 0.0  # from its send to its first token
-    completion_tokens: int = 0  # as its stream's usage field reports
+    first_token_ms: float = 0.0  # from the send to the first token
+    completion_tokens: int = 0  # from the usage field of the stream
 
     @property
     def in_flight(self) -> bool:
-        """Whether its outcome has yet to come."""
+        """Whether the attempt has no outcome yet."""
         return self.outcome is None
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it was written to a server that generates, and is not proved never to have run."""
+        """Whether it was written to a server that generates tokens, and its outcome does not prove no run."""
         return self.written and not self.is_prefill and self.outcome not in NEVER_RAN
 
 
@@ -59,20 +59,20 @@
     """One request, from its arrival until the last of its attempts has an outcome."""
 
     request: Request
-    payload: Payload  # as received; the core forwards it unchanged
+    payload: Payload  # as received; forwarded unchanged
     sink: ResponseSink
     arrived_ms: float
     attempts: list[Attempt] = field(default_factory=list)
-    cache: CacheHold = field(default_factory=CacheHold)
-    closed: bool = False  # its final answer was given, or its client has disconnected
-    result: RequestResult | None = None  # set once it is closed
-    streaming: bool = False
-    first_token_ms: float | None = None  # from its arrival to the first token
+    cache: CacheEntryTracker = field(default_factory=CacheEntryTracker)
+    closed: bool = False  # whether the final answer was given or the client has disconnected
+    result: RequestResult | None = None  # None until the request is closed
+    streaming: bool = False  # whether the response of one of its attempts is being relayed
+    first_token_ms: float | None = None  # from the request's arrival to the first token
     reason: str = ""  # why it was rejected or failed; empty for other results
-    violations: set[str] = field(default_factory=set)  # lasting invariant violations already counted
+    violations: set[str] = field(default_factory=set)  # recurring invariant violations that were counted
 
-    def history(self) -> list[list[object]]:
-        """Per attempt: server, outcome, duration in ms, written, delivered; for the log."""
+    def attempt_summaries(self) -> list[list[object]]:
+        """Server, outcome, duration in ms, `written` and `delivered` of each attempt, for log lines."""
         return [
             [
                 attempt.server,
@@ -86,30 +86,30 @@
 
     @property
     def request_id(self) -> str:
-        """The request's id."""
+        """The request's id, unique among the open requests."""
         return self.request.request
 
     @property
     def deadline_ms(self) -> float:
-        """Clock reading at which the client stops waiting for this request."""
+        """Clock reading at which the client stops waiting for the response."""
         return self.arrived_ms + self.request.expires_in_ms
 
     @property
     def is_done(self) -> bool:
-        """Whether it is closed and no attempt is in flight."""
+        """Whether the request is closed and none of its attempts is in flight."""
         return self.closed and not any(attempt.in_flight for attempt in self.attempts)
 
     @property
     def has_written_attempt(self) -> bool:
-        """Whether an attempt that was written completely is in flight: it may have arrived."""
+        """Whether an attempt is in flight that was written completely, and so may have arrived."""
         return any(attempt.in_flight and attempt.written for attempt in self.attempts)
 
     @property
     def has_delivered_attempt(self) -> bool:
-        """Whether an attempt whose server has begun to answer is in flight."""
+        """Whether an attempt is in flight whose server has begun to answer."""
         return any(attempt.in_flight and attempt.delivered for attempt in self.attempts)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt was written to a server that generates, and is not proved never to have run."""
+        """Whether a server that generates tokens may have run one of the attempts."""
         return any(attempt.may_have_run for attempt in self.attempts)
--- a/ringledge/core/registry.py
+++ b/ringledge/core/registry.py
@@ -1,4 +1,4 @@
-"""The registry of open requests, shared with another process of this conductor while the two overlap."""
+"""The registry of open requests, kept in sync with the other process of this router during a hand-over."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class PeerProcess(Protocol):
-    """Another process of this conductor, while the two overlap during a handover."""
+    """The predecessor or successor process of this router, while both run during a hand-over."""
 
-    open_request_ids: set[str]  # requests that are open there
+    open_request_ids: set[str]  # of the requests that are open in that process
 
     def on_request_change(self, request_id: str, is_open: bool) -> None:
-        """Notify it that a request was opened here (`is_open`) or has ended."""
+        """Notify that process of a request that was opened (`is_open`) or removed in this one."""
 
 
 class RequestRegistry:
@@ -24,11 +24,11 @@
         self.peers: list[PeerProcess] = []
 
     def is_open(self, request_id: str) -> bool:
-        """Whether a request with that id is open, here or in another process."""
+        """Whether a request with that id is open in this process or in a peer process."""
         return request_id in self.records or any(request_id in peer.open_request_ids for peer in self.peers)
 
     def unanswered_count(self) -> int:
-        """How many requests still await their final answer."""
+        """The number of requests whose final answer is outstanding."""
         return sum(not record.closed for record in self.records.values())
 
     def add(self, record: RequestRecord) -> None:
--- a/ringledge/core/retry_guard.py
+++ b/ringledge/core/retry_guard.py
@@ -1,6 +1,7 @@
-"""Which attempts and rejections are safe after an attempt that may have run, judged by the record alone.
+"""Decides by a request's record whether a further attempt or a rejection is safe.
 
-The policy applies the same rules to its own choices. Every other path uses these functions.
+Both can be unsafe after an attempt that may have run. The policy applies the same rules to its own decisions;
+every other code path uses these functions.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def may_reject(request_class: RequestClass, record: RequestRecord) -> bool:
-    """Whether a rejection, which promises that a retry is safe, would be true of this request."""
+    """Whether the request may be rejected: a rejection tells the client that a retry is safe."""
     if request_class.idempotency is Idempotency.IDEMPOTENT or not record.may_have_run:
         return True
     return request_class.idempotency is Idempotency.KEYED and request_class.dedup_scope is DedupScope.ALL
@@ -26,13 +27,16 @@
 def may_run_concurrently(
     settings: RouterSettings, request_class: RequestClass, others: Iterable[Attempt]
 ) -> bool:
-    """Whether an attempt may be in flight beside its request's others: only as a permitted, safe hedge."""
+    """Whether an attempt may be in flight together with the request's `others`.
+
+    Another attempt that was written is permitted only if hedging is enabled and the request is idempotent.
+    """
     hedging_allowed = settings.hedging_allowed and request_class.idempotency is Idempotency.IDEMPOTENT
     return hedging_allowed or not any(other.in_flight and other.written for other in others)
 
 
 def may_retry(request_class: RequestClass, attempts: Iterable[Attempt], at_ms: float) -> bool:
-    """Whether a further attempt may arrive at `at_ms`, by idempotency and deduplication window."""
+    """Whether a further attempt may reach a server at `at_ms`, by idempotency and deduplication window."""
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     possible_runs = [attempt for attempt in attempts if attempt.may_have_run]
--- a/ringledge/core/send_guard.py
+++ b/ringledge/core/send_guard.py
@@ -1,7 +1,7 @@
-"""The last check before an attempt's first byte, made in the same loop turn as the write.
+"""The final check before an attempt is sent, made in the same event-loop iteration as its first write.
 
-Between the choice of a server and the moment its connection is established, the client may disconnect, the
-deadline may pass, and discovery may report that the server drains or was restarted.
+While a connection to the chosen server is being established, the client may disconnect, the deadline may
+pass, and discovery may report that the server is draining or was restarted.
 """
 
 from __future__ import annotations
@@ -9,30 +9,32 @@
 from enum import Enum
 
 from ringledge.core import retry_guard
-from ringledge.core.context import Context
+from ringledge.core.context import StageContext
 from ringledge.core.records import Attempt
 from ringledge.routing.interface import Availability, Idempotency, RouterSettings
 from ringledge.routing.policy import Policy
 
-MAX_TRANSIT_MS = 20.0  # from the write until the server has the request: a few times what connecting takes
-MIN_REMAINING_MS = 1.0  # until the deadline: the header states it in whole milliseconds
+MAX_TRANSIT_MS = 20.0  # from the write until the server has the request: a few times the connect time
+MIN_REMAINING_MS = 1.0  # time to the deadline: the request's header gives it in whole milliseconds
 
 
 class SendRejectionReason(Enum):
     """Why an attempt may not be sent; the values are labels of a metric."""
 
-    ATTEMPT_ENDED = "ended"  # it was cancelled, or its request is closed
+    ATTEMPT_ENDED = "ended"  # the attempt was cancelled, or its request is closed
     CLIENT_DISCONNECTED = "client_left"
     DEADLINE_EXCEEDED = "out_of_time"
-    SERVER_UNAVAILABLE = "server_closed"  # draining, removed or excluded by an operator
-    SERVER_RESTARTED = "server_restarted"  # it was chosen as warm, and has to warm up again
-    DEDUP_WINDOW_EXPIRED = "repeat_late"  # servers would no longer drop it as a duplicate
-    MAY_HAVE_RUN = "may_have_run"  # an earlier attempt, and the request's class forbids a second run
-    CONCURRENT_ATTEMPT = "another_out"  # an earlier attempt is in flight on an open connection
+    SERVER_UNAVAILABLE = "server_closed"  # the server is draining, removed or excluded by an operator
+    SERVER_RESTARTED = "server_restarted"  # the server was warm when it was chosen and is cold now
+    DEDUP_WINDOW_EXPIRED = "repeat_late"  # servers would no longer recognise the attempt as a duplicate
+    MAY_HAVE_RUN = "may_have_run"  # an earlier attempt may have run, and a second run would be unsafe
+    CONCURRENT_ATTEMPT = "another_out"  # an earlier attempt was written and is still in flight
 
 
-def send_rejection_reason(context: Context, policy: Policy, attempt: Attempt) -> SendRejectionReason | None:
-    """Why the attempt may not be sent now; None if it may."""
+def send_rejection_reason(
+    context: StageContext, policy: Policy, attempt: Attempt
+) -> SendRejectionReason | None:
+    """Why the attempt may not be sent now, or None if it may be sent."""
     now_ms = context.clock.now_ms()
     return (
         _check_client(attempt, now_ms)
@@ -54,7 +56,7 @@
 def _check_other_attempts(
     settings: RouterSettings, attempt: Attempt, now_ms: float
 ) -> SendRejectionReason | None:
-    """Check against the request's other attempts by the record, independently of the policy."""
+    """Check the request's other attempts by its record, independently of the policy."""
     request_class = settings.classes[attempt.record.request.class_index]
     others = [other for other in attempt.record.attempts if other is not attempt]
     if not retry_guard.may_run_concurrently(settings, request_class, others):
--- a/ringledge/core/server_port.py
+++ b/ringledge/core/server_port.py
@@ -1,4 +1,4 @@
-"""The port through which the core reaches servers and discovery."""
+"""The interface through which the core reaches servers and discovery."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 
 
 class ServerTransport(Protocol):
-    """What the core executes its actions with."""
+    """Sends attempts, releases and health checks to servers."""
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt; its end is reported to the conductor."""
+        """Start an attempt, whose outcome is reported through `Conductor.on_attempt_outcome`."""
 
     def abandon(self, attempt: Attempt) -> None:
-        """Close the attempt's connection now."""
+        """Close the attempt's connection immediately."""
 
     def release(
         self, request: str, holders: set[str], unobserved: Mapping[str, float], streaming: bool
     ) -> None:
-        """Release what servers hold for a request whose attempts have all ended.
+        """Release the KV cache entries of a request whose attempts have all ended.
 
-        `holders` certainly hold a KV cache entry. `unobserved` maps each server whose cancelled prefill may
-        have completed to the clock reading (ms) of the cancellation. `streaming`: a response has started
-        since, with which everything was released wherever a server could be told of it.
+        `holders` are known to hold an entry. `unobserved` maps each server on which an attempt may have left
+        an entry to the clock reading (ms) at which that attempt ended, or to inf if the server may yet run
+        it. `streaming` says that a response has started, which released the entries on all servers that could
+        be reached.
         """
 
     def answered_since(self, server: str, since_ms: float) -> bool:
-        """Whether the server's process has answered anything since that clock reading (ms)."""
+        """Whether the server's process has answered any call since that clock reading (ms)."""
 
     def endpoints_changed(self) -> None:
-        """The list of servers has changed."""
+        """Called after the server list has changed."""
 
     def unreachable_servers(self) -> frozenset[str]:
-        """The servers to which no connection succeeds at the moment."""
+        """The servers to which connections are currently likely to fail."""
 
     def probe(self, server: str) -> None:
-        """Send a health check, which asks a server for its load report."""
+        """Send a health check, which also requests the server's load report."""
 
     def poll_endpoints(self) -> None:
-        """Poll discovery for the complete server list once."""
+        """Request the complete server list from discovery once."""
--- a/ringledge/core/stages/__init__.py
+++ b/ringledge/core/stages/__init__.py
@@ -1,1 +1,1 @@
-"""The stages that a request passes, one a file: accept, admit, route, send, relay, record outcome."""
+"""The stages of a request, one per file: accept, admit, route, send, relay, record outcome."""
--- a/ringledge/core/stages/accept.py
+++ b/ringledge/core/stages/accept.py
@@ -1,8 +1,8 @@
-"""Accept: register a client's request, or close it when the client disconnects."""
+"""Accept: registers a client's request, and closes it if the client disconnects."""
 
 from __future__ import annotations
 
-from ringledge.core.context import Context
+from ringledge.core.context import StageContext
 from ringledge.core.port import Payload, ResponseSink
 from ringledge.core.records import RequestRecord, RequestResult
 from ringledge.core.stages import record_outcome
@@ -11,11 +11,11 @@
 
 
 class DuplicateRequestError(Exception):
-    """A request with this id is open already: accepting it again could run it twice."""
+    """A request with the same id is open; accepting another one could run it twice."""
 
 
-def accept(context: Context, request: Request, payload: Payload, sink: ResponseSink) -> RequestRecord:
-    """Register the request; from here on exactly one final answer is owed."""
+def accept(context: StageContext, request: Request, payload: Payload, sink: ResponseSink) -> RequestRecord:
+    """Register the request, which must get exactly one final answer from then on."""
     if context.registry.is_open(request.request):
         raise DuplicateRequestError(request.request)
     record = RequestRecord(request, payload, sink, context.clock.now_ms())
@@ -26,15 +26,15 @@
     return record
 
 
-def on_client_disconnected(context: Context, record: RequestRecord) -> None:
-    """Close the request: no answer is owed any more, but the policy has to release what it holds."""
+def on_client_disconnected(context: StageContext, record: RequestRecord) -> None:
+    """Close the request; it needs no answer any more, but the policy still has to release its resources."""
     if record.closed:
         return
     record_outcome.close_request(context, record, RequestResult.CLIENT_DISCONNECTED)
-    log.debug("client_disconnected", request=record.request_id, attempts=record.history())
+    log.debug("client_disconnected", request=record.request_id, attempts=record.attempt_summaries())
     context.dispatch(ClientDisconnected(record.request_id))
-    # The policy does not cancel a streaming attempt: its stream ends with the client. An attempt that was not
-    # written completely never runs, so it is abandoned even where the settings permit no cancelling.
+    # The policy does not cancel a streaming attempt, so its stream is ended here. An attempt that was not
+    # written completely cannot run, so it is abandoned even if the settings do not permit cancellation.
     for attempt in record.attempts:
         if attempt.in_flight and (attempt.streaming or not attempt.written):
             context.transport.abandon(attempt)
--- a/ringledge/core/stages/admit.py
+++ b/ringledge/core/stages/admit.py
@@ -1,21 +1,21 @@
-"""Admit: have the policy decide on a new request, and give the final answers it decides on."""
+"""Admit: passes a new request to the policy, and gives the final answers that the policy decides on."""
 
 from __future__ import annotations
 
 from ringledge.core import retry_guard
-from ringledge.core.context import Context
+from ringledge.core.context import StageContext
 from ringledge.core.records import RequestRecord, RequestResult
 from ringledge.core.stages import record_outcome
 from ringledge.routing.interface import FailRequest, GiveUpReason, RejectRequest
 
 
-def admit(context: Context, record: RequestRecord) -> None:
-    """Have the policy decide on the request."""
+def admit(context: StageContext, record: RequestRecord) -> None:
+    """Pass the request to the policy."""
     context.dispatch(record.request)
 
 
-def reject(context: Context, action: RejectRequest) -> None:
-    """Answer that the request was rejected and a retry is safe; fail it if the record says otherwise."""
+def reject(context: StageContext, action: RejectRequest) -> None:
+    """Reject the request, or fail it if its record shows that a retry would be unsafe."""
     open_record = context.registry.records.get(action.request)
     if open_record is not None and not may_reject(context, open_record):
         context.metrics.refusals_withheld.inc()
@@ -27,22 +27,22 @@
         record.sink.reject(action.retry_after_ms)
 
 
-def fail(context: Context, action: FailRequest) -> None:
-    """Answer that the request failed."""
+def fail(context: StageContext, action: FailRequest) -> None:
+    """Answer that the request failed and may have run."""
     record = _close(context, action.request, RequestResult.FAILED, action.reason)
     if record is not None:
         record.sink.fail()
 
 
-def may_reject(context: Context, record: RequestRecord) -> bool:
-    """Whether the request may be rejected, which promises the client that a retry is safe."""
+def may_reject(context: StageContext, record: RequestRecord) -> bool:
+    """Whether the request may be rejected: a rejection tells the client that a retry is safe."""
     return retry_guard.may_reject(context.settings.classes[record.request.class_index], record)
 
 
 def _close(
-    context: Context, request_id: str, result: RequestResult, reason: GiveUpReason
+    context: StageContext, request_id: str, result: RequestResult, reason: GiveUpReason
 ) -> RequestRecord | None:
-    """Close the request; None if it is closed or streaming, so that its one answer is given or under way."""
+    """Close the request; returns None if it has its final answer already or is streaming."""
     record = context.registry.records.get(request_id)
     if record is None or record.closed or record.streaming:
         return None
--- a/ringledge/core/stages/record_outcome.py
+++ b/ringledge/core/stages/record_outcome.py
@@ -1,26 +1,31 @@
-"""Record how an attempt ended, close its request where that ends it, and release the KV cache."""
+"""Record outcome: records how an attempt ended, and closes and cleans up its request if that ends it."""
 
 from __future__ import annotations
 
-from ringledge.core.context import Context
+from ringledge.core.context import StageContext
 from ringledge.core.records import Attempt, RequestRecord, RequestResult
 from ringledge.observe.logging import log
 from ringledge.routing.interface import AttemptOutcome, AttemptStatus, LoadReport
 
 ANSWERED_STATUSES = (AttemptStatus.OK, AttemptStatus.PREFILLED)
-# After these a 202, or a fetch of the KV cache, may have been under way: the server may hold an entry unseen.
+# After these the server may hold a KV cache entry that was not reported: a 202 response, or a fetch of the
+# entry, may have been in progress.
 UNOBSERVED_STATUSES = (
     AttemptStatus.CANCELLED,
     AttemptStatus.TIMEOUT,
     AttemptStatus.RESET,
-    AttemptStatus.ERROR,  # any answer that is none of the protocol's: it may be a spoilt 202
+    AttemptStatus.ERROR,  # any response that violates the protocol; it may be a corrupt 202
 )
 
 
 def record_outcome(
-    context: Context, attempt: Attempt, status: AttemptStatus, note: int = 0, load: LoadReport | None = None
+    context: StageContext,
+    attempt: Attempt,
+    status: AttemptStatus,
+    note: int = 0,
+    load: LoadReport | None = None,
 ) -> None:
-    """Record the attempt's one outcome; a second one is ignored. For `note` see `AttemptOutcome`."""
+    """Record the attempt's outcome; a second one is ignored. `AttemptOutcome` describes `note`."""
     if not attempt.in_flight:
         return
     attempt.outcome = status
@@ -35,7 +40,7 @@
         context.observer.on_attempt_ended(attempt, status, note)
     if status not in ANSWERED_STATUSES:
         _log_unanswered(attempt, now_ms)
-    record.cache.attempt_ended(now_ms, attempt.delivered)
+    record.cache.record_attempt_end(now_ms, attempt.delivered)
     context.dispatch(
         AttemptOutcome(
             record.request_id,
@@ -52,7 +57,7 @@
 
 
 def _log_unanswered(attempt: Attempt, now_ms: float) -> None:
-    """Log an attempt that ended without a complete response, and what it may have left on servers."""
+    """Log an attempt that ended without a complete response, and where KV cache entries may be held."""
     cache = attempt.record.cache
     log.info(
         "attempt_ended",
@@ -69,8 +74,8 @@
     )
 
 
-def _finish_response(context: Context, record: RequestRecord, status: AttemptStatus) -> None:
-    """End the client's response, cleanly only where it is complete."""
+def _finish_response(context: StageContext, record: RequestRecord, status: AttemptStatus) -> None:
+    """Finish the client's response if it is complete, otherwise abort it."""
     if record.closed:
         return
     if status == AttemptStatus.OK:
@@ -82,45 +87,45 @@
 
 
 def _update_cache_locations(
-    context: Context, attempt: Attempt, status: AttemptStatus, note: int, now_ms: float
+    context: StageContext, attempt: Attempt, status: AttemptStatus, note: int, now_ms: float
 ) -> None:
-    """Update where a KV cache entry of the request is, or may be."""
+    """Update on which servers the request's KV cache entries are, or may be, held."""
     cache = attempt.record.cache
     if status == AttemptStatus.PREFILLED:
-        cache.prefilled(attempt.server)
+        cache.record_prefill(attempt.server)
     elif status == AttemptStatus.FULL and note == 1:
-        cache.fetched_elsewhere(now_ms)
+        cache.record_missing_entry(now_ms)
     elif _may_hold_cache(attempt) and attempt.written and status in UNOBSERVED_STATUSES:
         has_answered = context.transport.answered_since(attempt.server, attempt.sent_ms)
-        cache.ended_unobserved(attempt.server, now_ms, has_answered)
+        cache.record_unobserved_end(attempt.server, now_ms, has_answered)
 
 
 def _may_hold_cache(attempt: Attempt) -> bool:
     return attempt.is_prefill or (attempt.fetches_cache and not attempt.streaming)
 
 
-def close_request(context: Context, record: RequestRecord, result: RequestResult) -> None:
-    """Mark the request closed: no answer is owed any more."""
+def close_request(context: StageContext, record: RequestRecord, result: RequestResult) -> None:
+    """Mark the request as closed: it needs no answer any more."""
     record.closed = True
     record.result = result
     context.metrics.answers.labels(result.value, str(record.request.class_index)).inc()
 
 
-def release_cache(context: Context, record: RequestRecord) -> None:
+def release_cache(context: StageContext, record: RequestRecord) -> None:
     """Release the request's KV cache entry on every server that may hold it.
 
-    Only once no attempt will follow: a server that is sent the release drops everything held for the request
-    on any server, and so the entry of a further prefill that is in flight.
+    Call it only when no attempt will follow: a release drops the request's entries on all servers, including
+    the entry of a prefill that is still in flight.
     """
-    holders, unobserved = record.cache.take()
+    holders, unobserved = record.cache.take_locations()
     if holders or unobserved:
         context.transport.release(record.request_id, holders, unobserved, record.streaming)
 
 
-def remove_if_done(context: Context, record: RequestRecord) -> None:
-    """Release the cache of a request that is done and remove the request.
+def remove_if_done(context: StageContext, record: RequestRecord) -> None:
+    """If the request is done, release its KV cache entries, remove it from the registry and log it.
 
-    The policy may have ended it while it handled the outcome: a request is removed and logged only once.
+    Does nothing if the policy's actions on the outcome have removed the request already.
     """
     if not record.is_done or context.registry.records.get(record.request_id) is not record:
         return
@@ -134,5 +139,5 @@
         ms=round(context.clock.now_ms() - record.arrived_ms, 1),
         first_ms=record.first_token_ms and round(record.first_token_ms, 1),
         why=record.reason,
-        attempts=record.history(),
+        attempts=record.attempt_summaries(),
     )
--- a/ringledge/core/stages/relay.py
+++ b/ringledge/core/stages/relay.py
@@ -1,20 +1,20 @@
-"""Relay: from its first token on, an attempt's stream is forwarded to the client unchanged."""
+"""Relay: forwards an attempt's stream to the client unchanged, from the first token on."""
 
 from __future__ import annotations
 
-from ringledge.core.context import Context
+from ringledge.core.context import StageContext
 from ringledge.core.records import Attempt
 from ringledge.routing.interface import FirstToken
 
 
-def begin_stream(context: Context, attempt: Attempt) -> bool:
-    """Record the first token; False if the request is closed, so that nobody receives the stream."""
+def begin_stream(context: StageContext, attempt: Attempt) -> bool:
+    """Record the first token; returns False if the request is closed and the stream has no receiver."""
     record = attempt.record
     if record.closed or not attempt.in_flight:
         return False
     attempt.streaming = True
     record.streaming = True
-    record.cache.stream_started()
+    record.cache.record_first_token()
     attempt.first_token_ms = context.clock.now_ms() - attempt.sent_ms
     record.first_token_ms = context.clock.now_ms() - record.arrived_ms
     context.metrics.first_token.observe(record.first_token_ms / 1000)
@@ -23,5 +23,5 @@
 
 
 async def relay_chunk(attempt: Attempt, chunk: bytes) -> None:
-    """Forward a chunk of the stream to the client's sink."""
+    """Forward a chunk of the stream to the client."""
     await attempt.record.sink.relay(chunk)
--- a/ringledge/core/stages/route.py
+++ b/ringledge/core/stages/route.py
@@ -1,8 +1,8 @@
-"""Route: turn the policy's choice of a server into an attempt, or find that it must not be sent."""
+"""Route: turns the policy's choice of a server into an attempt, unless it must not be sent."""
 
 from __future__ import annotations
 
-from ringledge.core.context import Context
+from ringledge.core.context import StageContext
 from ringledge.core.records import Attempt, RequestRecord
 from ringledge.routing.interface import (
     AttemptOutcome,
@@ -13,11 +13,14 @@
 )
 
 
-def route(context: Context, action: SendAttempt) -> Attempt | None:
-    """Record the attempt and return it; one that must not be sent gets its outcome right away (None)."""
+def route(context: StageContext, action: SendAttempt) -> Attempt | None:
+    """Add an attempt to the request's record and return it.
+
+    Returns None if the attempt must not be sent; it then gets the outcome `NOT_SENT` immediately.
+    """
     record = context.registry.records.get(action.request)
     if record is None:
-        return None  # the wire protocol's rule: nothing is sent for a request that has ended
+        return None  # the platform's protocol forbids sending an attempt for a request that has ended
     now_ms = context.clock.now_ms()
     timeout_ms = record.deadline_ms - now_ms
     if action.timeout_ms:
@@ -39,7 +42,7 @@
 
 
 def _new_attempt(
-    context: Context, record: RequestRecord, server: str, sent_ms: float, expires_ms: float
+    context: StageContext, record: RequestRecord, server: str, sent_ms: float, expires_ms: float
 ) -> Attempt:
     is_prefill = context.servers.role(server) == Role.PREFILL
     return Attempt(
@@ -54,11 +57,11 @@
     )
 
 
-def _may_be_sent(context: Context, attempt: Attempt, has_attempt_in_flight: bool) -> bool:
-    """Whether the request's state permits the attempt, whatever the policy decided.
+def _may_be_sent(context: StageContext, attempt: Attempt, has_attempt_in_flight: bool) -> bool:
+    """Whether the request's state permits the attempt, independently of the policy.
 
-    Two attempts of a request are in flight together only as a hedge that the settings permit, of a request
-    that is idempotent.
+    A second attempt may be in flight only as a hedged request: if the settings permit hedging and the request
+    is idempotent.
     """
     record = attempt.record
     if record.closed or record.streaming:
@@ -69,6 +72,6 @@
     return attempt.number < context.settings.max_attempts
 
 
-def _is_idempotent(context: Context, record: RequestRecord) -> bool:
+def _is_idempotent(context: StageContext, record: RequestRecord) -> bool:
     request_class = context.settings.classes[record.request.class_index]
     return request_class.idempotency is Idempotency.IDEMPOTENT
--- a/ringledge/core/stages/send.py
+++ b/ringledge/core/stages/send.py
@@ -1,20 +1,20 @@
-"""Send: start an attempt, or cancel it."""
+"""Send: starts and cancels attempts."""
 
 from __future__ import annotations
 
-from ringledge.core.context import Context
+from ringledge.core.context import StageContext
 from ringledge.core.records import Attempt
 from ringledge.core.stages import record_outcome
 from ringledge.routing.interface import AttemptStatus, CancelAttempt
 
 
-def send(context: Context, attempt: Attempt) -> None:
-    """Start the attempt."""
+def send(context: StageContext, attempt: Attempt) -> None:
+    """Have the transport send the attempt."""
     context.transport.send(attempt)
 
 
-def cancel(context: Context, action: CancelAttempt) -> None:
-    """Close an attempt's connection and record it as cancelled, unless it is streaming or has ended."""
+def cancel(context: StageContext, action: CancelAttempt) -> None:
+    """Abandon an attempt and record it as cancelled, unless it is streaming or has ended."""
     record = context.registry.records.get(action.request)
     if record is None or action.attempt >= len(record.attempts):
         return
--- a/ringledge/core/timer_queue.py
+++ b/ringledge/core/timer_queue.py
@@ -1,4 +1,4 @@
-"""The pending timers of the routing policy, ordered by due time."""
+"""The routing policy's pending timers, ordered by due time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ScheduledTimer(NamedTuple):
-    """One pending timer; timers that are due at the same time fire in the order they were scheduled in."""
+    """A pending timer; timers with the same due time fire in the order in which they were scheduled."""
 
     due_ms: float
     sequence: int
@@ -22,7 +22,7 @@
 
 
 class TimerQueue:
-    """A min-heap of timers, and how late they fired."""
+    """A min-heap of timers that also measures how late they fire."""
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
         self._clock = clock
@@ -30,16 +30,16 @@
         self._heap: list[ScheduledTimer] = []
         self._sequence = count()
         self._wakeup = anyio.Event()
-        self._max_lag_ms = 0.0  # since it was last taken
+        self._max_lag_ms = 0.0  # since the last call of `take_max_lag_ms`
 
     def schedule(self, due_ms: float, token: str) -> None:
-        """Add a timer; `wait` returns early if it is now the first one due."""
+        """Add a timer; a `wait` in progress returns early if this timer is now due first."""
         heapq.heappush(self._heap, ScheduledTimer(due_ms, next(self._sequence), token))
         if self._heap[0].token == token:
             self._wakeup.set()
 
     def pop_due(self, now_ms: float) -> str | None:
-        """Remove the first timer and return its token; None if none is due."""
+        """Remove the timer that is due first and return its token; None if no timer is due."""
         if not self._heap or self._heap[0].due_ms > now_ms:
             return None
         timer = heapq.heappop(self._heap)
@@ -49,13 +49,13 @@
         return timer.token
 
     def take_max_lag_ms(self) -> float:
-        """The longest delay of a timer since the last call, in ms."""
+        """Return the longest delay of a timer since the last call, in ms, and reset it."""
         max_lag_ms = self._max_lag_ms
         self._max_lag_ms = 0.0
         return max_lag_ms
 
     async def wait(self, max_wait_s: float) -> None:
-        """Wait until the first timer is due, but no longer than `max_wait_s`."""
+        """Wait until a timer is due, at most `max_wait_s`."""
         self._wakeup = anyio.Event()
         until_due_s = math.inf
         if self._heap:
--- a/ringledge/decide/servers/cache_hold.py
+++ b/ringledge/decide/servers/cache_hold.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Release:
+class _ReleaseInProgress:
     """A release in progress."""
 
     idle_since_ms: float  # as it began
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class CacheHold:
+class CacheEntryTracker:
     """The KV cache entries of one request."""
 
     holders: set[str] = field(default_factory=set)  # servers that hold an entry
@@ -45,7 +45,7 @@
     # Since when an entry may be held while no attempt is known to be out; inf: none is held.
     idle_since_ms: float = inf
     released_early: bool = False  # the entry was released while the policy still counts on it
-    _release: _Release | None = None
+    _release: _ReleaseInProgress | None = None
 
     @property
     def may_exist(self) -> bool:
@@ -68,17 +68,17 @@
 
     # What becomes of attempts.
 
-    def prefilled(self, server: str) -> None:
+    def record_prefill(self, server: str) -> None:
         """A prefill has ended well: its server holds an entry."""
         self.holders.add(server)
         self.released_early = False
 
-    def fetched_elsewhere(self, now_ms: float) -> None:
+    def record_missing_entry(self, now_ms: float) -> None:
         """A decode found no entry: its holder has none any more; an earlier decode may have fetched it."""
         self.unobserved |= dict.fromkeys(self.holders, now_ms)
         self.holders.clear()
 
-    def ended_unobserved(self, server: str, now_ms: float, has_answered: bool) -> None:
+    def record_unobserved_end(self, server: str, now_ms: float, has_answered: bool) -> None:
         """An attempt that may have left an entry ended without a response.
 
         `has_answered`: its server has answered something since the attempt was sent; one that has not may
@@ -88,14 +88,14 @@
         if not has_answered:
             self._suspended_ms[server] = now_ms
 
-    def attempt_ended(self, now_ms: float, has_arrived: bool) -> None:
+    def record_attempt_end(self, now_ms: float, was_delivered: bool) -> None:
         """An attempt has ended, and what it left is noted; `has_arrived`: its server began to answer it."""
         if not self.may_exist:
             self.idle_since_ms = inf
-        elif has_arrived or self.idle_since_ms == inf:
+        elif was_delivered or self.idle_since_ms == inf:
             self.idle_since_ms = now_ms
 
-    def stream_started(self) -> None:
+    def record_first_token(self) -> None:
         """The first token has arrived: with it servers release by themselves what they hold."""
         self.holders.clear()
         self.idle_since_ms = inf
@@ -111,7 +111,7 @@
         self.released_early = self.released_early or bool(self.holders)
         self.unobserved = dict.fromkeys(self.holders, now_ms) | self.unobserved
         self.holders.clear()
-        self._release = _Release(self.idle_since_ms, dict(self.unobserved), attempt_in_flight)
+        self._release = _ReleaseInProgress(self.idle_since_ms, dict(self.unobserved), attempt_in_flight)
         return set(self.unobserved)
 
     def end_release(self, now_ms: float, answered_by: Collection[str], attempt_in_flight: bool) -> None:
@@ -134,7 +134,7 @@
             if is_idle_as_before:
                 self.idle_since_ms = inf
 
-    def _forget_released(self, release: _Release, answered_by: Collection[str]) -> None:
+    def _forget_released(self, release: _ReleaseInProgress, answered_by: Collection[str]) -> None:
         for server, ended_ms in release.unobserved.items():
             is_settled = ended_ms < inf or server in answered_by
             if is_settled and self.unobserved.get(server) == ended_ms:
@@ -162,7 +162,7 @@
 
     # The end of the request.
 
-    def take(self) -> tuple[set[str], dict[str, float]]:
+    def take_locations(self) -> tuple[set[str], dict[str, float]]:
         """Remove the servers that hold an entry, and those that may, from the record."""
         taken = self.holders, self.unobserved
         self.holders, self.unobserved, self.idle_since_ms = set(), {}, inf
--- a/ringledge/decide/servers/health_checks.py
+++ b/ringledge/decide/servers/health_checks.py
@@ -19,7 +19,7 @@
 from ringledge.decide.interface import RecordStore
 from ringledge.decide.rendezvous import ranked
 
-PREFIX = "doubt/"  # of the records' keys; the server's name follows
+KEY_PREFIX = "doubt/"  # of the records' keys; the server's name follows
 
 
 class ProbeOutcome(IntEnum):
@@ -110,7 +110,7 @@
         """The member that probes a server."""
         return ranked(server, self._members)[0]
 
-    def finding(self, now_s: float, server: str) -> Suspicion | None:
+    def latest_outcome(self, now_s: float, server: str) -> Suspicion | None:
         """The outcome of the first live member in the server's order that has one; None if there is none."""
         suspicions = self._suspicions(now_s, server)
         probers = [
@@ -136,7 +136,7 @@
         self._publish(now_s)
         return due
 
-    def answered(self, now_s: float, server: str, number: int) -> None:
+    def record_answer(self, now_s: float, server: str, number: int) -> None:
         """A probe was answered; ignored if it timed out or the server falls to another member by now."""
         probe = self._probes.get(server)
         if probe is not None and probe.sent_s != inf and probe.number == number:
@@ -154,27 +154,27 @@
     def _suspicions(self, now_s: float, server: str) -> dict[str, Suspicion]:
         """What each member published about a server; records that can't be decoded are ignored."""
         suspicions = {}
-        for (name, key), value in self._records.values(now_s, PREFIX + server).items():
+        for (name, key), value in self._records.values(now_s, KEY_PREFIX + server).items():
             suspicion = _decode_suspicion(value)
-            if key == PREFIX + server and suspicion is not None:
+            if key == KEY_PREFIX + server and suspicion is not None:
                 suspicions[name] = suspicion
         return suspicions
 
     def _assigned_servers(self, now_s: float) -> list[str]:
         """Servers that any live member suspects and that this member probes."""
         suspected = {*self._suspected_until_s}
-        for (name, key), value in self._records.values(now_s, PREFIX).items():
+        for (name, key), value in self._records.values(now_s, KEY_PREFIX).items():
             suspicion = _decode_suspicion(value)
             if suspicion is not None and suspicion.probe_wanted and name in self._members:
-                suspected.add(key.removeprefix(PREFIX))
+                suspected.add(key.removeprefix(KEY_PREFIX))
         return sorted(server for server in suspected if self.prober(server) == self._name)
 
     def _is_healthy(self, now_s: float, server: str) -> bool:
-        finding = self.finding(now_s, server)
+        latest_outcome = self.latest_outcome(now_s, server)
         return (
-            finding is not None
-            and finding.outcome == ProbeOutcome.ANSWERED
-            and finding.consecutive >= self._settings.healthy_threshold
+            latest_outcome is not None
+            and latest_outcome.outcome == ProbeOutcome.ANSWERED
+            and latest_outcome.consecutive >= self._settings.healthy_threshold
         )
 
     def _publish(self, now_s: float) -> None:
@@ -188,9 +188,9 @@
             current[server] = Suspicion(suspected, probe.outcome, probe.duration_ms, consecutive)
         for server, suspicion in current.items():
             if self._published.get(server) != suspicion:
-                self._records.write(now_s, PREFIX + server, msgspec.msgpack.encode(suspicion))
+                self._records.write(now_s, KEY_PREFIX + server, msgspec.msgpack.encode(suspicion))
         for server in self._published.keys() - current.keys():
-            self._records.delete(now_s, PREFIX + server)
+            self._records.delete(now_s, KEY_PREFIX + server)
         self._published = current
 
 
--- a/ringledge/decide/servers/reachability.py
+++ b/ringledge/decide/servers/reachability.py
@@ -124,7 +124,7 @@
         listed = [server for server in servers if server in self._histories]
         return max(listed, key=self._contact_rank) if listed else None
 
-    def is_suspect(self, server: str, now_ms: float) -> bool:
+    def is_likely_unreachable(self, server: str, now_ms: float) -> bool:
         """Whether a call would likely fail, by the results of the server itself or of its zone."""
         history = self._histories.get(server)
         if history is None:
--- a/ringledge/decide/servers/releases.py
+++ b/ringledge/decide/servers/releases.py
@@ -30,7 +30,7 @@
 RETRY_INTERVAL_MS = 350.0  # between two rounds while the holder doesn't answer: an entry may stay 500 ms
 RETRY_WINDOW_MS = 8_000.0  # for how long rounds are repeated: a network partition is mostly over by then
 ANSWER_SLACK_MS = 250.0  # of the 350 that an entry may be held beyond the limit, for a release to be answered
-GIVE_UP_MS = 20_000.0  # without any answer: by then the server has released by itself, or is down
+RELEASE_TIMEOUT_MS = 20_000.0  # without any answer: by then the server has released by itself, or is down
 
 
 class ReleaseScheduler:
@@ -193,7 +193,7 @@
             return None if repeats else release.result
         if not listed:
             return ReleaseResult(release.request, ReleaseOutcome.NO_SERVER, release.calls, elapsed_ms)
-        if elapsed_ms >= GIVE_UP_MS:
+        if elapsed_ms >= RELEASE_TIMEOUT_MS:
             return ReleaseResult(release.request, ReleaseOutcome.TIMED_OUT, release.calls, elapsed_ms)
         return None
 
@@ -216,10 +216,12 @@
         wanted = release.holders if release.result is None else self._unanswered_holders(release, listed)
         holders = [server for server in wanted if server in free]
         for server in holders:
-            if not self._reachability.is_suspect(server, now_ms):
+            if not self._reachability.is_likely_unreachable(server, now_ms):
                 return server
         others = [server for server in free if listed[server] and server not in release.holders]
-        reachable = [server for server in others if not self._reachability.is_suspect(server, now_ms)]
+        reachable = [
+            server for server in others if not self._reachability.is_likely_unreachable(server, now_ms)
+        ]
         most_recently_reached = self._reachability.most_recently_reached
         return most_recently_reached(reachable) or most_recently_reached(holders or others)
 
--- a/tests/core/test_invariants.py
+++ b/tests/core/test_invariants.py
@@ -175,8 +175,8 @@
 
 def test_entry_left_unobserved_is_reported_while_the_next_attempt_has_not_arrived() -> None:
     fixture = InvariantFixture()
-    fixture.record.cache.ended_unobserved("r0", fixture.now_ms, has_answered=True)
-    fixture.record.cache.attempt_ended(fixture.now_ms, has_arrived=False)
+    fixture.record.cache.record_unobserved_end("r0", fixture.now_ms, has_answered=True)
+    fixture.record.cache.record_attempt_end(fixture.now_ms, was_delivered=False)
     fixture.now_ms += RELEASE_WITHIN_MS + CACHE_HOLD_SLACK_MS
     fixture.checker.check_open_requests([fixture.record])
     assert not fixture.violations()
--- a/tests/decide/servers/test_cache_hold_model.py
+++ b/tests/decide/servers/test_cache_hold_model.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ringledge.decide.servers.cache_hold import CacheHold
+from ringledge.decide.servers.cache_hold import CacheEntryTracker
 
 STEPS = 60
 SERVERS = ("p0", "p1", "d0", "d1")
@@ -20,7 +20,7 @@
     """One request, its attempt and the entries on servers, as nobody sees them."""
 
     rng: random.Random
-    cache: CacheHold = field(default_factory=CacheHold)
+    cache: CacheEntryTracker = field(default_factory=CacheEntryTracker)
     now_ms: float = 0.0
     entries: set[str] = field(default_factory=set)
     held_since_ms: float = inf  # since when an entry is held and no attempt is out
@@ -70,13 +70,13 @@
         elif worked and self.entries:  # fetched, and then broken off
             self.entries = {server}
         if prefills and worked and seen:
-            self.cache.prefilled(server)
+            self.cache.record_prefill(server)
         elif not prefills and worked and seen:
-            self.cache.stream_started()
+            self.cache.record_first_token()
         elif not seen and self.written:
-            self.cache.ended_unobserved(server, self.now_ms, has_answered=True)
+            self.cache.record_unobserved_end(server, self.now_ms, has_answered=True)
         self.server = ""
-        self.cache.attempt_ended(self.now_ms, has_arrived=seen)
+        self.cache.record_attempt_end(self.now_ms, was_delivered=seen)
 
     def begin_release(self) -> None:
         if not self.releasing and self.cache.is_idle:
@@ -106,14 +106,14 @@
     return True
 
 
-class AnyEndIsAnArrival(CacheHold):
+class AnyEndIsAnArrival(CacheEntryTracker):
     """Takes every attempt that has ended for one that had arrived."""
 
-    def attempt_ended(self, now_ms: float, has_arrived: bool) -> None:
-        super().attempt_ended(now_ms, has_arrived=True)
+    def record_attempt_end(self, now_ms: float, was_delivered: bool) -> None:
+        super().record_attempt_end(now_ms, was_delivered=True)
 
 
-class AnyReleaseTakesEffect(CacheHold):
+class AnyReleaseTakesEffect(CacheEntryTracker):
     """Takes a release beside an attempt for one that took effect."""
 
     def end_release(self, now_ms: float, answered_by: Collection[str], attempt_in_flight: bool) -> None:
@@ -122,10 +122,10 @@
         self.idle_since_ms = inf
 
 
-class UnseenLeavesNothing(CacheHold):
+class UnseenLeavesNothing(CacheEntryTracker):
     """Notes nothing of an attempt that ended unseen."""
 
-    def ended_unobserved(self, server: str, now_ms: float, has_answered: bool) -> None:
+    def record_unobserved_end(self, server: str, now_ms: float, has_answered: bool) -> None:
         pass
 
 
@@ -135,5 +135,5 @@
 
 
 @pytest.mark.parametrize("mutant", [AnyEndIsAnArrival, AnyReleaseTakesEffect, UnseenLeavesNothing])
-def test_mutant_counts_too_little(mutant: type[CacheHold]) -> None:
+def test_mutant_counts_too_little(mutant: type[CacheEntryTracker]) -> None:
     assert not all(counts_enough(Truth(random.Random(seed), mutant())) for seed in range(300))
--- a/tests/decide/servers/test_health_checks.py
+++ b/tests/decide/servers/test_health_checks.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ringledge.decide.servers.health_checks import (
-    PREFIX,
+    KEY_PREFIX,
     HealthChecker,
     HealthCheckSettings,
     ProbeOutcome,
@@ -18,7 +18,7 @@
 SERVERS = [f"server-{number}" for number in range(100)]
 
 
-class RecordBoard:
+class SharedRecords:
     """Records that all members see at once."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
 class MemberRecords:
     """The board as one member reads and writes it."""
 
-    def __init__(self, board: RecordBoard, name: str) -> None:
+    def __init__(self, board: SharedRecords, name: str) -> None:
         self.board = board
         self.name = name
         self.writes = 0
@@ -49,8 +49,8 @@
         }
 
 
-def _make_members(count: int) -> tuple[RecordBoard, dict[str, HealthChecker]]:
-    board = RecordBoard()
+def _make_members(count: int) -> tuple[SharedRecords, dict[str, HealthChecker]]:
+    board = SharedRecords()
     names = [f"c{number}" for number in range(count)]
     members = {name: HealthChecker(name, board.member(name)) for name in names}
     for checker in members.values():
@@ -81,7 +81,7 @@
     assert moved == {server for server in SERVERS if before[server] == "c9"}
 
 
-def _simulate(answers: bool, until_s: float = 8.0) -> tuple[list[Suspicion | None], int, RecordBoard]:
+def _simulate(answers: bool, until_s: float = 8.0) -> tuple[list[Suspicion | None], int, SharedRecords]:
     """Suspect a server at 0; returns the findings of another member every 0.5 s, probes sent, the records."""
     board, members = _make_members(5)
     members["c1"].suspect(0.0, "s")
@@ -91,15 +91,15 @@
             for probe in checker.tick(now_s):
                 sent += 1
                 if answers:
-                    checker.answered(now_s + 0.02, probe.server, probe.number)
-        findings.append(members["c4"].finding(now_s, "s"))
+                    checker.record_answer(now_s + 0.02, probe.server, probe.number)
+        findings.append(members["c4"].latest_outcome(now_s, "s"))
         now_s += 0.5
     return findings, sent, board
 
 
 def test_answered_probes_clear_the_suspicion_for_all_members() -> None:
     findings, sent, board = _simulate(answers=True)
-    found = [finding for finding in findings if finding is not None]
+    found = [latest_outcome for latest_outcome in findings if latest_outcome is not None]
     assert found[0].outcome == ProbeOutcome.ANSWERED
     assert found[0].duration_ms == 20
     assert found[-1].consecutive == SETTINGS.healthy_threshold
@@ -109,10 +109,10 @@
 
 def test_timed_out_probes_are_published_and_repeated_until_the_suspicion_expires() -> None:
     findings, sent, board = _simulate(answers=False)
-    found = [finding for finding in findings if finding is not None]
+    found = [latest_outcome for latest_outcome in findings if latest_outcome is not None]
     assert found[-1].outcome == ProbeOutcome.TIMED_OUT
     assert 4 <= sent <= 8
-    assert any(key == PREFIX + "s" for _, key in board.records)
+    assert any(key == KEY_PREFIX + "s" for _, key in board.records)
     findings, _, board = _simulate(answers=False, until_s=16.0)
     assert findings[-1] is None  # the suspicion was not renewed
     assert board.records == {}
@@ -123,19 +123,19 @@
     members["c0"].suspect(0.0, "s")
     (probe,) = members["c0"].tick(0.0)
     members["c0"].tick(SETTINGS.timeout_s)
-    members["c0"].answered(SETTINGS.timeout_s + 0.1, "s", probe.number)
-    found = members["c0"].finding(2.0, "s")
+    members["c0"].record_answer(SETTINGS.timeout_s + 0.1, "s", probe.number)
+    found = members["c0"].latest_outcome(2.0, "s")
     assert found is not None
     assert found.outcome == ProbeOutcome.TIMED_OUT
 
 
 def test_records_of_dead_members_and_malformed_records_are_ignored() -> None:
     board, members = _make_members(3)
-    board.records["c9", PREFIX + "s"] = msgspec.msgpack.encode(
+    board.records["c9", KEY_PREFIX + "s"] = msgspec.msgpack.encode(
         Suspicion(True, ProbeOutcome.TIMED_OUT, 0, 3)
     )  # not alive
-    board.records["c1", PREFIX + "s"] = b"\xff nonsense"
-    assert members["c0"].finding(0.0, "s") is None
+    board.records["c1", KEY_PREFIX + "s"] = b"\xff nonsense"
+    assert members["c0"].latest_outcome(0.0, "s") is None
     assert [probe for checker in members.values() for probe in checker.tick(0.0)] == []
 
 
--- a/tests/decide/servers/test_reachability.py
+++ b/tests/decide/servers/test_reachability.py
@@ -26,9 +26,13 @@
 def test_zone_is_partitioned_after_two_timeouts_until_one_server_answers() -> None:
     reachability = make_reachability()
     reachability.record_timeout("b0", 100.0)
-    assert reachability.unreachable_servers(100.0) == {"b0"} and not reachability.is_suspect("b1", 100.0)
+    assert reachability.unreachable_servers(100.0) == {"b0"} and not reachability.is_likely_unreachable(
+        "b1", 100.0
+    )
     reachability.record_timeout("b1", 200.0)
-    assert reachability.unreachable_servers(200.0) == ZONE_B and reachability.is_suspect("b3", 200.0)
+    assert reachability.unreachable_servers(200.0) == ZONE_B and reachability.is_likely_unreachable(
+        "b3", 200.0
+    )
     reachability.record_answer("b2", 300.0)
     assert reachability.unreachable_servers(300.0) == {"b0", "b1"}
     reachability.record_answer("b0", 400.0)
@@ -47,7 +51,7 @@
     reachability = make_reachability()
     reachability.record_refusal("b0", 0.0)
     reachability.record_refusal("b1", 0.0)
-    assert reachability.is_suspect("b0", 1.0) and not reachability.is_suspect("b2", 1.0)
+    assert reachability.is_likely_unreachable("b0", 1.0) and not reachability.is_likely_unreachable("b2", 1.0)
     assert reachability.unreachable_servers(1.0) == {"b0", "b1"}
     reachability.record_answer("b1", 2.0)
     assert reachability.unreachable_servers(2.0) == {"b0"}
@@ -101,8 +105,8 @@
     reachability.update_servers([server for server in SERVERS if server[0] not in ("b0", "b1")])
     assert (
         not reachability.unreachable_servers(CACHE_TTL_MS)
-        and not reachability.is_suspect("b2", 1.0)
-        and reachability.is_suspect("b0", 1.0)
+        and not reachability.is_likely_unreachable("b2", 1.0)
+        and reachability.is_likely_unreachable("b0", 1.0)
     )
 
 
--- a/tests/decide/servers/test_resumption.py
+++ b/tests/decide/servers/test_resumption.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ringledge.decide.servers.cache_hold import CacheHold
+from ringledge.decide.servers.cache_hold import CacheEntryTracker
 from ringledge.decide.servers.resumption import CHECK_INTERVAL_MS, ResumptionChecks
 
 
@@ -16,11 +16,11 @@
 
 
 def test_server_that_has_answered_may_hold_an_entry_from_then_on() -> None:
-    cache = CacheHold()
-    cache.ended_unobserved("p0", 100.0, has_answered=False)
+    cache = CacheEntryTracker()
+    cache.record_unobserved_end("p0", 100.0, has_answered=False)
     assert cache.unresponsive_servers() == [("p0", 100.0)]
     cache.record_resumption("p0", 900.0)
     assert cache.unresponsive_servers() == [] and cache.idle_since_ms == 900.0
-    cache.ended_unobserved("p1", 950.0, has_answered=False)
+    cache.record_unobserved_end("p1", 950.0, has_answered=False)
     cache.record_release_answered("p1")
     assert cache.unresponsive_servers() == [] and cache.unobserved == {"p0": 900.0}
