--- a/tests/wire/servers/test_unresponsive_peers.py
+++ b/tests/wire/servers/test_unresponsive_peers.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize(
-    ("response", "released"),
+    ("response", "released_early"),
     [
         (b"", True),
         (b"HTTP/1.1 20", False),
@@ -116,7 +116,7 @@
     ids=["none", "status line", "interim", "stream without an event", "error"],
 )
 def test_entry_is_kept_while_the_response_of_its_decode_is_read(
-    monkeypatch: pytest.MonkeyPatch, response: bytes, released: bool
+    monkeypatch: pytest.MonkeyPatch, response: bytes, released_early: bool
 ) -> None:
     """Guards against a retry that has to prefill again: an answer that never ends was read meanwhile."""
     checks = list[None]()
@@ -139,11 +139,11 @@
             tasks.start_soon(harness.upstream.detect_unresponsive_peers)
             while len(checks) < 4:  # the first checks have ended
                 await anyio.sleep(0)
-            assert record.cache.released_early == released
-            assert attempt.delivered is not released
+            assert record.cache.released_early == released_early
+            assert attempt.delivered is not released_early
             harness.peer.close()
             await harness.ended.wait()
-            assert attempt.delivered is not released  # so that the time held counts from here
+            assert attempt.delivered is not released_early  # so that the time held counts from here
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
