--- a/ringledge/decide/servers/__init__.py
+++ b/ringledge/decide/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about servers: reachability, cache releases, health checks and connection timeouts."""
+"""Decisions about servers: reachability, KV cache releases, health checks and connection timeouts."""
--- a/ringledge/decide/servers/cache_hold.py
+++ b/ringledge/decide/servers/cache_hold.py
@@ -1,8 +1,8 @@
-"""What servers may hold of one request's KV cache, and for how long already; free of I/O and clocks.
+"""Tracks which servers may hold a request's KV cache entries, and for how long; free of I/O and clocks.
 
-A server may hold an entry while an attempt of its request is out, and only for a limited time otherwise.
-An attempt that was written but has not arrived is not out, so the time counts on until the server of an
-attempt has begun to answer, or any server has answered a release. Times are in ms of the caller's clock.
+A server may hold an entry while a delivered attempt of the request is in flight, and for a limited time
+otherwise. An attempt that was written may not have been delivered, so the hold time runs on until its server
+has begun to answer, or any server has answered a release. Times are in ms of the caller's clock.
 """
 
 from __future__ import annotations
@@ -14,37 +14,39 @@
 
 
 class ReleaseReason(StrEnum):
-    """Why the entries of an open request are released; the values stand in logs and metrics."""
+    """Why the entries of an open request are released; the values appear in logs and metrics."""
 
-    NO_SERVER_REACHED = "no_server_reached"  # no decode server took a connection within the hold limit
-    NOT_DELIVERED = "not_delivered"  # the attempt in flight may not have arrived by the hold limit
+    NO_SERVER_REACHED = "no_server_reached"  # no decode server accepted a connection within the hold limit
+    NOT_DELIVERED = "not_delivered"  # the attempt in flight may not have been delivered by the hold limit
     SERVER_RESUMED = (
-        "server_resumed"  # a server that hung has answered, and may have run an abandoned attempt
+        "server_resumed"  # a server that hung answers again and may have run an abandoned attempt
     )
-    BEFORE_ATTEMPT = "before_attempt"  # an earlier attempt may have left one that the next does not use
+    BEFORE_ATTEMPT = "before_attempt"  # an earlier attempt may have left an entry that the next one can't use
 
 
 @dataclass(slots=True, frozen=True)
 class _ReleaseInProgress:
-    """A release in progress."""
+    """The tracker's state at the start of the release in progress."""
 
-    idle_since_ms: float  # as it began
-    unobserved: dict[str, float]  # as it began
-    # An attempt that had been written was in flight: if it has arrived, the entry it waits for stays.
+    idle_since_ms: float
+    unobserved: dict[str, float]
+    # Whether a written attempt was in flight. If it was delivered, servers keep the entry that it waits for.
     attempt_in_flight: bool
 
 
 @dataclass(slots=True)
 class CacheEntryTracker:
-    """The KV cache entries of one request."""
+    """Where the KV cache entries of one request are held, and since when."""
 
-    holders: set[str] = field(default_factory=set)  # servers that hold an entry
-    # Servers on which an attempt may have left an entry unobserved, and when it ended (inf: it may yet run).
+    holders: set[str] = field(default_factory=set)  # servers known to hold an entry
+    # Servers that may hold an entry of which the router has no response, mapped to the time at which the
+    # attempt ended; inf if the server may yet run the attempt.
     unobserved: dict[str, float] = field(default_factory=dict)
-    _suspended_ms: dict[str, float] = field(default_factory=dict)  # when the attempts that may yet run ended
-    # Since when an entry may be held while no attempt is known to be out; inf: none is held.
+    # Servers that may yet run an attempt, mapped to the time at which that attempt ended.
+    _unresponsive_ms: dict[str, float] = field(default_factory=dict)
+    # Since when an entry may be held with no attempt known to be delivered; inf if no entry is held.
     idle_since_ms: float = inf
-    released_early: bool = False  # the entry was released while the policy still counts on it
+    released_early: bool = False  # whether the entry was released although the policy still relies on it
     _release: _ReleaseInProgress | None = None
 
     @property
@@ -54,7 +56,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether an entry may be held while no attempt is known to be out."""
+        """Whether an entry may be held with no attempt known to be delivered."""
         return self.idle_since_ms < inf
 
     @property
@@ -63,50 +65,54 @@
         return self._release is not None
 
     def held_ms(self, now_ms: float) -> float:
-        """For how long an entry may have been held while no attempt was out; 0 if none is held."""
+        """For how long an entry may have been held since `idle_since_ms`; 0 if none is held."""
         return max(0.0, now_ms - self.idle_since_ms)
 
-    # What becomes of attempts.
+    # Outcomes of attempts.
 
     def record_prefill(self, server: str) -> None:
-        """A prefill has ended well: its server holds an entry."""
+        """Record a successful prefill: its server holds an entry."""
         self.holders.add(server)
         self.released_early = False
 
     def record_missing_entry(self, now_ms: float) -> None:
-        """A decode found no entry: its holder has none any more; an earlier decode may have fetched it."""
+        """Record that a decode found no entry at the holders; an earlier decode may have fetched it."""
         self.unobserved |= dict.fromkeys(self.holders, now_ms)
         self.holders.clear()
 
     def record_unobserved_end(self, server: str, now_ms: float, has_answered: bool) -> None:
-        """An attempt that may have left an entry ended without a response.
+        """Record that an attempt ended without a response, and may have left an entry on its server.
 
-        `has_answered`: its server has answered something since the attempt was sent; one that has not may
-        hang, and run the attempt once it resumes.
+        `has_answered`: whether the server has answered any call since the attempt was sent. A server that has
+        not may hang, and run the attempt when it resumes.
         """
         self.unobserved[server] = now_ms if has_answered else inf
         if not has_answered:
-            self._suspended_ms[server] = now_ms
+            self._unresponsive_ms[server] = now_ms
 
     def record_attempt_end(self, now_ms: float, was_delivered: bool) -> None:
-        """An attempt has ended, and what it left is noted; `has_arrived`: its server began to answer it."""
+        """Record that an attempt has ended; call it after recording which entries the attempt may have left.
+
+        `was_delivered`: whether its server had begun to answer it.
+        """
         if not self.may_exist:
             self.idle_since_ms = inf
         elif was_delivered or self.idle_since_ms == inf:
             self.idle_since_ms = now_ms
 
     def record_first_token(self) -> None:
-        """The first token has arrived: with it servers release by themselves what they hold."""
+        """Record the first token, after which servers release the request's entries by themselves."""
         self.holders.clear()
         self.idle_since_ms = inf
 
-    # Releases while the request is open.
+    # Releases of an open request.
 
     def begin_release(self, now_ms: float, attempt_in_flight: bool) -> set[str]:
-        """Have everything released; returns the servers that hold or may hold an entry.
+        """Start a release of all entries; returns the servers that hold or may hold one.
 
-        Until a server has answered, they count as holding it, and the time counts on. `attempt_in_flight`:
-        an attempt that was written is in flight, so that the release may be void.
+        Those servers count as holding an entry, and the hold time runs on, until a server has answered.
+        `attempt_in_flight`: whether a written attempt is in flight, because of which the release may have no
+        effect.
         """
         self.released_early = self.released_early or bool(self.holders)
         self.unobserved = dict.fromkeys(self.holders, now_ms) | self.unobserved
@@ -115,16 +121,17 @@
         return set(self.unobserved)
 
     def end_release(self, now_ms: float, answered_by: Collection[str], attempt_in_flight: bool) -> None:
-        """The release has ended, answered by these servers; by none if it failed.
+        """Record the end of the release, with the servers that answered it; none did if it failed.
 
-        One answer releases all that is held, wherever it is, unless an attempt waits for it: then the time
-        starts anew with the end of that attempt. Only a server that may yet run an attempt holds nothing more
-        once it has answered itself.
+        One answer releases the entries on all servers, unless an attempt waits for an entry: then the hold
+        time restarts when that attempt ends. A server that may yet run an attempt is an exception: it is
+        cleared only by its own answer.
         """
         release, self._release = self._release, None
         if release is None or not answered_by:
             return
-        is_idle_as_before = self.idle_since_ms == release.idle_since_ms  # else an attempt has ended meanwhile
+        # False if an attempt has ended since the release started.
+        is_idle_as_before = self.idle_since_ms == release.idle_since_ms
         if attempt_in_flight and is_idle_as_before:
             self.idle_since_ms = inf
         elif release.attempt_in_flight and is_idle_as_before:
@@ -140,30 +147,33 @@
             if is_settled and self.unobserved.get(server) == ended_ms:
                 del self.unobserved[server]
 
-    # Servers that hung.
+    # Unresponsive servers, which may yet run an attempt.
 
     def unresponsive_servers(self) -> list[tuple[str, float]]:
-        """The servers that may yet run an attempt, and when that attempt ended."""
+        """The servers that may yet run an attempt, each with the time at which that attempt ended."""
         return [
             (server, at_ms)
-            for server, at_ms in self._suspended_ms.items()
+            for server, at_ms in self._unresponsive_ms.items()
             if self.unobserved.get(server) == inf
         ]
 
     def record_resumption(self, server: str, now_ms: float) -> None:
-        """Such a server has answered something: it may have run the attempt by now, and will not later."""
+        """Record that an unresponsive server has answered a call.
+
+        It may have run the attempt by now, and will not run it later.
+        """
         self.unobserved[server] = now_ms
         self.idle_since_ms = min(self.idle_since_ms, now_ms)
 
     def record_release_answered(self, server: str) -> None:
-        """Such a server has answered a release of this request."""
+        """Record that an unresponsive server has answered a release, and so holds no entry any more."""
         if self.unobserved.get(server) == inf:
             del self.unobserved[server]
 
     # The end of the request.
 
     def take_locations(self) -> tuple[set[str], dict[str, float]]:
-        """Remove the servers that hold an entry, and those that may, from the record."""
+        """Return `holders` and `unobserved`, and clear them."""
         taken = self.holders, self.unobserved
         self.holders, self.unobserved, self.idle_since_ms = set(), {}, inf
         return taken
--- a/ringledge/decide/servers/connect_timeout.py
+++ b/ringledge/decide/servers/connect_timeout.py
@@ -1,32 +1,32 @@
-"""How long to wait for a connection to be established; free of I/O and clocks.
+"""The timeout for establishing a connection to a server; free of I/O and clocks.
 
-A connection is established within milliseconds or never: an unreachable machine sends nothing. The
-configured limit is for the worst case; a request that waited so long for each of several unreachable servers
-would miss its deadline, and its KV cache entry may be held for half a second only. So the timeout adapts to
-the slowest of the recent connections.
+A connection is established within milliseconds or not at all, because an unreachable machine sends nothing.
+The configured timeout covers the worst case. A request that waited that long for each of several unreachable
+servers would miss its deadline, and its KV cache entry may be held for half a second only. The timeout
+therefore adapts to the slowest of the recent connections.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-MAX_SAMPLES = 128  # durations retained: a few seconds of a busy router, a minute of a quiet one
-MIN_SAMPLES = 8  # durations needed before the timeout adapts
-SLOWEST_MULTIPLE = 10.0  # timeout as a multiple of the slowest duration: servers' accept queues may fill
-MIN_TIMEOUT_S = 0.08  # one iteration of the own event loop on a shared core may last that long
-RELEASE_MARGIN_S = 0.1  # of the time that a KV cache entry may be held, reserved for releasing it in time
+MAX_SAMPLES = 128  # a few seconds of connections on a busy router, a minute on a quiet one
+MIN_SAMPLES = 8  # below this number the configured timeout applies
+SLOWEST_MULTIPLE = 10.0  # of the slowest connect time, since the accept queues of servers may fill up
+MIN_TIMEOUT_S = 0.08  # an iteration of this process's event loop may take as long on a shared core
+RELEASE_MARGIN_S = 0.1  # part of an entry's hold limit that is reserved for its release
 
 
 class ConnectTimeout:
-    """Timeout of connections to servers, from the durations of those that were established."""
+    """The connect timeout, derived from the durations of the latest successful connects."""
 
     def __init__(self, limit_s: float) -> None:
-        """`limit_s`: the configured timeout, which is never exceeded."""
+        """`limit_s`: the configured timeout, which is the upper bound."""
         self._limit_s = limit_s
         self._durations_s = deque[float](maxlen=MAX_SAMPLES)
 
     def record_connection(self, duration_s: float) -> None:
-        """A connection was established after this time."""
+        """Record how long establishing a connection took."""
         self._durations_s.append(duration_s)
 
     def timeout_s(self) -> float:
@@ -37,9 +37,9 @@
 
 
 def hold_remaining_s(now_ms: float, idle_since_ms: float, hold_limit_ms: float) -> float:
-    """For how many seconds a KV cache entry may still be held for a decode server; at 0 it must be released.
+    """How long a KV cache entry may still be held for a decode server; it must be released at 0 or below.
 
-    `idle_since_ms`: since when no attempt of its request was in flight; `hold_limit_ms`: how long that may
-    last.
+    `idle_since_ms`: since when the entry has been held with no attempt of its request in flight;
+    `hold_limit_ms`: how long that may last.
     """
     return (hold_limit_ms - (now_ms - idle_since_ms)) / 1000 - RELEASE_MARGIN_S
--- a/ringledge/decide/servers/health_checks.py
+++ b/ringledge/decide/servers/health_checks.py
@@ -1,10 +1,11 @@
 """Health checks of suspected servers, divided among the members of the cluster; free of I/O and clocks.
 
-A router process among many has few requests by which to judge a hundred servers, so any member that suspects
-a server publishes that suspicion. Of the live members the first in the server's `rendezvous` order probes it
-(highest-random-weight hashing, Thaler and Ravishankar 1998) and publishes the outcome for all. No lease is
-needed: while members disagree about who is alive two of them may probe one server, which costs one probe.
-An outcome stands until its prober is gone or no member suspects the server any more.
+Each of many router processes sends too few requests to judge a hundred servers by them, so a member that
+suspects a server publishes its suspicion. The server is probed by the live member that ranks first for it by
+rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998), which publishes the outcome for all
+members. No lease is needed: members that disagree about which of them are alive may both probe a server, at
+the cost of one extra probe. An outcome remains valid until its prober has left or failed, or until no member
+suspects the server any more.
 """
 
 from __future__ import annotations
@@ -19,41 +20,40 @@
 from ringledge.decide.interface import RecordStore
 from ringledge.decide.rendezvous import ranked
 
-KEY_PREFIX = "doubt/"  # of the records' keys; the server's name follows
+KEY_PREFIX = "doubt/"  # a record's key is this prefix and the server's name
 
 
 class ProbeOutcome(IntEnum):
-    """Outcome of the latest probe; the values are on the wire."""
+    """Outcome of the latest probe; the values are part of the wire format."""
 
-    NONE = 0  # no probe has been answered or has timed out yet
+    NONE = 0  # no probe has been answered or timed out yet
     ANSWERED = 1
     TIMED_OUT = 2
 
 
 class Suspicion(msgspec.Struct, array_like=True, frozen=True):
-    """What one member publishes about a server (record doubt/SERVER); the field order is on the wire."""
+    """The replicated record doubt/SERVER of one member; the field order is part of the wire format."""
 
-    probe_wanted: bool  # the member suspects the server
-    outcome: int = (
-        ProbeOutcome.NONE
-    )  # of its own latest probe; an int, as newer members may know more outcomes
-    duration_ms: int = 0  # of its latest probe that was answered
-    consecutive: int = 0  # probes with this outcome in a row, at most the healthy threshold
+    probe_wanted: bool  # whether the member suspects the server
+    # Outcome of the member's own latest probe; an int because newer versions may send further values.
+    outcome: int = ProbeOutcome.NONE
+    duration_ms: int = 0  # of the member's latest probe that was answered
+    consecutive: int = 0  # consecutive probes with this outcome, capped at the healthy threshold
 
 
 class HealthCheckSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Intervals and thresholds; times in s."""
+    """Settings of the health checks; times are in seconds."""
 
-    interval_s: float = msgspec.field(name="every_s", default=0.5)  # between two probes of a server
+    interval_s: float = msgspec.field(name="every_s", default=0.5)  # from a probe's end to the next probe
     timeout_s: float = msgspec.field(name="limit_s", default=1.0)  # of a probe
-    # Probes answered in a row after which a member drops its suspicion.
+    # Consecutive answered probes after which a member drops its suspicion.
     healthy_threshold: int = msgspec.field(name="clears", default=3)
-    suspicion_ttl_s: float = msgspec.field(name="doubt_s", default=10.0)  # of a suspicion that isn't renewed
+    suspicion_ttl_s: float = msgspec.field(name="doubt_s", default=10.0)  # unless the suspicion is renewed
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """A probe to send; an answer is reported to `HealthChecker.answered` with the same number."""
+    """A probe to send; its answer is passed to `HealthChecker.record_answer` with the same number."""
 
     server: str
     number: int
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class _ProbeState:
-    """The probes of one server that this member probes."""
+    """The state of this member's probes of one server."""
 
     due_s: float
     number: int = 0
@@ -71,7 +71,7 @@
     consecutive: int = 0
 
     def record(self, outcome: ProbeOutcome, duration_ms: int, due_s: float) -> None:
-        """The probe in flight has ended; the next one is due at `due_s`."""
+        """Record the outcome of the probe in flight; the next probe is due at `due_s`."""
         self.consecutive = self.consecutive + 1 if self.outcome == outcome else 1
         self.outcome = outcome
         self.duration_ms = duration_ms
@@ -80,9 +80,10 @@
 
 
 class HealthChecker:
-    """One member's share of the health checks.
+    """Performs one member's part of the health checks.
 
-    Holds the member's own suspicions and probes the servers that fall to it; reads all members' outcomes.
+    It maintains the member's own suspicions, probes the servers that are assigned to the member, and reads
+    the outcomes that all members have published.
     """
 
     def __init__(self, name: str, records: RecordStore, settings: HealthCheckSettings | None = None) -> None:
@@ -95,23 +96,23 @@
         self._published: dict[str, Suspicion] = {}  # by server
 
     def set_members(self, names: Iterable[str]) -> None:
-        """The live members, this one included; all who know the same ones divide the servers alike."""
+        """Set the live members, including this one; members with equal sets assign the servers equally."""
         self._members = tuple({*names, self._name})
 
     def suspect(self, now_s: float, server: str) -> None:
-        """Suspect a server, e.g. because a connection to it broke, timed out or was slow."""
+        """Suspect a server, for example because a connection to it broke, timed out or was slow."""
         self._suspected_until_s[server] = now_s + self._settings.suspicion_ttl_s
 
     def clear_suspicion(self, server: str) -> None:
-        """The server has answered a request of this member well."""
+        """End this member's suspicion: the server has answered one of its requests successfully."""
         self._suspected_until_s.pop(server, None)
 
     def prober(self, server: str) -> str:
-        """The member that probes a server."""
+        """The member to which a server is assigned for probing."""
         return ranked(server, self._members)[0]
 
     def latest_outcome(self, now_s: float, server: str) -> Suspicion | None:
-        """The outcome of the first live member in the server's order that has one; None if there is none."""
+        """The record of the highest-ranked live member that has an outcome for the server, or None."""
         suspicions = self._suspicions(now_s, server)
         probers = [
             name for name, suspicion in suspicions.items() if suspicion.outcome and name in self._members
@@ -119,7 +120,7 @@
         return suspicions[ranked(server, probers)[0]] if probers else None
 
     def tick(self, now_s: float) -> list[Probe]:
-        """Drop suspicions that are over, time out probes, publish changes; returns the probes to send."""
+        """Drop obsolete suspicions, time out probes and publish changes; returns the probes to send."""
         for server, until_s in [*self._suspected_until_s.items()]:
             if now_s >= until_s or self._is_healthy(now_s, server):
                 del self._suspected_until_s[server]
@@ -137,7 +138,7 @@
         return due
 
     def record_answer(self, now_s: float, server: str, number: int) -> None:
-        """A probe was answered; ignored if it timed out or the server falls to another member by now."""
+        """Record the answer to a probe, unless it has timed out or the server was reassigned."""
         probe = self._probes.get(server)
         if probe is not None and probe.sent_s != inf and probe.number == number:
             duration_ms = round((now_s - probe.sent_s) * 1000)
@@ -145,14 +146,14 @@
             self._publish(now_s)
 
     def next_tick_s(self) -> float:
-        """When to call `tick` next; new records may require it sooner."""
+        """When to call `tick` next; new records may require an earlier call."""
         timeout_s = self._settings.timeout_s
         next_probe_s = (min(probe.sent_s + timeout_s, probe.due_s) for probe in self._probes.values())
         next_expiry_s = min(self._suspected_until_s.values(), default=inf)
         return min(min(next_probe_s, default=inf), next_expiry_s)
 
     def _suspicions(self, now_s: float, server: str) -> dict[str, Suspicion]:
-        """What each member published about a server; records that can't be decoded are ignored."""
+        """Each member's record about a server; records that can't be decoded are ignored."""
         suspicions = {}
         for (name, key), value in self._records.values(now_s, KEY_PREFIX + server).items():
             suspicion = _decode_suspicion(value)
@@ -161,7 +162,7 @@
         return suspicions
 
     def _assigned_servers(self, now_s: float) -> list[str]:
-        """Servers that any live member suspects and that this member probes."""
+        """The servers that a live member suspects and that are assigned to this member."""
         suspected = {*self._suspected_until_s}
         for (name, key), value in self._records.values(now_s, KEY_PREFIX).items():
             suspicion = _decode_suspicion(value)
@@ -178,11 +179,11 @@
         )
 
     def _publish(self, now_s: float) -> None:
-        """Write and delete this member's records where they changed."""
+        """Write the records of this member that have changed, and delete those that are obsolete."""
         current = {}
         for server in {*self._suspected_until_s, *self._probes}:
             probe = self._probes.get(server) or _ProbeState(0.0)
-            # Counts above the threshold mean nothing more, and each would be one more write.
+            # A count above the threshold carries no information, and each change costs a write.
             consecutive = min(probe.consecutive, self._settings.healthy_threshold)
             suspected = server in self._suspected_until_s
             current[server] = Suspicion(suspected, probe.outcome, probe.duration_ms, consecutive)
--- a/ringledge/decide/servers/reachability.py
+++ b/ringledge/decide/servers/reachability.py
@@ -1,8 +1,8 @@
-"""Which servers can be reached now, by the results of all calls to them; free of I/O and clocks.
+"""Infers from the results of all calls which servers are reachable; free of I/O and clocks.
 
-Each router process of a large fleet has few calls to any one server, so each result also counts for the
-server's zone: while connections to several servers of a zone time out and none of that zone answers, the zone
-counts as partitioned. All times are in ms of the caller's clock; -inf stands for never.
+A router process of a large fleet makes few calls to any single server, so each result also counts for the
+server's zone. A zone is considered partitioned while connections to several of its servers time out and none
+of its servers answers. All times are in ms of the caller's clock; -inf means never.
 """
 
 from __future__ import annotations
@@ -11,27 +11,29 @@
 from dataclasses import dataclass, field
 from math import inf
 
-FAILURE_TTL_MS = 3_000.0  # an older time-out says nothing: links come back within seconds
-INITIAL_REFUSAL_TTL_MS = 1_000.0  # how long one refusal counts, doubled with each: processes start in seconds
-MAX_REFUSAL_TTL_MS = 30_000.0  # a server that is down for good refuses until the endpoint list removes it
+FAILURE_TTL_MS = 3_000.0  # how long a time-out counts; network links recover within seconds
+INITIAL_REFUSAL_TTL_MS = 1_000.0  # doubled by each consecutive refusal; processes start within seconds
+MAX_REFUSAL_TTL_MS = 30_000.0  # for a server that is down for good and still in the endpoint list
 MAX_REFUSAL_DOUBLINGS = 8
-CACHE_TTL_MS = 20.0  # an expired failure may count so much longer: a new result walks over all servers
-MIN_TIMED_OUT_SERVERS = 2  # for a zone to count as partitioned: a single one may be down itself
+# The set of unreachable servers is cached for this time, because its computation visits all servers. An
+# expired failure may count this much longer.
+CACHE_TTL_MS = 20.0
+MIN_TIMED_OUT_SERVERS = 2  # in a partitioned zone; a single server may itself be down
 
 
 @dataclass(slots=True)
 class ServerHistory:
-    """The last results of calls to one server."""
+    """The latest results of calls to one server."""
 
     zone: int = -1
-    last_contact_ms: float = -inf  # its process answered, or its machine accepted a connection
-    last_answer_ms: float = -inf  # its process answered
-    last_timeout_ms: float = -inf  # a connection wasn't established, or a call wasn't answered in time
-    last_refusal_ms: float = -inf  # its machine is reachable, but no process listens
+    last_contact_ms: float = -inf  # when its process answered or its machine accepted a connection
+    last_answer_ms: float = -inf  # when its process answered
+    last_timeout_ms: float = -inf  # when a connection was not established or a call not answered in time
+    last_refusal_ms: float = -inf  # when its machine refused a connection because no process listens
     consecutive_refusals: int = 0
 
     def is_unreachable(self, now_ms: float) -> bool:
-        """Whether a connection is likely to fail, by the results of this server alone."""
+        """Whether a connection is likely to fail, judging by this server's results alone."""
         timed_out = (
             self.last_timeout_ms > self.last_contact_ms and now_ms - self.last_timeout_ms < FAILURE_TTL_MS
         )
@@ -44,20 +46,20 @@
 
 @dataclass(slots=True)
 class ZoneHistory:
-    """The last results of calls to the servers of one zone."""
+    """The latest results of calls to the servers of one zone."""
 
     last_contact_ms: float = -inf
-    timeouts_ms: dict[str, float] = field(default_factory=dict)  # last time-out by server, until a contact
+    timeouts_ms: dict[str, float] = field(default_factory=dict)  # latest time-out by server, until a contact
 
 
 class Reachability:
-    """The results of calls by server, under the server's name in the endpoint list.
+    """Collects the results of calls by server name.
 
-    Results of servers that aren't listed are ignored.
+    Results of servers that are not in the endpoint list are ignored.
     """
 
     def __init__(self, own_zone: int = -1) -> None:
-        """`own_zone`: the zone of this process, which no partition between zones separates from it."""
+        """`own_zone`: the zone of this process, whose servers a partition between zones leaves reachable."""
         self._own_zone = own_zone
         self._histories: dict[str, ServerHistory] = {}
         self._zones: dict[int, ZoneHistory] = {}
@@ -66,7 +68,7 @@
         self._cached_unreachable = frozenset[str]()
 
     def update_servers(self, servers: Iterable[tuple[str, int]]) -> None:
-        """Take a new endpoint list: each server with its zone. Results of all other servers are dropped."""
+        """Set the endpoint list, as pairs of server and zone; results of other servers are dropped."""
         old_histories, self._histories = self._histories, {}
         for server, zone in servers:
             history = self._histories[server] = old_histories.get(server, ServerHistory())
@@ -79,13 +81,13 @@
             }
 
     def record_answer(self, server: str, now_ms: float) -> None:
-        """The server's process has answered a call."""
+        """Record that the server's process has answered a call."""
         self.record_connection(server, now_ms)
         if (history := self._histories.get(server)) is not None:
             history.last_answer_ms = now_ms
 
     def record_connection(self, server: str, now_ms: float) -> None:
-        """A connection was established: the server's machine is reachable, though its process may hang."""
+        """Record an established connection: the machine is reachable, although the process may hang."""
         if (history := self._histories.get(server)) is not None:
             if max(history.last_timeout_ms, history.last_refusal_ms) > history.last_contact_ms:
                 self._changed_ms = now_ms
@@ -96,14 +98,14 @@
             zone_history.timeouts_ms.pop(server, None)
 
     def record_timeout(self, server: str, now_ms: float) -> None:
-        """A connection wasn't established, or a small call wasn't answered in time."""
+        """Record that a connection was not established, or a small call not answered, in time."""
         if (history := self._histories.get(server)) is not None:
             self._changed_ms = now_ms
             history.last_timeout_ms = now_ms
             self._zone_history(history).timeouts_ms[server] = now_ms
 
     def record_refusal(self, server: str, now_ms: float) -> None:
-        """No process listens there, which says nothing about the zone."""
+        """Record a refused connection: no process listens, which does not count for the zone."""
         if (history := self._histories.get(server)) is not None:
             self._changed_ms = now_ms
             history.last_refusal_ms = now_ms
@@ -120,22 +122,23 @@
         return -inf if history is None else history.last_answer_ms
 
     def most_recently_reached(self, servers: Iterable[str]) -> str | None:
-        """The listed server with the latest contact; among equals, e.g. without any, one of the own zone."""
+        """The listed server with the latest contact, or None; the own zone is preferred among equals."""
         listed = [server for server in servers if server in self._histories]
         return max(listed, key=self._contact_rank) if listed else None
 
     def is_likely_unreachable(self, server: str, now_ms: float) -> bool:
-        """Whether a call would likely fail, by the results of the server itself or of its zone."""
+        """Whether a call is likely to fail, judging by the results of the server and its zone."""
         history = self._histories.get(server)
         if history is None:
             return True
         return history.is_unreachable(now_ms) or self.is_zone_partitioned(history.zone, now_ms)
 
     def unreachable_servers(self, now_ms: float) -> frozenset[str]:
-        """All servers to which connections are likely to fail, by their own results or those of their zone.
+        """All servers to which connections are likely to fail, judging by their and their zones' results.
 
-        A server that refuses connections is avoided for ever longer times: the endpoint list that should
-        remove it may be out of date. The result is cached for `CACHE_TTL_MS` unless a new result changes it.
+        A server that keeps refusing connections is included for increasing times, because the endpoint list
+        that should remove it may be out of date. The returned set is cached for `CACHE_TTL_MS`, unless the
+        result of a call changes it.
         """
         if self._changed_ms > self._cached_at_ms or now_ms - self._cached_at_ms >= CACHE_TTL_MS:
             self._cached_at_ms = now_ms
@@ -143,7 +146,7 @@
         return self._cached_unreachable
 
     def is_zone_partitioned(self, zone: int, now_ms: float) -> bool:
-        """Whether several servers of the zone timed out recently, and none was reached since."""
+        """Whether several servers of the zone have timed out recently and none has been reached since."""
         zone_history = self._zones.get(zone)
         if zone_history is None:
             return False
@@ -152,7 +155,7 @@
         return timed_out >= MIN_TIMED_OUT_SERVERS
 
     def _find_unreachable(self, now_ms: float) -> frozenset[str]:
-        if now_ms - self._changed_ms > MAX_REFUSAL_TTL_MS:  # every failure has expired
+        if now_ms - self._changed_ms > MAX_REFUSAL_TTL_MS:  # all failures have expired
             return frozenset()
         for zone_history in self._zones.values():
             zone_history.timeouts_ms = {
@@ -172,7 +175,7 @@
         return history.last_contact_ms, history.zone == self._own_zone
 
     def _zone_history(self, history: ServerHistory) -> ZoneHistory:
-        """The history of a server's zone, created with its first result."""
+        """The history of a server's zone, created by the zone's first result."""
         if (zone_history := self._zones.get(history.zone)) is None:
             zone_history = self._zones[history.zone] = ZoneHistory()
         return zone_history
--- a/ringledge/decide/servers/releases.py
+++ b/ringledge/decide/servers/releases.py
@@ -1,10 +1,10 @@
-"""When and at which server the KV cache entries of a finished request are released; free of I/O and clocks.
+"""Schedules the release calls for the KV cache entries of requests; free of I/O and clocks.
 
-The protocol lets any running server take a release call: it then releases all that is reserved for the
-request anywhere, also the result of a prefill that is still running. So a release starts only once no further
-attempt will follow. It is sent to a holder of the entry if one can be reached, otherwise to another server
-at once. A prefill that was abandoned at an unreachable server may finish after that and reserve an entry
-again; such a release is repeated until its holder answers.
+Any running server accepts a release call. It then releases the request's entries on all servers, including
+the result of a prefill that is still running, so a release starts only when no further attempt will follow.
+The call goes to a holder of an entry if one is reachable, otherwise immediately to another server. A prefill
+that was abandoned at an unreachable server may finish later and create an entry again; such a release is
+repeated until that server answers.
 """
 
 from __future__ import annotations
@@ -23,45 +23,46 @@
     ReleaseResult,
 )
 
-# Fraction of the remaining time after which a hedged call goes to another server: five calls fit into the
-# time, and more as it runs out.
+# A hedged call goes to another server after this fraction of the time remaining until the deadline, so that
+# five calls fit into it, and more as the deadline approaches.
 HEDGE_FRACTION = 0.2
 MIN_CALL_INTERVAL_MS = 30.0  # between two calls of a release: a few round trips and a handshake
-RETRY_INTERVAL_MS = 350.0  # between two rounds while the holder doesn't answer: an entry may stay 500 ms
-RETRY_WINDOW_MS = 8_000.0  # for how long rounds are repeated: a network partition is mostly over by then
-ANSWER_SLACK_MS = 250.0  # of the 350 that an entry may be held beyond the limit, for a release to be answered
-RELEASE_TIMEOUT_MS = 20_000.0  # without any answer: by then the server has released by itself, or is down
+RETRY_INTERVAL_MS = 350.0  # between two rounds while a holder doesn't answer; an entry may be held for 500 ms
+RETRY_WINDOW_MS = 8_000.0  # after which rounds are not repeated; most network partitions are over by then
+ANSWER_SLACK_MS = 250.0  # for the answer, out of the 350 ms that an entry may be held beyond the hold limit
+RELEASE_TIMEOUT_MS = 20_000.0  # by then a holder has released its entry by itself, or is down
 
 
 class ReleaseScheduler:
-    """All releases of one router process.
+    """Schedules all releases of one router process.
 
-    Invariant: at most one call is in flight to a server, so that releases share one connection to it.
+    Invariant: at most one call per server is in flight, so that all releases share one connection to it.
     """
 
     def __init__(
         self, hold_limit_ms: float, reachability: Reachability, servers: Callable[[], Mapping[str, bool]]
     ) -> None:
-        """`hold_limit_ms`: how long a cache entry may be held after its request's last attempt.
+        """`hold_limit_ms`: how long a KV cache entry may be held after its request's last attempt.
 
-        `servers`: returns all listed servers, and for each whether it may be called for other holders.
+        `servers`: returns all listed servers, each with whether it may be called on behalf of other servers.
         """
         self._hold_limit_ms = hold_limit_ms
         self._reachability = reachability
         self._servers = servers
         self._active: dict[str, ActiveRelease] = {}
-        self._queue: list[tuple[float, int, ActiveRelease]] = []  # a heap; rescheduled items are skipped
+        # A heap of due times. Rescheduling adds an item; the outdated one is skipped.
+        self._queue: list[tuple[float, int, ActiveRelease]] = []
         self._sequence = count()
         self._calls_by_server = Counter[str]()  # in flight
         self._calls_by_request = Counter[str]()  # in flight
         self._results: list[ReleaseResult] = []
 
     def __len__(self) -> int:
-        """How many releases are in progress."""
+        """The number of releases in progress."""
         return len(self._active)
 
     def unanswered_releases(self) -> int:
-        """How many no server has answered yet; their entries would stay reserved if the process ended."""
+        """The number of releases without an answer; their entries would remain held if the process exited."""
         return sum(release.result is None for release in self._active.values())
 
     def add(
@@ -73,12 +74,13 @@
         stream_began: bool = False,
         idle_since_ms: float = inf,
     ) -> None:
-        """Start a release: no attempt of the request is in flight any more.
+        """Start a release; no attempt of the request may follow.
 
-        `holders`: servers that certainly hold an entry. `abandoned`: servers where a prefill was abandoned,
-        and when. `stream_began`: a decode server began to stream, which has released everything except at
-        those `abandoned` servers that have not answered since; without such servers nothing is started.
-        `idle_since_ms`: since when the entries may have been held, where that is long ago.
+        `holders`: servers known to hold an entry. `abandoned`: servers that may hold an entry because an
+        attempt was abandoned there, each with the time of that. `stream_began`: whether a decode server began
+        to stream, which released all entries except on `abandoned` servers that have not answered since;
+        without such servers no release is started. `idle_since_ms`: since when the entries may have been
+        held; if that is long ago, the deadline is earlier.
         """
         all_holders = (*sorted(holders), *sorted(abandoned.keys() - holders))
         unconfirmed = {
@@ -94,7 +96,7 @@
         self._schedule(release, now_ms)
 
     def call_answered(self, now_ms: float, call: ReleaseCall) -> None:
-        """A server has answered a call."""
+        """Record that a server has answered a call."""
         self._call_ended(call)
         release = self._active.get(call.request)
         if release is None:
@@ -114,25 +116,25 @@
             self._schedule(release, now_ms + RETRY_INTERVAL_MS)
 
     def call_failed(self, now_ms: float, call: ReleaseCall) -> None:
-        """A call could not be sent or was not answered in time: the next server is called at once."""
+        """Record that a call was not sent or not answered in time; the next server is called immediately."""
         self._call_ended(call)
         release = self._active.get(call.request)
         if release is not None and release.result is None:
             self._schedule(release, now_ms)
 
     def is_finished(self, request: str) -> bool:
-        """Whether the request has no active release and no call in flight that could still reach a server."""
+        """Whether the request has no release in progress and no call in flight that may reach a server."""
         return request not in self._active and not self._calls_by_request[request]
 
     def take_due_calls(self, now_ms: float) -> list[ReleaseCall]:
-        """The calls to send now; releases that have waited longest come first."""
+        """The calls to send now, ordered by the due times of their releases."""
         calls = []
         while self.next_wake_ms() <= now_ms:
             _, _, release = heappop(self._queue)
             if self._finish_if_settled(now_ms, release):
                 continue
             server = self._select_server(now_ms, release)
-            if server is None:  # all servers without a call in flight were called in this round
+            if server is None:  # every server without a call in flight has been called in this round
                 release.called.clear()
                 self._schedule(release, now_ms + MIN_CALL_INTERVAL_MS)
             else:
@@ -140,17 +142,17 @@
         return calls
 
     def next_wake_ms(self) -> float:
-        """When to call `take_due_calls` next, unless a call ends before; inf if one certainly will."""
+        """When to call `take_due_calls` next; inf if there is nothing to do before a call in flight ends."""
         while self._queue and not self._is_current(*self._queue[0]):
             heappop(self._queue)
         listed = self._servers()
         all_busy = bool(listed) and self._calls_by_server.keys() >= listed.keys()
-        if not self._queue or all_busy:  # each call in flight ends within its timeout
+        if not self._queue or all_busy:  # when all servers are busy, a call ends within its timeout
             return inf
         return self._queue[0][0]
 
     def take_results(self) -> list[ReleaseResult]:
-        """The releases that finished since the last call of this method."""
+        """Return the results since the last call of this method."""
         results, self._results = self._results, []
         return results
 
@@ -168,7 +170,7 @@
         heappush(self._queue, (at_ms, next(self._sequence), release))
 
     def _is_current(self, at_ms: float, _: int, release: ActiveRelease) -> bool:
-        """Whether an item of the queue belongs to an active release that wasn't rescheduled."""
+        """Whether a queue item is up to date: its release is active and was not rescheduled."""
         return release.next_call_ms == at_ms and self._active.get(release.request) is release
 
     def _call_ended(self, call: ReleaseCall) -> None:
@@ -176,7 +178,7 @@
         _decrement(self._calls_by_request, call.request)
 
     def _finish_if_settled(self, now_ms: float, release: ActiveRelease) -> bool:
-        """Finish a release that needs no further call; returns whether it did."""
+        """Finish the release if it needs no further call; returns whether it is finished."""
         result = self._final_result(now_ms, release)
         if result is None:
             return False
@@ -185,7 +187,7 @@
         return True
 
     def _final_result(self, now_ms: float, release: ActiveRelease) -> ReleaseResult | None:
-        """The result of a release that needs no further call, or None."""
+        """The result of the release, or None if it needs further calls."""
         listed = self._servers()
         elapsed_ms = now_ms - release.started_ms
         if release.result is not None:
@@ -198,7 +200,7 @@
         return None
 
     def _unanswered_holders(self, release: ActiveRelease, listed: Mapping[str, bool]) -> list[str]:
-        """Listed holders with an abandoned prefill that have answered nothing since the release started."""
+        """The listed holders in `unconfirmed` that have answered no call since the release started."""
         return [
             server
             for server in release.holders
@@ -208,7 +210,7 @@
         ]
 
     def _select_server(self, now_ms: float, release: ActiveRelease) -> str | None:
-        """A holder that can be reached, else the server reached last; suspect servers come last."""
+        """A reachable holder, else the most recently reached other server; unreachable ones come last."""
         listed = self._servers()
         free = [
             server for server in listed if server not in release.called and not self._calls_by_server[server]
@@ -227,7 +229,7 @@
 
 
 def _decrement(counter: Counter[str], key: str) -> None:
-    """Count one less, without leaving zeros behind."""
+    """Decrement a count, and remove the key when the count is zero."""
     counter[key] -= 1
     if not counter[key]:
         del counter[key]
