--- a/tests/core/test_admit.py
+++ b/tests/core/test_admit.py
@@ -1,4 +1,4 @@
-"""A rejection promises that a retry is safe: it is given only if the record agrees."""
+"""A rejection tells the client that a retry is safe, so it is given only if the record confirms that."""
 
 from __future__ import annotations
 
--- a/tests/core/test_client_disconnect.py
+++ b/tests/core/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""What happens to a request's attempts when its client disconnects."""
+"""Tests which attempts of a request are abandoned when its client disconnects."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     RoutingEvent,
 )
 
-# The stage of the attempt: whether it is written completely, whether its response is streaming.
+# Stages of an attempt, as its values of `written` and `streaming`.
 UNWRITTEN, WRITTEN, STREAMING = (False, False), (True, False), (True, True)
 
 
@@ -26,7 +26,7 @@
 def test_client_disconnect_without_cancelling_abandons_only_unwritten_or_streaming_attempts(
     stage: tuple[bool, bool], is_abandoned: bool
 ) -> None:
-    """An attempt that waited for its connection used to be written after its client had disconnected."""
+    """Guards against an attempt that is written, once it has its connection, for a disconnected client."""
     abandoned, events = list[Attempt](), list[RoutingEvent]()
     port = SimpleNamespace(abandon=abandoned.append, release=lambda *_: None, answered_since=lambda *_: True)
     clock = SimpleNamespace(now_ms=lambda: 10.0)
--- a/tests/core/test_contained_faults.py
+++ b/tests/core/test_contained_faults.py
@@ -1,4 +1,4 @@
-"""An exception in the policy costs at most one request: it is counted, and that request is answered."""
+"""An exception in the policy affects at most one request: it is counted, and the request gets an answer."""
 
 from __future__ import annotations
 
--- a/tests/core/test_invariants.py
+++ b/tests/core/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each violated invariant is reported, once where it lasts, and none is reported otherwise."""
+"""Each violated invariant is reported, a lasting violation only once, and no other invariant is reported."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class InvariantFixture:
-    """The checks of a conductor with one server, and a request of one class with two attempts."""
+    """An invariant checker with one server, and a request of the given class with two attempts."""
 
     def __init__(self, request_class: RequestClass = UNSAFE) -> None:
         self.now_ms, self.metrics = 1000.0, Metrics()
@@ -70,7 +70,7 @@
         return attempt
 
     def mark_first_as_run(self, status: AttemptStatus | None = AttemptStatus.RESET) -> None:
-        """The first attempt was written, and ended so."""
+        """Mark the first attempt as written, with the outcome `status`; None leaves it in flight."""
         self.first.written, self.first.outcome = True, status
 
     def send(self, timeout_ms: float = 100.0) -> set[str]:
--- a/tests/core/test_route.py
+++ b/tests/core/test_route.py
@@ -1,4 +1,4 @@
-"""Which attempts may be in flight beside another, whatever the policy decided."""
+"""Tests which attempts may be in flight concurrently, independently of the policy."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 def test_hedged_attempt_is_sent_only_if_settings_and_class_allow_it(
     idempotency: Idempotency, hedging_allowed: bool
 ) -> None:
-    """Settings that allow hedging used to allow it for any class, also for one that must not run twice."""
+    """Guards against hedging a request that must not run twice because the settings allow hedging."""
     context = make_context(idempotency, hedging_allowed)
     record = RequestRecord(Request("a", expires_in_ms=5000), Payload(b"/", b""), SimpleNamespace(), 0.0)
     record.attempts.append(Attempt(record, 0, "r0", True, False, 0.0, 5000.0))
--- a/tests/core/test_send_guard.py
+++ b/tests/core/test_send_guard.py
@@ -1,4 +1,4 @@
-"""Whether an attempt may be sent, checked in the loop turn that would write its first byte."""
+"""Tests the final check before an attempt is sent."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class PendingSend:
-    """A request whose decode attempt has just got its connection, with a simulated policy."""
+    """A request whose decode attempt has just been connected, in a router harness."""
 
     def __init__(self, request_class: RequestClass = IDEMPOTENT) -> None:
         self.harness = RouterHarness(classes=(request_class,))
@@ -48,7 +48,7 @@
         return self.harness.now_ms
 
     def add_attempt(self) -> Attempt:
-        """Add the attempt that the policy has chosen last."""
+        """Add an attempt to the server that the policy chose last."""
         server, number = self.harness.server_of["a"], len(self.record.attempts)
         attempt = Attempt(self.record, number, server, False, True, self.now_ms, self.record.deadline_ms)
         self.record.attempts.append(attempt)
@@ -60,7 +60,7 @@
         return send_rejection_reason(context, self.harness.policy, self.attempt)
 
     def update_endpoint(self, **changed: Any) -> None:
-        """Apply an update of the attempt's server."""
+        """Apply an endpoint update that changes the attempt's server."""
         entry = next(each for each in FLEET if each.server == self.attempt.server)
         self.harness.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (replace(entry, **changed),)))
 
@@ -75,10 +75,10 @@
     assert pending.rejection_reason() is SendRejectionReason.CLIENT_DISCONNECTED
 
 
-@pytest.mark.parametrize("cause", ["request over", "attempt given up"])
+@pytest.mark.parametrize("cause", ["request closed", "attempt cancelled"])
 def test_ended_attempt_may_not_be_sent(cause: str) -> None:
     pending = PendingSend()
-    if cause == "request over":
+    if cause == "request closed":
         pending.record.closed = True
     else:
         pending.attempt.outcome = AttemptStatus.CANCELLED
@@ -86,14 +86,14 @@
 
 
 @pytest.mark.parametrize(
-    ("left_ms", "is_allowed"),
+    ("remaining_ms", "is_allowed"),
     [(MIN_REMAINING_MS, True), (MIN_REMAINING_MS / 2, False), (0, False), (-9, False)],
 )
 def test_attempt_past_its_deadline_after_a_slow_handshake_may_not_be_sent(
-    left_ms: float, is_allowed: bool
+    remaining_ms: float, is_allowed: bool
 ) -> None:
     pending = PendingSend()
-    pending.harness.now_ms = pending.attempt.expires_ms - left_ms
+    pending.harness.now_ms = pending.attempt.expires_ms - remaining_ms
     assert pending.rejection_reason() is (None if is_allowed else SendRejectionReason.DEADLINE_EXCEEDED)
 
 
@@ -119,7 +119,7 @@
 
 
 def test_attempt_to_a_restarted_server_may_not_be_sent() -> None:
-    """It was chosen as warm; its slow start does not cover this attempt."""
+    """The server was chosen while it was warm, so slow start does not account for this attempt."""
     pending = PendingSend()
     pending.update_endpoint(started_ms=pending.now_ms - 5.0)
     assert pending.rejection_reason() is SendRejectionReason.SERVER_RESTARTED
@@ -128,7 +128,7 @@
 def rejection_reason_of_retry(
     request_class: RequestClass, outcome: AttemptStatus, after_ms: float
 ) -> SendRejectionReason | None:
-    """Check a second decode attempt `after_ms` after a first one with that outcome was sent."""
+    """Check a second decode attempt `after_ms` after the first one was sent, which ended with `outcome`."""
     pending = PendingSend(request_class)
     sent_ms = pending.now_ms
     pending.attempt.outcome = outcome
@@ -174,7 +174,7 @@
     assert pending.rejection_reason() is SendRejectionReason.DEDUP_WINDOW_EXPIRED
 
 
-def test_attempt_beside_one_in_flight_may_not_be_sent() -> None:
+def test_attempt_may_not_be_sent_while_another_is_in_flight() -> None:
     pending = PendingSend()
     pending.attempt.written = True
     pending.attempt = pending.add_attempt()
--- a/tests/decide/servers/test_cache_hold_model.py
+++ b/tests/decide/servers/test_cache_hold_model.py
@@ -1,4 +1,7 @@
-"""Random histories of a request: what CacheHold counts is never less than what servers truly hold."""
+"""Checks `CacheEntryTracker` against a model of the servers, over random histories of a request.
+
+The tracked hold time must never be shorter than the time for which the servers hold an entry.
+"""
 
 from __future__ import annotations
 
@@ -16,17 +19,17 @@
 
 
 @dataclass
-class Truth:
-    """One request, its attempt and the entries on servers, as nobody sees them."""
+class RequestModel:
+    """The true state of a request, its attempt and the entries on servers, with the tracker under test."""
 
     rng: random.Random
     cache: CacheEntryTracker = field(default_factory=CacheEntryTracker)
     now_ms: float = 0.0
     entries: set[str] = field(default_factory=set)
-    held_since_ms: float = inf  # since when an entry is held and no attempt is out
-    server: str = ""  # of the attempt in flight
+    held_since_ms: float = inf  # since when an entry is held with no delivered attempt in flight
+    server: str = ""  # of the attempt in flight; empty if there is none
     written: bool = False
-    arrived: bool = False
+    delivered: bool = False
     releasing: bool = False
 
     @property
@@ -34,13 +37,13 @@
         return self.server.startswith("p")
 
     def step(self) -> None:
-        """One event that is possible now."""
+        """Apply a random event that is possible in the current state."""
         self.now_ms += self.rng.uniform(0.0, 100.0)
         events = [self.begin_release, self.answer_release] if self.releasing else [self.begin_release]
-        events += [self.send, self.arrive, self.end, self.end] if self.server else [self.begin_attempt]
+        events += [self.send, self.deliver, self.end, self.end] if self.server else [self.begin_attempt]
         self.rng.choice(events)()
-        is_out = self.server != "" and self.arrived
-        if not self.entries or is_out:
+        is_delivered_in_flight = self.server != "" and self.delivered
+        if not self.entries or is_delivered_in_flight:
             self.held_since_ms = inf
         elif self.held_since_ms == inf:
             self.held_since_ms = self.now_ms
@@ -48,35 +51,35 @@
     def begin_attempt(self) -> None:
         decodes = bool(self.cache.holders)
         if not decodes and (self.cache.is_idle or self.releasing):
-            return  # what may be left is released first
+            return  # entries that may have been left are released first
         self.server = self.rng.choice(SERVERS[2:] if decodes else SERVERS[:2])
-        self.written = self.arrived = False
+        self.written = self.delivered = False
 
     def send(self) -> None:
         self.written = True
 
-    def arrive(self) -> None:
-        self.arrived = self.written
+    def deliver(self) -> None:
+        self.delivered = self.written
 
     def end(self) -> None:
-        """The attempt ends; whether its server did the work may stay unseen."""
-        server, arrived, prefills = self.server, self.arrived, self.prefills
-        worked = arrived and self.rng.random() < 0.6
-        seen = arrived and self.rng.random() < 0.5
-        if prefills and worked:
+        """End the attempt; the router may not observe whether the server completed it."""
+        server, delivered, prefills = self.server, self.delivered, self.prefills
+        completed = delivered and self.rng.random() < 0.6
+        observed = delivered and self.rng.random() < 0.5
+        if prefills and completed:
             self.entries.add(server)
-        elif worked and seen:  # the first token
+        elif completed and observed:  # the first token was observed
             self.entries.clear()
-        elif worked and self.entries:  # fetched, and then broken off
+        elif completed and self.entries:  # the server fetched the entry, and the connection broke afterwards
             self.entries = {server}
-        if prefills and worked and seen:
+        if prefills and completed and observed:
             self.cache.record_prefill(server)
-        elif not prefills and worked and seen:
+        elif not prefills and completed and observed:
             self.cache.record_first_token()
-        elif not seen and self.written:
+        elif not observed and self.written:
             self.cache.record_unobserved_end(server, self.now_ms, has_answered=True)
         self.server = ""
-        self.cache.record_attempt_end(self.now_ms, was_delivered=seen)
+        self.cache.record_attempt_end(self.now_ms, was_delivered=observed)
 
     def begin_release(self) -> None:
         if not self.releasing and self.cache.is_idle:
@@ -84,37 +87,37 @@
             self.releasing = True
 
     def answer_release(self) -> None:
-        """A server has released everything but what a decode that has arrived waits for."""
+        """A server has released all entries, unless a delivered decode is waiting for one."""
         self.releasing = False
-        waits = self.server != "" and self.arrived and not self.prefills
-        if not waits:
+        is_fetching = self.server != "" and self.delivered and not self.prefills
+        if not is_fetching:
             self.entries.clear()
             self.held_since_ms = inf
         in_flight = self.written and bool(self.server)
         self.cache.end_release(self.now_ms, {self.rng.choice(SERVERS)}, in_flight)
 
 
-def counts_enough(truth: Truth) -> bool:
-    """Whether each step of a history keeps what is counted over what is held."""
+def never_underestimates_hold_time(model: RequestModel) -> bool:
+    """Whether the tracked hold time is at least the actual one after each step of a history."""
     for _ in range(STEPS):
-        truth.step()
-        held_ms = max(0.0, truth.now_ms - truth.held_since_ms)
-        if truth.cache.held_ms(truth.now_ms) < held_ms:
+        model.step()
+        held_ms = max(0.0, model.now_ms - model.held_since_ms)
+        if model.cache.held_ms(model.now_ms) < held_ms:
             return False
-        if truth.entries and not (truth.cache.may_exist or truth.arrived):
+        if model.entries and not (model.cache.may_exist or model.delivered):
             return False
     return True
 
 
-class AnyEndIsAnArrival(CacheEntryTracker):
-    """Takes every attempt that has ended for one that had arrived."""
+class TreatsEveryAttemptAsDelivered(CacheEntryTracker):
+    """A mutant that treats every attempt that has ended as delivered."""
 
     def record_attempt_end(self, now_ms: float, was_delivered: bool) -> None:
         super().record_attempt_end(now_ms, was_delivered=True)
 
 
-class AnyReleaseTakesEffect(CacheEntryTracker):
-    """Takes a release beside an attempt for one that took effect."""
+class TreatsEveryReleaseAsEffective(CacheEntryTracker):
+    """A mutant that treats a release as effective even if an attempt is in flight."""
 
     def end_release(self, now_ms: float, answered_by: Collection[str], attempt_in_flight: bool) -> None:
         self.unobserved.clear()
@@ -122,18 +125,22 @@
         self.idle_since_ms = inf
 
 
-class UnseenLeavesNothing(CacheEntryTracker):
-    """Notes nothing of an attempt that ended unseen."""
+class IgnoresUnobservedAttempts(CacheEntryTracker):
+    """A mutant that records nothing of an attempt that ended unobserved."""
 
     def record_unobserved_end(self, server: str, now_ms: float, has_answered: bool) -> None:
         pass
 
 
 @pytest.mark.parametrize("seed", range(300))
-def test_time_counted_is_never_less_than_the_time_held(seed: int) -> None:
-    assert counts_enough(Truth(random.Random(seed)))
+def test_tracked_hold_time_is_never_less_than_the_actual_one(seed: int) -> None:
+    assert never_underestimates_hold_time(RequestModel(random.Random(seed)))
 
 
-@pytest.mark.parametrize("mutant", [AnyEndIsAnArrival, AnyReleaseTakesEffect, UnseenLeavesNothing])
-def test_mutant_counts_too_little(mutant: type[CacheEntryTracker]) -> None:
-    assert not all(counts_enough(Truth(random.Random(seed), mutant())) for seed in range(300))
+@pytest.mark.parametrize(
+    "mutant", [TreatsEveryAttemptAsDelivered, TreatsEveryReleaseAsEffective, IgnoresUnobservedAttempts]
+)
+def test_mutant_underestimates_the_hold_time(mutant: type[CacheEntryTracker]) -> None:
+    assert not all(
+        never_underestimates_hold_time(RequestModel(random.Random(seed), mutant())) for seed in range(300)
+    )
--- a/tests/decide/servers/test_delivery.py
+++ b/tests/decide/servers/test_delivery.py
@@ -1,4 +1,4 @@
-"""Which servers are checked with a new connection, and which requests a failed check shows to be lost."""
+"""Tests which servers are checked with a new connection, and which requests are lost if a check fails."""
 
 from ringledge.decide.servers.delivery import (
     CHECK_AFTER_MS,
--- a/tests/decide/servers/test_reachability.py
+++ b/tests/decide/servers/test_reachability.py
@@ -1,4 +1,4 @@
-"""Reachability of servers, and the timeout of connections."""
+"""Tests the reachability of servers and the connect timeout."""
 
 from ringledge.decide.servers.connect_timeout import (
     MIN_SAMPLES,
@@ -57,9 +57,9 @@
     assert reachability.unreachable_servers(2.0) == {"b0"}
 
 
-def test_repeated_refusals_make_a_server_unreachable_for_ever_longer_times() -> None:
+def test_repeated_refusals_make_a_server_unreachable_for_increasing_times() -> None:
     reachability, now_ms, attempts = make_reachability(), 0.0, 0
-    while now_ms < 60_000.0:  # the endpoint list that should remove it is out of date
+    while now_ms < 60_000.0:  # the outdated endpoint list still contains the server
         if "b0" not in reachability.unreachable_servers(now_ms):
             reachability.record_refusal("b0", now_ms)
             attempts += 1
@@ -122,6 +122,6 @@
     assert timeout.timeout_s() == 0.25
 
 
-def test_hold_remaining_is_the_rest_of_the_limit_less_the_margin() -> None:
+def test_remaining_hold_time_excludes_the_release_margin() -> None:
     assert hold_remaining_s(1_000.0, 1_000.0, 500.0) == 0.4
     assert hold_remaining_s(1_400.0, 1_000.0, 500.0) == 0.0
--- a/tests/decide/servers/test_releases.py
+++ b/tests/decide/servers/test_releases.py
@@ -1,4 +1,4 @@
-"""Releases: with one reachable server entries are released in time, whatever the failures of the others."""
+"""Entries are released in time if one server is reachable, whatever failures the others have."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass
 class SimulatedServer:
-    """A server that answers from `up_ms` to `down_ms`; otherwise it refuses connections or is unreachable."""
+    """A server that answers from `up_ms` to `down_ms`; else it refuses connections or is unreachable."""
 
     up_ms: float = 0.0
     down_ms: float = inf
@@ -29,7 +29,7 @@
 
 
 class Simulation:
-    """Simulates calls and their failures in virtual time."""
+    """Simulates release calls and their failures in virtual time."""
 
     def __init__(self, servers: dict[str, SimulatedServer]) -> None:
         self.servers = servers
@@ -45,7 +45,7 @@
         return dict.fromkeys(self.servers, True)
 
     def run(self, until_ms: float, at_ms: float = 0.0) -> None:
-        """Send the calls that are due and advance to the next event, until the given time."""
+        """Send due calls and process their results in the order of time, until `until_ms`."""
         events: list[tuple[float, int, ReleaseCall, bool]] = []
         while at_ms <= until_ms:
             for call in self.scheduler.take_due_calls(at_ms):
@@ -128,7 +128,7 @@
 
 
 def test_only_server_is_called_in_time_after_it_returns_at_490_ms() -> None:
-    """The hold limit counts from the call that a running server answers, so calls must go on until then."""
+    """Only a call that a running server answers ends the hold, so calls are repeated until there is one."""
     simulation = Simulation({"s0": SimulatedServer(490.0, refuses=True)})
     simulation.scheduler.add(0.0, "a", {"s0"}, {})
     simulation.run(2_000.0)
@@ -136,7 +136,7 @@
 
 
 def test_release_of_an_abandoned_prefill_is_repeated_until_its_server_answers() -> None:
-    """A prefill at a partitioned server may finish well after another server answered the first release."""
+    """Guards against an entry that a partitioned server creates after another server answered the release."""
     simulation = Simulation({"s0": SimulatedServer(1_500.0), "s1": SimulatedServer()})
     simulation.reachability.record_timeout("s0", -1.0)
     simulation.scheduler.add(0.0, "a", set(), {"s0": 0.0})
--- a/tests/decide/servers/test_resumption.py
+++ b/tests/decide/servers/test_resumption.py
@@ -1,4 +1,4 @@
-"""Servers that may hang are called at an interval, one call at a time."""
+"""A server that may hang is called at an interval, one call at a time."""
 
 from __future__ import annotations
 
