--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -44,8 +44,8 @@
 from ringledge.routing.policy import Policy
 from ringledge.routing.server_views import server_views
 
-OVERDUE_CHECK_INTERVAL_S = 0.2  # a response no longer counts 0.5 s after its deadline
-MAX_TIMER_WAIT_S = 1.0  # longest interval between iterations of the timer loop, for `timers_running`
+OVERDUE_CHECK_INTERVAL_S = 0.2  # a response counts only until 0.5 s after its deadline
+MAX_TIMER_WAIT_S = 1.0  # between two iterations of the timer loop; `timers_running` relies on it
 
 
 class Conductor:
@@ -168,7 +168,7 @@
         """Restore one table of the predecessor's snapshot; an unreadable one is logged and skipped."""
         try:
             snapshot.load(self.policy, part)
-        except (ValueError, TypeError, KeyError) as error:  # written by another version of the program
+        except (ValueError, TypeError, KeyError) as error:  # written by another version; it is learned anew
             log.warning("snapshot_unreadable", error=repr(error))
 
     def shut_down(self) -> None:
--- a/ringledge/core/gate.py
+++ b/ringledge/core/gate.py
@@ -28,9 +28,9 @@
 from ringledge.routing.interface import RouterSettings
 
 DEFAULT_RETRY_AFTER_MS = 1000.0  # mean Retry-After where the deployment sets no maximum
-EVICTION_THRESHOLD = 0.9  # of the way from `memory_shed_start` to `memory_shed_end`
-EVICTION_FRACTION = 0.1  # of the process's memory, evicted per reading
-TRIM_INTERVAL_MS = 1000.0  # minimum time between requests to the allocator to return memory to the system
+EVICTION_THRESHOLD = 0.9  # position between `memory_shed_start` (0) and `memory_shed_end` (1)
+EVICTION_FRACTION = 0.1  # fraction of the process's memory to free at a time
+TRIM_INTERVAL_MS = 1000.0  # minimum time between two requests that the allocator return memory to the system
 
 
 @dataclass(slots=True, frozen=True)
--- a/ringledge/core/invariants.py
+++ b/ringledge/core/invariants.py
@@ -19,18 +19,16 @@
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import Availability, RouterSettings
 
-RESPONSE_SLACK_MS = 150.0  # after the deadline; a response still counts until 0.5 s after it
-CACHE_HOLD_SLACK_MS = 350.0  # beyond `release_within_ms`: 50 ms for sockets, 300 ms for the rest of the fleet
-TIMEOUT_SLACK_MS = 150.0  # by which a server's time limit may exceed the time to the deadline
+RESPONSE_SLACK_MS = 150.0  # tolerance after the deadline; a response counts until 0.5 s after it
+CACHE_HOLD_SLACK_MS = 350.0  # tolerance: 50 ms for sockets, 300 ms for the rest of the fleet
+TIMEOUT_SLACK_MS = 150.0  # tolerance of a server's time limit beyond the time to the deadline
 
 
 class Invariant(StrEnum):
-    """The invariants; each value names a violation as a metric label and in log lines."""
+    """An invariant; the value identifies its violation in metric labels and log lines."""
 
     RESPONSE_OVERDUE = "answer_overdue"  # the final answer was not given in time
-    CLOSED_UNANSWERED = (
-        "closed_unanswered"  # a client's connection was closed before a request read from it was answered
-    )
+    CLOSED_UNANSWERED = "closed_unanswered"  # a connection was closed with a request that was read unanswered
     REJECTED_AFTER_RUN = "refused_after_run"  # a request was rejected although a retry is unsafe
     UNSAFE_RETRY = "repeated_run"  # an attempt was sent after one that may have run
     CONCURRENT_ATTEMPT = "second_copy"  # an attempt was sent while another one was in flight
@@ -39,9 +37,7 @@
     SENT_TO_UNAVAILABLE = "sent_to_closed"  # an attempt was sent to a draining or unlisted server
     TIMEOUT_BEYOND_DEADLINE = "told_too_much"  # a server's time limit ended after the client's deadline
     CACHE_HELD_TOO_LONG = "held_too_long"  # a KV cache entry may be held with no delivered attempt in flight
-    EVENT_HANDLING_FAILED = (
-        "handling_failed"  # the policy or the execution of its actions raised an exception
-    )
+    EVENT_HANDLING_FAILED = "handling_failed"  # the policy or one of its actions raised an exception
 
 
 class InvariantChecker:
--- a/ringledge/core/port.py
+++ b/ringledge/core/port.py
@@ -25,7 +25,7 @@
         """Answer that the request was rejected and may safely be retried."""
 
     def fail(self) -> None:
-        """Answer that the request failed; it may have run."""
+        """Answer that the request failed, without a statement on whether it ran."""
 
     def finish(self) -> None:
         """End a complete stream."""
--- a/ringledge/core/records.py
+++ b/ringledge/core/records.py
@@ -69,7 +69,7 @@
     streaming: bool = False  # whether the response of one of its attempts is being relayed
     first_token_ms: float | None = None  # from the request's arrival to the first token
     reason: str = ""  # why it was rejected or failed; empty for other results
-    violations: set[str] = field(default_factory=set)  # recurring invariant violations that were counted
+    violations: set[str] = field(default_factory=set)  # lasting invariant violations that have been counted
 
     def attempt_summaries(self) -> list[list[object]]:
         """Server, outcome, duration in ms, `written` and `delivered` of each attempt, for log lines."""
--- a/ringledge/core/stages/admit.py
+++ b/ringledge/core/stages/admit.py
@@ -28,7 +28,7 @@
 
 
 def fail(context: StageContext, action: FailRequest) -> None:
-    """Answer that the request failed and may have run."""
+    """Answer that the request failed, without a statement on whether it ran."""
     record = _close(context, action.request, RequestResult.FAILED, action.reason)
     if record is not None:
         record.sink.fail()
--- a/ringledge/decide/servers/cache_hold.py
+++ b/ringledge/decide/servers/cache_hold.py
@@ -18,9 +18,7 @@
 
     NO_SERVER_REACHED = "no_server_reached"  # no decode server accepted a connection within the hold limit
     NOT_DELIVERED = "not_delivered"  # the attempt in flight may not have been delivered by the hold limit
-    SERVER_RESUMED = (
-        "server_resumed"  # a server that hung answers again and may have run an abandoned attempt
-    )
+    SERVER_RESUMED = "server_resumed"  # a hung server has resumed and may have run an abandoned attempt
     BEFORE_ATTEMPT = "before_attempt"  # an earlier attempt may have left an entry that the next one can't use
 
 
@@ -39,12 +37,12 @@
     """Where the KV cache entries of one request are held, and since when."""
 
     holders: set[str] = field(default_factory=set)  # servers known to hold an entry
-    # Servers that may hold an entry of which the router has no response, mapped to the time at which the
+    # Servers on which an attempt without a response may have left an entry, mapped to the time at which the
     # attempt ended; inf if the server may yet run the attempt.
     unobserved: dict[str, float] = field(default_factory=dict)
     # Servers that may yet run an attempt, mapped to the time at which that attempt ended.
     _unresponsive_ms: dict[str, float] = field(default_factory=dict)
-    # Since when an entry may be held with no attempt known to be delivered; inf if no entry is held.
+    # Since when an entry may be held while no attempt known to be delivered is in flight; else inf.
     idle_since_ms: float = inf
     released_early: bool = False  # whether the entry was released although the policy still relies on it
     _release: _ReleaseInProgress | None = None
@@ -56,7 +54,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether an entry may be held with no attempt known to be delivered."""
+        """Whether an entry may be held while no attempt known to be delivered is in flight."""
         return self.idle_since_ms < inf
 
     @property
@@ -65,13 +63,13 @@
         return self._release is not None
 
     def held_ms(self, now_ms: float) -> float:
-        """For how long an entry may have been held since `idle_since_ms`; 0 if none is held."""
+        """For how long an entry may have been held with no delivered attempt in flight; 0 if none is held."""
         return max(0.0, now_ms - self.idle_since_ms)
 
     # Outcomes of attempts.
 
     def record_prefill(self, server: str) -> None:
-        """Record a successful prefill: its server holds an entry."""
+        """Record a successful prefill, after which its server holds an entry."""
         self.holders.add(server)
         self.released_early = False
 
--- a/ringledge/decide/servers/releases.py
+++ b/ringledge/decide/servers/releases.py
@@ -74,7 +74,7 @@
         stream_began: bool = False,
         idle_since_ms: float = inf,
     ) -> None:
-        """Start a release; no attempt of the request may follow.
+        """Start a release; call it while no attempt of the request is in flight.
 
         `holders`: servers known to hold an entry. `abandoned`: servers that may hold an entry because an
         attempt was abandoned there, each with the time of that. `stream_began`: whether a decode server began
