--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -164,10 +164,10 @@
         """Yield the policy's learned state, one table at a time."""
         return snapshot.dump(self.policy)
 
-    def load_snapshot(self, part: dict[str, Any]) -> None:
+    def load_snapshot(self, table: dict[str, Any]) -> None:
         """Restore one table of the predecessor's snapshot; an unreadable one is logged and skipped."""
         try:
-            snapshot.load(self.policy, part)
+            snapshot.load(self.policy, table)
         except (ValueError, TypeError, KeyError) as error:  # written by another version; it is learned anew
             log.warning("snapshot_unreadable", error=repr(error))
 
--- a/ringledge/core/invariants.py
+++ b/ringledge/core/invariants.py
@@ -54,10 +54,10 @@
         for invariant in Invariant:
             metrics.violations.labels(invariant.value)  # creates the series, exported as 0 from the start
 
-    def record_violation(self, invariant: Invariant, request: str = "", **facts: object) -> None:
+    def record_violation(self, invariant: Invariant, request: str = "", **fields: object) -> None:
         """Log and count one violation."""
         self._metrics.violations.labels(invariant.value).inc()
-        log.error("invariant_violated", invariant=invariant.value, request=request, **facts)
+        log.error("invariant_violated", invariant=invariant.value, request=request, **fields)
 
     def check_send(self, attempt: Attempt, timeout_ms: float) -> None:
         """Check an attempt as it is written; `timeout_ms` is the time limit that its server receives."""
--- a/ringledge/decide/servers/cache_hold.py
+++ b/ringledge/decide/servers/cache_hold.py
@@ -135,14 +135,14 @@
         elif release.attempt_in_flight and is_idle_as_before:
             self.idle_since_ms = now_ms
         elif not (release.attempt_in_flight or attempt_in_flight):
-            self._forget_released(release, answered_by)
+            self._remove_released(release, answered_by)
             if is_idle_as_before:
                 self.idle_since_ms = inf
 
-    def _forget_released(self, release: _ReleaseInProgress, answered_by: Collection[str]) -> None:
+    def _remove_released(self, release: _ReleaseInProgress, answered_by: Collection[str]) -> None:
         for server, ended_ms in release.unobserved.items():
-            is_settled = ended_ms < inf or server in answered_by
-            if is_settled and self.unobserved.get(server) == ended_ms:
+            is_released = ended_ms < inf or server in answered_by
+            if is_released and self.unobserved.get(server) == ended_ms:
                 del self.unobserved[server]
 
     # Unresponsive servers, which may yet run an attempt.
@@ -172,6 +172,6 @@
 
     def take_locations(self) -> tuple[set[str], dict[str, float]]:
         """Return `holders` and `unobserved`, and clear them."""
-        taken = self.holders, self.unobserved
+        locations = self.holders, self.unobserved
         self.holders, self.unobserved, self.idle_since_ms = set(), {}, inf
-        return taken
+        return locations
--- a/ringledge/decide/servers/releases.py
+++ b/ringledge/decide/servers/releases.py
@@ -212,15 +212,17 @@
     def _select_server(self, now_ms: float, release: ActiveRelease) -> str | None:
         """A reachable holder, else the most recently reached other server; unreachable ones come last."""
         listed = self._servers()
-        free = [
+        available = [
             server for server in listed if server not in release.called and not self._calls_by_server[server]
         ]
-        wanted = release.holders if release.result is None else self._unanswered_holders(release, listed)
-        holders = [server for server in wanted if server in free]
+        target_holders = (
+            release.holders if release.result is None else self._unanswered_holders(release, listed)
+        )
+        holders = [server for server in target_holders if server in available]
         for server in holders:
             if not self._reachability.is_likely_unreachable(server, now_ms):
                 return server
-        others = [server for server in free if listed[server] and server not in release.holders]
+        others = [server for server in available if listed[server] and server not in release.holders]
         reachable = [
             server for server in others if not self._reachability.is_likely_unreachable(server, now_ms)
         ]
