--- a/ringledge/core/action_executor.py
+++ b/ringledge/core/action_executor.py
@@ -49,7 +49,7 @@
             case PollEndpoints():
                 context.transport.poll_endpoints()
             case WatchEndpoints():
-                pass  # discovery is always watched from the start
+                pass  # discovery is watched from the start, whether or not the policy requests it
             case LogMessage(text):
                 log.info("routing_message_logged", text=text)
 
--- a/ringledge/core/invariants.py
+++ b/ringledge/core/invariants.py
@@ -20,7 +20,7 @@
 from ringledge.routing.interface import Availability, RouterSettings
 
 RESPONSE_SLACK_MS = 150.0  # tolerance after the deadline; a response counts until 0.5 s after it
-CACHE_HOLD_SLACK_MS = 350.0  # tolerance: 50 ms for sockets, 300 ms for the rest of the fleet
+CACHE_HOLD_SLACK_MS = 350.0  # beyond `release_within_ms`: 50 ms for sockets, 300 ms for the rest of the fleet
 TIMEOUT_SLACK_MS = 150.0  # tolerance of a server's time limit beyond the time to the deadline
 
 
@@ -28,7 +28,8 @@
     """An invariant; the value identifies its violation in metric labels and log lines."""
 
     RESPONSE_OVERDUE = "answer_overdue"  # the final answer was not given in time
-    CLOSED_UNANSWERED = "closed_unanswered"  # a connection was closed with a request that was read unanswered
+    # A connection was closed before a request that had been read from it was answered.
+    CLOSED_UNANSWERED = "closed_unanswered"
     REJECTED_AFTER_RUN = "refused_after_run"  # a request was rejected although a retry is unsafe
     UNSAFE_RETRY = "repeated_run"  # an attempt was sent after one that may have run
     CONCURRENT_ATTEMPT = "second_copy"  # an attempt was sent while another one was in flight
--- a/ringledge/core/records.py
+++ b/ringledge/core/records.py
@@ -50,7 +50,10 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it was written to a server that generates tokens, and its outcome does not prove no run."""
+        """Whether it may have run on a server that generates tokens.
+
+        False if it was not written completely, or if its outcome proves that it never ran.
+        """
         return self.written and not self.is_prefill and self.outcome not in NEVER_RAN
 
 
@@ -111,5 +114,5 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a server that generates tokens may have run one of the attempts."""
+        """Whether one of the attempts may have run on a server that generates tokens."""
         return any(attempt.may_have_run for attempt in self.attempts)
--- a/ringledge/decide/servers/releases.py
+++ b/ringledge/decide/servers/releases.py
@@ -30,7 +30,7 @@
 RETRY_INTERVAL_MS = 350.0  # between two rounds while a holder doesn't answer; an entry may be held for 500 ms
 RETRY_WINDOW_MS = 8_000.0  # after which rounds are not repeated; most network partitions are over by then
 ANSWER_SLACK_MS = 250.0  # for the answer, out of the 350 ms that an entry may be held beyond the hold limit
-RELEASE_TIMEOUT_MS = 20_000.0  # by then a holder has released its entry by itself, or is down
+RELEASE_TIMEOUT_MS = 20_000.0  # without any answer; by then a holder has released by itself, or is down
 
 
 class ReleaseScheduler:
