--- a/tests/core/test_invariants.py
+++ b/tests/core/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each violated invariant is reported, once where it lasts, and none is reported otherwise."""
+"""Each violated invariant is reported, a lasting violation only once, and no other invariant is reported."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     InvariantChecker,
 )
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -43,7 +43,7 @@
 
 
 class InvariantFixture:
-    """The checks of a conductor with one server, and a request of one class with two attempts."""
+    """An invariant checker with one server, and a request of the given class with two attempts."""
 
     def __init__(self, request_class: RequestClass = UNSAFE) -> None:
         self.now_ms, self.metrics = 1000.0, Metrics()
@@ -56,7 +56,7 @@
         clock: Any = SimpleNamespace(now_ms=lambda: self.now_ms)
         self.checker = InvariantChecker(settings, clock, self.servers, self.metrics)
         sink: Any = SimpleNamespace()
-        self.record = Record(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, self.now_ms)
+        self.record = RequestRecord(Request("a", expires_in_ms=5000), Payload(b"/", b""), sink, self.now_ms)
         self.first, self.second = self.add_attempt(), self.add_attempt()
         self.first.outcome = AttemptStatus.CONNECT_FAILED
 
@@ -70,7 +70,7 @@
         return attempt
 
     def mark_first_as_run(self, status: AttemptStatus | None = AttemptStatus.RESET) -> None:
-        """The first attempt was written, and ended so."""
+        """Mark the first attempt as written, with the outcome `status`; None leaves it in flight."""
         self.first.written, self.first.outcome = True, status
 
     def send(self, timeout_ms: float = 100.0) -> set[str]:
@@ -175,8 +175,8 @@
 
 def test_entry_left_unobserved_is_reported_while_the_next_attempt_has_not_arrived() -> None:
     fixture = InvariantFixture()
-    fixture.record.cache.ended_unobserved("r0", fixture.now_ms, has_answered=True)
-    fixture.record.cache.attempt_ended(fixture.now_ms, has_arrived=False)
+    fixture.record.cache.record_unobserved_end("r0", fixture.now_ms, has_answered=True)
+    fixture.record.cache.record_attempt_end(fixture.now_ms, was_delivered=False)
     fixture.now_ms += RELEASE_WITHIN_MS + CACHE_HOLD_SLACK_MS
     fixture.checker.check_open_requests([fixture.record])
     assert not fixture.violations()
--- a/tests/decide/servers/test_reachability.py
+++ b/tests/decide/servers/test_reachability.py
@@ -1,4 +1,4 @@
-"""Reachability of servers, and the timeout of connections."""
+"""Tests the reachability of servers and the connect timeout."""
 
 from ringledge.decide.servers.connect_timeout import (
     MIN_SAMPLES,
@@ -26,9 +26,13 @@
 def test_zone_is_partitioned_after_two_timeouts_until_one_server_answers() -> None:
     reachability = make_reachability()
     reachability.record_timeout("b0", 100.0)
-    assert reachability.unreachable_servers(100.0) == {"b0"} and not reachability.is_suspect("b1", 100.0)
+    assert reachability.unreachable_servers(100.0) == {"b0"} and not reachability.is_likely_unreachable(
+        "b1", 100.0
+    )
     reachability.record_timeout("b1", 200.0)
-    assert reachability.unreachable_servers(200.0) == ZONE_B and reachability.is_suspect("b3", 200.0)
+    assert reachability.unreachable_servers(200.0) == ZONE_B and reachability.is_likely_unreachable(
+        "b3", 200.0
+    )
     reachability.record_answer("b2", 300.0)
     assert reachability.unreachable_servers(300.0) == {"b0", "b1"}
     reachability.record_answer("b0", 400.0)
@@ -47,15 +51,15 @@
     reachability = make_reachability()
     reachability.record_refusal("b0", 0.0)
     reachability.record_refusal("b1", 0.0)
-    assert reachability.is_suspect("b0", 1.0) and not reachability.is_suspect("b2", 1.0)
+    assert reachability.is_likely_unreachable("b0", 1.0) and not reachability.is_likely_unreachable("b2", 1.0)
     assert reachability.unreachable_servers(1.0) == {"b0", "b1"}
     reachability.record_answer("b1", 2.0)
     assert reachability.unreachable_servers(2.0) == {"b0"}
 
 
-def test_repeated_refusals_make_a_server_unreachable_for_ever_longer_times() -> None:
+def test_repeated_refusals_make_a_server_unreachable_for_increasing_times() -> None:
     reachability, now_ms, attempts = make_reachability(), 0.0, 0
-    while now_ms < 60_000.0:  # the endpoint list that should remove it is out of date
+    while now_ms < 60_000.0:  # the outdated endpoint list still contains the server
         if "b0" not in reachability.unreachable_servers(now_ms):
             reachability.record_refusal("b0", now_ms)
             attempts += 1
@@ -101,8 +105,8 @@
     reachability.update_servers([server for server in SERVERS if server[0] not in ("b0", "b1")])
     assert (
         not reachability.unreachable_servers(CACHE_TTL_MS)
-        and not reachability.is_suspect("b2", 1.0)
-        and reachability.is_suspect("b0", 1.0)
+        and not reachability.is_likely_unreachable("b2", 1.0)
+        and reachability.is_likely_unreachable("b0", 1.0)
     )
 
 
@@ -118,6 +122,6 @@
     assert timeout.timeout_s() == 0.25
 
 
-def test_hold_remaining_is_the_rest_of_the_limit_less_the_margin() -> None:
+def test_remaining_hold_time_excludes_the_release_margin() -> None:
     assert hold_remaining_s(1_000.0, 1_000.0, 500.0) == 0.4
     assert hold_remaining_s(1_400.0, 1_000.0, 500.0) == 0.0
--- a/tests/wire/servers/test_unresponsive_peers.py
+++ b/tests/wire/servers/test_unresponsive_peers.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ringledge.core.port import Payload
-from ringledge.core.records import Attempt, Record
+from ringledge.core.records import Attempt, RequestRecord
 from ringledge.decide.servers.delivery import CHECK_AFTER_MS
 from ringledge.decide.servers.reachability import Reachability
 from ringledge.observe.metrics import Metrics
@@ -36,7 +36,7 @@
         self.connection_attempted = anyio.Event()
         caller: Any = SimpleNamespace()
         written_ms = self.now_ms - unanswered_ms
-        self.record = Record(Request("a", expires_in_ms=9000), Payload(b"/", b""), caller, written_ms)
+        self.record = RequestRecord(Request("a", expires_in_ms=9000), Payload(b"/", b""), caller, written_ms)
         self.record.cache.holders, self.record.cache.idle_since_ms = {"r0"}, written_ms
         self.attempt = Attempt(self.record, 0, "w0", False, True, written_ms, 20_000.0)
         self.attempt.written = self.attempt.fetches_cache = True
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize(
-    ("response", "released"),
+    ("response", "released_early"),
     [
         (b"", True),
         (b"HTTP/1.1 20", False),
@@ -116,7 +116,7 @@
     ids=["none", "status line", "interim", "stream without an event", "error"],
 )
 def test_entry_is_kept_while_the_response_of_its_decode_is_read(
-    monkeypatch: pytest.MonkeyPatch, response: bytes, released: bool
+    monkeypatch: pytest.MonkeyPatch, response: bytes, released_early: bool
 ) -> None:
     """Guards against a retry that has to prefill again: an answer that never ends was read meanwhile."""
     checks = list[None]()
@@ -139,11 +139,11 @@
             tasks.start_soon(harness.upstream.detect_unresponsive_peers)
             while len(checks) < 4:  # the first checks have ended
                 await anyio.sleep(0)
-            assert record.cache.released == released
-            assert attempt.delivered is not released
+            assert record.cache.released_early == released_early
+            assert attempt.delivered is not released_early
             harness.peer.close()
             await harness.ended.wait()
-            assert attempt.delivered is not released  # so that the time held counts from here
+            assert attempt.delivered is not released_early  # so that the time held counts from here
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
