--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -153,7 +153,7 @@
 
     def set_process_count(self, processes: int) -> None:
         """Divide the limits among so many processes of this conductor."""
-        self._budget.limit = self._body_memory / processes
+        self._budget.limit_bytes = self._body_memory / processes
         for front in self._public_fronts:
             front.connections.lower_limit(self._max_public_connections(processes))
 
--- a/ringledge/wire/clients/chat/answer.py
+++ b/ringledge/wire/clients/chat/answer.py
@@ -9,9 +9,10 @@
 
 from ringledge.observe.logging import log
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
-from ringledge.wire.http.messages import MAX_BODY
+from ringledge.wire.http.messages import MAX_BODY_BYTES
 
-MOST_ANSWER = 4 * MAX_BODY  # bytes kept of a question and its answer: twice what the protocol lets them have
+# bytes kept of a question and its answer: twice what the protocol lets them have
+MOST_ANSWER = 4 * MAX_BODY_BYTES
 
 
 class Answer:
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -34,7 +34,7 @@
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.headers import header
-from ringledge.wire.http.messages import MAX_BODY, only, read_body, respond
+from ringledge.wire.http.messages import MAX_BODY_BYTES, read_body, require_method, respond
 
 if TYPE_CHECKING:
     from ringledge.core.gate import AdmissionGate
@@ -82,7 +82,7 @@
         """Answer one request."""
         path = head.target.partition(b"?")[0]
         if path == b"/v1/models":
-            only(head, b"GET")
+            require_method(head, b"GET")
             await read_body(conn, head)
             await respond(conn, 200, orjson.dumps(self._models()))
             return
@@ -91,7 +91,7 @@
             return
         if path != PATH:
             raise HttpError(404, f"no such path: {path.decode('ascii', 'replace')}", "unknown_url")
-        only(head, b"POST")
+        require_method(head, b"POST")
         self._look(head)
         body = await read_body(conn, head)
         last_event = header(head, b"last-event-id")
@@ -132,7 +132,7 @@
         if self._gate is not None:
             caller = told_header(head, b"x-caller") or self._config.tenant
             tenant = self._names.index(self._names.tenants, caller)
-            no = self._gate.admit(class_index, tenant, min(size, MAX_BODY))
+            no = self._gate.admit(class_index, tenant, min(size, MAX_BODY_BYTES))
             if no is not None:
                 raise shed(no)
 
--- a/ringledge/wire/clients/closing.py
+++ b/ringledge/wire/clients/closing.py
@@ -12,7 +12,7 @@
 import socket
 from dataclasses import dataclass
 
-from ringledge.wire.http.socket_reader import SCRATCH
+from ringledge.wire.http.socket_reader import DISCARD_BUFFER
 
 LINGER_S = 0.5  # after which the socket is closed though the peer has not ended its side
 LINGER_BYTES = 1024 * 1024  # that a peer may still send
@@ -60,7 +60,9 @@
     def _discard_input(self, peer: _ClosingConnection) -> None:
         try:
             # Linux drops what TCP has without copying it, up to the size that is named (tcp(7)).
-            size = peer.sock.recv_into(SCRATCH, min(len(SCRATCH), peer.remaining_bytes), socket.MSG_TRUNC)
+            size = peer.sock.recv_into(
+                DISCARD_BUFFER, min(len(DISCARD_BUFFER), peer.remaining_bytes), socket.MSG_TRUNC
+            )
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
--- a/ringledge/wire/clients/front.py
+++ b/ringledge/wire/clients/front.py
@@ -21,11 +21,11 @@
 from ringledge.wire.clients.idle_connections import IdleConnection, has_unread_bytes, nothing_readable
 from ringledge.wire.clients.open_connections import IDLE_TIMEOUT_S, OpenConnections
 from ringledge.wire.clients.request_loop import RequestHandling, RequestLoop
-from ringledge.wire.http.arrival_times import ArrivalMarks
+from ringledge.wire.http.arrival_times import ArrivalTimes
 from ringledge.wire.http.body_memory import BodyMemory
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.socket_reader import unread_ms
-from ringledge.wire.http.sockets import find_half_open
+from ringledge.wire.http.sockets import enable_keepalive
 
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import AdmittedConnection, ConnectionAdmission
@@ -186,7 +186,7 @@
         if self._on_queue_delay is not None:  # what the kernel buffers for a slow client is memory, too
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         if entry is not None:
-            find_half_open(sock, entry.idle_timeout_s)
+            enable_keepalive(sock, entry.idle_timeout_s)
 
     def _on_readable(self, idle: IdleConnection) -> None:
         """Give an idle connection a parser, a buffer and a task, or close it where its peer has."""
@@ -209,12 +209,12 @@
     def _activate(self, idle: IdleConnection) -> Connection:
         """A connection with a parser on an idle connection's socket."""
         conn = Connection(idle.sock, h11.SERVER)
-        conn.budget = self._body_memory
+        conn.body_memory = self._body_memory
         conn.closes_after_answer = self.connections.closing
         conn.on_queue_delay = self._on_queue_delay
         conn.had_request = idle.had_request
-        conn.entry = idle.entry
-        conn.marks = ArrivalMarks()
+        conn.admission_record = idle.entry
+        conn.arrival_times = ArrivalTimes()
         if idle.entry is not None and self._admission is not None and self._admission.advertise_keep_alive:
             conn.keep_alive = b"timeout=%d" % idle.entry.idle_timeout_s
         return conn
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -120,10 +120,12 @@
 
     def make_idle(self, conn: Connection, over_limit: bool) -> None:
         """Keep the socket alone; the connection's task ends, and its parser and buffer are freed."""
-        conn.deafen()
+        conn.pause_reading()
         self._forget(conn)
-        keep_s = IDLE_TIMEOUT_S if conn.entry is None else conn.entry.idle_timeout_s
-        idle = IdleConnection(conn.sock, anyio.current_time(), conn.had_request, over_limit, conn.entry)
+        keep_s = IDLE_TIMEOUT_S if conn.admission_record is None else conn.admission_record.idle_timeout_s
+        idle = IdleConnection(
+            conn.sock, anyio.current_time(), conn.had_request, over_limit, conn.admission_record
+        )
         self.idle.add(idle, max(0.0, keep_s - IDLE_AFTER_S))
 
     def drain(self) -> None:
@@ -164,14 +166,14 @@
                 if since > until:
                     break
                 if not conn.paused:
-                    conn.rest()
+                    conn.end_idle_wait()
             while self.idle.sweep():
                 self.update_gauge()
                 await anyio.lowlevel.checkpoint()
             self.update_gauge()
 
     def _forget(self, conn: Connection) -> None:
-        conn.release()
+        conn.release_body_memory()
         self.active.discard(conn)
         self.between_requests.pop(conn, None)
         self.reading.pop(conn, None)
@@ -179,13 +181,13 @@
     def close_gracefully(self, conn: Connection, reason: CloseReason) -> None:
         """Close one whose answer may still be in flight, by a lingering close."""
         self._check_answered(conn, reason)
-        if not (conn.closed or conn.ended):
+        if not (conn.closed or conn.eof_received):
             self.lingering.begin(conn.detach())
         self._close_checked(conn, reason)
 
     def _check_answered(self, conn: Connection, reason: CloseReason) -> None:
         """Count a close under a request that was read completely, while its client is still connected."""
-        if owes_answer(conn) and not conn.peer_gone():
+        if owes_answer(conn) and not conn.is_disconnected():
             self._violations.inc()
             log.error(
                 "invariant_violated",
@@ -203,7 +205,7 @@
         """Close one that owes no answer, or whose owed answer is counted."""
         conn.close()
         self._forget(conn)
-        self.record_disconnect(conn.entry, conn.had_request)
+        self.record_disconnect(conn.admission_record, conn.had_request)
         self._closed[reason].inc()
         log.debug("connection_closed", front=self.name, why=reason.value, asked=conn.had_request)
         self.update_gauge()
--- a/ringledge/wire/clients/operator.py
+++ b/ringledge/wire/clients/operator.py
@@ -17,7 +17,7 @@
 from ringledge.observe.metrics import Metrics
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
-from ringledge.wire.http.messages import only, read_body, respond
+from ringledge.wire.http.messages import read_body, require_method, respond
 
 CONNECTIONS = 24  # its own: no client can take them
 MEMORY = 64 * 1024  # bytes that all calls' bodies may hold: none needs any
@@ -46,14 +46,14 @@
         await read_body(conn, head)
         path = head.target.partition(b"?")[0]
         if path == b"/healthcheck":
-            only(head, b"GET")
+            require_method(head, b"GET")
             yes = self._can_serve()
             await respond(conn, 200 if yes else 503, b'{"serves":%s}' % str(yes).lower().encode())
         elif path == b"/stats":
-            only(head, b"GET")
-            await respond(conn, 200, stats(self._metrics, self._classes).encode(), kind=b"text/plain")
+            require_method(head, b"GET")
+            await respond(conn, 200, stats(self._metrics, self._classes).encode(), content_type=b"text/plain")
         elif told := INSTANCE.fullmatch(path):
-            only(head, b"POST")
+            require_method(head, b"POST")
             await self._change(unquote_to_bytes(told[1]).decode("utf-8", "replace"), told[2] == b"maint")
             await respond(conn, 200, b'{"out":%s}' % (b"true" if told[2] == b"maint" else b"false"))
         else:
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -20,8 +20,8 @@
 from ringledge.wire.clients.start_gate import StartGate
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError, ShedError
-from ringledge.wire.http.headers import Headers, fields, header
-from ringledge.wire.http.messages import MAX_BODY, only, read_body, respond
+from ringledge.wire.http.headers import Headers, header, headers_by_name
+from ringledge.wire.http.messages import MAX_BODY_BYTES, read_body, require_method, respond
 
 if TYPE_CHECKING:
     from ringledge.core.gate import AdmissionGate
@@ -59,14 +59,14 @@
         """Answer one request."""
         path = head.target.partition(b"?")[0]
         if path == b"/ready":
-            only(head, b"GET")
+            require_method(head, b"GET")
             await read_body(conn, head)
             return await respond(
                 conn, 200 if self.ready else 503, b'{"ready":%s}' % str(self.ready).lower().encode()
             )
         if path != PATH:
             raise HttpError(404, "no such path", "not_found")
-        only(head, b"POST")
+        require_method(head, b"POST")
         if self._gate is not None:
             self._ask(self._gate, conn, head)
         body = await read_body(conn, head)
@@ -125,7 +125,7 @@
             if told.setdefault(name.lower(), value.strip()) != value.strip():
                 return None
         length = told.get(b"content-length", b"")
-        if not length.isdigit() or UNUSUAL & told.keys() or int(length) > MAX_BODY:
+        if not length.isdigit() or UNUSUAL & told.keys() or int(length) > MAX_BODY_BYTES:
             return None
         to_come = plain.end() + int(length) - len(data)
         if to_come < 0:  # a further request is behind it
@@ -138,7 +138,7 @@
         body, (_, after) = error_body(error), error.headers[0]
         kept = b"Keep-Alive: %s\r\n" % conn.keep_alive if conn.keep_alive else b""
         head = NO % (error.status, len(body), after, kept)
-        if conn.write_some(head + body) < len(head) + len(body):
+        if conn.write_nowait(head + body) < len(head) + len(body):
             conn.close()  # one that doesn't even take a no
         conn.buffer.clear()
         self._count_no(told.get(b"x-call-class", b""))
@@ -149,7 +149,7 @@
         if conn.admitted:
             conn.admitted = False
             return
-        told = fields(head)
+        told = headers_by_name(head)
         length = int(told.get(b"content-length", b"0"))
         no = self._decide(gate, told.get(b"x-call-class", b""), told.get(b"x-caller", b""), length)
         if no is not None:
@@ -162,7 +162,7 @@
         if class_index == len(names.classes):
             return None
         tenant = names.index(names.tenants, caller.decode("latin1"))
-        return gate.admit(class_index, tenant, min(length, MAX_BODY))
+        return gate.admit(class_index, tenant, min(length, MAX_BODY_BYTES))
 
     def refused(self, head: h11.Request) -> None:
         """Count a request that was turned away before the core took it: to its client it is one more no."""
--- a/ringledge/wire/clients/request_loop.py
+++ b/ringledge/wire/clients/request_loop.py
@@ -16,7 +16,7 @@
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import ConnectionIdleError, FloodError, HttpError, ShedError
 from ringledge.wire.http.headers import header
-from ringledge.wire.http.messages import MAX_BODY, read_body, respond
+from ringledge.wire.http.messages import MAX_BODY_BYTES, read_body, respond
 
 # From a request's first byte, on a new connection from its opening, to its last byte.
 REQUEST_TIMEOUT_S = 2.5
@@ -60,13 +60,13 @@
         `read_by`: the loop's time by which the first request has to be complete.
         """
         try:
-            conn.read_by = read_by
+            conn.read_deadline_s = read_by
             while await self._exchange(conn, over_limit):
-                conn.release()
+                conn.release_body_memory()
                 conn.had_request = True
                 self._connections.reading.pop(conn, None)
                 self._connections.between_requests.setdefault(conn, anyio.current_time())
-                conn.read_by = math.inf
+                conn.read_deadline_s = math.inf
         except ConnectionIdleError:
             self._connections.make_idle(conn, over_limit)
         except (OSError, anyio.ClosedResourceError, h11.LocalProtocolError) as error:
@@ -81,7 +81,7 @@
         """Read one request and have it answered; False where no further one is read."""
         rejected, head = False, None
         try:
-            if not conn.pending() and not await conn.fill():
+            if not conn.has_unparsed_bytes() and not await conn.fill():
                 return False
             if conn.on_queue_delay is not None:
                 conn.on_queue_delay(conn.unread_ms)
@@ -114,7 +114,9 @@
         if rejected:
             await self._pause(conn)
         # One more that has arrived meanwhile is answered as well.
-        return not conn.closed and (not self._connections.closing or conn.pending() or conn.readable())
+        return not conn.closed and (
+            not self._connections.closing or conn.has_unparsed_bytes() or conn.readable()
+        )
 
     def _reject_early(self, conn: Connection) -> int | None:
         """Reject a request before it is parsed, if overload control says so; its body's remaining bytes."""
@@ -142,10 +144,12 @@
         """The head of the request that has begun; HttpError where its body's end would be a guess."""
         self._connections.between_requests.pop(conn, None)
         self._connections.reading[conn] = None
-        conn.read_by = min(conn.read_by, anyio.current_time() + self._handling.request_timeout_s)
-        head = conn.event_now()
+        conn.read_deadline_s = min(
+            conn.read_deadline_s, anyio.current_time() + self._handling.request_timeout_s
+        )
+        head = conn.next_event_nowait()
         if head is None:
-            with anyio.CancelScope(deadline=conn.read_by) as slow:
+            with anyio.CancelScope(deadline=conn.read_deadline_s) as slow:
                 head = await conn.next_event()
             if slow.cancelled_caught:
                 raise HttpError(408, "the request did not come in time", "timeout")
@@ -172,13 +176,13 @@
         """Answer at once, and only then discard the body: it is never buffered, nor awaited for long."""
         length = header(head, b"content-length")
         # A body over the protocol's limit, or without a length: to discard it might take for ever.
-        bounded = header(head, b"transfer-encoding") is None and int(length or 0) <= MAX_BODY
+        bounded = header(head, b"transfer-encoding") is None and int(length or 0) <= MAX_BODY_BYTES
         if not bounded or self._connections.closing:
             await self._reject(conn, error, True)
             return
         self._rejections.labels(self._connections.name, str(error.status)).inc()
         await respond(conn, error.status, self._handling.error_body(error), error.headers)
-        while conn.h11.their_state is h11.SEND_BODY and conn.event_now() is not None:
+        while conn.h11.their_state is h11.SEND_BODY and conn.next_event_nowait() is not None:
             pass
         if conn.h11.their_state is h11.SEND_BODY:
             with anyio.move_on_after(BODY_SKIP_TIMEOUT_S):
@@ -193,7 +197,7 @@
         """Read nothing for a while from a rejected client: its next request would cost as much."""
         self._connections.between_requests[conn] = anyio.current_time()
         conn.paused = True
-        conn.deafen()
+        conn.pause_reading()
         await anyio.sleep(REJECTION_PAUSE_S)
         conn.paused = False
 
--- a/ringledge/wire/clients/response.py
+++ b/ringledge/wire/clients/response.py
@@ -59,16 +59,16 @@
 
     def is_disconnected(self) -> bool:
         """Whether the client has closed its connection."""
-        return self._conn.peer_gone()
+        return self._conn.is_disconnected()
 
     async def relay(self, piece: bytes) -> None:
         """Pass a piece on; wait while too much is waiting for a slow client."""
         told = h11.Data(data=piece)
-        data = self._conn.say(told) if self.begun else self._conn.say(STREAM_HEAD, told)
+        data = self._conn.encode(told) if self.begun else self._conn.encode(STREAM_HEAD, told)
         self.begun = True
         if not self._unsent_bytes:
             try:
-                data = data[self._conn.write_some(data) :]
+                data = data[self._conn.write_nowait(data) :]
             except OSError:
                 return  # the client has gone: its connection's task is told so
         if data:
@@ -132,13 +132,13 @@
             gone()
 
     with anyio.CancelScope() as scope:
-        conn.on_gone(gone, flooded)
+        conn.set_disconnect_callback(gone, flooded)
         try:
             await answer
         except (OSError, anyio.ClosedResourceError):
             conn.close()  # the client has gone while it was written to
         finally:
-            conn.on_gone(None)
+            conn.set_disconnect_callback(None)
     if scope.cancelled_caught and floods:
         raise FloodError(may_refuse())
     if scope.cancelled_caught:
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -184,7 +184,7 @@
     async def _fetch(self) -> EndpointListing:
         conn, head = await open_response(self.address, "/v1/endpoints")
         try:
-            return decode(await read_body(conn, head, limit=MAX_LIST_BYTES))
+            return decode(await read_body(conn, head, max_bytes=MAX_LIST_BYTES))
         finally:
             conn.close()
 
--- a/ringledge/wire/exporters/remote_write.py
+++ b/ringledge/wire/exporters/remote_write.py
@@ -22,7 +22,7 @@
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import PEER_ERRORS, HttpError
 from ringledge.wire.http.headers import header
-from ringledge.wire.http.messages import only, read_body, respond
+from ringledge.wire.http.messages import read_body, require_method, respond
 from ringledge.wire.http.sockets import connect
 
 FIRST_BACKOFF_S, MOST_BACKOFF_S = 0.5, 30.0
@@ -66,10 +66,10 @@
         """Answer one scrape."""
         if head.target.partition(b"?")[0] != b"/metrics":
             raise HttpError(404, "only /metrics here", "not_found")
-        only(head, b"GET")
+        require_method(head, b"GET")
         await read_body(conn, head)
         text = exposition.generate_latest(self._metrics.registry)
-        await respond(conn, 200, text, kind=exposition.CONTENT_TYPE_LATEST.encode())
+        await respond(conn, 200, text, content_type=exposition.CONTENT_TYPE_LATEST.encode())
 
 
 class RemoteWrite:
--- a/ringledge/wire/exporters/xds.py
+++ b/ringledge/wire/exporters/xds.py
@@ -28,7 +28,7 @@
 from ringledge.wire.exporters.xds_settings import XdsConfig
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
-from ringledge.wire.http.messages import only, read_body, respond
+from ringledge.wire.http.messages import read_body, require_method, respond
 
 CLUSTERS = {Role.PREFILL: "readers", Role.DECODE: "writers", Role.MIXED: "mixed"}
 TYPE = "type.googleapis.com/envoy.config."
@@ -56,7 +56,7 @@
         kind = PATHS.get(head.target.partition(b"?")[0])
         if kind is None:
             raise HttpError(404, "only /v3/discovery:endpoints and /v3/discovery:clusters", "not_found")
-        only(head, b"POST")
+        require_method(head, b"POST")
         asked = _discovery_request(await read_body(conn, head), kind)
         rejected = asked.get("error_detail")
         if rejected:
--- a/ringledge/wire/http/headers.py
+++ b/ringledge/wire/http/headers.py
@@ -7,12 +7,12 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-def fields(head: h11.Request | h11.Response) -> dict[bytes, bytes]:
+def headers_by_name(head: h11.Request | h11.Response) -> dict[bytes, bytes]:
     """All headers by name (in lower case), the first of each; one walk costs less than several look-ups."""
-    told: dict[bytes, bytes] = {}
+    by_name: dict[bytes, bytes] = {}
     for key, value in head.headers:
-        told.setdefault(key, value)
-    return told
+        by_name.setdefault(key, value)
+    return by_name
 
 
 def header(head: h11.Request | h11.Response, name: bytes) -> bytes | None:
@@ -23,15 +23,15 @@
     return None
 
 
-def keeping(event: h11.Event, told: bytes) -> h11.Event:
+def with_keep_alive(event: h11.Event, keep_alive: bytes) -> h11.Event:
     """The head of an answer with what it tells of how long the connection may rest."""
     if not isinstance(event, h11.Response) or header(event, b"connection"):
         return event
-    headers = [*event.headers, (b"Keep-Alive", told)]
+    headers = [*event.headers, (b"Keep-Alive", keep_alive)]
     return h11.Response(status_code=event.status_code, headers=headers, reason=event.reason)
 
 
-def closing(event: h11.Event) -> h11.Event:
+def with_connection_close(event: h11.Event) -> h11.Event:
     """The head of an answer as the connection's last one."""
     if not isinstance(event, h11.Response) or header(event, b"connection"):
         return event
--- a/ringledge/wire/http/receive_buffer.py
+++ b/ringledge/wire/http/receive_buffer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Buffer:
+class ReceiveBuffer:
     """Bytes read from a socket that the parser has not taken yet; grows and is compacted in place."""
 
     def __init__(self, size: int = 16 * 1024) -> None:
@@ -14,17 +14,17 @@
         """How many bytes wait."""
         return self._end - self._start
 
-    def room(self, least: int = 1024) -> memoryview:
+    def writable_view(self, min_bytes: int = 1024) -> memoryview:
         """Free space of at least that size behind what waits; tell `filled` how much of it was used."""
-        if self._start and len(self._data) - self._end < least:
+        if self._start and len(self._data) - self._end < min_bytes:
             waiting = len(self)
             self._data[:waiting] = self._data[self._start : self._end]
             self._start, self._end = 0, waiting
-        if len(self._data) - self._end < least:
-            self._data.extend(bytes(max(least, len(self._data))))
+        if len(self._data) - self._end < min_bytes:
+            self._data.extend(bytes(max(min_bytes, len(self._data))))
         return memoryview(self._data)[self._end :]
 
-    def filled(self, size: int) -> None:
+    def commit(self, size: int) -> None:
         """Count bytes that were written into the room."""
         self._end += size
 
--- a/ringledge/wire/http/sockets.py
+++ b/ringledge/wire/http/sockets.py
@@ -12,17 +12,20 @@
 from ringledge.structures.transient_errors import NO_LOCAL_PATH, RESOURCE_EXHAUSTED, retry_while_transient
 from ringledge.wire.http.connection import Connection
 
-LOCAL_AGAIN_S = 0.01  # between two tries of a connection that our own side had nothing for
-PROBE_S, PROBE_AGAIN_S = 60, 10  # of rest until the kernel asks a peer, and between its further questions
-UNHEARD_MS = 30_000  # that what was sent to a peer, questions too, may stay unacknowledged
+LOCAL_RETRY_INTERVAL_S = 0.01  # between two tries of a connection that our own side had nothing for
+KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S = (
+    60,
+    10,
+)  # of rest until the kernel asks a peer, and between its further questions
+USER_TIMEOUT_MS = 30_000  # that what was sent to a peer, questions too, may stay unacknowledged
 
 
-class LocalError(OSError):
+class LocalConnectError(OSError):
     """No connection was tried: our own side had no descriptor, port, buffer or route for all of the time."""
 
 
 async def connect(address: str, timeout_s: float) -> Connection:
-    """Open a connection; OSError if it is refused, TimeoutError if it doesn't come up, else LocalError."""
+    """Open a connection; OSError if refused, TimeoutError if not established, else LocalConnectError."""
     failed: OSError | None = None
     with anyio.move_on_after(timeout_s):
         while True:
@@ -32,9 +35,9 @@
                 if error.errno not in RESOURCE_EXHAUSTED | NO_LOCAL_PATH:
                     raise
                 failed = error
-            await anyio.sleep(LOCAL_AGAIN_S)
+            await anyio.sleep(LOCAL_RETRY_INTERVAL_S)
     if failed is not None:
-        raise LocalError(failed.errno, failed.strerror) from failed
+        raise LocalConnectError(failed.errno, failed.strerror) from failed
     raise TimeoutError
 
 
@@ -76,9 +79,9 @@
     return sock
 
 
-def find_half_open(sock: socket.socket, keep_s: float) -> None:
+def enable_keepalive(sock: socket.socket, keep_s: float) -> None:
     """Have the kernel look for peers that vanished: nobody speaks on a connection at rest for long."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, max(1, min(PROBE_S, int(keep_s / 2))))
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_AGAIN_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNHEARD_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, max(1, min(KEEPALIVE_IDLE_S, int(keep_s / 2))))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/ringledge/wire/servers/connections.py
+++ b/ringledge/wire/servers/connections.py
@@ -21,7 +21,7 @@
 from ringledge.wire.http.errors import PEER_ERRORS
 from ringledge.wire.http.headers import Headers, header
 from ringledge.wire.http.messages import read_body
-from ringledge.wire.http.sockets import LocalError, connect
+from ringledge.wire.http.sockets import LocalConnectError, connect
 from ringledge.wire.servers.context import UpstreamContext
 from ringledge.wire.servers.responses import is_reusable, parse_load_report, read_response_head
 
@@ -120,7 +120,7 @@
         if isinstance(error, ConnectionRefusedError):
             self.reachability.record_refusal(server, self._clock.now_ms())
         elif isinstance(error, TimeoutError) or (
-            isinstance(error, LocalError) and error.errno in NO_LOCAL_PATH
+            isinstance(error, LocalConnectError) and error.errno in NO_LOCAL_PATH
         ):
             # Without a route for the whole timeout the server is as unreachable as after a time-out.
             self.reachability.record_timeout(server, self._clock.now_ms())
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -21,7 +21,7 @@
 from ringledge.wire.http.errors import PEER_ERRORS
 from ringledge.wire.http.headers import header
 from ringledge.wire.http.messages import read_body
-from ringledge.wire.http.sockets import LocalError
+from ringledge.wire.http.sockets import LocalConnectError
 from ringledge.wire.servers.connections import ServerConnections
 from ringledge.wire.servers.context import UpstreamContext
 from ringledge.wire.servers.entry_releases import EntryReleases
@@ -88,7 +88,7 @@
             conn = await self.connections.acquire(attempt.server, address, timeout_s, attempt.at_most_once)
         except OSError as error:
             log.info("connect_failed", server=attempt.server, request=record.request_id, error=str(error))
-            is_local = isinstance(error, LocalError)  # the server is not to blame
+            is_local = isinstance(error, LocalConnectError)  # the server is not to blame
             return ExchangeResult(AttemptStatus.CONNECT_FAILED, int(is_local))
         state.conn = conn
         if state.scope.cancel_called:  # it is only raised at the next wait, and writing may need none
@@ -110,7 +110,7 @@
         state.received_bytes = conn.received_bytes
         try:
             with anyio.fail_after(self._send_timeout_s(attempt)):
-                await conn.send_first(*_request_events(record, address, budget_ms))
+                await conn.send_request(*_request_events(record, address, budget_ms))
         except OSError as error:  # without its last byte the request can't have run
             log.info("send_failed", server=attempt.server, request=record.request_id, error=str(error))
             return ExchangeResult(AttemptStatus.CONNECT_FAILED, self._note_broken(conn, address))
@@ -137,7 +137,7 @@
         except PEER_ERRORS as error:
             fields = {"began": attempt.streaming, "error": str(error)}
             log.info("attempt_reset", server=attempt.server, request=attempt.record.request_id, **fields)
-            disconnected = isinstance(error, OSError) or conn.ended
+            disconnected = isinstance(error, OSError) or conn.eof_received
             note = self._note_broken(conn, address) if disconnected and not has_head else 0
             return ExchangeResult(AttemptStatus.RESET, note)
         finally:
--- a/ringledge/wire/servers/responses.py
+++ b/ringledge/wire/servers/responses.py
@@ -119,4 +119,4 @@
 
 def is_reusable(conn: Connection) -> bool:
     """Whether the exchange is over on both sides, and no byte of a further response corrupts the next."""
-    return not conn.pending() and conn.next_cycle()
+    return not conn.has_unparsed_bytes() and conn.next_cycle()
--- a/ringledge/wire/servers/stream_relay.py
+++ b/ringledge/wire/servers/stream_relay.py
@@ -54,7 +54,7 @@
 
     async def _next_event(self) -> h11.Event | type[h11.PAUSED]:
         """The server's next h11 event; while it is awaited, complete stream events are relayed."""
-        while (event := self.conn.event_now()) is None:
+        while (event := self.conn.next_event_nowait()) is None:
             await self._relay(self._events.take_complete(time.monotonic()))
             if not len(self._events):
                 return await self.conn.next_event()
--- a/tests/lifecycle/test_failing_calls.py
+++ b/tests/lifecycle/test_failing_calls.py
@@ -24,7 +24,7 @@
 from ringledge.wire.http.body_memory import BodyMemory
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.messages import respond
-from ringledge.wire.http.socket_reader import has_ended
+from ringledge.wire.http.socket_reader import peer_has_closed
 
 TRANSIENT_ERRORS = [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED]
 
@@ -115,9 +115,9 @@
     with ours, theirs:
         ours.setblocking(False)
         theirs.send(b"more")
-        assert not has_ended(ours)
+        assert not peer_has_closed(ours)
         theirs.close()
-        assert has_ended(ours)
+        assert peer_has_closed(ours)
 
 
 @pytest.mark.parametrize("number", [errno.ECONNABORTED, errno.EPROTO, errno.ENFILE], ids=errno.errorcode.get)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -6,18 +6,18 @@
 from ringledge.lifecycle.config import flatten_settings
 from ringledge.memory.connection_pool import ConnectionPool
 from ringledge.observe.metrics import Metrics
-from ringledge.wire.http.receive_buffer import Buffer
+from ringledge.wire.http.receive_buffer import ReceiveBuffer
 
 
-def fill(buffer: Buffer, data: bytes) -> None:
-    with buffer.room(len(data)) as room:
+def fill(buffer: ReceiveBuffer, data: bytes) -> None:
+    with buffer.writable_view(len(data)) as room:
         room[: len(data)] = data
-    buffer.filled(len(data))
+    buffer.commit(len(data))
 
 
 @pytest.mark.parametrize("sizes", [[1], [4, 4, 4], [100], [3, 50, 3], [16] * 9])
 def test_the_receive_buffer_returns_what_was_received_and_grows(sizes: list[int]) -> None:
-    buffer = Buffer(8)
+    buffer = ReceiveBuffer(8)
     for _ in range(2):
         received = b""
         for number, size in enumerate(sizes):
--- a/tests/wire/clients/chat/test_departures.py
+++ b/tests/wire/clients/chat/test_departures.py
@@ -20,7 +20,7 @@
     def __init__(self, left: bool) -> None:
         self.left = left
 
-    def peer_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         return self.left
 
 
--- a/tests/wire/http/test_busy_process.py
+++ b/tests/wire/http/test_busy_process.py
@@ -10,7 +10,7 @@
 import h11
 import pytest
 
-from ringledge.wire.http.arrival_times import ArrivalMarks
+from ringledge.wire.http.arrival_times import ArrivalTimes
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.messages import respond
 
@@ -33,7 +33,7 @@
             served, _ = listener.accept()
         served.setblocking(False)
         conn = Connection(served, h11.SERVER)
-        conn.marks = ArrivalMarks()
+        conn.arrival_times = ArrivalTimes()
         with client:
             for _ in range(before):
                 client.sendall(REQUEST)
@@ -68,7 +68,7 @@
             served, _ = listener.accept()
         served.setblocking(False)
         conn = Connection(served, h11.SERVER)
-        conn.marks = ArrivalMarks()
+        conn.arrival_times = ArrivalTimes()
         sender = threading.Thread(target=client.sendall, args=(request,))
         sender.start()
         time.sleep(AWAY_S)  # nothing of this process's loop runs: that is the case
@@ -96,7 +96,7 @@
             served, _ = listener.accept()
         served.setblocking(False)
         conn = Connection(served, h11.SERVER)
-        conn.marks = ArrivalMarks()
+        conn.arrival_times = ArrivalTimes()
         with client:
             await next_head(conn)
             waited_ms = conn.waited_ms()
--- a/tests/wire/servers/test_first_event_crossing.py
+++ b/tests/wire/servers/test_first_event_crossing.py
@@ -26,15 +26,15 @@
             harness.upstream.send(attempt)
             await anyio.wait_all_tasks_blocked()
             assert attempt.written
-            readable = harness.conn._readable
+            readable = harness.conn._on_readable
 
             def read_then_end() -> None:
                 readable()
                 harness.upstream._in_flight[attempt].scope.cancel()
 
-            harness.conn.deafen()
-            harness.conn._readable = read_then_end  # type: ignore[method-assign]
-            harness.conn._receive()
+            harness.conn.pause_reading()
+            harness.conn._on_readable = read_then_end  # type: ignore[method-assign]
+            harness.conn._start_reading()
             text = event("x").encode()
             harness.peer.send(HEAD + b"%x\r\n%s\r\n" % (len(text), text))
             await harness.ended.wait()
--- a/tests/wire/servers/test_send_first.py
+++ b/tests/wire/servers/test_send_first.py
@@ -37,7 +37,7 @@
         with peer:
             peer.sendall(UNSOLICITED_RESPONSE)
             with pytest.raises(ConnectionResetError):
-                await conn.send_first(REQUEST)
+                await conn.send_request(REQUEST)
             peer.setblocking(False)
             with pytest.raises(BlockingIOError):
                 peer.recv(1)
@@ -54,7 +54,7 @@
 
                 async def send() -> None:
                     with pytest.raises(ConnectionResetError):
-                        await conn.send_first(REQUEST, BODY)
+                        await conn.send_request(REQUEST, BODY)
                     conn.close()
 
                 tasks.start_soon(send)
