--- a/ringledge/wire/__init__.py
+++ b/ringledge/wire/__init__.py
@@ -1,1 +1,1 @@
-"""All that is spoken on sockets."""
+"""Network I/O: the fronts for clients, the connections to servers, discovery and the exporters."""
--- a/ringledge/wire/http/body_memory.py
+++ b/ringledge/wire/http/body_memory.py
@@ -1,10 +1,10 @@
-"""The memory that bodies of requests may take."""
+"""The memory limit for request bodies."""
 
 from __future__ import annotations
 
 
 class BodyMemory:
-    """Bytes of requests that all fronts may hold at once."""
+    """Memory for request bodies: a limit that several fronts may share, and the bytes in use."""
 
     def __init__(self, limit_bytes: float) -> None:
         self.limit_bytes, self.used_bytes = limit_bytes, 0
--- a/ringledge/wire/http/connection.py
+++ b/ringledge/wire/http/connection.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on one plain socket: h11 parses, the socket is awaited through anyio."""
+"""HTTP/1.1 on one plain socket: h11 parses, anyio waits for the socket."""
 
 from __future__ import annotations
 
@@ -17,33 +17,38 @@
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import AdmittedConnection
 
-MAX_HEAD_BYTES = 32 * 1024  # bytes of a head that h11 may collect
-READ_AHEAD_DIVISOR = 8  # of the memory for bodies that is free: what one peer may send ahead, at most
-WRITE_STALL_TIMEOUT_S = 20.0  # a peer that takes nothing for so long has gone
+MAX_HEAD_BYTES = 32 * 1024  # h11's limit for an incomplete message head
+READ_AHEAD_DIVISOR = 8  # a peer may send ahead at most this part of the free memory for bodies
+WRITE_STALL_TIMEOUT_S = 20.0  # a peer that reads nothing for this long counts as disconnected
 
 
 class Connection(SocketReader):
-    """One socket, its buffer and its h11 state."""
+    """One socket, its receive buffer and its h11 state."""
 
     def __init__(self, sock: socket.socket, our_role: type[h11.CLIENT] | type[h11.SERVER]) -> None:
         super().__init__(sock)
         self.h11 = h11.Connection(our_role, max_incomplete_event_size=MAX_HEAD_BYTES)
-        self.read_deadline_s = math.inf  # when what it is sending now must have come
-        self.idle_since = 0.0  # the pool's note
-        self.reused = False  # the pool's: it has carried a request before, or was idle
-        self.streamed = False  # the pool's: its last answer was a stream
-        self.admission_record: AdmittedConnection | None = None  # the front's: what the doors said of it
-        self.keep_alive = b""  # the front's: what answers tell of how long it may rest
-        self.had_request = False  # the front's: it has brought a request
-        self.admitted = False  # the front's: the gate has let in the request that is read now
-        self.closes_after_answer = False  # the front's: it ends with its next answer, and the answer says so
-        self.paused = False  # the front's: nothing is read from it for a while
-        self.body_memory: BodyMemory | None = None  # the front's: what bodies may take of the memory
-        self._reserved_bytes = 0
-        self._write_blocked = False  # somebody waits until the peer takes more
+        self.read_deadline_s = math.inf  # by which the message that the peer is sending must be complete
+
+        # Set by the connection pool, for connections to servers.
+        self.idle_since = 0.0  # monotonic seconds
+        self.reused = False  # it has carried a request before, or was idle
+        self.streamed = False  # its last response was a stream
+
+        # Set by the front, for connections from clients.
+        self.admission_record: AdmittedConnection | None = None  # None without connection admission
+        self.keep_alive = b""  # value of the Keep-Alive header of each response; empty: no such header
+        self.had_request = False  # a request was read on it before
+        self.admitted = False  # the admission gate has admitted the request that is being read
+        self.closes_after_answer = False  # the next response has `Connection: close`
+        self.paused = False  # reading is paused after a rejected request
+        self.body_memory: BodyMemory | None = None  # None: unlimited
+
+        self._reserved_bytes = 0  # of `body_memory`, by the current request
+        self._write_blocked = False  # a task waits until the socket is writable
 
     async def next_event(self) -> h11.Event | type[h11.PAUSED]:
-        """The next thing that the peer says; ConnectionClosed and protocol errors are h11's."""
+        """Wait for the peer's next h11 event; h11 reports the end of the connection and protocol errors."""
         while True:
             event = self.h11.next_event()
             if event is not h11.NEED_DATA:
@@ -57,7 +62,7 @@
                 self.h11.receive_data(b"")
 
     def next_event_nowait(self) -> h11.Event | type[h11.PAUSED] | None:
-        """The next thing that the peer has said already, if its end has come: no scope, no wait."""
+        """The peer's next h11 event if it is complete already, else None."""
         event = self.h11.next_event()
         if event is h11.NEED_DATA and len(self.buffer):
             self.h11.receive_data(self.buffer.take())
@@ -65,27 +70,27 @@
         return None if event is h11.NEED_DATA else event  # type: ignore[return-value]
 
     def has_unparsed_bytes(self) -> bool:
-        """Whether bytes have been read that belong to no message yet."""
+        """Whether bytes have been read that are not part of a parsed message yet."""
         return len(self.buffer) > 0 or len(self.h11.trailing_data[0]) > 0
 
     def waited_ms(self) -> float:
-        """How long ago the last byte of the message that was read last came."""
-        pending = len(self.buffer) + len(self.h11.trailing_data[0])
-        came_s = None if self.arrival_times is None else self.arrival_times.last_byte_s(pending)
-        return 0.0 if came_s is None else max(0.0, (self._loop.time() - came_s) * 1000)
+        """Time since the last byte of the message read last arrived; 0 if unknown."""
+        unparsed_bytes = len(self.buffer) + len(self.h11.trailing_data[0])
+        arrival_s = None if self.arrival_times is None else self.arrival_times.last_byte_s(unparsed_bytes)
+        return 0.0 if arrival_s is None else max(0.0, (self._loop.time() - arrival_s) * 1000)
 
     def end_idle_wait(self) -> None:
-        """Have whoever waits on a connection without anything begun put it to rest."""
+        """Wake the task that waits for a message, with ConnectionIdleError, unless one has begun."""
         if self._waiter is not None and not self._waiter.done() and not self.has_unparsed_bytes():
             self._idle_wait_ended = True
             self._waiter.set_result(None)
 
     async def send(self, *events: h11.Event) -> None:
-        """Say something, to its last byte."""
+        """Send h11 events; returns when the last byte is written."""
         await self.write(self.encode(*events))
 
     def encode(self, *events: h11.Event) -> bytes:
-        """The bytes of what is to be said."""
+        """Encode h11 events, with the headers that describe the connection."""
         if self.closes_after_answer:
             events = tuple(map(with_connection_close, events))
         elif self.keep_alive:
@@ -93,25 +98,25 @@
         return b"".join([self.h11.send(event) or b"" for event in events])
 
     def write_nowait(self, data: bytes) -> int:
-        """Write what the system takes at once; how much that was."""
+        """Write as much as the socket accepts now; returns the number of bytes."""
         try:
             return self.sock.send(data)
         except (BlockingIOError, InterruptedError):
             return 0
 
     async def send_request(self, *events: h11.Event) -> None:
-        """Say something to a peer that has no reason to speak; OSError where it does before the last byte.
+        """Send a request; OSError if the peer sends anything before the last byte is written.
 
-        What comes then answers something else, and would be taken for the answer to this.
+        Such data belongs to another request, but would be taken for the response to this one.
         """
-        await self.write(self.encode(*events), unanswered=True)
+        await self.write(self.encode(*events), fail_if_readable=True)
 
-    async def write(self, data: bytes, unanswered: bool = False) -> None:
-        """Write all of it; returns only when the system has taken the last byte."""
+    async def write(self, data: bytes, fail_if_readable: bool = False) -> None:
+        """Write all data; returns when the kernel has accepted the last byte."""
         view = memoryview(data)
         while view:
-            if unanswered and self.readable():
-                raise ConnectionResetError("the peer spoke before the request was whole")
+            if fail_if_readable and self.readable():
+                raise ConnectionResetError("the peer sent data before the request was complete")
             try:
                 view = view[self.sock.send(view) :]
             except (BlockingIOError, InterruptedError):
@@ -121,44 +126,47 @@
                 self._write_blocked = False
 
     def max_read_ahead(self) -> int:
-        """How many bytes may be read that nobody waits for: not more than a part of what is free."""
-        most = super().max_read_ahead()
+        """How many bytes may be buffered while no task waits: at most a part of the free body memory."""
+        max_bytes = super().max_read_ahead()
         if self.body_memory is None:
-            return most
+            return max_bytes
         return max(
             READ_AHEAD_BYTES,
-            min(most, int((self.body_memory.limit_bytes - self.body_memory.used_bytes) / READ_AHEAD_DIVISOR)),
+            min(
+                max_bytes,
+                int((self.body_memory.limit_bytes - self.body_memory.used_bytes) / READ_AHEAD_DIVISOR),
+            ),
         )
 
     def reserve_body_memory(self, size: int) -> None:
-        """Count more of a body against the budget; HttpError where it is used up."""
+        """Count bytes of a request body; HttpError 503 if that exceeds the body memory."""
         if self.body_memory is not None:
             self._reserved_bytes += size
             self.body_memory.used_bytes += size
             if self.body_memory.used_bytes > self.body_memory.limit_bytes:
-                after: Headers = [(b"Retry-After", b"1")]
-                raise HttpError(503, "no memory for one more request", "overloaded", headers=after)
+                retry_after: Headers = [(b"Retry-After", b"1")]
+                raise HttpError(503, "no memory for one more request", "overloaded", headers=retry_after)
 
     def release_body_memory(self) -> None:
-        """Its request is over: what it held is free."""
+        """Free the body memory of a request that has ended."""
         if self.body_memory is not None:
             self.body_memory.used_bytes -= self._reserved_bytes
             self._reserved_bytes = 0
 
     def next_cycle(self) -> bool:
-        """Make ready for another exchange, where both sides are through with this one."""
+        """Start another exchange if both sides have completed this one; returns whether they have."""
         if self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE:
             self.h11.start_next_cycle()
             return True
         return False
 
     def close(self) -> None:
-        """Close the socket now."""
+        """Close the socket at once."""
         if not self.closed:
             self.detach().close()
 
     def detach(self) -> socket.socket:
-        """Give the socket out, still open; to whoever waits here it is closed."""
+        """Return the socket, still open; tasks that wait here find the connection closed."""
         self.closed = True
         self.pause_reading()
         if self._waiter is not None and not self._waiter.done():
--- a/ringledge/wire/http/errors.py
+++ b/ringledge/wire/http/errors.py
@@ -1,4 +1,4 @@
-"""What ends an exchange on a connection, and what a peer is told of it."""
+"""Exceptions that end an exchange on a connection, with the error response for the peer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class HttpError(Exception):
-    """Input that is answered with a plain status and costs nothing else."""
+    """A message that is answered with an error status; the process is otherwise unaffected."""
 
     def __init__(
         self,
@@ -25,9 +25,9 @@
 
 
 class FloodError(HttpError):
-    """A client sends without end ahead of its answer: it is told so, and its connection ends.
+    """A client pipelines too much data before its response; it is rejected, and its connection is closed.
 
-    429 promises that a retry does no harm; where the request may have run and must not run twice, it failed.
+    A 429 promises that a retry is safe. So a request that may have run and must not run twice gets a 500.
     """
 
     def __init__(self, may_refuse: bool) -> None:
@@ -38,12 +38,12 @@
 
 
 class ConnectionIdleError(Exception):
-    """Nobody spoke on a connection for a while: it is put to rest."""
+    """No data arrived on a connection for a while, so that it becomes idle."""
 
 
 class ShedError(HttpError):
-    """A request that the gate turned away, before its body was read; its connection may go on."""
+    """A request that the admission gate shed before its body was read; its connection stays usable."""
 
 
-# What ends an exchange with a peer: its socket, its HTTP, or an answer past all bounds.
+# Errors that end an exchange with a peer: of the socket or the protocol, or an oversized or late message.
 PEER_ERRORS = (OSError, h11.RemoteProtocolError, anyio.ClosedResourceError, HttpError)
--- a/ringledge/wire/http/headers.py
+++ b/ringledge/wire/http/headers.py
@@ -1,4 +1,4 @@
-"""Headers of messages: what they say, and what an answer says of its connection."""
+"""Header look-up, and the response headers that describe the connection."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def headers_by_name(head: h11.Request | h11.Response) -> dict[bytes, bytes]:
-    """All headers by name (in lower case), the first of each; one walk costs less than several look-ups."""
+    """The first value of each header by lower-case name; one pass is cheaper than several look-ups."""
     by_name: dict[bytes, bytes] = {}
     for key, value in head.headers:
         by_name.setdefault(key, value)
@@ -16,7 +16,7 @@
 
 
 def header(head: h11.Request | h11.Response, name: bytes) -> bytes | None:
-    """The first header of that name (in lower case)."""
+    """The first value of a header, whose name is given in lower case; None if it is missing."""
     for key, value in head.headers:
         if key == name:
             return bytes(value)
@@ -24,7 +24,7 @@
 
 
 def with_keep_alive(event: h11.Event, keep_alive: bytes) -> h11.Event:
-    """The head of an answer with what it tells of how long the connection may rest."""
+    """Add a Keep-Alive header to a response head, unless it has a Connection header."""
     if not isinstance(event, h11.Response) or header(event, b"connection"):
         return event
     headers = [*event.headers, (b"Keep-Alive", keep_alive)]
@@ -32,7 +32,7 @@
 
 
 def with_connection_close(event: h11.Event) -> h11.Event:
-    """The head of an answer as the connection's last one."""
+    """Add `Connection: close` to a response head, unless it has a Connection header."""
     if not isinstance(event, h11.Response) or header(event, b"connection"):
         return event
     headers = [*event.headers, (b"Connection", b"close")]
--- a/ringledge/wire/http/messages.py
+++ b/ringledge/wire/http/messages.py
@@ -1,4 +1,4 @@
-"""Whole messages: a body is read, an answer is written."""
+"""Reads complete message bodies and writes complete responses."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.headers import Headers, header
 
-MAX_BODY_BYTES = 256 * 1024  # bytes: the protocol's max_bytes
-BODY_TIMEOUT_S = 10.0  # a peer's body that takes longer is given up
+MAX_BODY_BYTES = 256 * 1024  # the protocol's limit for a message body
+BODY_TIMEOUT_S = 10.0  # a body that takes longer to arrive fails with HttpError 408
 
 
 async def read_body(
     conn: Connection, head: h11.Request | h11.Response, max_bytes: int = MAX_BODY_BYTES
 ) -> bytes:
-    """The whole body of a message; HttpError 413 as soon as it proves too long."""
+    """Read the body of a message; raises HttpError 413 if it is too long, 408 if it is too late."""
     length = header(head, b"content-length")
     if length and int(length) > max_bytes:
         raise HttpError(413, f"the body is longer than {max_bytes} bytes")
@@ -41,7 +41,7 @@
 
 
 def require_method(head: h11.Request, method: bytes) -> None:
-    """Let one method through."""
+    """Raise HttpError 405 unless the request has this method."""
     if head.method != method:
         allow: Headers = [(b"Allow", method)]
         raise HttpError(405, f"only {method.decode()} here", "method_not_allowed", headers=allow)
@@ -54,7 +54,7 @@
     headers: Headers | None = None,
     content_type: bytes = b"application/json",
 ) -> None:
-    """One whole answer."""
+    """Send a complete response."""
     response_headers: Headers = [
         (b"Content-Type", content_type),
         (b"Content-Length", b"%d" % len(body)),
--- a/ringledge/wire/http/receive_buffer.py
+++ b/ringledge/wire/http/receive_buffer.py
@@ -1,44 +1,44 @@
-"""The one buffer of a connection."""
+"""The receive buffer of a connection."""
 
 from __future__ import annotations
 
 
 class ReceiveBuffer:
-    """Bytes read from a socket that the parser has not taken yet; grows and is compacted in place."""
+    """Bytes read from a socket and not parsed yet; grows as needed, and is compacted in place."""
 
     def __init__(self, size: int = 16 * 1024) -> None:
         self._data = bytearray(size)
         self._start = self._end = 0
 
     def __len__(self) -> int:
-        """How many bytes wait."""
+        """How many bytes are buffered."""
         return self._end - self._start
 
     def writable_view(self, min_bytes: int = 1024) -> memoryview:
-        """Free space of at least that size behind what waits; tell `filled` how much of it was used."""
+        """Free space of at least `min_bytes` after the buffered bytes; `commit` the size that was written."""
         if self._start and len(self._data) - self._end < min_bytes:
-            waiting = len(self)
-            self._data[:waiting] = self._data[self._start : self._end]
-            self._start, self._end = 0, waiting
+            size = len(self)
+            self._data[:size] = self._data[self._start : self._end]
+            self._start, self._end = 0, size
         if len(self._data) - self._end < min_bytes:
             self._data.extend(bytes(max(min_bytes, len(self._data))))
         return memoryview(self._data)[self._end :]
 
     def commit(self, size: int) -> None:
-        """Count bytes that were written into the room."""
+        """Append the first `size` bytes of the writable view to the buffered bytes."""
         self._end += size
 
     def peek(self) -> bytes:
-        """All that waits, left where it is."""
+        """A copy of the buffered bytes, which stay in the buffer."""
         with memoryview(self._data) as view:
             return bytes(view[self._start : self._end])
 
     def clear(self) -> None:
-        """Drop all that waits."""
+        """Discard the buffered bytes."""
         self._start = self._end = 0
 
     def take(self) -> bytes:
-        """Give out all that waits."""
+        """Remove and return the buffered bytes."""
         with memoryview(self._data) as view:
             taken = bytes(view[self._start : self._end])
         self._start = self._end = 0
--- a/ringledge/wire/http/socket_reader.py
+++ b/ringledge/wire/http/socket_reader.py
@@ -1,4 +1,4 @@
-"""The reading half of a connection: the loop's callback fills a buffer, and hears the peer's end."""
+"""The receiving half of a connection: an event loop callback fills a buffer and detects disconnects."""
 
 from __future__ import annotations
 
@@ -14,44 +14,43 @@
 from ringledge.wire.http.errors import ConnectionIdleError
 from ringledge.wire.http.receive_buffer import ReceiveBuffer
 
-READ_AHEAD_BYTES = 16 * 1024  # bytes read while nobody waits for them, of a next request say
-# The same while somebody waits to hear of the peer's end, which comes behind all that it has sent: some of
-# the longest requests. A peer that sends more than this ahead of its answer is a flood.
+READ_AHEAD_BYTES = 16 * 1024  # buffered while no task waits for input, e.g. of a pipelined request
+# The limit while a disconnect callback is set: the peer's FIN arrives only after all data before it. Fits
+# several of the longest requests; a peer that sends more than this before its response is flooding.
 MAX_READ_AHEAD_BYTES = 1024 * 1024
-DISCARD_BUFFER = bytearray(256 * 1024)  # names a size to the system; nothing is written to it
-LAST_DATA_RECV_OFFSET = 52  # offset in Linux's struct tcp_info: ms since a segment with data came
+DISCARD_BUFFER = bytearray(256 * 1024)  # only its size matters: with MSG_TRUNC nothing is written to it
+LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv in Linux's struct tcp_info: ms since data arrived
 
 
 class SocketReader:
-    """One socket and the buffer that it is read into.
+    """A socket and the buffer that it is read into.
 
-    The loop is told of the socket once, not at each wait: what comes is read by its callback as soon as it is
-    there, up to READ_AHEAD_BYTES while nobody waits for it. So the end of a peer is seen with nobody reading.
+    The socket is registered with the event loop once, not at each wait: the callback reads data as soon as it
+    arrives, up to READ_AHEAD_BYTES while no task waits. So a disconnect is detected while no task reads.
     """
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.buffer = ReceiveBuffer()
-        self.received_bytes = 0  # so far
+        self.received_bytes = 0  # in total
         self.closed = False
-        self.eof_received = False  # the peer has said its last
-        self.on_queue_delay: Callable[[float], None] | None = (
-            None  # the front's: told how long a request lay unread
-        )
-        self.unread_ms = 0.0  # that the bytes read last had lain in the socket
-        self.arrival_times: ArrivalTimes | None = None  # the front's: when what its client sent came
-        self._paused_since_s: float | None = None  # what comes while nobody listens may have come then
+        self.eof_received = False
+        # Set by the front: called with the ms that a request lay unread in its socket.
+        self.on_queue_delay: Callable[[float], None] | None = None
+        self.unread_ms = 0.0  # how long the bytes read last had lain in the socket
+        self.arrival_times: ArrivalTimes | None = None  # set by the front
+        self._paused_since_s: float | None = None  # data read after a pause may have arrived at its start
         self._idle_wait_ended = False
-        self._skip_bytes = 0  # bytes to come that nobody wants
+        self._skip_bytes = 0  # how many of the next bytes are to be discarded
         self._loop = asyncio.get_running_loop()
-        self._reading = False  # the loop tells of what comes
-        self._waiter: asyncio.Future[None] | None = None  # of who waits for it
+        self._reading = False  # the socket is registered with the event loop
+        self._waiter: asyncio.Future[None] | None = None  # of the task that waits for input
         self._error: OSError | None = None
         self._on_disconnect: Callable[[], None] | None = None
         self._on_flood: Callable[[], None] | None = None
 
     async def fill(self) -> int:
-        """Wait for more of what the peer sends to be in the buffer; 0 at its end."""
+        """Wait until more input is in the buffer; returns its size, 0 at the end of the input."""
         before = len(self.buffer)
         while not self.eof_received:
             if self._error is not None:
@@ -59,7 +58,7 @@
             if self.closed:
                 raise anyio.ClosedResourceError
             if len(self.buffer) > before:
-                self._idle_wait_ended = False  # something came in the very turn in which it was to rest
+                self._idle_wait_ended = False  # data arrived in the same loop turn
                 return len(self.buffer) - before
             if self._idle_wait_ended:
                 raise ConnectionIdleError
@@ -67,7 +66,7 @@
         return len(self.buffer) - before
 
     async def _wait_for_input(self) -> None:
-        """Wait until the loop has read something, or has found that nothing more comes."""
+        """Wait until the callback has read data, the end of the input or an error."""
         if not self._reading:
             self._start_reading()
         self._waiter = self._loop.create_future()
@@ -77,17 +76,17 @@
             self._waiter = None
 
     async def skip(self, size: int) -> bool:
-        """Let so many bytes that are still to come go by, uncopied; False where the peer ends before."""
+        """Discard the next `size` bytes without copying them; False if the input ends before."""
         self._skip_bytes = size
         self._skip_available()
         while self._skip_bytes and not (self.closed or self.eof_received or self._error):
             await self._wait_for_input()
-        whole, self._skip_bytes = not self._skip_bytes, 0
-        return whole
+        complete, self._skip_bytes = not self._skip_bytes, 0
+        return complete
 
     def _skip_available(self) -> None:
         try:
-            # Linux drops what TCP has without copying it, up to the size that is named (tcp(7)).
+            # With MSG_TRUNC, Linux discards up to that many received bytes without copying them (tcp(7)).
             size = self.sock.recv_into(
                 DISCARD_BUFFER, min(len(DISCARD_BUFFER), self._skip_bytes), socket.MSG_TRUNC
             )
@@ -107,13 +106,13 @@
         self._loop.add_reader(self.sock, self._on_readable)
 
     def pause_reading(self) -> None:
-        """Read nothing more until somebody waits for it."""
+        """Read nothing until a task waits for input."""
         if self._reading:
             self._reading, self._paused_since_s = False, self._loop.time()
             self._loop.remove_reader(self.sock)
 
     def _on_readable(self) -> None:
-        """Read once: a peer that sends without end keeps no others waiting."""
+        """Read once, so that a peer that sends without end does not delay others."""
         if self._waiter is None and len(self.buffer) >= self.max_read_ahead():
             self.pause_reading()
             if self._on_flood is not None:
@@ -126,9 +125,9 @@
         if not len(self.buffer) and (self.arrival_times is not None or self.on_queue_delay is not None):
             self.unread_ms = unread_ms(self.sock)
             age_s = self.unread_ms / 1000
-        with self.buffer.writable_view() as room:
+        with self.buffer.writable_view() as view:
             try:
-                size = self.sock.recv_into(room)
+                size = self.sock.recv_into(view)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
@@ -145,41 +144,40 @@
             self._waiter.set_result(None)
 
     def _record_arrival(self, size: int, age_s: float) -> None:
-        """Note when a piece came: nobody looked at the socket while it was deaf, or the process was busy."""
+        """Record when a piece arrived: it may have waited while reading was paused or the process busy."""
         paused_since_s, self._paused_since_s = self._paused_since_s, None
         if self.arrival_times is not None and size:
             now_s = self._loop.time()
-            if (
-                self.arrival_times.received_bytes and age_s <= MAX_PROMPT_READ_DELAY_S
-            ):  # the loop's usual round, which the kernel's ticks blur
+            # A usual delay of the event loop, measured in the kernel's coarse ticks: it counts as none.
+            if self.arrival_times.received_bytes and age_s <= MAX_PROMPT_READ_DELAY_S:
                 age_s = 0.0
             self.arrival_times.add(size, now_s, now_s - age_s if paused_since_s is None else paused_since_s)
 
     def max_read_ahead(self) -> int:
-        """How many bytes may be read that nobody waits for."""
+        """How many bytes may be buffered while no task waits for input."""
         return READ_AHEAD_BYTES if self._on_disconnect is None else MAX_READ_AHEAD_BYTES
 
     def set_disconnect_callback(
-        self, call: Callable[[], None] | None, flooded: Callable[[], None] | None = None
+        self, callback: Callable[[], None] | None, on_flood: Callable[[], None] | None = None
     ) -> None:
-        """Have it called as soon as the peer closes, which a reset is as well; None: no more.
+        """Set the callback for when the peer closes or resets the connection; None removes it.
 
-        `flooded` is called where the peer sends so much that its end would not be heard behind it.
+        `on_flood` is called if the peer sends so much that its disconnect could not be detected any more.
         """
-        self._on_disconnect, self._on_flood = call, flooded
-        if call is None:
+        self._on_disconnect, self._on_flood = callback, on_flood
+        if callback is None:
             return
         if self.eof_received or self._error is not None or self.closed:
-            call()
+            callback()
         elif not self._reading:
             self._start_reading()
 
     def is_disconnected(self) -> bool:
-        """Whether the peer has closed, asked of the system: its end may not have come to the loop yet."""
+        """Whether the peer has disconnected; checks the kernel too, which may know before the event loop."""
         return self.eof_received or self._error is not None or self.closed or peer_has_closed(self.sock)
 
     def readable(self) -> bool:
-        """Whether the peer has closed or said something unasked: such an idle connection is stale."""
+        """Whether the peer has closed it or sent unsolicited data: such an idle connection is stale."""
         if self.eof_received or self._error is not None or len(self.buffer):
             return True
         try:
@@ -191,13 +189,13 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the peer of a socket has closed or reset it, also where bytes before its end wait unread."""
+    """Whether the peer has closed or reset a socket, even if bytes before that are unread."""
     try:
         if not sock.recv(1, socket.MSG_PEEK):
             return True
-        unread = select.poll()  # takes no descriptor: there may be none left
-        unread.register(sock, select.POLLRDHUP)
-        return bool(unread.poll(0))
+        poller = select.poll()  # unlike epoll it needs no descriptor, of which none may be left
+        poller.register(sock, select.POLLRDHUP)
+        return bool(poller.poll(0))
     except (BlockingIOError, InterruptedError):
         return False
     except OSError:
@@ -205,12 +203,12 @@
 
 
 def unread_ms(sock: socket.socket) -> float:
-    """How long the newest bytes on a socket have been there, in the kernel's ticks; ask before reading them.
+    """How long the newest unread bytes have been in a socket, in kernel ticks; call it before reading them.
 
-    0 where it can't be told, on other than TCP sockets say.
+    0 if that is unknown, e.g. for a socket that is not TCP.
     """
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV_OFFSET + 4)
-        return float(struct.unpack_from("=I", told, LAST_DATA_RECV_OFFSET)[0])
+        tcp_info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV_OFFSET + 4)
+        return float(struct.unpack_from("=I", tcp_info, LAST_DATA_RECV_OFFSET)[0])
     except (OSError, struct.error):
         return 0.0
--- a/ringledge/wire/http/sockets.py
+++ b/ringledge/wire/http/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets: opened, listened at, asked how long what they hold has lain there."""
+"""Opens connections and listening sockets, and configures TCP keep-alive."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from ringledge.structures.transient_errors import NO_LOCAL_PATH, RESOURCE_EXHAUSTED, retry_while_transient
 from ringledge.wire.http.connection import Connection
 
-LOCAL_RETRY_INTERVAL_S = 0.01  # between two tries of a connection that our own side had nothing for
-KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S = (
-    60,
-    10,
-)  # of rest until the kernel asks a peer, and between its further questions
-USER_TIMEOUT_MS = 30_000  # that what was sent to a peer, questions too, may stay unacknowledged
+LOCAL_RETRY_INTERVAL_S = 0.01  # after a connection failed for lack of a local resource
+KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S = 60, 10  # idle time before the first probe; between probes
+USER_TIMEOUT_MS = 30_000  # how long sent data, including keep-alive probes, may stay unacknowledged
 
 
 class LocalConnectError(OSError):
-    """No connection was tried: our own side had no descriptor, port, buffer or route for all of the time."""
+    """No connection was attempted: a local descriptor, port, buffer or route was missing all the time."""
 
 
 async def connect(address: str, timeout_s: float) -> Connection:
-    """Open a connection; OSError if refused, TimeoutError if not established, else LocalConnectError."""
+    """Open a connection, retrying while a local resource is missing.
+
+    Raises OSError if the peer refuses, TimeoutError if the connection is not established in time, and
+    LocalConnectError if the local resource is still missing then.
+    """
     failed: OSError | None = None
     with anyio.move_on_after(timeout_s):
         while True:
@@ -47,7 +48,7 @@
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        with suppress(BlockingIOError, InterruptedError):  # either way it goes on by itself
+        with suppress(BlockingIOError, InterruptedError):  # connecting continues in the background
             sock.connect((host, int(port)))
         await anyio.wait_writable(sock)
         error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -60,7 +61,7 @@
 
 
 def listen(address: str) -> socket.socket:
-    """A listening socket at that address only; what fails for a moment is tried again."""
+    """Open a listening socket, bound to that address only; transient errors are retried."""
     return retry_while_transient(partial(_listen_once, address))
 
 
@@ -69,7 +70,9 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)  # one that hangs there stops no start
+        sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_REUSEPORT, 1
+        )  # a hung process at the port must not prevent a start
         sock.setblocking(False)
         sock.bind((host, int(port)))
         sock.listen(1024)
@@ -80,7 +83,7 @@
 
 
 def enable_keepalive(sock: socket.socket, keep_s: float) -> None:
-    """Have the kernel look for peers that vanished: nobody speaks on a connection at rest for long."""
+    """Let the kernel detect peers that vanished, which an idle connection would not notice otherwise."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, max(1, min(KEEPALIVE_IDLE_S, int(keep_s / 2))))
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
