--- a/ringledge/wire/http/socket_reader.py
+++ b/ringledge/wire/http/socket_reader.py
@@ -40,7 +40,7 @@
         self.unread_ms = 0.0  # how long the bytes read last had lain in the socket
         self.arrival_times: ArrivalTimes | None = None  # set by the front
         self._paused_since_s: float | None = None  # data read after a pause may have arrived at its start
-        self._idle_wait_ended = False
+        self._idle_wait_ended = False  # `fill` is to raise ConnectionIdleError
         self._skip_bytes = 0  # how many of the next bytes are to be discarded
         self._loop = asyncio.get_running_loop()
         self._reading = False  # the socket is registered with the event loop
--- a/ringledge/wire/servers/__init__.py
+++ b/ringledge/wire/servers/__init__.py
@@ -1,1 +1,1 @@
-"""The server side: attempts, reused connections, releases and unresponsive servers."""
+"""The server side: attempts, pooled connections, releases, and detection of unresponsive servers."""
--- a/ringledge/wire/servers/connections.py
+++ b/ringledge/wire/servers/connections.py
@@ -1,4 +1,4 @@
-"""Connections to servers, idle and new ones, and small exchanges without a body over them."""
+"""Pooled and new connections to servers, and small exchanges without a request body over them."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 from ringledge.wire.servers.context import UpstreamContext
 from ringledge.wire.servers.responses import is_reusable, parse_load_report, read_response_head
 
-PROBE_TIMEOUT_S = 1.0  # a slower answer says no more than a time-out
+PROBE_TIMEOUT_S = 1.0  # a later response is no more useful than a time-out
 EXPIRY_INTERVAL_S = 1.0
 
 
 class ServerConnections:
-    """Connections to servers, each with one exchange at a time; records which servers can be reached."""
+    """Connections to servers, each with one exchange at a time; records which servers are reachable."""
 
     def __init__(self, context: UpstreamContext, reachability: Reachability) -> None:
         names = context.names
-        # Idle connections are closed well before the server closes them, after half its timeout.
+        # Idle connections are closed after half the server's keep-alive timeout: well before the server does.
         self.pool: ConnectionPool[Connection] = ConnectionPool(
             context.max_connections, names.keepalive_s / 2, context.metrics
         )
@@ -49,18 +49,18 @@
     async def acquire(
         self, server: str, address: str, timeout_s: float, at_most_once: bool = False
     ) -> Connection:
-        """An idle connection or a new one; OSError or TimeoutError if none can be established.
+        """Take an idle connection or open a new one; OSError or TimeoutError if that fails.
 
-        `at_most_once`: for a request that must not run twice, so that only trusted idle connections will do.
+        `at_most_once`: the request must not run twice, so that only a trusted idle connection is reused.
         """
         conn = self.pool.acquire(address, at_most_once)
         return conn or await self.open(server, address, timeout_s)
 
     async def open(self, server: str, address: str, timeout_s: float) -> Connection:
-        """A new connection; OSError or TimeoutError if it can't be established."""
+        """Open a new connection; OSError or TimeoutError if that fails."""
         if not self.pool.reserve():
             log.error("server_sockets_exhausted", limit=self.pool.limit)
-            raise OSError("no socket left")
+            raise OSError("connection limit reached")
         started_s = time.monotonic()
         try:
             conn = await connect(address, timeout_s)
@@ -73,7 +73,7 @@
         return conn
 
     async def call(self, server: str, address: str, method: bytes, path: bytes) -> tuple[h11.Response, bytes]:
-        """One small exchange without a request body: the head and the body of the response."""
+        """Make an exchange without a request body; returns the head and the body of the response."""
         conn = await self.acquire(server, address, self.connect_timeout_s())
         reuse = False
         try:
@@ -87,14 +87,14 @@
             self.give_back(address, conn, reuse, carried_request=False)
 
     def give_back(self, address: str, conn: Connection, reuse: bool, carried_request: bool = True) -> None:
-        """Put an acquired connection into the pool, or close it."""
+        """Return an acquired connection to the pool, or close it."""
         if reuse:
             self.pool.release(address, conn, carried_request)
         else:
             self.pool.discard(conn)
 
     async def probe(self, server: str, address: str | None) -> ProbeResult:
-        """Request the load report."""
+        """Request a server's load report, as a health check."""
         started_s = time.monotonic()
         status = AttemptStatus.CONNECT_FAILED
         load: LoadReport | None = None
@@ -111,7 +111,7 @@
         return ProbeResult(server, status, (time.monotonic() - started_s) * 1000, load)
 
     async def close_expired(self) -> None:
-        """Close idle connections whose time is over, for ever."""
+        """Close expired idle connections at an interval; runs until cancelled."""
         while True:
             await anyio.sleep(EXPIRY_INTERVAL_S)
             self.pool.close_idle()
@@ -122,5 +122,5 @@
         elif isinstance(error, TimeoutError) or (
             isinstance(error, LocalConnectError) and error.errno in NO_LOCAL_PATH
         ):
-            # Without a route for the whole timeout the server is as unreachable as after a time-out.
+            # A server to which there is no route for the whole timeout is unreachable, as after a time-out.
             self.reachability.record_timeout(server, self._clock.now_ms())
--- a/ringledge/wire/servers/context.py
+++ b/ringledge/wire/servers/context.py
@@ -1,4 +1,4 @@
-"""What all modules of the server side need: their settings, and the services of the process."""
+"""Settings and services that the modules of the server side share."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 
-DEFAULT_HOLD_LIMIT_MS = 500.0
+DEFAULT_HOLD_LIMIT_MS = 500.0  # for KV cache entries, if the limit is not configured
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamContext:
-    """Services and settings of the server side; `tasks` runs its background tasks."""
+    """Settings and services of the server side; `tasks` runs its background tasks."""
 
     tasks: anyio.abc.TaskGroup
     servers: ServerList
     names: Names
     max_connections: int
-    configured_hold_limit_ms: float  # 0 if it isn't configured
+    configured_hold_limit_ms: float  # 0 if not configured
     zone: int  # of this process
     clock: Clock
     metrics: Metrics
--- a/ringledge/wire/servers/entry_releases.py
+++ b/ringledge/wire/servers/entry_releases.py
@@ -1,4 +1,4 @@
-"""Releases the KV cache entries of open requests, whose attempts go on afterwards."""
+"""Releases the KV cache entries of open requests, whose attempts continue afterwards."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class EntryReleases:
-    """Has entries released, and records the answer with the request."""
+    """Releases entries, and records the result in the request's record."""
 
     def __init__(self, context: UpstreamContext, sender: ReleaseSender) -> None:
         self._context = context
         self._sender = sender
 
     def start(self, record: Record, reason: ReleaseReason) -> None:
-        """Release a request's entries beside its attempt in flight."""
+        """Release a request's entries in the background, while its attempt is in flight."""
         servers = self._begin(record, reason)
         self._context.tasks.start_soon(self._finish, record, servers)
 
     async def release(self, record: Record, reason: ReleaseReason) -> None:
-        """Release a request's entries, and wait until no call of the release is in flight, or too long."""
+        """Release a request's entries, and wait until no release call is in flight, or for the timeout."""
         await self._finish(record, self._begin(record, reason))
 
     def _begin(self, record: Record, reason: ReleaseReason) -> set[str]:
@@ -44,6 +44,6 @@
             answered_by = await self._sender.release_and_wait(
                 record.request_id, servers, record.cache.idle_since_ms
             )
-        finally:  # also when the attempt that waits for it is cancelled
+        finally:  # also if the waiting attempt is cancelled
             now_ms = self._context.clock.now_ms()
             record.cache.end_release(now_ms, answered_by, record.has_written_attempt)
--- a/ringledge/wire/servers/event_buffer.py
+++ b/ringledge/wire/servers/event_buffer.py
@@ -1,24 +1,24 @@
-"""Joins the pieces in which events of a stream arrive; free of I/O and clocks.
+"""Joins the pieces in which the events of a stream arrive; free of I/O and clocks.
 
-A server may write an event in many small chunks. Relayed as they arrive, each becomes a chunk and a segment
-of its own, and a stream that a slow path carries segment by segment falls ever further behind. So an event is
-relayed in one piece once it is complete, and its parts are delayed for a bounded time only.
+A server may write an event in many small chunks. Relayed one by one, each would become a chunk and a TCP
+segment of its own, and on a slow path the stream would fall further and further behind. So an event is
+relayed in one piece once it is complete; an incomplete event is delayed for a bounded time only.
 """
 
 from __future__ import annotations
 
-MAX_DELAY_S = 0.1  # of an incomplete event: a third of the delay that an event may have
+MAX_DELAY_S = 0.1  # for an incomplete event: a third of the delay allowed for an event
 EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 MAX_TERMINATOR_BYTES = max(map(len, EVENT_TERMINATORS))
 
 
 class EventBuffer:
-    """What has arrived of a stream and was not relayed yet."""
+    """The bytes of a stream that have arrived and were not relayed yet."""
 
     def __init__(self) -> None:
         self._buffered = bytearray()
         self._oldest_s = 0.0  # when the oldest buffered byte arrived
-        self._searched_bytes = 0  # at the front, without a terminator
+        self._searched_bytes = 0  # at the start of the buffer, known to contain no terminator
 
     def __len__(self) -> int:
         """How many bytes are buffered."""
@@ -26,11 +26,11 @@
 
     @property
     def deadline_s(self) -> float:
-        """When the buffered bytes must be relayed, complete or not."""
+        """When the buffered bytes must be relayed, whether or not they end with a complete event."""
         return self._oldest_s + MAX_DELAY_S
 
     def feed(self, piece: bytes, now_s: float) -> None:
-        """A piece has arrived."""
+        """Buffer a piece that arrived at `now_s`."""
         if not self._buffered:
             self._oldest_s = now_s
         self._buffered += piece
@@ -44,7 +44,7 @@
         del self._buffered[:size]
         self._searched_bytes = len(self._buffered)
         if complete:
-            self._oldest_s = now_s  # the rest arrived together with the terminator before it, or later
+            self._oldest_s = now_s  # the rest arrived with the terminator before it, or later
         return complete
 
     def take_all(self) -> bytes:
@@ -55,7 +55,7 @@
         return buffered
 
     def _complete_bytes(self) -> int:
-        """Length of the complete events."""
+        """Length of the complete events at the start of the buffer."""
         start = max(0, self._searched_bytes - MAX_TERMINATOR_BYTES)
         size = 0
         for terminator in EVENT_TERMINATORS:
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a server: the request, and the response as an outcome by the protocol's table."""
+"""One exchange with a server: sends the request, and maps the response to an outcome."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 )
 from ringledge.wire.servers.stream_relay import StreamRelay
 
-SEND_TIMEOUT_S = 1.0  # for a whole request: sockets buffer most of it, and servers read at once
+SEND_TIMEOUT_S = 1.0  # for a complete request: sockets buffer most of it, and servers read promptly
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeResult:
-    """How an exchange ended; the meaning of `note` depends on the status, as in `Conductor.outcome`."""
+    """How an exchange ended; the meaning of `note` depends on the status (see `AttemptOutcome`)."""
 
     status: AttemptStatus
     note: int = 0
@@ -72,7 +72,7 @@
     async def _connect(
         self, attempt: Attempt, state: InFlightAttempt, address: str
     ) -> Connection | ExchangeResult:
-        """A connection within the hold limit of the request's entry, or the result if there is none."""
+        """Get a connection within the hold limit of the request's entry; the result if that fails."""
         record = attempt.record
         timeout_s = self.connections.connect_timeout_s()
         if record.cache.released and not attempt.is_prefill:
@@ -88,19 +88,22 @@
             conn = await self.connections.acquire(attempt.server, address, timeout_s, attempt.at_most_once)
         except OSError as error:
             log.info("connect_failed", server=attempt.server, request=record.request_id, error=str(error))
-            is_local = isinstance(error, LocalConnectError)  # the server is not to blame
+            is_local = isinstance(error, LocalConnectError)  # not the server's fault
             return ExchangeResult(AttemptStatus.CONNECT_FAILED, int(is_local))
         state.conn = conn
-        if state.scope.cancel_called:  # it is only raised at the next wait, and writing may need none
+        if (
+            state.scope.cancel_called
+        ):  # the cancellation is raised at the next wait only, and a write may not wait
             return ExchangeResult(AttemptStatus.CONNECT_FAILED)
         return conn
 
     async def _send(
         self, attempt: Attempt, state: InFlightAttempt, conn: Connection, address: str
     ) -> ExchangeResult | None:
-        """Write the request to its last byte; the result if that failed."""
+        """Write the complete request; returns a result only if that fails."""
+        # Checked right before the first byte is written: from then on the request counts as sent.
         if not self.conductor.may_send(attempt):
-            return ExchangeResult(AttemptStatus.NOT_SENT)  # a send counts from its first byte
+            return ExchangeResult(AttemptStatus.NOT_SENT)
         record = attempt.record
         budget_ms = int(attempt.expires_ms - self.context.clock.now_ms())
         self.conductor.on_attempt_sent(attempt, budget_ms)
@@ -111,7 +114,7 @@
         try:
             with anyio.fail_after(self._send_timeout_s(attempt)):
                 await conn.send_request(*_request_events(record, address, budget_ms))
-        except OSError as error:  # without its last byte the request can't have run
+        except OSError as error:  # a request without its last byte can't have run
             log.info("send_failed", server=attempt.server, request=record.request_id, error=str(error))
             return ExchangeResult(AttemptStatus.CONNECT_FAILED, self._note_broken(conn, address))
         attempt.written = True
@@ -123,7 +126,7 @@
     async def _receive(
         self, attempt: Attempt, state: InFlightAttempt, conn: Connection, address: str
     ) -> ExchangeResult:
-        """Receive the response."""
+        """Receive the response, and relay it if it is a stream."""
         has_head = False
         try:
             head = await read_response_head(conn)
@@ -147,28 +150,28 @@
     async def _relay_stream(
         self, attempt: Attempt, state: InFlightAttempt, conn: Connection, head: h11.Response
     ) -> ExchangeResult:
-        """Relay a stream to its last chunk."""
+        """Relay a stream up to its last chunk."""
         chunked = header(head, b"transfer-encoding") is not None
         opening = await read_first_event(conn, chunked)
-        if state.scope.cancel_called:  # timed out in this turn: a stream begun now would be cut at once
+        if state.scope.cancel_called:  # timed out in this loop turn: a stream started now would be cut off
             return ExchangeResult(AttemptStatus.TIMEOUT)
         state.scope.deadline = math.inf
         if not self.conductor.on_first_token(attempt):
             return ExchangeResult(AttemptStatus.CANCELLED)
         relay = StreamRelay(self.conductor, attempt, state, conn, chunked)
         tail = parse_stream_tail(await relay.run(opening))
-        attempt.completion_tokens = tail.answer_tokens
+        attempt.completion_tokens = tail.completion_tokens
         load = tail.load or parse_load_report(header(head, b"x-load-report"))
         return ExchangeResult(AttemptStatus.OK, tail.cached_tokens, load)
 
     def _note_broken(self, conn: Connection, address: str) -> int:
-        """The result's note for a broken connection: 1 if it was reused, which says little of its server."""
+        """The note for a broken connection: 1 if it was reused, which says little about the server."""
         if conn.reused:
             self.connections.pool.on_reused_broken(address)
         return int(conn.reused)
 
     def _send_timeout_s(self, attempt: Attempt) -> float:
-        """How long writing the request may take: a connection that accepts no more bytes may be dead."""
+        """Timeout for writing the request: a connection that accepts no more bytes may be dead."""
         if not attempt.fetches_cache:
             return SEND_TIMEOUT_S
         return min(SEND_TIMEOUT_S, self._hold_remaining_s(attempt.record))
@@ -178,20 +181,20 @@
         return hold_remaining_s(now_ms, record.cache.idle_since_ms, self.context.hold_limit_ms)
 
     async def _await_release(self, record: Record) -> ExchangeResult:
-        """The entry was released already: a new prefill may start once no release call is in flight."""
+        """The entry has been released: request a new prefill once no release call is in flight."""
         await self.release_sender.wait_until_finished(record.request_id)
         record.cache.released = False
         return ExchangeResult(AttemptStatus.FULL, 1)
 
     async def _release_expired_entry(self, record: Record) -> ExchangeResult:
-        """No decode server was reached within the hold limit: release the entry, and prefill anew."""
+        """No decode server was reached within the hold limit: release the entry, then prefill anew."""
         await self.entry_releases.release(record, ReleaseReason.NO_SERVER_REACHED)
         record.cache.released = False
         return ExchangeResult(AttemptStatus.FULL, 1)
 
 
 def _request_events(record: Record, address: str, budget_ms: int) -> tuple[h11.Event, ...]:
-    """The client's request as it is sent to a server, with the time that the client has left."""
+    """The client's request as sent to a server, with the time that remains until its deadline."""
     payload = record.payload
     request = h11.Request(
         method=b"POST",
@@ -208,11 +211,12 @@
 
 
 def _classify_response(attempt: Attempt, head: h11.Response, body: bytes) -> ExchangeResult:
-    """The result of a response that is no stream."""
+    """Map a response that is not a stream to the result."""
     load = parse_load_report(header(head, b"x-load-report"))
     rejected = header(head, b"x-rejected") == b"1"
     status_code = head.status_code
-    if status_code == 202 and not attempt.fetches_cache:  # to a decode it proves nothing: it may have run
+    # A 202 in response to a decode is an error: it does not prove that the decode has not run.
+    if status_code == 202 and not attempt.fetches_cache:
         return ExchangeResult(AttemptStatus.PREFILLED, cached_tokens(parse_json_object(body)), load)
     if rejected and status_code == 410:
         return ExchangeResult(AttemptStatus.FULL, 1, load)
--- a/ringledge/wire/servers/in_flight.py
+++ b/ringledge/wire/servers/in_flight.py
@@ -13,22 +13,22 @@
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """An attempt in flight; cancelling its scope ends the exchange."""
+    """The state of an attempt in flight; cancelling `scope` ends its exchange."""
 
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     conn: Connection | None = None
-    written_ms: float = math.inf  # when the last byte of its request was written (the clock's ms)
-    received_bytes: int = 0  # on its connection, before its request was written
-    # When a stream counts as unresponsive unless a complete chunk arrives before (monotonic time).
+    written_ms: float = math.inf  # clock reading when the last byte of the request was written
+    received_bytes: int = 0  # on the connection before the request was written
+    # Monotonic time at which a stream counts as unresponsive unless a complete chunk arrives before.
     chunk_deadline_s: float = math.inf
-    relaying: bool = False  # it waits for its client, so that the server can't be blamed for the silence
+    relaying: bool = False  # waiting for the client to read: the server is not to blame for a delay
 
     def response_began(self) -> bool:
-        """Whether the server has sent anything since the request was written: then it has arrived."""
+        """Whether the server has sent anything since the request was written, which proves its delivery."""
         if self.conn is None or self.written_ms == math.inf:
             return False
         return self.conn.received_bytes > self.received_bytes
 
     def update_delivered(self, attempt: Attempt) -> None:
-        """Mark the attempt delivered where its response has begun, however little of it has come."""
+        """Mark the attempt as delivered if any byte of its response has arrived."""
         attempt.delivered = attempt.delivered or self.response_began()
--- a/ringledge/wire/servers/observation.py
+++ b/ringledge/wire/servers/observation.py
@@ -1,4 +1,4 @@
-"""What one router process observes of its servers, for the detection of a partition of its site."""
+"""What a router process observes of its servers, as input for detecting a partition of its site."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 )
 from ringledge.routing.server_views import server_views
 
-SUCCESS_RESULTS = ("served", "broken")  # the request got an answer, complete or not
+SUCCESS_RESULTS = ("served", "broken")  # the request got a response, complete or not
 FAILURE_RESULTS = ("refused", "failed")
 
 
 class ServerObserver:
-    """Observes servers through the policy's view and the results of connections."""
+    """Observes servers through the policy's view and through connection results."""
 
     def __init__(self, conductor: Conductor, reachability: Reachability, metrics: Metrics) -> None:
         self._conductor = conductor
@@ -25,7 +25,7 @@
         self._metrics = metrics
 
     def servers(self, now_s: float) -> list[ServerReachability]:
-        """Every listed server, with times on the clock that reads `now_s`."""
+        """The observation of every listed server; times are on the clock that reads `now_s`."""
         now_ms = self._conductor.clock.now_ms()
         offset_s = now_s - now_ms / 1000
         unreachable = self._reachability.unreachable_servers(now_ms)
@@ -41,7 +41,7 @@
         ]
 
     def answers(self) -> tuple[float, float]:
-        """Requests that got an answer, and those that were rejected or failed, since the start."""
+        """How many requests got a response, and how many were rejected or failed, since the start."""
         counts = self._metrics.read(self._metrics.answers)
 
         def total(results: tuple[str, ...]) -> float:
--- a/ringledge/wire/servers/releases.py
+++ b/ringledge/wire/servers/releases.py
@@ -1,4 +1,4 @@
-"""Sends the release calls that `decide/servers/releases.py` schedules, each with a timeout."""
+"""Sends the release calls that `ReleaseScheduler` schedules, each with a timeout."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from ringledge.wire.http.errors import PEER_ERRORS
 from ringledge.wire.servers.context import UpstreamContext
 
-CALL_TIMEOUT_S = 0.3  # of one call; hedged calls to other servers start before
-FINISH_TIMEOUT_S = 0.7  # for a release that its request waits for: the hold limit, and one call more
+CALL_TIMEOUT_S = 0.3  # for one call; hedged calls to other servers start before that
+FINISH_TIMEOUT_S = 0.7  # while a request waits for its release: the hold limit plus one more call
 
 
 class ServerCaller(Protocol):
@@ -26,22 +26,22 @@
 
     @property
     def reachability(self) -> Reachability:
-        """The results of all calls."""
+        """Records the results of all calls."""
 
     async def call(self, server: str, address: str, method: bytes, path: bytes) -> object:
-        """One exchange without a request body; OSError, TimeoutError or a protocol error if it fails."""
+        """Make an exchange without a request body; OSError, TimeoutError or a protocol error if it fails."""
 
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
-    """Waits for the end of a request's release."""
+    """A task that waits for the end of a request's release."""
 
     finished: anyio.Event = field(default_factory=anyio.Event)
     answered_by: set[str] = field(default_factory=set)
 
 
 class ReleaseSender:
-    """The releases of one router process; its task runs only while a release is in progress."""
+    """Sends the releases of one router process; its task runs only while a release is in progress."""
 
     def __init__(self, context: UpstreamContext, caller: ServerCaller) -> None:
         self._tasks = context.tasks
@@ -54,7 +54,7 @@
         )
         self._running = False
         self._call_ended = anyio.Event()
-        self._waiters = defaultdict[str, list[_Waiter]](list)  # by request whose release is waited for
+        self._waiters = defaultdict[str, list[_Waiter]](list)  # by request
 
     def release(
         self,
@@ -72,16 +72,16 @@
             self._tasks.start_soon(self._run)
 
     async def release_and_wait(self, request: str, holders: set[str], idle_since_ms: float) -> frozenset[str]:
-        """Release, and wait until no call of it is in flight: entries reserved after this stay.
+        """Release, and wait until no call is in flight, so that entries reserved afterwards are kept.
 
         `idle_since_ms`: since when the entries may have been held. Returns the servers that answered within
-        `FINISH_TIMEOUT_S`; after that the release goes on.
+        `FINISH_TIMEOUT_S`; the release continues after that.
         """
         self.release(request, holders, {}, idle_since_ms=idle_since_ms)
         return await self.wait_until_finished(request)
 
     async def wait_until_finished(self, request: str) -> frozenset[str]:
-        """Wait until no release of a request is in progress, for `FINISH_TIMEOUT_S` at most.
+        """Wait, for at most `FINISH_TIMEOUT_S`, until no release of a request is in progress.
 
         Returns the servers that answered meanwhile.
         """
@@ -92,14 +92,14 @@
         try:
             with anyio.move_on_after(FINISH_TIMEOUT_S):
                 await waiter.finished.wait()
-        finally:  # also when the request is cancelled meanwhile
+        finally:  # also if the waiting task is cancelled
             self._waiters[request].remove(waiter)
             if not self._waiters[request]:
                 del self._waiters[request]
         return frozenset(waiter.answered_by)
 
     async def _run(self) -> None:
-        """Send calls when they are due, until no release is in progress."""
+        """Send calls as they become due, until no release is in progress."""
         while len(self.scheduler):
             self._call_ended = anyio.Event()
             wait_s = (self.scheduler.next_wake_ms() - self._clock.now_ms()) / 1000
@@ -146,7 +146,7 @@
                 waiter.finished.set()
 
     async def call_server(self, server: str, request: str) -> bool:
-        """Make one call of a release; returns whether the server answered it in time."""
+        """Send one release call to a server; returns whether it answered in time."""
         address = self._servers.address(server)
         if address is None:
             return False
--- a/ringledge/wire/servers/responses.py
+++ b/ringledge/wire/servers/responses.py
@@ -14,37 +14,39 @@
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.servers.event_buffer import EVENT_TERMINATORS
 
-MAX_CHUNK_BYTES = 64 * 1024  # of a chunk, and of a stream before its first event: events are far shorter
+MAX_CHUNK_BYTES = (
+    64 * 1024
+)  # limit for a chunk, and for a stream up to its first event; events are far shorter
 MAX_INTERIM_RESPONSES = 8  # 1xx responses accepted before the final one
-MAX_PLAUSIBLE_VALUE = 1e9  # load values and token counts from here on are ignored
+MAX_PLAUSIBLE_VALUE = 1e9  # load values and token counts from this value on are ignored
 DATA_EVENT = re.compile(rb"^data:(.*?)\r?\n\r?\n", re.MULTILINE | re.DOTALL)
 
 
 @dataclass(frozen=True, slots=True)
 class StreamTail:
-    """What the last lines of a stream report."""
+    """Token counts and load report from the last lines of a stream."""
 
-    cached_tokens: int = 0  # of the prompt
-    answer_tokens: int = 0
+    cached_tokens: int = 0  # prompt tokens found in the cache
+    completion_tokens: int = 0
     load: LoadReport | None = None
 
 
 async def read_response_head(conn: Connection) -> h11.Response:
-    """The head of the final response; h11.RemoteProtocolError if there is none."""
+    """Read the head of the final response, past interim ones; h11.RemoteProtocolError if there is none."""
     for _ in range(MAX_INTERIM_RESPONSES):
         head = await conn.next_event()
         if isinstance(head, h11.Response):
             return head
         if not isinstance(head, h11.InformationalResponse):
-            raise h11.RemoteProtocolError("the connection ended before an answer")
-    raise h11.RemoteProtocolError("interim answers without end")
+            raise h11.RemoteProtocolError("the connection was closed before the response")
+    raise h11.RemoteProtocolError("too many interim responses")
 
 
 async def read_first_event(conn: Connection, chunked: bool) -> bytes:
-    """A stream's beginning up to its first data event, in complete chunks.
+    """Read the beginning of a stream up to its first data event, in complete chunks.
 
-    Raises h11.RemoteProtocolError if the event is malformed: until then the attempt may fail without the
-    client noticing.
+    Raises h11.RemoteProtocolError if the event is missing or malformed: the client has received nothing yet,
+    so that the request can be retried.
     """
     opening = bytearray()
     searched_bytes = 0
@@ -57,29 +59,29 @@
             continue
         if first := DATA_EVENT.search(opening, searched_bytes):
             if not parse_json_object(first[1]):
-                raise h11.RemoteProtocolError("the first event can't be read")
+                raise h11.RemoteProtocolError("the first event is malformed")
             return bytes(opening)
         searched_bytes = len(opening)  # a data line before this blank line would have matched
-    raise h11.RemoteProtocolError("the opening holds no event")
+    raise h11.RemoteProtocolError("the beginning of the stream contains no event")
 
 
 def parse_stream_tail(tail: bytes) -> StreamTail:
-    """Usage and load report from the last lines of a stream; zeros and None where they are missing."""
+    """Parse usage and load report from the last lines of a stream; zeros and None if they are missing."""
     cached = 0
-    answer = 0
+    completion = 0
     load: LoadReport | None = None
     for line in tail.splitlines():
         if line.startswith(b"data: {") and b'"usage"' in line:
             usage = parse_json_object(line[6:]).get("usage")
             cached = cached_tokens(usage)
-            answer = answer_tokens(usage)
+            completion = completion_tokens(usage)
         elif line.lower().startswith(b": x-load-report:"):
             load = parse_load_report(line.split(b":", 2)[2])
-    return StreamTail(cached, answer, load)
+    return StreamTail(cached, completion, load)
 
 
 def parse_load_report(text: bytes | None) -> LoadReport | None:
-    """A load report, whose keys are those of the settings; None if it has no known plausible value."""
+    """Parse a load report, whose keys the settings define; None if it has no known, plausible value."""
     report = parse_json_object(text) if text else {}
     values = {
         LOAD_FIELDS[name]: float(value)
@@ -90,7 +92,7 @@
 
 
 def parse_json_object(text: bytes) -> dict[str, Any]:
-    """A JSON object; empty for anything else, since reports are only advisory."""
+    """Parse a JSON object; anything else gives an empty one, since reports are only advisory."""
     try:
         value = orjson.loads(text)
     except orjson.JSONDecodeError:
@@ -99,7 +101,7 @@
 
 
 def cached_tokens(usage: Any) -> int:
-    """Prompt tokens found in the cache, from the body of a 202 or a stream's usage."""
+    """Prompt tokens found in the cache, from the body of a 202 response or from the usage of a stream."""
     if not isinstance(usage, dict):
         return 0
     details = usage.get("prompt_tokens_details")
@@ -107,16 +109,16 @@
     return _token_count(usage.get("cached_tokens", in_details))
 
 
-def answer_tokens(usage: Any) -> int:
-    """Tokens of the answer, from a stream's usage."""
+def completion_tokens(usage: Any) -> int:
+    """Completion tokens from the usage of a stream."""
     return _token_count(usage.get("completion_tokens", 0)) if isinstance(usage, dict) else 0
 
 
 def _token_count(value: Any) -> int:
-    """A plausible count, 0 for anything else."""
+    """The value if it is a plausible count, else 0."""
     return int(value) if isinstance(value, int | float) and 0 <= value < MAX_PLAUSIBLE_VALUE else 0
 
 
 def is_reusable(conn: Connection) -> bool:
-    """Whether the exchange is over on both sides, and no byte of a further response corrupts the next."""
+    """Whether both sides have completed the exchange, and no byte of a second response has arrived."""
     return not conn.has_unparsed_bytes() and conn.next_cycle()
--- a/ringledge/wire/servers/resumption.py
+++ b/ringledge/wire/servers/resumption.py
@@ -1,7 +1,7 @@
-"""Releases what a server that hung leaves behind when it resumes, while the request is still open.
+"""Releases the entries that an open request may have on servers that resume after a hang.
 
-Such a server may run an attempt that was abandoned meanwhile. It is called until it answers: the call is a
-release for one of the requests, and its answer has the others' entries released as well.
+Such a server may run an attempt that was abandoned while it hung. The server is sent a release call for one
+of the requests until it answers; its answer triggers releases for the other requests as well.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ResumedServers:
-    """Watches the servers on which attempts of open requests may yet run."""
+    """Watches servers that may still run abandoned attempts of open requests."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
     def check(self, records: Iterable[Record]) -> None:
         """Release what resumed servers may hold, and call those that have not answered yet.
 
-        Not while an attempt of the request has arrived: it is out, and a release would cost it its entry.
+        Requests with a delivered attempt in flight are skipped: a release would take away its entry.
         """
         now_ms = self._context.clock.now_ms()
         for record in records:
--- a/ringledge/wire/servers/stream_relay.py
+++ b/ringledge/wire/servers/stream_relay.py
@@ -1,4 +1,4 @@
-"""Relays one stream, event by event, to its last chunk."""
+"""Relays one stream event by event, up to its last chunk."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from ringledge.wire.servers.in_flight import InFlightAttempt
 from ringledge.wire.servers.responses import MAX_CHUNK_BYTES
 
-CHUNK_TIMEOUT_S = 3.0  # without a further complete chunk: the server is down, and the stream is broken off
-TAIL_BYTES = 2048  # at a stream's end, with usage and the load report
+CHUNK_TIMEOUT_S = 3.0  # a server that sends no complete chunk for this long is down; its stream is cut off
+TAIL_BYTES = 2048  # kept from the end of a stream, where usage and load report are
 
 
 @dataclass(slots=True)
@@ -29,16 +29,18 @@
     conn: Connection
     chunked: bool
     _events: EventBuffer = field(default_factory=EventBuffer)
-    _chunk_bytes: int = 0  # received of the current chunk
+    _chunk_bytes: int = 0  # received so far of the current chunk
 
     async def run(self, opening: bytes) -> bytes:
-        """Relay the opening and all that follows; returns the stream's last bytes. Raises h11's errors."""
+        """Relay the opening and the rest of the stream, and return its last bytes; raises h11's errors."""
         await self._relay(opening)
         self._extend_chunk_deadline()
         try:
             return await self._relay_rest(opening)
         except h11.RemoteProtocolError:
-            await self._relay(self._events.take_complete(time.monotonic()))  # received before the error
+            await self._relay(
+                self._events.take_complete(time.monotonic())
+            )  # events received before the error
             raise
 
     async def _relay_rest(self, tail: bytes) -> bytes:
@@ -53,7 +55,7 @@
                 raise h11.RemoteProtocolError("the stream ended early")
 
     async def _next_event(self) -> h11.Event | type[h11.PAUSED]:
-        """The server's next h11 event; while it is awaited, complete stream events are relayed."""
+        """Wait for the server's next h11 event; complete stream events are relayed meanwhile."""
         while (event := self.conn.next_event_nowait()) is None:
             await self._relay(self._events.take_complete(time.monotonic()))
             if not len(self._events):
@@ -63,22 +65,22 @@
         return event
 
     def _buffer(self, event: h11.Data) -> bytes:
-        """Buffer a piece of the stream until its event is complete; returns the piece."""
+        """Buffer a piece of the stream until its event is complete; returns the piece as bytes."""
         piece = bytes(event.data)
         self._chunk_bytes = len(piece) + (0 if event.chunk_start else self._chunk_bytes)
         if self._chunk_bytes > MAX_CHUNK_BYTES:
-            raise h11.RemoteProtocolError("a chunk is too long for events")
+            raise h11.RemoteProtocolError("a chunk exceeds the size limit")
         self._events.feed(piece, time.monotonic())
         if event.chunk_end or not self.chunked:
             self._extend_chunk_deadline()
         return piece
 
     def _extend_chunk_deadline(self) -> None:
-        """A complete chunk has arrived: the stream is alive."""
+        """Restart the chunk timeout after a complete chunk."""
         self.state.chunk_deadline_s = time.monotonic() + CHUNK_TIMEOUT_S
 
     async def _relay(self, data: bytes) -> None:
-        """Hand data to the client's side; until the client takes it, the server isn't unresponsive."""
+        """Pass data to the client side; a wait for a slow client does not count against the server."""
         if data:
             self.state.relaying = True
             await self.conductor.relay_chunk(self.attempt, data)
--- a/ringledge/wire/servers/unresponsive_peers.py
+++ b/ringledge/wire/servers/unresponsive_peers.py
@@ -1,4 +1,4 @@
-"""Detection of unresponsive servers: streams without chunks, and requests that were never delivered."""
+"""Detection of unresponsive servers: streams that stall, and requests that were not delivered."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 from ringledge.wire.servers.in_flight import InFlightAttempt
 from ringledge.wire.servers.resumption import ResumedServers
 
-# Of the 300 ms that an entry may be held beyond the configured limit: time for a queue at the server.
+# Extra time for a request to wait in a queue at the server, taken from the 300 ms that an entry may be held
+# beyond the configured limit.
 NEW_CONNECTION_SLACK_MS = 50.0
 CHECK_INTERVAL_S = HEARTBEAT_INTERVAL_S
-MIN_CHECK_INTERVAL_S = 0.005  # towards the moment in which an entry is to be released
+MIN_CHECK_INTERVAL_S = 0.005  # when the release of an entry is due soon
 
 
 class UnresponsivePeerDetector:
-    """Walks over all attempts in flight at an interval, which costs less than a timer for each chunk."""
+    """Checks all attempts in flight at an interval, which costs less than a timer for each chunk."""
 
     def __init__(
         self,
@@ -35,7 +36,7 @@
         entry_releases: EntryReleases,
         resumed_servers: ResumedServers,
     ) -> None:
-        """`in_flight`: all attempts in flight, kept up to date by its owner."""
+        """`in_flight` contains all attempts in flight; its owner keeps it up to date."""
         self._tasks = context.tasks
         self._servers = context.servers
         self._clock = context.clock
@@ -47,26 +48,26 @@
         self._delivery_checks = DeliveryChecks(connections.reachability)
 
     async def run(self) -> None:
-        """Cancel unresponsive streams, and check servers that owe answers, for ever."""
+        """Cancel unresponsive streams, and check servers with unanswered requests; runs until cancelled."""
         stall_detector.record_heartbeat()
         while True:
             await anyio.sleep(self._next_check_s())
-            stall_detector.record_heartbeat()  # also here, so that the process needn't wake for a second loop
+            stall_detector.record_heartbeat()  # done here to avoid a second periodic task
             if self._in_flight:
                 self._check_attempts()
 
     def _next_check_s(self) -> float:
-        """How long until the next check: the interval, or less where an entry is to be released before."""
-        due_ms = (self._release_due_ms(*each) for each in self._in_flight.items())
+        """Time until the next check: the interval, or less if the release of an entry is due before."""
+        due_ms = (self._release_due_ms(*item) for item in self._in_flight.items())
         remaining_s = (min(due_ms, default=math.inf) - self._clock.now_ms()) / 1000
         return min(CHECK_INTERVAL_S, max(MIN_CHECK_INTERVAL_S, remaining_s))
 
     def _release_due_ms(self, attempt: Attempt, state: InFlightAttempt) -> float:
-        """When what may be held beside an attempt is to be released, unless its response begins before.
+        """When the entries of an attempt's request are to be released, unless its response begins before.
 
-        A reused connection may be dead without notice while its server is well and accepts new ones; a new
+        A reused connection may be dead without notice while its server works and accepts new ones; a new
         connection rarely is, but may be dead or slow too. A server that has received the request keeps the
-        entry it waits for, whoever releases it.
+        entry that it waits for, whichever server is told to release it.
         """
         cache = attempt.record.cache
         if cache.releasing or state.response_began():
@@ -91,7 +92,7 @@
             self._tasks.start_soon(self._check_server, server)
 
     async def _check_server(self, server: str) -> None:
-        """Open a connection to a server, to learn whether it can still be reached."""
+        """Open a connection to a server, to find out whether it can still be reached."""
         address = self._servers.address(server) or ""
         try:
             if address:
@@ -100,13 +101,13 @@
                 self._connections.pool.release(address, conn)
         except TimeoutError:
             self._abandon_lost_attempts(server)
-        except OSError:  # no process listens, or no socket is left: its exchanges end by themselves
+        except OSError:  # no listener, or the connection limit is reached: its exchanges end by themselves
             pass
         finally:
             self._delivery_checks.check_finished(self._clock.now_ms(), server)
 
     def _abandon_lost_attempts(self, server: str) -> None:
-        """Cancel the attempts that are lost at an unreachable server, unless they must not run twice."""
+        """Cancel the lost attempts at an unreachable server, except those that must not run twice."""
         for attempt, state in list(self._in_flight.items()):
             if attempt.server != server or not _is_unanswered(attempt, state):
                 continue
@@ -114,13 +115,13 @@
                 continue
             record = attempt.record
             log.info("attempt_server_unreachable", server=server, request=record.request_id)
-            if attempt.at_most_once:  # it may still be answered
+            if attempt.at_most_once:  # it may still get a response
                 self._release_unless_answered(attempt, state)
             else:
                 state.scope.cancel()
 
     def _release_unless_answered(self, attempt: Attempt, state: InFlightAttempt) -> None:
-        """Release what servers may hold, unless the response has begun, however slowly it comes."""
+        """Release what servers may hold, unless the response has begun, even if it arrives slowly."""
         state.update_delivered(attempt)
         cache = attempt.record.cache
         if cache.is_idle and not cache.releasing and not state.response_began():
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -25,7 +25,7 @@
 
 
 class Upstream:
-    """Carries out the core's actions on servers (`core.server_port.ServerTransport`)."""
+    """Executes the core's actions on servers; implements `core.server_port.ServerTransport`."""
 
     def __init__(self, context: UpstreamContext) -> None:
         self._context = context
@@ -38,12 +38,12 @@
         self._peer_detector = UnresponsivePeerDetector(
             context, self._in_flight, self._connections, self._entry_releases, resumed
         )
-        self._exchanges: ServerExchanges | None = None  # until the conductor is set
-        self.endpoints_wanted = anyio.Event()  # the whole endpoint list is to be fetched
+        self._exchanges: ServerExchanges | None = None  # None until the conductor is set
+        self.endpoints_wanted = anyio.Event()  # set when the complete endpoint list is to be fetched
 
     @property
     def conductor(self) -> Conductor:
-        """The owner of the attempts; it is set right after both are constructed."""
+        """The conductor, which owns the attempts; to be set right after both objects are constructed."""
         return self._attached_exchanges.conductor
 
     @conductor.setter
@@ -54,12 +54,12 @@
 
     @property
     def pool(self) -> ConnectionPool[Connection]:
-        """The connections to servers."""
+        """The pool of connections to servers."""
         return self._connections.pool
 
     @property
     def unanswered_releases(self) -> int:
-        """How many releases no server has answered yet."""
+        """The number of releases that no server has answered yet."""
         return self._release_sender.scheduler.unanswered_releases()
 
     @property
@@ -71,14 +71,14 @@
     # Background tasks.
 
     async def detect_unresponsive_peers(self) -> None:
-        """End unresponsive streams, and check servers that owe answers, for ever."""
+        """Cancel unresponsive streams, and check servers with unanswered requests; runs until cancelled."""
         await self._peer_detector.run()
 
     async def close_expired_connections(self) -> None:
-        """Close idle connections whose time is over, for ever."""
+        """Close expired idle connections; runs until cancelled."""
         await self._connections.close_expired()
 
-    # The core's port.
+    # Implementation of ServerTransport.
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
@@ -88,29 +88,31 @@
         self._context.tasks.start_soon(self._run_attempt, attempt, state)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Close the attempt's connection at once, so that the next attempt is no hedged request."""
+        """Close the attempt's connection at once, so that the next attempt is not a hedged request."""
         state = self._in_flight.pop(attempt, None)
         if state is not None:
             state.update_delivered(attempt)
-            state.scope.cancel()  # first: closing wakes the task, which must not take that for a reset
+            state.scope.cancel()  # before closing, which wakes the task and would look like a reset
             if state.conn is not None:
                 state.conn.close()
 
-    def release(self, request: str, known: set[str], unseen: Mapping[str, float], begun: bool) -> None:
-        """Release what servers hold for a request; see `ReleaseScheduler.add`."""
-        self._release_sender.release(request, known, unseen, begun)
+    def release(
+        self, request: str, holders: set[str], unobserved: Mapping[str, float], streaming: bool
+    ) -> None:
+        """Release what servers hold for a request; see `ServerTransport.release`."""
+        self._release_sender.release(request, holders, unobserved, streaming)
 
     def endpoints_changed(self) -> None:
-        """The endpoint list has changed."""
+        """Update the set of known servers after a change of the endpoint list."""
         entries = self._context.servers.entries
         self.reachability.update_servers((name, entry.zone) for name, entry in entries.items())
 
-    def answered_since(self, server: str, at_ms: float) -> bool:
-        """Whether the server's process has answered anything since then."""
-        return self.reachability.last_answer_ms(server) > at_ms
+    def answered_since(self, server: str, since_ms: float) -> bool:
+        """Whether the server's process has answered anything since that clock reading."""
+        return self.reachability.last_answer_ms(server) > since_ms
 
     def unreachable_servers(self) -> frozenset[str]:
-        """The servers to which connections are likely to fail now."""
+        """The servers to which new connections are likely to fail."""
         return self.reachability.unreachable_servers(self._context.clock.now_ms())
 
     def probe(self, server: str) -> None:
@@ -118,24 +120,24 @@
         self._context.tasks.start_soon(self._probe, server)
 
     def poll_endpoints(self) -> None:
-        """Have the whole endpoint list fetched once."""
+        """Request one fetch of the complete endpoint list."""
         self.endpoints_wanted.set()
 
     # Attempts.
 
     async def _run_attempt(self, attempt: Attempt, state: InFlightAttempt) -> None:
-        """Run an attempt to its end, and report exactly one outcome."""
+        """Run an attempt, and report exactly one outcome."""
         result = await self._run_exchange(attempt, state)
         if result is None and attempt.streaming and attempt.in_flight:
             log.warning("stream_timed_out", server=attempt.server, request=attempt.record.request_id)
             result = ExchangeResult(AttemptStatus.RESET)
-        if result is None:  # timed out; a request that was never written completely can't have run
+        if result is None:  # timed out; an incompletely written request can't have run
             status = AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.CONNECT_FAILED
             result = ExchangeResult(status)
         self.conductor.on_attempt_outcome(attempt, result.status, result.note, result.load)
 
     async def _run_exchange(self, attempt: Attempt, state: InFlightAttempt) -> ExchangeResult | None:
-        """The result of the attempt's exchange; None if its scope was cancelled."""
+        """Run the attempt's exchange; None if its scope was cancelled."""
         result: ExchangeResult | None = None
         address = self._context.servers.address(attempt.server)
         reuse = False
@@ -146,7 +148,7 @@
                 else:
                     result = await self._attached_exchanges.run(attempt, state, address)
                     reuse = state.conn is not None and is_reusable(state.conn)
-        except Exception as error:  # an internal error must end this attempt alone
+        except Exception as error:  # an internal error ends only this attempt
             result = ExchangeResult(AttemptStatus.RESET if attempt.written else AttemptStatus.CONNECT_FAILED)
             log.exception("attempt_crashed", error, server=attempt.server, request=attempt.record.request_id)
         finally:
