--- a/ringledge/wire/http/sockets.py
+++ b/ringledge/wire/http/sockets.py
@@ -70,9 +70,8 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.setsockopt(
-            socket.SOL_SOCKET, socket.SO_REUSEPORT, 1
-        )  # a hung process at the port must not prevent a start
+        # A hung process that listens at the address must not prevent a start.
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.setblocking(False)
         sock.bind((host, int(port)))
         sock.listen(1024)
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -91,9 +91,8 @@
             is_local = isinstance(error, LocalConnectError)  # not the server's fault
             return ExchangeResult(AttemptStatus.CONNECT_FAILED, int(is_local))
         state.conn = conn
-        if (
-            state.scope.cancel_called
-        ):  # the cancellation is raised at the next wait only, and a write may not wait
+        # A cancellation is raised only at the task's next wait, and writing may not wait at all.
+        if state.scope.cancel_called:
             return ExchangeResult(AttemptStatus.CONNECT_FAILED)
         return conn
 
--- a/ringledge/wire/servers/responses.py
+++ b/ringledge/wire/servers/responses.py
@@ -14,9 +14,8 @@
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.servers.event_buffer import EVENT_TERMINATORS
 
-MAX_CHUNK_BYTES = (
-    64 * 1024
-)  # limit for a chunk, and for a stream up to its first event; events are far shorter
+# Limit for a chunk, and for a stream up to its first event; events are far shorter.
+MAX_CHUNK_BYTES = 64 * 1024
 MAX_INTERIM_RESPONSES = 8  # 1xx responses accepted before the final one
 MAX_PLAUSIBLE_VALUE = 1e9  # load values and token counts from this value on are ignored
 DATA_EVENT = re.compile(rb"^data:(.*?)\r?\n\r?\n", re.MULTILINE | re.DOTALL)
--- a/ringledge/wire/servers/stream_relay.py
+++ b/ringledge/wire/servers/stream_relay.py
@@ -38,9 +38,8 @@
         try:
             return await self._relay_rest(opening)
         except h11.RemoteProtocolError:
-            await self._relay(
-                self._events.take_complete(time.monotonic())
-            )  # events received before the error
+            # Events that were completed before the error are relayed all the same.
+            await self._relay(self._events.take_complete(time.monotonic()))
             raise
 
     async def _relay_rest(self, tail: bytes) -> bytes:
