--- a/ringledge/wire/clients/chat/stream_sessions.py
+++ b/ringledge/wire/clients/chat/stream_sessions.py
@@ -26,7 +26,7 @@
 class SessionFollower(Protocol):
     """A connection that follows a session."""
 
-    def is_disconnected(self) -> bool:
+    def peer_disconnected(self) -> bool:
         """Whether its client has closed it."""
 
 
@@ -57,7 +57,7 @@
         is_streaming = self.record is not None and self.record.streaming
         if self.end is not None or is_streaming:
             return False
-        return all(follower.is_disconnected() for follower in self.followers)
+        return all(follower.peer_disconnected() for follower in self.followers)
 
     @property
     def text(self) -> str:
--- a/ringledge/wire/clients/front.py
+++ b/ringledge/wire/clients/front.py
@@ -148,24 +148,24 @@
 
     def _admit(self, sock: socket.socket, address: tuple[str, int] | str) -> None:
         """Admit a new connection; up to an eighth past the limit, only to be answered 503."""
-        entry: AdmittedConnection | None = None
+        admission_record: AdmittedConnection | None = None
         if self._admission is not None and not isinstance(address, str):
             decision = self._admission.admit(time.monotonic() * 1000, address[0])
             if isinstance(decision, Enum):
                 self._deny(sock, address[0], decision)
                 return
-            entry = decision
+            admission_record = decision
         connections = self.connections
         if connections.open >= connections.limit:
             connections.evict_one()
         if connections.open >= connections.limit + max(1, connections.limit // 8):
             log.rate_limited("connection_rejected", front=self.name, open=self.open)
-            connections.record_disconnect(entry, False)
+            connections.record_disconnect(admission_record, False)
             sock.close()  # at once: in the backlog it would wait for nothing
             return
-        self._configure(sock, entry)
+        self._configure(sock, admission_record)
         over_limit = connections.open >= connections.limit
-        new = IdleConnection(sock, anyio.current_time(), False, over_limit, entry)
+        new = IdleConnection(sock, anyio.current_time(), False, over_limit, admission_record)
         if has_unread_bytes(sock):
             new.since_s -= min(unread_ms(sock) / 1000, max(0.0, self._request_timeout_s - MIN_READ_TIMEOUT_S))
             self._on_readable(new)
@@ -179,14 +179,14 @@
         log.rate_limited("connection_denied", front=self.name, address=address, why=reason.value)
         sock.close()
 
-    def _configure(self, sock: socket.socket, entry: AdmittedConnection | None) -> None:
+    def _configure(self, sock: socket.socket, admission_record: AdmittedConnection | None) -> None:
         """Set the options of an accepted socket."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self._on_queue_delay is not None:  # what the kernel buffers for a slow client is memory, too
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-        if entry is not None:
-            enable_keepalive(sock, entry.idle_timeout_s)
+        if admission_record is not None:
+            enable_keepalive(sock, admission_record.idle_timeout_s)
 
     def _on_readable(self, idle: IdleConnection) -> None:
         """Give an idle connection a parser, a buffer and a task, or close it where its peer has."""
@@ -196,15 +196,15 @@
             return
         if not has_unread_bytes(sock):
             sock.close()
-            connections.record_disconnect(idle.entry, idle.had_request)
+            connections.record_disconnect(idle.admission_record, idle.had_request)
             connections.update_gauge()
             return
         conn = self._activate(idle)
         connections.active.add(conn)
         connections.between_requests[conn] = anyio.current_time()
-        read_by = math.inf if idle.had_request else idle.since_s + self._request_timeout_s
+        read_deadline_s = math.inf if idle.had_request else idle.since_s + self._request_timeout_s
         assert self._tasks is not None
-        self._tasks.start_soon(self._requests.run, conn, idle.over_limit, read_by)
+        self._tasks.start_soon(self._requests.run, conn, idle.over_limit, read_deadline_s)
 
     def _activate(self, idle: IdleConnection) -> Connection:
         """A connection with a parser on an idle connection's socket."""
@@ -213,10 +213,14 @@
         conn.closes_after_answer = self.connections.closing
         conn.on_queue_delay = self._on_queue_delay
         conn.had_request = idle.had_request
-        conn.admission_record = idle.entry
+        conn.admission_record = idle.admission_record
         conn.arrival_times = ArrivalTimes()
-        if idle.entry is not None and self._admission is not None and self._admission.advertise_keep_alive:
-            conn.keep_alive = b"timeout=%d" % idle.entry.idle_timeout_s
+        if (
+            idle.admission_record is not None
+            and self._admission is not None
+            and self._admission.advertise_keep_alive
+        ):
+            conn.keep_alive = b"timeout=%d" % idle.admission_record.idle_timeout_s
         return conn
 
     def drain(self) -> None:
--- a/ringledge/wire/clients/idle_connections.py
+++ b/ringledge/wire/clients/idle_connections.py
@@ -40,7 +40,7 @@
     since_s: float  # on the loop's clock: when it became idle, at first when it was accepted
     had_request: bool  # a request was read on it before
     over_limit: bool  # accepted past the limit, only to be answered 503
-    entry: AdmittedConnection | None = None  # by connection admission
+    admission_record: AdmittedConnection | None = None  # by connection admission
     timer: int = -1
     loop_watched: bool = False  # by the loop itself
 
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -187,7 +187,7 @@
 
     def _check_answered(self, conn: Connection, reason: CloseReason) -> None:
         """Count a close under a request that was read completely, while its client is still connected."""
-        if owes_answer(conn) and not conn.is_disconnected():
+        if owes_answer(conn) and not conn.peer_disconnected():
             self._violations.inc()
             log.error(
                 "invariant_violated",
@@ -216,13 +216,13 @@
             idle.sock.close()
         else:
             self.lingering.begin(idle.sock)
-        self.record_disconnect(idle.entry, idle.had_request)
+        self.record_disconnect(idle.admission_record, idle.had_request)
         self._closed[CloseReason.IDLE].inc()
 
-    def record_disconnect(self, entry: AdmittedConnection | None, had_request: bool) -> None:
+    def record_disconnect(self, admission_record: AdmittedConnection | None, had_request: bool) -> None:
         """Tell connection admission that a client's connection has ended."""
-        if entry is not None and self._admission is not None:
-            self._admission.disconnected(entry, had_request)
+        if admission_record is not None and self._admission is not None:
+            self._admission.disconnected(admission_record, had_request)
 
 
 def owes_answer(conn: Connection) -> bool:
--- a/ringledge/wire/clients/request_loop.py
+++ b/ringledge/wire/clients/request_loop.py
@@ -54,13 +54,13 @@
         self._handling = handling
         self._rejections = metrics.rejections
 
-    async def run(self, conn: Connection, over_limit: bool, read_by: float) -> None:
+    async def run(self, conn: Connection, over_limit: bool, read_deadline_s: float) -> None:
         """Answer one request after another until the connection ends or becomes idle.
 
-        `read_by`: the loop's time by which the first request has to be complete.
+        `read_deadline_s`: the loop's time by which the first request has to be complete.
         """
         try:
-            conn.read_deadline_s = read_by
+            conn.read_deadline_s = read_deadline_s
             while await self._exchange(conn, over_limit):
                 conn.release_body_memory()
                 conn.had_request = True
--- a/ringledge/wire/clients/response.py
+++ b/ringledge/wire/clients/response.py
@@ -59,7 +59,7 @@
 
     def is_disconnected(self) -> bool:
         """Whether the client has closed its connection."""
-        return self._conn.is_disconnected()
+        return self._conn.peer_disconnected()
 
     async def relay(self, piece: bytes) -> None:
         """Pass a piece on; wait while too much is waiting for a slow client."""
--- a/ringledge/wire/http/receive_buffer.py
+++ b/ringledge/wire/http/receive_buffer.py
@@ -14,7 +14,7 @@
         """How many bytes are buffered."""
         return self._end - self._start
 
-    def writable_view(self, min_bytes: int = 1024) -> memoryview:
+    def free_space(self, min_bytes: int = 1024) -> memoryview:
         """Free space of at least `min_bytes` after the buffered bytes; `commit` the size that was written."""
         if self._start and len(self._data) - self._end < min_bytes:
             size = len(self)
@@ -25,7 +25,7 @@
         return memoryview(self._data)[self._end :]
 
     def commit(self, size: int) -> None:
-        """Append the first `size` bytes of the writable view to the buffered bytes."""
+        """Append the first `size` bytes of the free space to the buffered bytes."""
         self._end += size
 
     def peek(self) -> bytes:
--- a/ringledge/wire/http/socket_reader.py
+++ b/ringledge/wire/http/socket_reader.py
@@ -125,9 +125,9 @@
         if not len(self.buffer) and (self.arrival_times is not None or self.on_queue_delay is not None):
             self.unread_ms = unread_ms(self.sock)
             age_s = self.unread_ms / 1000
-        with self.buffer.writable_view() as view:
+        with self.buffer.free_space() as free_space:
             try:
-                size = self.sock.recv_into(view)
+                size = self.sock.recv_into(free_space)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
@@ -172,7 +172,7 @@
         elif not self._reading:
             self._start_reading()
 
-    def is_disconnected(self) -> bool:
+    def peer_disconnected(self) -> bool:
         """Whether the peer has disconnected; checks the kernel too, which may know before the event loop."""
         return self.eof_received or self._error is not None or self.closed or peer_has_closed(self.sock)
 
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -159,7 +159,7 @@
             return ExchangeResult(AttemptStatus.CANCELLED)
         relay = StreamRelay(self.conductor, attempt, state, conn, chunked)
         tail = parse_stream_tail(await relay.run(opening))
-        attempt.completion_tokens = tail.completion_tokens
+        attempt.completion_tokens = tail.output_tokens
         load = tail.load or parse_load_report(header(head, b"x-load-report"))
         return ExchangeResult(AttemptStatus.OK, tail.cached_tokens, load)
 
--- a/ringledge/wire/servers/responses.py
+++ b/ringledge/wire/servers/responses.py
@@ -26,7 +26,7 @@
     """Token counts and load report from the last lines of a stream."""
 
     cached_tokens: int = 0  # prompt tokens found in the cache
-    completion_tokens: int = 0
+    output_tokens: int = 0
     load: LoadReport | None = None
 
 
@@ -67,16 +67,16 @@
 def parse_stream_tail(tail: bytes) -> StreamTail:
     """Parse usage and load report from the last lines of a stream; zeros and None if they are missing."""
     cached = 0
-    completion = 0
+    output = 0
     load: LoadReport | None = None
     for line in tail.splitlines():
         if line.startswith(b"data: {") and b'"usage"' in line:
             usage = parse_json_object(line[6:]).get("usage")
             cached = cached_tokens(usage)
-            completion = completion_tokens(usage)
+            output = output_tokens(usage)
         elif line.lower().startswith(b": x-load-report:"):
             load = parse_load_report(line.split(b":", 2)[2])
-    return StreamTail(cached, completion, load)
+    return StreamTail(cached, output, load)
 
 
 def parse_load_report(text: bytes | None) -> LoadReport | None:
@@ -108,7 +108,7 @@
     return _token_count(usage.get("cached_tokens", in_details))
 
 
-def completion_tokens(usage: Any) -> int:
+def output_tokens(usage: Any) -> int:
     """Completion tokens from the usage of a stream."""
     return _token_count(usage.get("completion_tokens", 0)) if isinstance(usage, dict) else 0
 
--- a/tests/memory/test_buffered_bytes.py
+++ b/tests/memory/test_buffered_bytes.py
@@ -11,7 +11,7 @@
 class ConnectedClient:
     """A client that follows an answer."""
 
-    def is_disconnected(self) -> bool:
+    def peer_disconnected(self) -> bool:
         return False
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -10,8 +10,8 @@
 
 
 def fill(buffer: ReceiveBuffer, data: bytes) -> None:
-    with buffer.writable_view(len(data)) as room:
-        room[: len(data)] = data
+    with buffer.free_space(len(data)) as free_space:
+        free_space[: len(data)] = data
     buffer.commit(len(data))
 
 
--- a/tests/wire/clients/chat/test_departures.py
+++ b/tests/wire/clients/chat/test_departures.py
@@ -20,7 +20,7 @@
     def __init__(self, left: bool) -> None:
         self.left = left
 
-    def is_disconnected(self) -> bool:
+    def peer_disconnected(self) -> bool:
         return self.left
 
 
