--- a/tests/wire/conftest.py
+++ b/tests/wire/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of the wires share."""
+"""Fixtures that the tests of `ringledge.wire` share."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def agent() -> Iterator[StandIn]:
-    """Discovery's agent, played by the test."""
+    """A stand-in for the discovery agent, controlled by the test."""
     stand_in = StandIn()
     yield stand_in
     stand_in.close()
--- a/tests/wire/http/test_busy_process.py
+++ b/tests/wire/http/test_busy_process.py
@@ -1,4 +1,7 @@
-"""Time that a request lies in the socket of a busy process is its client's, on a connection of any age."""
+"""Time that a request waits in the socket of a busy process counts against its time budget.
+
+This holds for the first request of a connection and for later ones.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.messages import respond
 
-AWAY_S = 0.3  # for which the event loop stands still
+STALL_S = 0.3  # how long the event loop is blocked
 REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
@@ -24,15 +27,15 @@
 
 
 @pytest.mark.parametrize("before", [0, 1, 3], ids="{} before".format)
-def test_request_that_lies_unread_has_waited(before: int) -> None:
-    """Guards against a server that is told more time than is left: only a first read was dated back."""
+def test_request_that_is_read_late_has_waited(before: int) -> None:
+    """Guards against telling a server too much time: only a connection's first read was back-dated."""
 
     async def run() -> tuple[float, float]:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client = socket.create_connection(listener.getsockname(), 10)
-            served, _ = listener.accept()
-        served.setblocking(False)
-        conn = Connection(served, h11.SERVER)
+            accepted, _ = listener.accept()
+        accepted.setblocking(False)
+        conn = Connection(accepted, h11.SERVER)
         conn.arrival_times = ArrivalTimes()
         with client:
             for _ in range(before):
@@ -40,24 +43,24 @@
                 await next_head(conn)
                 await respond(conn, 200, b"")
                 assert conn.next_cycle()
-            prompt_ms = conn.waited_ms() if before else 0.0
+            previous_waited_ms = conn.waited_ms() if before else 0.0
             client.sendall(REQUEST)
-            time.sleep(AWAY_S)  # nothing of this process runs: that is the case
+            time.sleep(STALL_S)  # blocks the event loop on purpose
             await next_head(conn)
             waited_ms = conn.waited_ms()
             conn.close()
-        return prompt_ms, waited_ms
+        return previous_waited_ms, waited_ms
 
-    prompt_ms, waited_ms = anyio.run(run)
-    assert waited_ms >= AWAY_S * 1000 - 20  # the kernel counts in ticks
-    assert prompt_ms < AWAY_S * 1000
+    previous_waited_ms, waited_ms = anyio.run(run)
+    assert waited_ms >= STALL_S * 1000 - 20  # the kernel measures in ticks
+    assert previous_waited_ms < STALL_S * 1000
 
 
-PAUSE_S = 0.08  # between two reads of a process that hardly runs
+PAUSE_S = 0.08  # how long the event loop is blocked between two reads
 
 
 def test_long_request_that_is_read_in_pieces_has_waited() -> None:
-    """Guards against the same where a request is larger than the socket's buffer."""
+    """Guards against the same fault for a request that is larger than the socket's buffer."""
     body = b"x" * 200_000
     request = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
@@ -65,15 +68,15 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32_768)
             client = socket.create_connection(listener.getsockname(), 10)
-            served, _ = listener.accept()
-        served.setblocking(False)
-        conn = Connection(served, h11.SERVER)
+            accepted, _ = listener.accept()
+        accepted.setblocking(False)
+        conn = Connection(accepted, h11.SERVER)
         conn.arrival_times = ArrivalTimes()
         sender = threading.Thread(target=client.sendall, args=(request,))
         sender.start()
-        time.sleep(AWAY_S)  # nothing of this process's loop runs: that is the case
+        time.sleep(STALL_S)  # blocks the event loop on purpose
         while not isinstance(await conn.next_event(), h11.EndOfMessage):
-            time.sleep(PAUSE_S)  # the same
+            time.sleep(PAUSE_S)  # blocks the event loop on purpose
         waited_ms = conn.waited_ms()
         sender.join()
         client.close()
@@ -81,21 +84,21 @@
         return waited_ms
 
     waited_ms = anyio.run(run)
-    assert waited_ms >= AWAY_S * 1000 - 20, "a long request is taken for younger than it is"
+    assert waited_ms >= STALL_S * 1000 - 20, "a long request is taken for younger than it is"
 
 
 def test_request_before_which_nothing_was_read_has_waited_though_more_came_behind_it() -> None:
-    """Guards against the same where a client sends on: the kernel tells the age of the newest bytes alone."""
+    """Guards against the same fault if more data follows: the kernel knows the newest bytes' age only."""
 
     async def run() -> float:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client = socket.create_connection(listener.getsockname(), 10)
             client.sendall(REQUEST)
-            time.sleep(AWAY_S)  # it lies in the backlog: that is the case
+            time.sleep(STALL_S)  # the connection waits in the backlog
             client.sendall(b"x" * 10_000)
-            served, _ = listener.accept()
-        served.setblocking(False)
-        conn = Connection(served, h11.SERVER)
+            accepted, _ = listener.accept()
+        accepted.setblocking(False)
+        conn = Connection(accepted, h11.SERVER)
         conn.arrival_times = ArrivalTimes()
         with client:
             await next_head(conn)
@@ -104,4 +107,4 @@
         return waited_ms
 
     waited_ms = anyio.run(run)
-    assert waited_ms >= AWAY_S * 1000 - 20, "a request is taken for as young as what came behind it"
+    assert waited_ms >= STALL_S * 1000 - 20, "a request is taken for as young as what came behind it"
--- a/tests/wire/http/test_spurious_wake.py
+++ b/tests/wire/http/test_spurious_wake.py
@@ -1,4 +1,4 @@
-"""A connection at rest that is woken with nothing to read goes on resting."""
+"""An idle connection that is woken up with nothing to read stays idle."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from ringledge.wire.http.messages import respond
 
 
-async def answered(conn: Connection, head: h11.Request) -> None:
+async def answer(conn: Connection, head: h11.Request) -> None:
     await respond(conn, 200, b"answered")
 
 
 def test_request_after_spurious_wake_up_is_answered() -> None:
-    """Closed on it, its client's request met a reset."""
+    """Guards against closing the connection at a spurious wake-up, which reset the client's next request."""
 
     async def run() -> None:
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
+        own_end, peer = socket.socketpair()
+        own_end.setblocking(False)
         front = Front(
             FrontOptions("platform", 8),
-            RequestHandling(answered, lambda error: b""),
+            RequestHandling(answer, lambda error: b""),
             BodyMemory(1e6),
             Metrics(),
         )
         async with anyio.create_task_group() as tasks:
             front._tasks = tasks
-            front._on_readable(IdleConnection(ours, anyio.current_time(), True, False))
+            front._on_readable(IdleConnection(own_end, anyio.current_time(), True, False))
             assert front.open == len(front.connections.idle) == 1
-            theirs.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-            assert b"200" in await anyio.to_thread.run_sync(theirs.recv, 65536)
-            theirs.close()
+            peer.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+            assert b"200" in await anyio.to_thread.run_sync(peer.recv, 65536)
+            peer.close()
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
--- a/tests/wire/servers/test_abandoned_attempts.py
+++ b/tests/wire/servers/test_abandoned_attempts.py
@@ -1,4 +1,7 @@
-"""An attempt that is abandoned in the turn in which its connection is established is never written."""
+"""An attempt that is abandoned before its first byte is written is never sent.
+
+This includes the loop turn in which its connection is acquired.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +50,7 @@
 
 
 class UpstreamHarness:
-    """An upstream whose only server is the other end of a socket pair."""
+    """An `Upstream` whose only server is the other end of a socket pair."""
 
     def __init__(self, tasks: Any) -> None:
         clock, metrics = Clock(), Metrics()
@@ -76,7 +79,7 @@
         self.conn = Connection(own_end, h11.CLIENT)
 
     def _may_send(self, attempt: Attempt) -> bool:
-        """The conductor's real check, against this policy and list."""
+        """The conductor's real check, against the policy and settings of this harness."""
         conductor: Any = SimpleNamespace(
             context=SimpleNamespace(clock=self.clock, metrics=Metrics(), settings=self.settings),
             policy=self.policy,
@@ -85,7 +88,7 @@
         return Conductor.may_send(conductor, attempt)
 
     def drain(self) -> None:
-        """The endpoint list reports the server as draining."""
+        """Report the server as draining in the endpoint list."""
         entry = ServerEntry(SERVER, 0, 0, 0, Availability.DRAINING)
         self.policy.handle(self.clock.now_ms(), EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,)))
 
@@ -94,7 +97,7 @@
         self.ended.set()
 
     def pool_connection(self) -> None:
-        """Put the connection into the pool, as one that is trusted."""
+        """Put the connection into the pool, idle for long enough to be trusted."""
         self.upstream.pool.reserve()
         self.upstream.pool.release(ADDRESS, self.conn)
         self.conn.idle_since -= 2 * MIN_SAFE_IDLE_S
@@ -153,7 +156,7 @@
 def test_attempt_is_not_written_if_its_client_disconnects_in_the_same_turn(
     disconnect: Callable[[socket.socket], None], ahead: bytes
 ) -> None:
-    """The end of the connection has reached the kernel, but the busy event loop has not read it."""
+    """The kernel knows of the disconnect, but the busy event loop has not read it yet."""
 
     async def run() -> None:
         async with upstream_harness() as harness, client_connection(harness) as client:
--- a/tests/wire/servers/test_abandoned_connects.py
+++ b/tests/wire/servers/test_abandoned_connects.py
@@ -1,4 +1,4 @@
-"""Attempts that are abandoned, or whose server drains, while their connection is established."""
+"""Attempts that are abandoned, or whose server starts draining, while their connection is established."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 async def attempt_awaiting_connection(
     harness: UpstreamHarness, monkeypatch: pytest.MonkeyPatch
 ) -> tuple[anyio.Event, Attempt]:
-    """An attempt whose connection is established once the event is set."""
+    """Start an attempt whose connection is established once the returned event is set."""
     established, attempt = anyio.Event(), harness.attempt()
 
     async def connect(*_: Any) -> Connection:
@@ -36,7 +36,7 @@
 def test_attempt_abandoned_in_the_turn_of_its_connection_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A task cancelled after its wait continues to the next wait, which a write is not."""
+    """A task that is cancelled after its wait runs on until the next one, and a write may not wait."""
 
     async def run() -> None:
         async with upstream_harness() as harness:
@@ -52,7 +52,7 @@
 def test_attempt_is_not_written_if_its_server_drains_while_connecting(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A connection may wait in a queue beyond the grace period; a send counts from its first byte."""
+    """Connecting may outlast the server's grace period; a request counts as sent from its first byte."""
 
     async def run() -> None:
         async with upstream_harness() as harness:
--- a/tests/wire/servers/test_event_buffer.py
+++ b/tests/wire/servers/test_event_buffer.py
@@ -1,4 +1,4 @@
-"""Events that arrive in pieces are joined, and delayed for a bounded time only."""
+"""Events that arrive in pieces are joined, and are delayed for a bounded time only."""
 
 import pytest
 
--- a/tests/wire/servers/test_first_event_crossing.py
+++ b/tests/wire/servers/test_first_event_crossing.py
@@ -1,4 +1,4 @@
-"""A stream's first event that arrives in the very turn in which its attempt times out."""
+"""The first event of a stream arrives in the same loop turn in which its attempt times out."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_stream_that_begins_in_the_turn_of_its_timeout_is_not_begun() -> None:
-    """The scope is cancelled with the bytes read already: only the next wait would tell."""
+    """The bytes have been read when the scope is cancelled, and only the next wait would raise."""
 
     async def run() -> None:
         async with upstream_harness() as harness:
@@ -26,14 +26,14 @@
             harness.upstream.send(attempt)
             await anyio.wait_all_tasks_blocked()
             assert attempt.written
-            readable = harness.conn._on_readable
+            on_readable = harness.conn._on_readable
 
-            def read_then_end() -> None:
-                readable()
+            def read_then_cancel() -> None:
+                on_readable()
                 harness.upstream._in_flight[attempt].scope.cancel()
 
             harness.conn.pause_reading()
-            harness.conn._on_readable = read_then_end  # type: ignore[method-assign]
+            harness.conn._on_readable = read_then_cancel  # type: ignore[method-assign]
             harness.conn._start_reading()
             text = event("x").encode()
             harness.peer.send(HEAD + b"%x\r\n%s\r\n" % (len(text), text))
--- a/tests/wire/servers/test_late_202.py
+++ b/tests/wire/servers/test_late_202.py
@@ -1,4 +1,4 @@
-"""A 202 to a decode proves nothing, even if its entry was released meanwhile."""
+"""A 202 response to a decode does not prove that it has not run, even if its entry was released."""
 
 from __future__ import annotations
 
--- a/tests/wire/servers/test_releases.py
+++ b/tests/wire/servers/test_releases.py
@@ -1,4 +1,4 @@
-"""KV cache entries of finished requests are released, played against the real program."""
+"""KV cache entries of finished requests are released; runs the real program."""
 
 from __future__ import annotations
 
@@ -50,13 +50,14 @@
     assert node.deleted.get(timeout=10).path == PATH
     fields = node.logged("release_ended")
     assert fields["how"] == "done" and fields["asked"] == 2 and fields["where"] != f"r{index}"
-    assert node.reader[index].next().path == PATH  # it was called first
+    assert node.reader[index].next().path == PATH  # the holder was called first
 
 
 def test_no_release_is_sent_while_a_second_prefill_is_in_flight(node: Node) -> None:
-    """Any server that answered it would release the second entry too, and the decode had to prefill anew.
+    """Guards against a release that takes away the second entry too, so that the prompt is prefilled again.
 
-    The first prefill may have reserved an entry though its answer was lost: released before the second.
+    The first prefill may have reserved an entry although its response was lost. That entry is released before
+    the second prefill is sent, since any server that answers a release frees all entries of the request.
     """
     index, call = first_prefill(node)
     call.drop()
@@ -95,18 +96,18 @@
 def test_entry_is_released_in_time_and_prefilled_anew_if_no_decode_server_is_reachable(
     tmp_path: Path,
 ) -> None:
-    """Connections to unreachable decode servers wait, and the entry must not wait for several of them."""
+    """Guards against holding the entry while connections to several unreachable servers time out in turn."""
     with Node(tmp_path, readers=2, writers=0, hung=4) as node:
         index, call = first_prefill(node)
         call.read()
         assert node.logged("cache_entry_released")["servers"] == [f"r{index}"]
         fields = node.logged("release_ended")
         assert fields["how"] == "done" and fields["where"] == f"r{index}"
-        next_prefill(node)[1].drop()  # it is prefilled anew
+        next_prefill(node)[1].drop()  # the prompt is prefilled again
 
 
 def test_outstanding_updates_are_applied_before_the_first_request_is_accepted(tmp_path: Path) -> None:
-    """Clients that know the address connect as soon as a router is back, with an old list."""
+    """Clients that know the address connect as soon as a router restarts, while its list may be old."""
     with Node(tmp_path, told=lambda node: json.dumps(node.listing(8, r0="leaving"))) as node:
         lists = [
             (line["form"], line["index"]) for line in node.passed if line["event"] == "endpoint_list_received"
@@ -115,10 +116,10 @@
 
 
 def test_entry_that_a_decode_server_reports_missing_is_released_all_the_same(node: Node) -> None:
-    """Another, abandoned decode may have fetched it; only a first token releases everything by itself."""
+    """An abandoned decode may have fetched it; only a first token releases all entries by itself."""
     first_prefill(node)[1].read()
     node.writer[0].next().answer(410, X_Rejected="1")
-    for _ in range(3):  # of the six attempts a prefill needs one more, for the decode
+    for _ in range(3):  # six attempts at most, and a prefill needs one more for its decode
         next_prefill(node)[1].answer(503, X_Rejected="1")
     assert take(node.clients[0]).status == 503
     assert node.deleted.get(timeout=10).path == PATH
--- a/tests/wire/servers/test_send_first.py
+++ b/tests/wire/servers/test_send_first.py
@@ -1,4 +1,4 @@
-"""A connection on which the peer sends before the request's last byte is corrupt; the request never ran."""
+"""Data from the peer before the request's last byte makes the connection unusable; the request never ran."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ringledge.wire.http.connection import Connection
 
 REQUEST = h11.Request(method="POST", target="/", headers=[("Host", "a"), ("Content-Length", "4000000")])
-BODY = h11.Data(data=bytes(4_000_000))  # more than the two sockets take at once
+BODY = h11.Data(data=bytes(4_000_000))  # more than the two sockets buffer
 UNSOLICITED_RESPONSE = b"HTTP/1.1 503 \r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -23,7 +23,7 @@
 
 
 def read_all(sock: socket.socket) -> int:
-    """How many bytes arrive until the other side closes or resets the connection."""
+    """Read until the other side closes or resets the connection; returns the number of bytes."""
     size = 0
     with suppress(ConnectionResetError):
         while piece := sock.recv(1 << 20):
@@ -58,7 +58,7 @@
                     conn.close()
 
                 tasks.start_soon(send)
-                await anyio.wait_all_tasks_blocked()  # the sockets take no more
+                await anyio.wait_all_tasks_blocked()  # the sockets are full
                 peer.sendall(UNSOLICITED_RESPONSE)
                 assert await anyio.to_thread.run_sync(read_all, peer) < len(BODY.data)
 
--- a/tests/wire/servers/test_stalled_send.py
+++ b/tests/wire/servers/test_stalled_send.py
@@ -1,4 +1,4 @@
-"""A connection that accepts no more of a request may be dead: the attempt fails, and has not run."""
+"""A request that can't be written completely, since its connection may be dead, fails and has not run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 )
 from tests.wire.servers.test_abandoned_attempts import upstream_harness
 
-LARGE = b"x" * (8 * 1024 * 1024)  # bytes: more than a socket buffers
+LARGE = b"x" * (8 * 1024 * 1024)  # more than a socket buffers
 
 
 @pytest.mark.parametrize("has_entry", [False, True])
@@ -24,14 +24,13 @@
             record.payload = Payload(b"/", LARGE)
             if has_entry:
                 record.cache.holders, record.cache.idle_since_ms = {"r0"}, harness.clock.now_ms()
-            began_s = anyio.current_time()
+            started_s = anyio.current_time()
             harness.upstream.send(attempt)
             await harness.ended.wait()
             assert harness.outcomes == [AttemptStatus.CONNECT_FAILED]
             assert not attempt.written and harness.conn.closed
-            return anyio.current_time() - began_s
+            return anyio.current_time() - started_s
 
     duration_s = anyio.run(run)
-    assert duration_s < (
-        0.8 if has_entry else 3.0
-    )  # in time for what is has_entry; well before the request's own 5 s
+    # In time to release the entry; without one, well before the request's own timeout of 5 s.
+    assert duration_s < (0.8 if has_entry else 3.0)
--- a/tests/wire/servers/test_unresponsive_peers.py
+++ b/tests/wire/servers/test_unresponsive_peers.py
@@ -1,4 +1,4 @@
-"""The entry for a decode attempt that may not have been delivered is released at its hold limit."""
+"""The entry for a decode attempt that may not have been delivered is released at the hold limit."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class DetectorHarness:
-    """An at-most-once request whose decode attempt was written a while ago and is unanswered."""
+    """An at-most-once request whose decode attempt was written some time ago and is unanswered."""
 
     def __init__(self, tasks: Any, unanswered_ms: float, reachable: bool) -> None:
         self.now_ms = 10_000.0
@@ -63,17 +63,17 @@
             raise TimeoutError
 
     def release(self, *_: Any) -> None:
-        """The pool takes the new connection."""
+        """Stand in for the pool, which takes the new connection."""
 
     async def release_and_wait(self, _: str, servers: set[str], __: float) -> frozenset[str]:
-        """The release goes on until the test ends."""
+        """Record the release, which then stays in progress until the test ends."""
         self.released.append(servers)
         await anyio.sleep_forever()
         return frozenset()
 
 
 async def released_entries(unanswered_ms: float, reachable: bool, on_new_connection: bool) -> list[set[str]]:
-    """What is released once the server has been checked."""
+    """The entries that are released once the server has been checked."""
     async with anyio.create_task_group() as tasks:
         harness = DetectorHarness(tasks, unanswered_ms, reachable)
         harness.attempt.on_new_connection = on_new_connection
@@ -88,10 +88,10 @@
     ("unanswered_ms", "reachable", "on_new_connection", "released"),
     [
         (HOLD_LIMIT_MS, True, False, [{"r0"}]),  # a reused connection may be dead
-        (HOLD_LIMIT_MS - 1, True, False, []),  # the limit is not reached
-        (HOLD_LIMIT_MS, True, True, []),  # a new connection: the request likely waits in a queue
-        (HOLD_LIMIT_MS + 150, True, True, [{"r0"}]),  # a new connection may be dead or slow, too
-        (CHECK_AFTER_MS, False, True, [{"r0"}]),  # the server became unreachable since
+        (HOLD_LIMIT_MS - 1, True, False, []),  # below the limit
+        (HOLD_LIMIT_MS, True, True, []),  # on a new connection, the request is likely in the server's queue
+        (HOLD_LIMIT_MS + 150, True, True, [{"r0"}]),  # a new connection may be dead or slow too
+        (CHECK_AFTER_MS, False, True, [{"r0"}]),  # the server has become unreachable
         (CHECK_AFTER_MS, False, False, [{"r0"}]),
     ],
 )
@@ -118,7 +118,7 @@
 def test_entry_is_kept_while_the_response_of_its_decode_is_read(
     monkeypatch: pytest.MonkeyPatch, response: bytes, released: bool
 ) -> None:
-    """Guards against a retry that has to prefill again: an answer that never ends was read meanwhile."""
+    """Guards against a release while a slow response is read, which forces the retry to prefill again."""
     checks = list[None]()
     heartbeats: Any = SimpleNamespace(record_heartbeat=lambda: checks.append(None))
     monkeypatch.setattr(unresponsive_peers, "stall_detector", heartbeats)
@@ -137,13 +137,13 @@
             await anyio.wait_all_tasks_blocked()
             record.cache.idle_since_ms -= 2 * HOLD_LIMIT_MS
             tasks.start_soon(harness.upstream.detect_unresponsive_peers)
-            while len(checks) < 4:  # the first checks have ended
+            while len(checks) < 4:  # by then the first checks have ended
                 await anyio.sleep(0)
             assert record.cache.released == released
             assert attempt.delivered is not released
             harness.peer.close()
             await harness.ended.wait()
-            assert attempt.delivered is not released  # so that the time held counts from here
+            assert attempt.delivered is not released  # so that the hold time counts from the attempt's end
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
