--- a/tests/test_half_in_backlog.py
+++ b/tests/test_half_in_backlog.py
@@ -1,4 +1,4 @@
-"""A client that sends half a request to a process that is still starting, and stays."""
+"""A client sends an incomplete request to a process that is still starting, and stays connected."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from tests.test_client_pace import request
 from tests.test_platform_restart import Restart
 
-OWED_S = 3.0  # in which bad clients get their error or a close
-BUSY_S = 0.4
+ERROR_DEADLINE_S = 3.0  # within which an invalid request is answered with an error or a close
+BUSY_MACHINE_SLACK_S = 0.4
 
 
-def test_the_time_in_the_backlog_counts(killed: Node) -> None:
-    restart = Restart(killed, StandIn())  # discovery says nothing: the start waits for it
+def test_time_in_the_backlog_counts_against_the_request_timeout(killed: Node) -> None:
+    restart = Restart(killed, StandIn())  # discovery does not answer, and the start waits for it
     with restart.dial() as client:
         client.sendall(request("a1")[:-5])
         sent_s = time.monotonic()
         client.recv(65536)
-        assert time.monotonic() - sent_s < OWED_S + BUSY_S
+        assert time.monotonic() - sent_s < ERROR_DEADLINE_S + BUSY_MACHINE_SLACK_S
     restart.wait_ready()
--- a/tests/test_platform_endless.py
+++ b/tests/test_platform_endless.py
@@ -1,4 +1,4 @@
-"""Answers that never end, break off within a line, or come twice: what they cost, and whom."""
+"""Responses that never end, are cut off within a line, or arrive twice affect only their own attempt."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 LENGTH = b"Content-Length: 200000000\r\n\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n"
 LINE = b"X-More: " + b"y" * 90 + b"\r\n"
-CUT_S = 4.0  # until an answer past all bounds is cut off, on a busy machine; its client would wait longer
-BYTE_S = 0.005  # between two bytes of a trickle
-BUDGET_S = 1.2  # that a client of a trickle waits
-SLACK_S = 0.5  # past its time an answer still counts
+# Within this time an oversized response is cut off, even on a busy machine; the client would wait longer.
+CUT_OFF_LIMIT_S = 4.0
+BYTE_INTERVAL_S = 0.005  # between two bytes of a trickled response
+BUDGET_S = 1.2  # how long the client of a trickled response waits
+LATE_RESPONSE_LIMIT_S = 0.5  # a response this long after the deadline still counts
 
 
 def chunk(text: str) -> bytes:
@@ -33,26 +34,26 @@
         yield pool
 
 
-def endless(
+def send_endlessly(
     pool: ThreadPoolExecutor, call: Call, opening: bytes, piece: bytes, pause_s: float = 0.0
 ) -> Future[bytes]:
     return pool.submit(call.say_without_end, opening, piece, pause_s)
 
 
-def runs(node: Node, name: str = "a1") -> int:
+def decode_count(node: Node, name: str = "a1") -> int:
     """How often a request was sent to the writer."""
     return sum(call.method == "POST" and call.id == name for call in node.writer[0].seen)
 
 
-def serves_another(node: Node, spoilt: Call) -> None:
-    """Whether the next request is served, over a connection that was not spoilt."""
+def serve_another_request(node: Node, other_call: Call) -> None:
+    """Serve another request, which must use a connection other than that of the given call."""
     client, call = read(node, "next")
-    assert call.port != spoilt.port
+    assert call.port != other_call.port
     call.serve("x")
     assert take(client).status == 200
 
 
-WRITERS = {
+ENDLESS_DECODES = {
     "head": (b"HTTP/1.1 200 OK\r\n", LINE),
     "status-line": (b"HTTP/1.1 200 ", b"y" * 100),
     "interim": (b"", b"HTTP/1.1 103 Early Hints\r\n\r\n"),
@@ -68,23 +69,23 @@
 
 
 @pytest.mark.parametrize("name", ["query", "booking"])
-@pytest.mark.parametrize("how", WRITERS)
-def test_a_writers_endless_answer_costs_its_attempt_and_its_connection(
+@pytest.mark.parametrize("how", ENDLESS_DECODES)
+def test_endless_decode_response_costs_its_attempt_and_its_connection(
     node: Node, pool: ThreadPoolExecutor, name: str, how: str
 ) -> None:
     client, call = read(node, X_Call_Class=name, X_Budget_Ms="60000")
-    began = time.monotonic()
-    heard = endless(pool, call, *WRITERS[how])
+    started_s = time.monotonic()
+    sent_meanwhile = send_endlessly(pool, call, *ENDLESS_DECODES[how])
     if name == "query":
         node.writer[0].next().serve("x")
     assert take(client).status == (200 if name == "query" else 500)
-    assert time.monotonic() - began < CUT_S
-    assert heard.result() == b""  # closed, and nothing else was sent over it
-    assert runs(node) == (2 if name == "query" else 1)
-    serves_another(node, call)
+    assert time.monotonic() - started_s < CUT_OFF_LIMIT_S
+    assert sent_meanwhile.result() == b""  # closed, with nothing else sent on it
+    assert decode_count(node) == (2 if name == "query" else 1)
+    serve_another_request(node, call)
 
 
-READERS = {
+ENDLESS_PREFILLS = {
     "body-by-length": (PREFILLED + LENGTH, b"x" * 1000),
     "body-by-chunks": (PREFILLED + CHUNKED, b"5\r\nxxxxx\r\n" * 100),
     "body-to-the-close": (PREFILLED + b"\r\n", b"x" * 1000),
@@ -93,61 +94,61 @@
 }
 
 
-@pytest.mark.parametrize("how", READERS)
-def test_a_readers_endless_answer_costs_its_attempt_and_its_connection(
+@pytest.mark.parametrize("how", ENDLESS_PREFILLS)
+def test_endless_prefill_response_costs_its_attempt_and_its_connection(
     node: Node, pool: ThreadPoolExecutor, how: str
 ) -> None:
     client = node.post("a1", X_Budget_Ms="60000")
     call = node.reader[0].next()
-    began = time.monotonic()
-    heard = endless(pool, call, *READERS[how])
+    started_s = time.monotonic()
+    sent_meanwhile = send_endlessly(pool, call, *ENDLESS_PREFILLS[how])
     again = node.reader[0].next()
-    assert time.monotonic() - began < CUT_S
+    assert time.monotonic() - started_s < CUT_OFF_LIMIT_S
     assert again.port != call.port
     again.read()
     node.writer[0].next().serve("x")
     assert take(client).status == 200
-    assert heard.result() == b""
+    assert sent_meanwhile.result() == b""
 
 
 @pytest.mark.parametrize("name", ["query", "booking"])
 @pytest.mark.parametrize("how", ["head", "error-by-length", "error-to-the-close", "chunk-extension", "chunk"])
-def test_an_answer_that_comes_byte_by_byte_keeps_no_client_past_its_time(
+def test_trickled_response_does_not_delay_its_client_past_the_deadline(
     node: Node, pool: ThreadPoolExecutor, name: str, how: str
 ) -> None:
-    began = time.monotonic()
+    started_s = time.monotonic()
     client, call = read(node, X_Call_Class=name, X_Budget_Ms=str(int(BUDGET_S * 1000)))
-    heard = endless(pool, call, WRITERS[how][0], b"y", BYTE_S)
+    sent_meanwhile = send_endlessly(pool, call, ENDLESS_DECODES[how][0], b"y", BYTE_INTERVAL_S)
     if name == "query":
         node.writer[0].next().serve("x")
     assert take(client).status == (200 if name == "query" else 500)
-    assert time.monotonic() - began < BUDGET_S + SLACK_S
-    assert heard.result() == b""
-    assert runs(node) == (2 if name == "query" else 1)
-    serves_another(node, call)
+    assert time.monotonic() - started_s < BUDGET_S + LATE_RESPONSE_LIMIT_S
+    assert sent_meanwhile.result() == b""
+    assert decode_count(node) == (2 if name == "query" else 1)
+    serve_another_request(node, call)
 
 
 @pytest.mark.parametrize(
     ("opening", "piece", "pause_s"),
     [
         (b"c0000000\r\n", b"x" * 1000, 0.0),
-        (b"c0000000\r\n", b"x", BYTE_S),
-        (b"5;", b"y", BYTE_S),
+        (b"c0000000\r\n", b"x", BYTE_INTERVAL_S),
+        (b"5;", b"y", BYTE_INTERVAL_S),
         (b"0\r\n", LINE, 0.0),
     ],
     ids=["chunk", "chunk-trickled", "extension-trickled", "trailer"],
 )
-def test_a_begun_stream_that_never_ends_a_chunk_is_broken_off(
+def test_started_stream_that_never_ends_a_chunk_is_cut_off(
     node: Node, pool: ThreadPoolExecutor, opening: bytes, piece: bytes, pause_s: float
 ) -> None:
     client, call = read(node)
-    heard = endless(pool, call, HEAD + chunk(event("one")) + opening, piece, pause_s)
-    with pytest.raises(http.client.IncompleteRead) as broken:
+    sent_meanwhile = send_endlessly(pool, call, HEAD + chunk(event("one")) + opening, piece, pause_s)
+    with pytest.raises(http.client.IncompleteRead) as error_info:
         take(client)
-    assert broken.value.partial.startswith(event("one").encode())
-    assert heard.result() == b""
-    assert runs(node) == 1
-    serves_another(node, call)
+    assert error_info.value.partial.startswith(event("one").encode())
+    assert sent_meanwhile.result() == b""
+    assert decode_count(node) == 1
+    serve_another_request(node, call)
 
 
 @pytest.mark.parametrize("name", ["query", "booking"])
@@ -163,38 +164,38 @@
     ],
     ids=["status", "header", "size", "event", "error"],
 )
-def test_an_answer_that_breaks_off_within_a_line_costs_its_attempt(
-    node: Node, name: str, how: str, half: bytes
+def test_response_cut_off_within_a_line_fails_its_attempt(
+    node: Node, name: str, how: str, partial: bytes
 ) -> None:
     client, call = read(node, X_Call_Class=name)
-    call.say(half)
+    call.say(partial)
     call.drop() if how == "closed" else call.reset()
     if name == "query":
         again = node.writer[0].next()
         assert again.port != call.port
         again.serve("x")
     assert take(client).status == (200 if name == "query" else 500)
-    assert runs(node) == (2 if name == "query" else 1)
-    serves_another(node, call)
+    assert decode_count(node) == (2 if name == "query" else 1)
+    serve_another_request(node, call)
 
 
-def test_a_begun_stream_that_breaks_off_within_a_line_is_not_run_again(node: Node) -> None:
+def test_started_stream_cut_off_within_a_line_is_not_retried(node: Node) -> None:
     client, call = read(node)
     call.say(HEAD + chunk(event("one")) + b'ff\r\ndata: {"choi')
     call.drop()
-    with pytest.raises(http.client.IncompleteRead) as broken:
+    with pytest.raises(http.client.IncompleteRead) as error_info:
         take(client)
-    assert broken.value.partial.startswith(event("one").encode())
-    assert runs(node) == 1
-    serves_another(node, call)
+    assert error_info.value.partial.startswith(event("one").encode())
+    assert decode_count(node) == 1
+    serve_another_request(node, call)
 
 
 SECOND = HEAD + chunk(event("another's")) + b"0\r\n\r\n"
 
 
 @pytest.mark.parametrize("second", [SECOND, SECOND[:9], b"\r\n"], ids=["whole", "half", "blank"])
-def test_a_second_answer_that_comes_late_is_nobodys(node: Node, second: bytes) -> None:
-    """The first client has its answer already; the connection rests when the second comes."""
+def test_late_second_response_is_relayed_to_nobody(node: Node, second: bytes) -> None:
+    """The first client has its response already; the connection is idle when the second response arrives."""
     client, call = read(node)
     call.begin().token("mine").end()
     assert event("mine").encode() in take(client).body
--- a/tests/test_platform_spoilt.py
+++ b/tests/test_platform_spoilt.py
@@ -1,4 +1,4 @@
-"""What servers spoil, played over real sockets."""
+"""Malformed responses of servers, over real sockets."""
 
 import http.client
 import threading
@@ -19,7 +19,7 @@
     ],
     ids=["too long", "odd report", "no report"],
 )
-def test_what_a_server_garbles_costs_its_attempt_alone(
+def test_malformed_error_response_fails_only_its_attempt(
     node: Node, body: str, headers: dict[str, str], status: int
 ) -> None:
     client, call = read(node, X_Call_Class="booking")
@@ -30,8 +30,8 @@
     assert take(client).status == 200
 
 
-def test_a_booking_whose_decode_server_answers_as_if_it_had_prefilled_is_not_sent_again(node: Node) -> None:
-    """Such an answer counted as proof that it never ran, and the booking went to another server."""
+def test_at_most_once_request_is_not_retried_after_a_202_to_its_decode(node: Node) -> None:
+    """Guards against a retry at another server because a 202 was taken as proof that the decode never ran."""
     client, call = read(node, X_Call_Class="booking")
     call.answer(202, '{"cached_tokens":0}')
     assert take(client).status == 500
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("name", ["query", "booking"])
 @pytest.mark.parametrize(
-    ("spoilt", "head_complete"),
+    ("malformed", "head_complete"),
     [
         (b"\x08\x72\xb1 noise\r\n\r\n", False),
         (b"HTTP/1.1 2x0 OK\r\n\r\n", False),
@@ -61,37 +61,39 @@
     ],
     ids="noise status head interim size 3-GB misfit event empty".split(),
 )
-def test_an_answer_spoilt_before_its_first_event_costs_its_attempt(
-    node: Node, name: str, spoilt: bytes, head_complete: bool
+def test_response_malformed_before_its_first_event_fails_its_attempt(
+    node: Node, name: str, malformed: bytes, head_complete: bool
 ) -> None:
     client, call = read(node, X_Call_Class=name)
-    call.raw(spoilt)
+    call.raw(malformed)
     if name == "query":
         node.writer[0].next().serve("x")
     answer = take(client)
     assert answer.status == (200 if name == "query" else 500)
     assert node.writer[0].attempts() == (2 if name == "query" else 1)
-    if name == "booking" or not head_complete:  # else the stream's start has released what was held
+    if name == "booking" or not head_complete:  # else the start of the stream has released the entry
         assert node.deleted.get(timeout=WAIT_S).path == "/internal/reservations/a1"
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [b"zz\r\n", b"-1\r\n", b"c0000000\r\n" + b"x" * 100_000, b"5\r\nmore than five\r\n", b"ff\r\nless"],
     ids="size negative 3-GB short long".split(),
 )
-def test_a_stream_spoilt_later_ends_its_client_without_the_last_chunk(node: Node, spoilt: bytes) -> None:
+def test_stream_malformed_after_its_first_event_is_cut_off_without_a_last_chunk(
+    node: Node, malformed: bytes
+) -> None:
     client, call = read(node)
-    started = time.monotonic()
-    call.raw(HEAD + chunk(event("one")) + spoilt)
-    with pytest.raises(http.client.IncompleteRead) as broken:
+    started_s = time.monotonic()
+    call.raw(HEAD + chunk(event("one")) + malformed)
+    with pytest.raises(http.client.IncompleteRead) as error_info:
         take(client)
-    assert broken.value.partial.startswith(event("one").encode())
-    assert time.monotonic() - started < 5
+    assert error_info.value.partial.startswith(event("one").encode())
+    assert time.monotonic() - started_s < 5
 
 
 @pytest.mark.parametrize(
-    ("front", "report", "behind"),
+    ("before", "report", "after"),
     [
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\n", "{}", b""),
         (b"", '{"x0":1e999,"x1":-1}', b""),
@@ -100,12 +102,12 @@
     ],
     ids="interim figures report second-answer".split(),
 )
-def test_a_good_answer_may_bring_more_than_belongs_to_it(
-    node: Node, front: bytes, report: str, behind: bytes
+def test_valid_response_with_surplus_data_is_relayed(
+    node: Node, before: bytes, report: str, after: bytes
 ) -> None:
     client, call = read(node, X_Call_Class="booking")
     call.raw(
-        front + HEAD + chunk(event("one")) + chunk(f": X-Load-Report: {report}\n\n") + b"0\r\n\r\n" + behind
+        before + HEAD + chunk(event("one")) + chunk(f": X-Load-Report: {report}\n\n") + b"0\r\n\r\n" + after
     )
     assert event("one").encode() in take(client).body
     client, call = read(node, "a2")
@@ -113,18 +115,20 @@
     assert take(client).body.startswith(event("two").encode())
 
 
-def test_when_kept_connections_break_a_booking_gets_a_new_one(node: Node) -> None:
-    """A reset under it may mean that it ran; a query goes to the same reader again at once."""
+def test_at_most_once_request_gets_a_new_connection_after_a_reused_one_broke(node: Node) -> None:
+    """A reset may mean that the request has run; a retryable one is sent to the same reader again at once."""
     client, call = read(node)
     call.serve("x")
     assert take(client).status == 200
-    threading.Event().wait(2 * MIN_SAFE_IDLE_S)  # behind a stream a connection rests for so long
+    threading.Event().wait(
+        2 * MIN_SAFE_IDLE_S
+    )  # after a stream, a connection is reused only after this idle time
     client = node.post("a2")
     node.reader[0].next().drop()
     node.reader[0].next().read()
-    kept = node.writer[0].next()
-    assert kept.port == call.port
-    kept.serve("x")
+    reused = node.writer[0].next()
+    assert reused.port == call.port
+    reused.serve("x")
     assert take(client).status == 200
     client, fresh = read(node, "a3", X_Call_Class="booking")
     assert fresh.port != call.port
--- a/tests/test_stream_pieces.py
+++ b/tests/test_stream_pieces.py
@@ -1,4 +1,4 @@
-"""A stream whose events come in pieces: each goes to the client in one, and no part is held for long."""
+"""Events of a stream that arrive in pieces are relayed in one piece each, and are never delayed for long."""
 
 from __future__ import annotations
 
@@ -14,83 +14,83 @@
 EVENT = event("abcdefgh")
 
 
-def begin(node: Node, name: str = "a1") -> tuple[socket.socket, Call]:
+def start_stream(node: Node, name: str = "a1") -> tuple[socket.socket, Call]:
     client = node.connect()
     client.sendall(request(name))
     node.reader[0].next().read()
     return client, node.writer[0].next().begin().token("first")
 
 
-def until(client: socket.socket, text: bytes) -> bytes:
-    got = b""
-    while text not in got:
+def read_until(client: socket.socket, text: bytes) -> bytes:
+    received = b""
+    while text not in received:
         piece = client.recv(65536)
-        assert piece, got
-        got += piece
-    return got
+        assert piece, received
+        received += piece
+    return received
 
 
 @pytest.mark.parametrize("size", [1, 7])
-def test_an_event_in_many_chunks_reaches_the_client_in_one(node: Node, size: int) -> None:
-    client, call = begin(node)
+def test_event_in_many_chunks_is_relayed_in_one_chunk(node: Node, size: int) -> None:
+    client, call = start_stream(node)
     with client:
-        until(client, b"first")
-        for place in range(0, len(EVENT), size):
-            call.chunk(EVENT[place : place + size])
-        got = until(client, EVENT.encode())
-        assert b"%x\r\n%s\r\n" % (len(EVENT), EVENT.encode()) in got
+        read_until(client, b"first")
+        for position in range(0, len(EVENT), size):
+            call.chunk(EVENT[position : position + size])
+        received = read_until(client, EVENT.encode())
+        assert b"%x\r\n%s\r\n" % (len(EVENT), EVENT.encode()) in received
         call.end()
-        assert until(client, b"0\r\n\r\n").endswith(b"0\r\n\r\n")
+        assert read_until(client, b"0\r\n\r\n").endswith(b"0\r\n\r\n")
 
 
-def test_a_part_of_an_event_is_passed_on_though_the_rest_does_not_come(node: Node) -> None:
-    client, call = begin(node)
+def test_part_of_an_event_is_relayed_if_the_rest_does_not_arrive(node: Node) -> None:
+    client, call = start_stream(node)
     with client:
-        until(client, b"first")
+        read_until(client, b"first")
         call.chunk(EVENT[:9])
-        until(client, EVENT[:9].encode())
+        read_until(client, EVENT[:9].encode())
         call.chunk(EVENT[9:])
-        until(client, EVENT[9:].encode())
+        read_until(client, EVENT[9:].encode())
 
 
-def test_what_came_before_a_spoilt_chunk_is_passed_on(node: Node) -> None:
-    client, call = begin(node)
+def test_events_before_a_malformed_chunk_are_relayed(node: Node) -> None:
+    client, call = start_stream(node)
     with client:
-        until(client, b"first")
-        whole = EVENT.encode()
-        call.say(b"%x\r\n%s\r\nnonsense\r\n" % (len(whole), whole))
-        assert b"0\r\n\r\n" not in until(client, whole)
-        assert client.recv(1) == b""  # the stream broke
+        read_until(client, b"first")
+        complete = EVENT.encode()
+        call.say(b"%x\r\n%s\r\nnonsense\r\n" % (len(complete), complete))
+        assert b"0\r\n\r\n" not in read_until(client, complete)
+        assert client.recv(1) == b""  # the stream is cut off
 
 
-def test_a_stream_that_breaks_off_behind_its_last_event_has_no_last_chunk(node: Node) -> None:
-    client, call = begin(node)
+def test_stream_that_is_cut_off_after_its_last_event_has_no_last_chunk(node: Node) -> None:
+    client, call = start_stream(node)
     with client:
-        until(client, b"first")
+        read_until(client, b"first")
         call.chunk("data: [DONE]\n\n").drop()
-        got = until(client, b"[DONE]\n\n")
+        received = read_until(client, b"[DONE]\n\n")
         while piece := client.recv(65536):
-            got += piece
-        assert not got.endswith(b"0\r\n\r\n")
+            received += piece
+        assert not received.endswith(b"0\r\n\r\n")
 
 
-def test_a_client_that_takes_nothing_holds_up_no_event_of_another(node: Node) -> None:
-    """Both streams come from one server; the slow one's is far more than any buffer takes."""
-    slow, filling = begin(node)
-    fast, call = begin(node, "a2")
+def test_client_that_does_not_read_delays_no_event_of_another(node: Node) -> None:
+    """Both streams come from one server; the slow client's stream is far larger than any buffer."""
+    slow, slow_call = start_stream(node)
+    fast, call = start_stream(node, "a2")
     with slow, fast:
-        until(fast, b"first")
+        read_until(fast, b"first")
 
         def fill() -> None:
             with suppress(OSError):
                 for _ in range(2_000):
-                    filling.chunk(event("x" * 8_000))
+                    slow_call.chunk(event("x" * 8_000))
 
         filler = threading.Thread(target=fill, daemon=True)
         filler.start()
         for number in range(50):
             call.token(f"piece{number}")
-            until(fast, event(f"piece{number}").encode())
+            read_until(fast, event(f"piece{number}").encode())
         call.end()
-        until(fast, b"0\r\n\r\n")
-        assert filler.is_alive()  # its client has taken nothing, so neither has the program
+        read_until(fast, b"0\r\n\r\n")
+        assert filler.is_alive()  # the program reads no more of a stream whose client does not read
