--- a/tests/test_platform_endless.py
+++ b/tests/test_platform_endless.py
@@ -154,7 +154,7 @@
 @pytest.mark.parametrize("name", ["query", "booking"])
 @pytest.mark.parametrize("how", ["closed", "reset"])
 @pytest.mark.parametrize(
-    "half",
+    "partial",
     [
         b"HTTP/1.1 20",
         b"HTTP/1.1 200 OK\r\nContent-Ty",
--- a/tests/test_stream_pieces.py
+++ b/tests/test_stream_pieces.py
@@ -14,7 +14,7 @@
 EVENT = event("abcdefgh")
 
 
-def start_stream(node: Node, name: str = "a1") -> tuple[socket.socket, Call]:
+def begin(node: Node, name: str = "a1") -> tuple[socket.socket, Call]:
     client = node.connect()
     client.sendall(request(name))
     node.reader[0].next().read()
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("size", [1, 7])
 def test_event_in_many_chunks_is_relayed_in_one_chunk(node: Node, size: int) -> None:
-    client, call = start_stream(node)
+    client, call = begin(node)
     with client:
         read_until(client, b"first")
         for position in range(0, len(EVENT), size):
@@ -44,7 +44,7 @@
 
 
 def test_part_of_an_event_is_relayed_if_the_rest_does_not_arrive(node: Node) -> None:
-    client, call = start_stream(node)
+    client, call = begin(node)
     with client:
         read_until(client, b"first")
         call.chunk(EVENT[:9])
@@ -54,7 +54,7 @@
 
 
 def test_events_before_a_malformed_chunk_are_relayed(node: Node) -> None:
-    client, call = start_stream(node)
+    client, call = begin(node)
     with client:
         read_until(client, b"first")
         complete = EVENT.encode()
@@ -64,7 +64,7 @@
 
 
 def test_stream_that_is_cut_off_after_its_last_event_has_no_last_chunk(node: Node) -> None:
-    client, call = start_stream(node)
+    client, call = begin(node)
     with client:
         read_until(client, b"first")
         call.chunk("data: [DONE]\n\n").drop()
@@ -76,8 +76,8 @@
 
 def test_client_that_does_not_read_delays_no_event_of_another(node: Node) -> None:
     """Both streams come from one server; the slow client's stream is far larger than any buffer."""
-    slow, slow_call = start_stream(node)
-    fast, call = start_stream(node, "a2")
+    slow, slow_call = begin(node)
+    fast, call = begin(node, "a2")
     with slow, fast:
         read_until(fast, b"first")
 
