--- a/ringledge/wire/http/arrival_times.py
+++ b/ringledge/wire/http/arrival_times.py
@@ -10,7 +10,7 @@
 from collections import deque
 
 MAX_BURST_GAP_S = 0.05  # reads at most this far apart belong to one burst
-MAX_PROMPT_READ_DELAY_S = 0.02  # a process that keeps up reads a piece within this time of its arrival
+MAX_NORMAL_READ_DELAY_S = 0.02  # a process that keeps up reads a piece within this time of its arrival
 
 
 class ArrivalTimes:
@@ -32,7 +32,7 @@
         if is_delayed and self._delayed_since_s is not None:
             at_s = min(at_s, self._delayed_since_s)
         self._read_s = read_s
-        self._delayed_since_s = at_s if read_s - at_s > MAX_PROMPT_READ_DELAY_S else None
+        self._delayed_since_s = at_s if read_s - at_s > MAX_NORMAL_READ_DELAY_S else None
         self.received_bytes += size
         if self._arrivals and self._arrivals[-1][1] == at_s:
             self._arrivals.pop()
--- a/ringledge/wire/http/errors.py
+++ b/ringledge/wire/http/errors.py
@@ -30,8 +30,8 @@
     A 429 promises that a retry is safe. So a request that may have run and must not run twice gets a 500.
     """
 
-    def __init__(self, may_refuse: bool) -> None:
-        if may_refuse:
+    def __init__(self, may_reject: bool) -> None:
+        if may_reject:
             super().__init__(429, "too much was sent ahead of the answer", "rate_limit_exceeded")
         else:
             super().__init__(500, "too much was sent ahead of the answer; it may have run", "may_have_run")
--- a/ringledge/wire/http/socket_reader.py
+++ b/ringledge/wire/http/socket_reader.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from ringledge.wire.http.arrival_times import MAX_PROMPT_READ_DELAY_S, ArrivalTimes
+from ringledge.wire.http.arrival_times import MAX_NORMAL_READ_DELAY_S, ArrivalTimes
 from ringledge.wire.http.errors import ConnectionIdleError
 from ringledge.wire.http.receive_buffer import ReceiveBuffer
 
@@ -149,7 +149,7 @@
         if self.arrival_times is not None and size:
             now_s = self._loop.time()
             # A usual delay of the event loop, measured in the kernel's coarse ticks: it counts as none.
-            if self.arrival_times.received_bytes and age_s <= MAX_PROMPT_READ_DELAY_S:
+            if self.arrival_times.received_bytes and age_s <= MAX_NORMAL_READ_DELAY_S:
                 age_s = 0.0
             self.arrival_times.add(size, now_s, now_s - age_s if paused_since_s is None else paused_since_s)
 
