--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a server: sends the request, and maps the response to an outcome."""
+"""One exchange with a server: sends the request, and maps the response to an outcome by the protocol's table."""
 
 from __future__ import annotations
 
--- a/ringledge/wire/servers/unresponsive_peers.py
+++ b/ringledge/wire/servers/unresponsive_peers.py
@@ -52,7 +52,7 @@
         stall_detector.record_heartbeat()
         while True:
             await anyio.sleep(self._next_check_s())
-            stall_detector.record_heartbeat()  # done here to avoid a second periodic task
+            stall_detector.record_heartbeat()  # here, to save the wake-ups of a second loop
             if self._in_flight:
                 self._check_attempts()
 
