--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a server: sends the request, and maps the response to an outcome by the protocol's table."""
+"""One exchange with a server: sends the request, and maps the response by the protocol's outcome table."""
 
 from __future__ import annotations
 
