--- a/ringledge/routing/__init__.py
+++ b/ringledge/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing decisions in front of separate prefill and decode servers of a language model."""
+"""Routing policy in front of separate prefill and decode servers of a language model."""
--- a/ringledge/routing/actions.py
+++ b/ringledge/routing/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decisions have the caller do; all times are milliseconds (``_ms``)."""
+"""Actions that the policy returns for its caller to execute. Times are in milliseconds (``_ms``)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send the request to a server; a timeout of None lasts until the client's deadline."""
+    """Send the request to a server. Without a timeout the attempt lasts until the client's deadline."""
 
     request: str
     server: str
@@ -16,27 +16,27 @@
 
 
 class TimerName(StrEnum):
-    """The purpose of a timer: its token begins with the name."""
+    """Purpose of a timer, with which its token begins."""
 
-    WATCH = "look"  # check on a request: followed by a colon and its id
-    MEMBERS = "members"  # request the list of servers again
-    EXPIRE = "reap"  # delete what is old
+    WATCH = "look"  # check the deadlines of a request; a colon and the request id follow
+    MEMBERS = "members"  # request the server list again
+    EXPIRE = "reap"  # delete expired state
 
 
 @dataclass(slots=True, frozen=True)
 class TimerToken:
-    """What a timer is for; its text is set with `SetTimer` and comes back with `TimerFired`."""
+    """Identifies a timer. `SetTimer` carries its text and `TimerFired` returns it."""
 
     name: TimerName
-    request: str | None = None  # of WATCH alone
+    request: str | None = None  # set for WATCH only
 
     def encode(self) -> str:
-        """The token's text."""
+        """Return the text of the token."""
         return self.name.value if self.request is None else f"{self.name}:{self.request}"
 
     @classmethod
     def decode(cls, text: str) -> TimerToken | None:
-        """The token of a text, or None where it is no token of the decisions."""
+        """Parse the text of a token; return None for a token that the policy did not create."""
         name, _, request = text.partition(":")
         return cls(TimerName(name), request) if name in _TIMER_NAMES else None
 
@@ -45,13 +45,15 @@
 
 
 class GiveUpReason(StrEnum):
-    """Why a request was rejected or failed."""
+    """Why the router rejected or failed a request."""
 
     UNKNOWN_CLASS = "unknown_class"
-    NO_SERVER = "no_server"  # none is eligible: none listed, all cold, or all have failed it
-    MEMORY_SHORT = "memory_short"  # of the decode servers
-    TOKENS_IN_FLIGHT = "tokens_in_flight"  # the concurrency limit
-    WAIT_TOO_LONG = "wait_too_long"  # at the prefill servers
+    NO_SERVER = (
+        "no_server"  # no eligible server: none is listed, all are cold, or all have failed the request
+    )
+    MEMORY_SHORT = "memory_short"  # the memory of the decode servers is nearly full
+    TOKENS_IN_FLIGHT = "tokens_in_flight"  # the concurrency limit on prefills is reached
+    WAIT_TOO_LONG = "wait_too_long"  # the expected wait at the prefill servers is too long
     ATTEMPTS_USED = "attempts_used"
     OUT_OF_TIME = "out_of_time"
     SHUTDOWN = "shutdown"
@@ -59,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Have a `TimerFired` event delivered at a clock reading."""
+    """Deliver a `TimerFired` event at a clock time."""
 
     at_ms: float
     token: str
@@ -67,24 +69,24 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: rejected, and a retry does no harm, after `retry_after_ms` where that is set."""
+    """Final answer: the request is rejected and safe to retry, after `retry_after_ms` if that is set."""
 
     request: str
     retry_after_ms: float | None = None
-    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for the log alone
+    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # only logged
 
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer: failed; the request may or may not have taken effect."""
+    """Final answer: the request has failed and may or may not have taken effect."""
 
     request: str
-    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for the log alone
+    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # only logged
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Cancel an attempt; its outcome still comes."""
+    """Cancel an attempt. Its outcome is still reported."""
 
     request: str
     attempt: int
@@ -92,33 +94,33 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseCache:
-    """Release every KV cache entry and reservation held for the request."""
+    """Release all KV cache entries and reservations of a request."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeServer:
-    """Probe a server for its load report."""
+    """Probe a server for a load report."""
 
     server: str
 
 
 @dataclass(slots=True, frozen=True)
 class PollEndpoints:
-    """Request the complete list of servers once."""
+    """Request the complete server list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Subscribe to changes of the list, or with `active` false end that."""
+    """Subscribe to changes of the server list, or unsubscribe if `active` is false."""
 
     active: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """A log message for the operators."""
+    """Write a log message for the operators."""
 
     text: str
 
--- a/ringledge/routing/context.py
+++ b/ringledge/routing/context.py
@@ -1,4 +1,4 @@
-"""What all components of one router share: settings, random generator and the time of the event."""
+"""Context that the components of one router share: settings, random generator and event time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class EventClock:
-    """The time of the event that is being handled; the decisions read no other clock."""
+    """Time of the event being handled. The policy reads no other clock."""
 
     now_ms: float = 0.0
 
@@ -19,8 +19,8 @@
 class RoutingContext:
     """Settings, random generator and clock of one router.
 
-    There is one generator, so the order of all draws is part of the behaviour: equal seeds and equal events
-    give equal actions.
+    All components draw from the same generator, so the order of draws is part of the behaviour: equal seeds
+    and events give equal actions.
     """
 
     settings: RouterSettings
--- a/ringledge/routing/control_events.py
+++ b/ringledge/routing/control_events.py
@@ -1,4 +1,4 @@
-"""Events from operators, from the role planner and from the process itself."""
+"""Events from operators, the role planner and the process itself."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OperatorOverride:
-    """Operators have excluded a server, or readmitted it; it may have restarted in between."""
+    """An operator has excluded or readmitted a server, which may have restarted in between."""
 
     server: str
     excluded: bool
@@ -15,19 +15,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Shutdown:
-    """Graceful shutdown ends: what has not begun by now has no time left."""
+    """The period for graceful shutdown is over: requests that have not started streaming must end."""
 
 
 @dataclass(slots=True, frozen=True)
 class UnreachableServers:
-    """The servers that no connection reaches now; it replaces the previous set."""
+    """The servers that are unreachable at present. Replaces the previous set."""
 
     servers: frozenset[str]
 
 
 @dataclass(slots=True, frozen=True)
 class RolePlan:
-    """Servers of mixed kinds that get nothing new of one role; it replaces the previous plan."""
+    """Mixed servers that get no new work of one role. Replaces the previous plan."""
 
     no_prefill: frozenset[str] = frozenset()
     no_decode: frozenset[str] = frozenset()
--- a/ringledge/routing/endpoints.py
+++ b/ringledge/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""The list of servers and its updates; all times are milliseconds (``_ms``)."""
+"""The server list and its updates. Times are in milliseconds (``_ms``)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update holds: changes, the complete list, the persisted list, or a failure to read it."""
+    """Content of an update: changes, a complete list, the persisted list, or a failed fetch."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -18,7 +18,7 @@
 
 
 class Availability(Enum):
-    """State of a server in the list."""
+    """Availability of a server according to the list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One server in the list."""
+    """One entry of the server list."""
 
     server: str
     zone: int
@@ -35,13 +35,13 @@
     cell: int
     availability: Availability
     weight: float = 1.0
-    started_ms: float = 0.0  # on the clock of the discovery service; 0: long ago
-    started_here_ms: float | None = None  # the same on the router's own clock, where that differs
+    started_ms: float = 0.0  # by the clock of the discovery service; 0 if long ago
+    local_started_ms: float | None = None  # the same time by the router's clock, where that differs
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """An update of the list of servers."""
+    """An update of the server list."""
 
     kind: EndpointUpdateKind
     version: int = 0
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerView:
-    """One server as the decisions see it at a moment."""
+    """The policy's view of one server at a point in time."""
 
     server: str
     role: Role
@@ -58,6 +58,6 @@
     cell: int
     availability: Availability
     weight: float
-    warmth: float  # 1: warm; less while it warms up: the part of its capacity that it is trusted with
-    failure_probability: float  # of an attempt there
-    avoided: bool  # it gets few new requests or none
+    warmth: float  # fraction of its capacity that the router uses: 1 if warm, less while it warms up
+    failure_probability: float  # estimated for one attempt on this server
+    avoided: bool  # gets few or no new requests
--- a/ringledge/routing/events.py
+++ b/ringledge/routing/events.py
@@ -1,4 +1,4 @@
-"""Events of requests, attempts and timers; all times are milliseconds (``_ms``)."""
+"""Events of requests, attempts and timers. Times are in milliseconds (``_ms``)."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     """How an attempt or probe ended."""
 
     OK = "ok"
-    PREFILLED = "read"  # the KV cache entry waits at the prefill server
+    PREFILLED = "read"  # the prefill server holds the KV cache entry
     ERROR = "error"
-    FULL = "full"  # rejected, or no KV cache entry to fetch (then `note` is 1)
+    FULL = "full"  # rejected for lack of capacity, or (with `note` 1) no KV cache entry to fetch
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
@@ -20,7 +20,7 @@
     NOT_SENT = "moot"
 
 
-# Outcomes that prove that an attempt had no effect.
+# Outcomes after which an attempt is known to have had no effect.
 NEVER_RAN = (
     AttemptStatus.PREFILLED,
     AttemptStatus.FULL,
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """A load report, late and noisy; a value that was not reported is None."""
+    """Load reported by a server. Values are delayed and noisy; one that was not reported is None."""
 
     in_flight: float | None = None
     queued: float | None = None
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request, which gets exactly one final answer. `request` is its id."""
+    """A client request, identified by `request`. Each gets exactly one final answer."""
 
     request: str
     expires_in_ms: float
@@ -63,9 +63,9 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptOutcome:
-    """How one attempt ended; `request_ended` says that the request has ended with it or before.
+    """The end of one attempt. `request_ended` is set if the request has ended with the attempt or before it.
 
-    What `note` means depends on the status; read it by the properties.
+    The meaning of `note` depends on the status; use the properties to read it.
     """
 
     request: str
@@ -74,38 +74,38 @@
     status: AttemptStatus
     latency_ms: float = 0.0
     request_ended: bool = False
-    note: int = 0  # tokens found cached; full: 1 without a KV cache entry; lost: 1 if idle before
+    note: int = 0  # prefilled: cached tokens; full: 1 if no entry to fetch; lost: 1 if it had been idle
     load: LoadReport | None = None
 
     @property
     def cached_tokens(self) -> int:
-        """Of a prefill: the prompt tokens that were found cached."""
+        """Number of prompt tokens that a prefill found in the cache."""
         return self.note
 
     @property
     def cache_entry_missing(self) -> bool:
-        """Whether the server had no KV cache entry to fetch."""
+        """Whether the attempt failed because its KV cache entry could not be found."""
         return self.status == AttemptStatus.FULL and self.note == 1
 
     @property
     def rejected(self) -> bool:
-        """Whether the server rejected the attempt for want of capacity."""
+        """Whether the server rejected the attempt for lack of capacity."""
         return self.status == AttemptStatus.FULL and not self.note
 
     @property
     def idle_connection_closed(self) -> bool:
-        """Whether the server closed a connection that had been idle: no failure of the server."""
+        """Whether the server closed an idle connection, which does not count as a server failure."""
         return self.status in CONNECTION_LOST and bool(self.note)
 
     @property
     def connection_failed(self) -> bool:
-        """Whether the connection was lost otherwise."""
+        """Whether a connection that was not idle was lost or could not be opened."""
         return self.status in CONNECTION_LOST and not self.note
 
 
 @dataclass(slots=True, frozen=True)
 class FirstToken:
-    """The answer of an attempt has started; it is forwarded to the client."""
+    """An attempt has returned its first token, which is forwarded to the client."""
 
     request: str
     attempt: int
@@ -115,14 +115,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has disconnected; no answer is needed any more."""
+    """The client has disconnected and no longer needs an answer."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
-    """The result of a probe."""
+    """Result of a probe."""
 
     server: str
     status: AttemptStatus
@@ -132,6 +132,6 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer has fired; the token is the one that it was set with."""
+    """A timer has fired. `token` is the one from its `SetTimer` action."""
 
     token: str
--- a/ringledge/routing/interface.py
+++ b/ringledge/routing/interface.py
@@ -1,7 +1,7 @@
-"""The interface of the decision module: settings, events in, and actions out.
+"""Public types of the routing policy: settings, input events and output actions.
 
-Nothing is decided here. All times are milliseconds (``_ms``): clock readings where the name says so,
-else durations. A field that a deployment does not set is ``None`` or empty.
+This module holds no decision logic. Names ending in ``_ms`` are in milliseconds: clock readings where the
+name says so, durations otherwise. A field that the deployment does not set is ``None`` or empty.
 """
 
 from __future__ import annotations
--- a/ringledge/routing/settings.py
+++ b/ringledge/routing/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a router; a field that a deployment does not set is ``None`` or empty."""
+"""Settings of a router. A field that the deployment does not set is ``None`` or empty."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Role(Enum):
-    """What a kind of server does: prefill prompts, decode answers, or both."""
+    """The work that a kind of server does: prefill, decode, or both."""
 
     PREFILL = "reader"
     DECODE = "writer"
@@ -15,7 +15,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may be repeated: freely, where a key drops repeats, or only if it never ran."""
+    """When a request may be retried: always, where servers deduplicate by key, or only if it never ran."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -23,7 +23,7 @@
 
 
 class DedupScope(Enum):
-    """The servers among which a keyed request's repeats are dropped."""
+    """The set of servers that deduplicate the retries of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,14 +31,14 @@
 
 
 class MembershipMode(Enum):
-    """How the list of servers comes: pushed, or only when polled or subscribed to."""
+    """How the router gets the server list: pushed, or only after it polls or subscribes."""
 
     PUSH = "push"
     POLL = "ask"
 
 
 class LoadReportSource(Enum):
-    """How load reports come: with outcomes, with probes only, or never."""
+    """Which messages carry load reports: attempt outcomes, probe results, or none."""
 
     RESPONSES = "answers"
     PROBES = "probes"
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of request."""
+    """Settings of one request class."""
 
     target_ms: float
     deadline_ms: float
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant: its expected fraction of the requests, and its quota in requests a second."""
+    """One tenant: its expected fraction of all requests and its quota in requests per second."""
 
     fraction: float = 1.0
     quota_per_s: float | None = None
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerKind:
-    """One kind of server."""
+    """Settings of one kind of server."""
 
     role: Role
     memory_tokens: float | None = None
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouterSettings:
-    """The settings of one router, fixed from its start."""
+    """Settings of one router. They do not change while it runs."""
 
     classes: tuple[RequestClass, ...]
     kinds: tuple[ServerKind, ...]
