--- a/ringledge/routing/affinity.py
+++ b/ringledge/routing/affinity.py
@@ -1,4 +1,4 @@
-"""Session affinity: which server prefilled a session's last prompt. Nothing is decided here."""
+"""Session affinity: which server prefilled the last prompt of a session. Holds no decision logic."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Affinity:
-    """Where a session's last prompt was prefilled."""
+    """The server that prefilled the last prompt of a session."""
 
     server: Server
     cached_tokens: float
@@ -18,20 +18,20 @@
 
 
 class SessionAffinities:
-    """The affinities of one router, by session."""
+    """Affinities of one router, by session."""
 
     def __init__(self) -> None:
         self.by_session: dict[int | None, Affinity] = {}
 
     def get(self, session: int | None) -> Affinity | None:
-        """The affinity of a session, or None where it has none."""
+        """Return the affinity of a session, or None."""
         return self.by_session.get(session)
 
     def bind(self, request: Request, server: Server, now_ms: float) -> None:
-        """Record that a server has the request's prefix and its session's prompt in its cache.
+        """Record that a server has cached the request's shared prefix and the prompt of its session.
 
-        Called when a server has answered, not when it is sent a request: a server that does not respond
-        must not retain the session.
+        Callers do so once the server has answered, not when the request is sent, so that an unresponsive
+        server does not keep the session.
         """
         if request.prefix:
             server.cached_prefixes[request.prefix] = now_ms
@@ -39,5 +39,5 @@
             self.by_session[request.session] = Affinity(server, request.prompt_tokens, now_ms)
 
     def expire(self, oldest_ms: float) -> None:
-        """Delete the affinities that were last used before a time."""
+        """Delete affinities that were last used before `oldest_ms`."""
         self.by_session = {key: each for key, each in self.by_session.items() if each.used_ms >= oldest_ms}
--- a/ringledge/routing/concurrency_limit.py
+++ b/ringledge/routing/concurrency_limit.py
@@ -1,57 +1,66 @@
-"""An adaptive limit on the uncached tokens that one router has in flight at all prefill servers.
+"""Adaptive limit on the uncached tokens that one router has in flight on all prefill servers together.
 
-A router of many sees each prefill server too seldom to know its queue, but all its prefills together tell
-whether they queue. The limit is that of a sender on a shared network (additive increase, multiplicative
-decrease: Chiu and Jain 1989). There is none while nothing waits; a wait decreases it, unless another server
-has prefilled without a wait lately (one is slow then, not all); prefills without a wait increase it, and a
-while without congestion lifts it. No I/O, no clock.
+One of many routers sees each prefill server too rarely to know its queue, but its prefills taken together
+show whether the servers queue. The limit follows the congestion control of network senders: additive increase
+and multiplicative decrease (Chiu and Jain 1989). Without congestion there is no limit. A prefill that waited
+decreases the limit, unless another server has recently prefilled without a wait: then a single server is
+slow, not all. Prefills without a wait increase the limit, and a period without congestion removes it. The
+module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-WAIT_SHARE = 0.3  # of the target time that a prefill waits in congestion: the rest has to do for the decode
-RECENT_MS = 1_000.0  # ms for which a prefill without a wait tells of other servers: about a congested wait
-DECREASE_FACTOR = 0.7  # of the limit, or of what is in flight if less, that a wait leaves: as on networks
-INCREASE_TOKENS = 600.0  # by which a prefill without a wait raises the limit: about a short prefill
-LIFT_AFTER_MS = 3_000.0  # ms without congestion after which nothing is limited: a few times a congested wait
-BASE_PRIORITY = 0.3  # added to each request's priority: the lowest is rejected first, not alone
+# Share of the target time above which a prefill's wait counts as congestion. The rest is for the decode.
+CONGESTION_WAIT_SHARE = 0.3
+# Time for which a prefill without a wait shows that other servers are not congested: about the length of a
+# wait in congestion.
+UNCONGESTED_VALIDITY_MS = 1_000.0
+# Factor applied on congestion to the limit, or to the tokens in flight if they are fewer; usual for networks.
+DECREASE_FACTOR = 0.7
+# Increase of the limit after each prefill without a wait: about a short prefill.
+INCREASE_TOKENS = 600.0
+# Time without congestion after which the limit is removed: a few times a wait in congestion.
+LIFT_AFTER_MS = 3_000.0
+# Added to each priority, so that the lowest priority is rejected first but not exclusively.
+BASE_PRIORITY = 0.3
 
 
 class ConcurrencyLimit:
-    """The limit of one router: `inf` while there is none."""
+    """Concurrency limit of one router; `limit_tokens` is `inf` while there is no limit."""
 
     def __init__(self) -> None:
         self.limit_tokens = inf
-        self.decreased_ms = -inf  # last decrease
-        self.congested_ms = -inf  # last sign of congestion
-        self.uncongested_ms = -inf  # last prefill without a wait
+        self.decreased_ms = -inf  # time of the last decrease
+        self.congested_ms = -inf  # time of the last sign of congestion
+        self.uncongested_ms = -inf  # time of the last prefill without a wait
 
     def observe_wait(self, now_ms: float, wait_share: float, sent_ms: float) -> bool:
-        """Record a prefill that ended, or was cancelled, after a wait beyond its own work.
+        """Record how long a prefill that ended or was cancelled has waited; return whether to decrease.
 
-        `wait_share` is that wait as a share of the target time. Returns whether it calls for a decrease.
+        `wait_share` is its wait beyond its own work, as a share of the target time.
         """
-        if wait_share <= WAIT_SHARE:
+        if wait_share <= CONGESTION_WAIT_SHARE:
             self.uncongested_ms = now_ms
             self.limit_tokens += INCREASE_TOKENS
             if now_ms - self.congested_ms > LIFT_AFTER_MS:
                 self.limit_tokens = inf
-        elif now_ms - self.uncongested_ms > RECENT_MS:
+        elif now_ms - self.uncongested_ms > UNCONGESTED_VALIDITY_MS:
             self.congested_ms = now_ms
-            return sent_ms >= self.decreased_ms  # sent before the last decrease, it tells of its cause
+            # A prefill sent before the last decrease met the congestion that this decrease responded to.
+            return sent_ms >= self.decreased_ms
         return False
 
     def decrease(self, now_ms: float, in_flight_tokens: float, floor_tokens: float) -> None:
-        """Limit what is in flight; `floor_tokens` congest nothing, even at every router at once."""
+        """Lower the limit, but not below `floor_tokens`, which cause no congestion even from all routers."""
         self.limit_tokens = max(floor_tokens, DECREASE_FACTOR * min(self.limit_tokens, in_flight_tokens))
         self.decreased_ms = now_ms
 
     def admits(self, in_flight_tokens: float, tokens: float, priority: float, draw: float) -> bool:
-        """Whether a prefill of that many tokens, at a priority of at most 1, may be sent.
+        """Whether a prefill of `tokens` tokens may be sent, given its priority of at most 1.
 
-        `draw` is uniform from 0 to 1: were all routers to hold a prefill back at once, nothing would tell
-        when the congestion is over.
+        `draw` is uniform from 0 to 1. If all routers rejected their prefills at once, none would see the end
+        of the congestion.
         """
         return in_flight_tokens + draw * tokens / (BASE_PRIORITY + priority) < self.limit_tokens
--- a/ringledge/routing/fleet.py
+++ b/ringledge/routing/fleet.py
@@ -1,4 +1,4 @@
-"""The listed servers as one router sees them. Data and estimates alone; nothing is decided here."""
+"""Listed servers and their state as one router sees them. Holds no decision logic."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class SpillChance:
-    """How likely a KV cache entry leaves a place whose decode servers fall short of its prefills."""
+    """Probability that a KV cache entry leaves a cell or zone that is short of decode servers."""
 
     by_cell: dict[int, float] = field(default_factory=dict)
     by_zone: dict[int, float] = field(default_factory=dict)
@@ -21,40 +21,40 @@
 
 @dataclass(slots=True)
 class _WarmCapacity:
-    """Sums of servers' warmth by role."""
+    """Sum of the servers' warmth for each role."""
 
     prefill: float = 0.0
     decode: float = 0.0
 
     def add(self, prefill: float, decode: float) -> None:
-        """Include one server."""
+        """Add the warmth of one server."""
         self.prefill += prefill
         self.decode += decode
 
 
 class FleetState:
-    """The servers of the list, which of them take new requests, and what operators said of them."""
+    """Listed servers, those that take new requests, operator overrides and the role plan."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self.settings = settings
         self.servers = dict[str, Server]()
-        self.prefill_servers = list[Server]()  # those that are up and not excluded
+        self.prefill_servers = list[Server]()  # up and not excluded; so are the decode servers
         self.decode_servers = list[Server]()
-        self.rankings: dict[str, list[Server]] = {}  # cached orders of `prefill_servers`, by affinity key
-        self.excluded = set[str]()  # by operators
-        self.readmitted = set[str]()  # by operators, and not used since
-        self.unreachable = frozenset[str]()  # servers that no connection reaches just now
-        self.role_plan = RolePlan()  # which servers of mixed kinds are restricted to one role
-        self.peak_servers = Counter[Role]()  # maximum of servers listed at once
+        self.rankings: dict[str, list[Server]] = {}  # `prefill_servers` ranked by affinity key (a cache)
+        self.excluded = set[str]()  # excluded by an operator
+        self.readmitted = set[str]()  # readmitted by an operator and not used since
+        self.unreachable = frozenset[str]()  # servers to which no connection can be opened at present
+        self.role_plan = RolePlan()  # mixed servers that are restricted to one role
+        self.peak_servers = Counter[Role]()  # highest number of servers listed at once
         self.spill_chance = SpillChance()
 
     def availability(self, server: Server) -> Availability:
-        """By the list, unless operators excluded it: then it finishes what it has, as if it drained."""
+        """Return the listed availability, or DRAINING for an excluded server, which finishes its work."""
         excluded = server.entry.server in self.excluded
         return Availability.DRAINING if excluded else server.entry.availability
 
     def warmth(self, server: Server, now_ms: float) -> float:
-        """The part of its capacity that a server is trusted with since its start: 1 once it is warm."""
+        """Return the fraction of a server's capacity to use: it rises after its start and is 1 once warm."""
         age_ms, warm_ms = now_ms - server.warming_since_ms, self.settings.warm_after_ms
         if server.warming_since_ms <= 0 or age_ms >= warm_ms:
             return 1.0
@@ -62,13 +62,16 @@
         return self.settings.cold_capacity * (1 - share) + share
 
     def is_dedicated_to(self, server: Server, role: Role) -> bool:
-        """Whether all that is new to a server is of this role, by its kind or by plan."""
+        """Whether a server gets new work of this role only, by its kind or by the role plan."""
         plan = self.role_plan
         names = plan.no_prefill if role == Role.DECODE else plan.no_decode
         return server.role == role or (server.role == Role.MIXED and server.entry.server in names)
 
     def estimate_spill(self, up: list[Server], now_ms: float) -> None:
-        """How far each place's decode servers fall short of its prefills, relative to the whole fleet."""
+        """Update the spill probability of each cell and zone.
+
+        It is the shortfall of decode capacity against prefill capacity, compared with the whole fleet.
+        """
         fleet = _WarmCapacity()
         cells = defaultdict[int, _WarmCapacity](_WarmCapacity)
         zones = defaultdict[int, _WarmCapacity](_WarmCapacity)
@@ -83,6 +86,6 @@
 
 
 def _shortages(places: dict[int, _WarmCapacity], ratio: float) -> dict[int, float]:
-    """For each place with prefills: the share of its prefills that its decode servers can't take."""
+    """Return the share of prefills beyond the decode capacity, for each cell or zone that prefills."""
     needs = {place: ratio * capacity.prefill for place, capacity in places.items()}
     return {place: 1 - places[place].decode / need for place, need in needs.items() if need}
--- a/ringledge/routing/observations.py
+++ b/ringledge/routing/observations.py
@@ -1,13 +1,13 @@
-"""Updates a router's estimates by the outcomes of attempts; the types are in ``interface.py``.
+"""Updates a router's estimates from the outcomes of its attempts. The types are in ``interface.py``.
 
-Nothing is decided here.
+This module holds no decision logic.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-from ringledge.routing.concurrency_limit import WAIT_SHARE, ConcurrencyLimit
+from ringledge.routing.concurrency_limit import CONGESTION_WAIT_SHARE, ConcurrencyLimit
 from ringledge.routing.context import RoutingContext
 from ringledge.routing.estimates import PREFILL_OVERHEAD_TOKENS, Estimates
 from ringledge.routing.events import AttemptOutcome, AttemptStatus
@@ -15,15 +15,21 @@
 from ringledge.routing.settings import Role
 from ringledge.routing.state import ANY_REQUEST, SAMPLE_WEIGHT, SERVER_ERROR, RequestState, Server
 
-FIRST_PREFILLS = 4  # whose fastest sets the rate: the very first may have waited in a queue
-MAX_SLOWDOWN = 4.0  # times the rate so far that one sample counts at most: it may have queued
-STREAM_DECAY = 0.9  # weight of the streams before with each one that ends: about ten count
-OVERTAKEN_SHARE = 0.5  # of a wait: a later prefill that took less at the same server is the truer sample
-MAX_WORK_SAMPLES = 64  # that a mean of requests' work counts at most: a router's mix changes within a day
+# Number of first prefills whose fastest sets the prefill rate, since the very first may have queued.
+INITIAL_PREFILLS = 4
+# Maximum value of a prefill rate sample as a multiple of the current estimate, since it may have queued.
+MAX_SAMPLE_FACTOR = 4.0
+# Decay of earlier streams with each stream that ends: about the last ten count.
+STREAM_DECAY = 0.9
+# Share of a prefill's wait. If a prefill sent later to the same server took less than that, it is the better
+# sample of the current delay.
+OVERTAKEN_SHARE = 0.5
+# Maximum number of samples in the mean work of requests, since a router's traffic mix changes over a day.
+MAX_WORK_SAMPLES = 64
 
 
 class OutcomeObserver:
-    """Feeds outcomes and first tokens to the estimates and to the concurrency limit."""
+    """Updates the estimates and the concurrency limit from outcomes and first tokens."""
 
     def __init__(
         self,
@@ -39,7 +45,7 @@
         self.concurrency_limit = concurrency_limit
 
     def observe(self, state: RequestState, server: Server, outcome: AttemptOutcome) -> None:
-        """Update the estimates by the outcome of an attempt."""
+        """Update the estimates from the outcome of an attempt."""
         status, now_ms = outcome.status, self.clock.now_ms
         queued_ms = state.queued_tokens * self.estimates.prefill_ms_per_token
         delay_ms = max(0.0, outcome.latency_ms - queued_ms)
@@ -51,13 +57,13 @@
         elif status == AttemptStatus.OK:
             self._observe_stream(state, server)
         elif not state.streaming and delay_ms > server.delay_of(state).value(now_ms):
-            self._add_delay(state, server, delay_ms)  # it would have taken at least so long
+            self._add_delay(state, server, delay_ms)  # a lower bound of the delay without the failure
         self._observe_failure(state, server, outcome)
         if server.role == Role.PREFILL and status in (AttemptStatus.PREFILLED, AttemptStatus.CANCELLED):
             self._observe_congestion(state, outcome)
 
     def _observe_failure(self, state: RequestState, server: Server, outcome: AttemptOutcome) -> None:
-        """Count a failure in the scope that it concerns."""
+        """Record a failed attempt in the scopes that the failure applies to."""
         status = outcome.status
         if status == AttemptStatus.ERROR and server.role != Role.PREFILL:
             server.failures[SERVER_ERROR].add(self.clock.now_ms, 1.0)
@@ -67,33 +73,35 @@
             self.record_result(state, server, 1.0)
 
     def _observe_congestion(self, state: RequestState, outcome: AttemptOutcome) -> None:
-        """Adapt the limit of what is in flight to how long a prefill waited."""
+        """Adapt the concurrency limit to the wait of a prefill."""
         estimates, now_ms = self.estimates, self.clock.now_ms
         target_ms = state.request_class.target_ms
         wait = (outcome.latency_ms - state.queued_tokens * estimates.prefill_ms_per_token) / target_ms
-        if outcome.status == AttemptStatus.CANCELLED and wait <= WAIT_SHARE:
-            return  # cancelled so early it tells nothing
+        if outcome.status == AttemptStatus.CANCELLED and wait <= CONGESTION_WAIT_SHARE:
+            return  # cancelled too early to show whether the server queues
         if not self.concurrency_limit.observe_wait(now_ms, wait, state.sent_ms):
             return
         servers = [server for server in self.fleet.prefill_servers if server.role == Role.PREFILL]
         warm = sum(self.fleet.warmth(server, now_ms) for server in servers)
         token_ms = max(estimates.prefill_ms_per_token, 1e-3)
-        floor = warm * WAIT_SHARE * target_ms / token_ms / self.settings.routers
+        floor = warm * CONGESTION_WAIT_SHARE * target_ms / token_ms / self.settings.routers
         in_flight = state.pending_tokens + PREFILL_OVERHEAD_TOKENS + estimates.prefill_tokens_in_flight()
         self.concurrency_limit.decrease(now_ms, in_flight, floor)
 
     def _observe_prefill_rate(self, state: RequestState, server: Server, outcome: AttemptOutcome) -> None:
-        """Seek the rate of an idle prefill server: faster samples count more than slower ones."""
+        """Update the prefill rate of an idle server. Faster samples, which queued less, have more weight."""
         estimates = self.estimates
         known = estimates.prefill_ms_per_token
         uncached = max(0.0, state.request.prompt_tokens - outcome.cached_tokens)
-        sample = min(outcome.latency_ms / (uncached + PREFILL_OVERHEAD_TOKENS), MAX_SLOWDOWN * known or inf)
+        sample = min(
+            outcome.latency_ms / (uncached + PREFILL_OVERHEAD_TOKENS), MAX_SAMPLE_FACTOR * known or inf
+        )
         weight = SAMPLE_WEIGHT / (6 if sample < known else 60)
-        early = len(estimates.completions[server.role]) < FIRST_PREFILLS and sample < known
+        early = len(estimates.completions[server.role]) < INITIAL_PREFILLS and sample < known
         estimates.prefill_ms_per_token += (1.0 if early or not known else weight) * (sample - known)
 
     def _observe_stream(self, state: RequestState, server: Server) -> None:
-        """An ended stream is a sample of its class's usual duration, and of its server's slowdown."""
+        """Add an ended stream to its class's usual duration and its server's slowdown."""
         class_index = state.request.class_index
         duration_ms = self.clock.now_ms - state.stream_start_ms
         usual_ms = self.estimates.usual_stream_ms(class_index)
@@ -103,7 +111,7 @@
         server.stream_count = STREAM_DECAY * server.stream_count + 1
 
     def record_success(self, state: RequestState, server: Server, delay_ms: float) -> None:
-        """Include a prefill or an answer's start in the delays and the work; it clears failures."""
+        """Add a prefill or a first token to the delay and work estimates, and clear failures."""
         estimates, now_ms, role = self.estimates, self.clock.now_ms, server.role
         estimates.completions[role].append(now_ms)
         estimates.usual_delay[role].add(now_ms, delay_ms)
@@ -115,7 +123,7 @@
         estimates.mean_work[role] = mean + weight * (work - mean) if mean else work
 
     def _add_delay(self, state: RequestState, server: Server, delay_ms: float) -> None:
-        """Include a delay in its server's estimate, unless its attempt was overtaken there."""
+        """Add a delay to the server's estimate, unless a later prefill there has overtaken the attempt."""
         now_ms = self.clock.now_ms
         prefills = state.queued_tokens > 0
         if prefills and now_ms - server.newest_prefill_sent_ms < OVERTAKEN_SHARE * (now_ms - state.sent_ms):
@@ -123,7 +131,10 @@
         server.delay_of(state).add(now_ms, delay_ms)
 
     def record_result(self, state: RequestState, server: Server, failed: float) -> None:
-        """Add a result (1: failed, 0: succeeded) by scope: others' answers don't clear a failure."""
+        """Add a result (1 if failed, 0 if succeeded) to the failure rates of the request's scopes.
+
+        A success of another class or tenant does not clear a failure.
+        """
         for scope in state.failure_scopes:
             if failed or scope in server.failures:
                 server.failures[scope].add(self.clock.now_ms, failed)
--- a/ringledge/routing/quotas.py
+++ b/ringledge/routing/quotas.py
@@ -1,4 +1,4 @@
-"""Whether a tenant is within its quota; the types are in ``ringledge/routing/interface.py``."""
+"""Tenant quotas and request priorities. The types are in ``ringledge/routing/interface.py``."""
 
 from __future__ import annotations
 
@@ -8,13 +8,15 @@
 from ringledge.routing.context import RoutingContext
 from ringledge.routing.settings import RequestClass
 
-ARRIVALS_MS = 1_000.0  # ms over which arrivals are counted: a tenant's bucket holds about a second's
-BURST = 4.0  # requests of a tenant that may come together: its part at one of many routers is under one
+# Time over which arrivals are counted: a tenant's bucket also holds about one second of requests.
+ARRIVAL_DECAY_MS = 1_000.0
+# Minimum burst of a tenant in requests, since its part of the quota at one of many routers is below one.
+MIN_BUCKET_CAPACITY = 4.0
 
 
 @dataclass(slots=True, frozen=True)
 class ArrivalCount:
-    """Requests that have arrived, decaying over `ARRIVALS_MS`, as counted at a time."""
+    """Number of recent arrivals, decayed over `ARRIVAL_DECAY_MS`, at a point in time."""
 
     requests: float = 0.0
     updated_ms: float = 0.0
@@ -22,29 +24,29 @@
 
 @dataclass(slots=True, frozen=True)
 class TokenBucket:
-    """Requests that a tenant may still send, as counted at a time."""
+    """Number of requests that a tenant may still send at a point in time."""
 
     tokens: float
     updated_ms: float
 
 
 class TenantQuotas:
-    """A token bucket for each tenant, at one of many routers."""
+    """Token bucket of each tenant at one of many routers."""
 
     def __init__(self, context: RoutingContext) -> None:
         self.settings = context.settings
         self.clock = context.clock
         self.buckets: dict[int, TokenBucket] = {}  # by tenant
-        self.recent_arrivals = ArrivalCount()  # of all tenants
+        self.recent_arrivals = ArrivalCount()  # all tenants
 
     def record_arrival(self) -> None:
-        """Count a request of any tenant."""
+        """Count one arrival, of whichever tenant."""
         now_ms, recent = self.clock.now_ms, self.recent_arrivals
-        decayed = recent.requests * exp((recent.updated_ms - now_ms) / ARRIVALS_MS)
+        decayed = recent.requests * exp((recent.updated_ms - now_ms) / ARRIVAL_DECAY_MS)
         self.recent_arrivals = ArrivalCount(decayed + 1, now_ms)
 
     def priority(self, request_class: RequestClass, tenant: int) -> float:
-        """A request's priority weight relative to the highest, less where its tenant is over its quota."""
+        """Return the class's relative priority weight, reduced if the tenant is over its quota."""
         highest = max(each.priority_weight for each in self.settings.classes)
         priority = request_class.priority_weight / highest
         if not self._take_token(tenant):
@@ -52,14 +54,14 @@
         return priority
 
     def _take_token(self, tenant: int) -> bool:
-        """Take a token of a tenant's bucket; False where there is none: the tenant is over its quota."""
+        """Take a token from a tenant's bucket. Return False if the tenant is over its quota."""
         if tenant >= len(self.settings.tenants) or self.settings.tenants[tenant].quota_per_s is None:
             return True
         quota, now_ms = self.settings.tenants[tenant], self.clock.now_ms
-        # While peers are down theirs comes here as well: a tenant then has its part of what comes.
-        arrivals_per_s = self.recent_arrivals.requests * 1000 / ARRIVALS_MS
+        # While peers are down, their traffic arrives here. A tenant then gets its fraction of all arrivals.
+        arrivals_per_s = self.recent_arrivals.requests * 1000 / ARRIVAL_DECAY_MS
         rate = max((quota.quota_per_s or 0.0) / self.settings.routers, quota.fraction * arrivals_per_s)
-        capacity = max(rate, BURST)
+        capacity = max(rate, MIN_BUCKET_CAPACITY)
         bucket = self.buckets.get(tenant, TokenBucket(capacity, now_ms))
         tokens = min(capacity, bucket.tokens + rate * (now_ms - bucket.updated_ms) / 1000)
         self.buckets[tenant] = TokenBucket(tokens - 1 if tokens >= 1 else tokens, now_ms)
--- a/ringledge/routing/server_views.py
+++ b/ringledge/routing/server_views.py
@@ -1,4 +1,4 @@
-"""How a policy sees each server at a moment, for metrics, xDS and the role planner; it decides nothing."""
+"""The policy's view of each server, for metrics, xDS and the role planner. Holds no decision logic."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from ringledge.routing.policy import Policy
 from ringledge.routing.state import ANY_REQUEST, DecayingMean
 
-# From this failure probability on a server counts as avoided: it is skipped more often than not.
+# Failure probability from which a server counts as avoided, since more requests skip it than not.
 AVOIDED_FAILURE_PROBABILITY = 0.5
 
 
 def server_views(policy: Policy, now_ms: float) -> list[ServerView]:
-    """Every listed server, by name."""
+    """Return the views of all listed servers, sorted by name."""
     fleet, views = policy.fleet, list[ServerView]()
     for name, server in sorted(fleet.servers.items()):
         availability, entry = fleet.availability(server), server.entry
--- a/tests/routing/test_concurrency_limit.py
+++ b/tests/routing/test_concurrency_limit.py
@@ -6,7 +6,12 @@
 
 import pytest
 
-from ringledge.routing.concurrency_limit import LIFT_AFTER_MS, RECENT_MS, WAIT_SHARE, ConcurrencyLimit
+from ringledge.routing.concurrency_limit import (
+    CONGESTION_WAIT_SHARE,
+    LIFT_AFTER_MS,
+    UNCONGESTED_VALIDITY_MS,
+    ConcurrencyLimit,
+)
 from ringledge.routing.interface import (
     AttemptStatus,
 )
@@ -28,14 +33,14 @@
 
 def congested(in_flight_tokens: float = 4_000.0, floor_tokens: float = 500.0) -> ConcurrencyLimit:
     limit = ConcurrencyLimit()
-    assert limit.observe_wait(START_MS, 2 * WAIT_SHARE, START_MS - 500)
+    assert limit.observe_wait(START_MS, 2 * CONGESTION_WAIT_SHARE, START_MS - 500)
     limit.decrease(START_MS, in_flight_tokens, floor_tokens)
     return limit
 
 
 def test_no_limit_until_a_prefill_waits() -> None:
     limit = ConcurrencyLimit()
-    assert not limit.observe_wait(START_MS, WAIT_SHARE, START_MS - 500)
+    assert not limit.observe_wait(START_MS, CONGESTION_WAIT_SHARE, START_MS - 500)
     assert limit.limit_tokens == inf
     assert limit.admits(1e9, 1e9, 0.0, 0.99)
 
@@ -43,8 +48,8 @@
 def test_one_slow_server_is_not_congestion() -> None:
     limit = ConcurrencyLimit()
     limit.observe_wait(START_MS, 0.0, START_MS - 50)
-    assert not limit.observe_wait(START_MS + RECENT_MS, 9.0, START_MS)
-    assert limit.observe_wait(START_MS + RECENT_MS + 1, 9.0, START_MS)
+    assert not limit.observe_wait(START_MS + UNCONGESTED_VALIDITY_MS, 9.0, START_MS)
+    assert limit.observe_wait(START_MS + UNCONGESTED_VALIDITY_MS + 1, 9.0, START_MS)
 
 
 def test_prefills_sent_before_a_decrease_cause_no_second_decrease() -> None:
@@ -86,7 +91,7 @@
     for n in range(20):
         world.advance(400)
         world.serve(f"a{n}", session=n)
-    world.advance(2 * RECENT_MS)
+    world.advance(2 * UNCONGESTED_VALIDITY_MS)
     for n in range(8):
         world.request(f"b{n}", session=100 + n)
     world.advance(wait_ms)
@@ -119,7 +124,7 @@
 def test_immediately_cancelled_prefill_is_not_an_uncongested_sample() -> None:
     world = RouterHarness(FLEET, routers=40)
     world.serve("a")
-    world.advance(2 * RECENT_MS)
+    world.advance(2 * UNCONGESTED_VALIDITY_MS)
     soon_ms = world.policy.concurrency_limit.uncongested_ms
     world.request("b", session=1)
     world.abandon("b")
