--- a/ringledge/routing/policy.py
+++ b/ringledge/routing/policy.py
@@ -1,4 +1,4 @@
-"""One router's decisions, composed of components; the types are in ``interface.py``."""
+"""Routing policy of one router, built from components. The public types are in ``interface.py``."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class Policy:
-    """One router's decisions: events in, actions out.
+    """Maps events to actions for one router.
 
-    Each component owns its part of the router's state. Given equal settings, seed and events a policy takes
-    equal actions: it reads no clock and no other source of chance.
+    Each component owns part of the router's state. The policy reads no clock and no other source of
+    randomness, so equal settings, seeds and events give equal actions.
     """
 
     def __init__(
@@ -75,11 +75,11 @@
 
     @property
     def requests(self) -> dict[str, RequestState]:
-        """The open requests, by id."""
+        """Open requests by id."""
         return self.lifecycle.requests
 
     def handle(self, now_ms: float, event: RoutingEvent) -> list[RoutingAction]:
-        """Handle one event; return the actions it calls for, in their order."""
+        """Handle one event and return the resulting actions in order."""
         self.clock.now_ms = now_ms
         actions = self.lifecycle.begin_event()
         handler = self._handlers.get(type(event))
--- a/ringledge/routing/request_lifecycle.py
+++ b/ringledge/routing/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request, from its arrival to its final answer; its types are in ``interface.py``."""
+"""Lifecycle of a request from arrival to final answer. The public types are in ``interface.py``."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 from ringledge.routing.state import FailureScope, PossibleRun, RequestState, Server
 from ringledge.routing.termination import cancel_actions, final_answer
 
-WATCH_MULTIPLE = 4.0  # times the usual delay without a sign of life that count as a failure
+TIMEOUT_MULTIPLE = 4.0  # multiple of the usual delay after which an unresponsive attempt counts as failed
 
 
 @dataclass(slots=True, frozen=True)
 class LifecycleComponents:
-    """The components that a request passes on its way."""
+    """Components that the lifecycle of a request uses."""
 
     fleet: FleetState
     affinities: SessionAffinities
@@ -51,9 +51,9 @@
 
 
 class RequestLifecycle:
-    """Owns the open requests and the actions of the event that is being handled.
+    """Owns the open requests and the actions of the event being handled.
 
-    Each request gets exactly one final answer, and what it has reserved is released at its end.
+    Each request gets exactly one final answer, and everything reserved for it is released when it ends.
     """
 
     def __init__(self, context: RoutingContext, components: LifecycleComponents) -> None:
@@ -66,18 +66,18 @@
         self.observer = components.observer
         self.prefill_selector = components.prefill_selector
         self.decode_selector = components.decode_selector
-        self.requests = dict[str, RequestState]()  # open ones, by id
-        self.actions = list[RoutingAction]()  # of the event that is being handled
+        self.requests = dict[str, RequestState]()  # open requests by id
+        self.actions = list[RoutingAction]()  # actions of the event being handled
 
     def begin_event(self) -> list[RoutingAction]:
-        """Begin the list of an event's actions, which its handling fills."""
+        """Start and return the list of actions for the next event."""
         self.actions = []
         return self.actions
 
-    # Arrival and choice.
+    # Arrival and server selection.
 
     def accept(self, request: Request) -> None:
-        """Open a request; send its first attempt, or give it up."""
+        """Register a request; send its first attempt or answer it at once."""
         if request.class_index >= len(self.settings.classes):
             self.actions.append(RejectRequest(request.request, reason=GiveUpReason.UNKNOWN_CLASS))
             return
@@ -90,16 +90,16 @@
         deadline_ms = self.clock.now_ms + request.expires_in_ms
         state = RequestState(request, request_class, priority, deadline_ms, scopes)
         self.requests[request.request] = state
-        self._proceed(state)
-        self._watch(state)
+        self._take_next_step(state)
+        self._check_deadlines(state)
 
-    def _proceed(self, state: RequestState) -> None:
-        """Take the next step of a request with no attempt in flight: prefill, decode, or give up."""
+    def _take_next_step(self, state: RequestState) -> None:
+        """Start the next prefill or decode of a request without an attempt in flight, or give it up."""
         selected = self._select(state)
         if isinstance(selected, GiveUpReason):
             self._give_up(state, selected)
         elif state.attempt_count + (selected.role == Role.PREFILL) >= self.settings.max_attempts:
-            self._give_up(state, GiveUpReason.ATTEMPTS_USED)  # a prefill needs one more, for the decode
+            self._give_up(state, GiveUpReason.ATTEMPTS_USED)  # a prefill needs another attempt for its decode
         else:
             self._send(state, selected)
 
@@ -112,33 +112,33 @@
         estimates = self.estimates
         self.fleet.readmitted.discard(server.entry.server)
         uncached = estimates.uncached_tokens(state.request, server)
-        decodes = state.kv_server is not None
-        state.prefill_tokens = 0.0 if decodes else uncached
+        decode_only = state.kv_server is not None
+        state.prefill_tokens = 0.0 if decode_only else uncached
         state.pending_tokens = uncached if server.role == Role.PREFILL else estimates.decode_tokens(state)
         server.reserve(state)
-        state.queued_tokens = 0.0 if decodes else server.prefill_tokens + PREFILL_OVERHEAD_TOKENS
+        state.queued_tokens = 0.0 if decode_only else server.prefill_tokens + PREFILL_OVERHEAD_TOKENS
         state.server = server
         state.sent_ms = self.clock.now_ms
         state.attempt_count += 1
         server.start_credit -= estimates.relative_work(state, server)
-        timeout_ms = None if self.settings.may_cancel else self._watch_timeout_ms(state, server)
+        timeout_ms = None if self.settings.may_cancel else self._response_timeout_ms(state, server)
         self.actions.append(SendAttempt(state.request.request, server.entry.server, timeout_ms))
 
-    # The time while a request waits.
+    # Deadlines and timeouts.
 
-    def _watch_timeout_ms(self, state: RequestState, server: Server) -> float:
-        """How long a server may give no sign of life while a request waits: more in a slow fleet."""
+    def _response_timeout_ms(self, state: RequestState, server: Server) -> float:
+        """Return how long to wait for a response, which is longer if the whole fleet is slow."""
         usual_ms = self.estimates.usual_delay[server.role].value(self.clock.now_ms)
         expected_ms = usual_ms + state.queued_tokens * self.estimates.prefill_ms_per_token
-        return max(WATCH_MULTIPLE * expected_ms, LATE_WAIT_SHARE * state.request_class.target_ms)
+        return max(TIMEOUT_MULTIPLE * expected_ms, LATE_WAIT_SHARE * state.request_class.target_ms)
 
     def check_timeout(self, request: str) -> None:
-        """Check on a request where its timer has fired, if it is still open."""
+        """Check the deadlines of a request whose timer has fired, if it is still open."""
         if request in self.requests:
-            self._watch(self.requests[request])
+            self._check_deadlines(self.requests[request])
 
-    def _watch(self, state: RequestState) -> None:
-        """Give up a request in time; cancel an attempt without a sign of life since it was sent."""
+    def _check_deadlines(self, state: RequestState) -> None:
+        """Give up a request at its deadline, time out its attempt if unresponsive, and set the next timer."""
         if state.ended or state.streaming:
             return
         now_ms = self.clock.now_ms
@@ -148,7 +148,7 @@
             return
         next_ms = end_ms
         if state.server is not None:
-            timeout_at_ms = state.sent_ms + self._watch_timeout_ms(state, state.server)
+            timeout_at_ms = state.sent_ms + self._response_timeout_ms(state, state.server)
             if now_ms >= timeout_at_ms:
                 self._time_out(state, state.server)
             else:
@@ -157,7 +157,7 @@
         self.actions.append(SetTimer(next_ms, token.encode()))
 
     def _time_out(self, state: RequestState, server: Server) -> None:
-        """Count an attempt as failed; cancel it where another can follow, else it could only fail."""
+        """Record a failed attempt. Cancel it only if a retry can follow, else the request would fail."""
         self.observer.record_result(state, server, 1.0)
         prefills = server.role == Role.PREFILL
         repeatable = prefills or state.request_class.idempotency != Idempotency.NON_IDEMPOTENT
@@ -167,7 +167,7 @@
     # Attempts.
 
     def _state_of(self, event: AttemptOutcome | FirstToken) -> RequestState | None:
-        """The request of an event; None where the event is not of the attempt in flight."""
+        """Return the request of an event, or None if the event is not for the attempt in flight."""
         state = self.requests.get(event.request)
         in_flight = (
             state is not None and state.server is not None and event.attempt == state.attempt_count - 1
@@ -175,7 +175,7 @@
         return state if in_flight else None
 
     def finish_attempt(self, outcome: AttemptOutcome) -> None:
-        """Learn from an attempt's outcome, and take its request's next step."""
+        """Process the outcome of an attempt and start the next step of its request."""
         state = self._state_of(outcome)
         if state is None or state.server is None:
             return
@@ -193,12 +193,12 @@
             state.failed_servers.append(server)
         state.ended = state.ended or outcome.request_ended
         if state.ended:
-            self._forget(state)
+            self._remove_if_idle(state)
         else:
-            self._proceed(state)
+            self._take_next_step(state)
 
     def start_stream(self, event: FirstToken) -> None:
-        """The answer has started: the attempt is the client's, and is not repeated any more."""
+        """Process the first token of an attempt, after which the request is not retried."""
         state = self._state_of(event)
         if state is None or state.server is None:
             return
@@ -219,31 +219,31 @@
         if server.role == Role.MIXED:
             self.affinities.bind(state.request, server, now_ms)
 
-    # Ends.
+    # Termination.
 
     def _give_up(self, state: RequestState, reason: GiveUpReason) -> None:
-        """Answer at once, and release what is reserved."""
+        """Give the final answer and release everything reserved for the request."""
         self.actions.append(final_answer(self.settings, state, reason))
         self._end(state)
 
     def _end(self, state: RequestState) -> None:
         state.ended = True
         self.actions += cancel_actions(self.settings, state)
-        self._forget(state)
+        self._remove_if_idle(state)
 
-    def _forget(self, state: RequestState) -> None:
-        """With no attempt in flight, delete an ended request and release its KV cache entry."""
+    def _remove_if_idle(self, state: RequestState) -> None:
+        """Delete an ended request and release its KV cache entry, unless an attempt is in flight."""
         if state.server is None:
             if state.kv_server is not None:
                 self.actions.append(ReleaseCache(state.request.request))
             del self.requests[state.request.request]
 
     def disconnect_client(self, event: ClientDisconnected) -> None:
-        """End a request that nobody waits for."""
+        """End the request of a disconnected client."""
         if event.request in self.requests:
             self._end(self.requests[event.request])
 
     def shut_down(self) -> None:
-        """Give up all that has not begun while there is time to answer and to release what is reserved."""
+        """Give up all requests that are not streaming, while there is time to answer and release them."""
         for state in [each for each in self.requests.values() if not (each.streaming or each.ended)]:
             self._give_up(state, GiveUpReason.SHUTDOWN)
--- a/ringledge/routing/simulator_adapter.py
+++ b/ringledge/routing/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Serves the decision module on the simulator's protocol: lines in, lines out, one policy for each instance.
+"""Runs routing policies, one per instance, behind the simulator's line protocol.
 
-Only translates between the protocol and ``interface.py``; every decision is the policy's.
+The adapter only translates between the protocol and ``interface.py``. All decisions are made by the policies.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 
 
 class MalformedError(Exception):
-    """A line that doesn't follow the protocol's format."""
+    """Raised for a line that violates the protocol."""
 
 
 class SimulatorAdapter:
-    """Parses batches line by line and delivers each instance's events to its policy.
+    """Parses batches line by line and delivers the events of each instance to its policy.
 
-    A batch begins with ROUND and ends with EOB; AT names the instance of the lines that follow it.
+    A batch begins with ROUND and ends with EOB. AT names the instance that the following lines belong to.
     """
 
     def __init__(self) -> None:
         self.policies: dict[int, Policy] = {}  # by instance
-        self.instance: int | None = None  # of the last AT line
-        self.now_ms: float | None = None  # None: between batches
-        self.replies: dict[int, list[str]] = {}  # lines by instance
-        self.update_fields: Fields = {}  # of the last ROSTER_CHANGE line
-        self.missing_entries = 0  # M lines that it announced and that have not come yet
+        self.instance: int | None = None  # instance of the last AT line
+        self.now_ms: float | None = None  # time of the batch, None between batches
+        self.replies: dict[int, list[str]] = {}  # reply lines by instance
+        self.update_fields: Fields = {}  # fields of the last ROSTER_CHANGE line
+        self.missing_entries = 0  # M lines that the last ROSTER_CHANGE announced and that are outstanding
         self.entries: list[ServerEntry] = []
 
     def handle_line(self, text: str) -> list[str] | None:
-        """Handle one line; return the reply's lines when it ends a batch."""
+        """Handle one line. Return the lines of the reply if the line ends a batch."""
         if not text:
             return None
         name, *parts = text.split(" ")
@@ -54,7 +54,9 @@
         if self.now_ms is None:
             raise MalformedError(f"{name} outside a batch")
         if (name == "M") != (self.missing_entries > 0):
-            raise MalformedError(f"{name} where the server list holds {self.missing_entries} more entries")
+            raise MalformedError(
+                f"{name} received while {self.missing_entries} M lines of the server list are outstanding"
+            )
         if name == "EOB":
             self.now_ms = None
             return [*self._reply_lines(), "NEXT"]
@@ -95,13 +97,13 @@
                 raise MalformedError(f"unknown message {name}")
 
     def _current_instance(self) -> int:
-        """The instance that the last AT line named."""
+        """Return the instance that the last AT line named."""
         if self.instance is None:
-            raise MalformedError("no AT line names the instance")
+            raise MalformedError("no AT line before a message to an instance")
         return self.instance
 
     def _deliver_complete_list(self) -> None:
-        """Deliver the server list once all its entries have come."""
+        """Deliver the server list once all its entries have arrived."""
         if self.missing_entries == 0:
             kind = UPDATE_KINDS[self.update_fields["form"]]
             version = int(self.update_fields.get("epoch", 0))
@@ -115,7 +117,7 @@
         assert self.now_ms is not None
         try:
             actions = self.policies[instance].handle(self.now_ms, event)
-        except Exception as error:  # the protocol wants a failed decision reported, not an exit
+        except Exception as error:  # the protocol requires a report of a failed decision, not an exit
             text = " ".join(f"{type(error).__name__}: {error}".split())
             self.replies.setdefault(instance, []).append(f"INTERNAL_ERROR msg={text}")
             return
@@ -123,14 +125,14 @@
             self.replies.setdefault(instance, []).extend(map(action_line, actions))
 
     def _reply_lines(self) -> Iterator[str]:
-        """The batch's reply, grouped by instance."""
+        """Yield the reply to the batch, grouped by instance."""
         for instance, lines in self.replies.items():
             yield f"FROM dispatcher={instance}"
             yield from lines
 
 
 def serve(lines: Iterable[bytes], out: TextIO, err: TextIO) -> int:
-    """Reply to batches until the input ends; return the process's exit code."""
+    """Reply to batches until the input ends. Return the exit code of the process."""
     adapter = SimulatorAdapter()
     for number, line in enumerate(lines, 1):
         try:
--- a/ringledge/routing/simulator_decoder.py
+++ b/ringledge/routing/simulator_decoder.py
@@ -1,4 +1,4 @@
-"""Translates the simulator's messages to ``interface.py``'s settings and events."""
+"""Translates the simulator's messages to the settings and events of ``interface.py``."""
 
 from __future__ import annotations
 
@@ -71,26 +71,26 @@
 }
 
 
-def boolean(text: str) -> bool:
-    """Read a bool, which settings spell as words and fields as digits."""
+def parse_bool(text: str) -> bool:
+    """Parse a boolean, written as a word in settings and as a digit in messages."""
     values = {"1": True, "true": True, "0": False, "false": False}
     if text not in values:
-        raise ValueError(f"'{text}' is no bool")
+        raise ValueError(f"expected a boolean (1, 0, true or false), got '{text}'")
     return values[text]
 
 
-def comma_list(text: str) -> list[str]:
-    """Split a list of plain values; an empty text is an empty list."""
+def split_list(text: str) -> list[str]:
+    """Split a comma-separated list. An empty text is an empty list."""
     return text.split(",") if text else []
 
 
 def translate(fields: Fields, names: dict[str, tuple[str, Callable[[str], Any]]]) -> dict[str, Any]:
-    """Translate the fields that are there; the others get the interface's defaults."""
-    return {ours: parse(fields[theirs]) for ours, (theirs, parse) in names.items() if theirs in fields}
+    """Translate the fields that are present. The others keep the defaults of the interface."""
+    return {field: parse(fields[key]) for field, (key, parse) in names.items() if key in fields}
 
 
 def indexed_objects(fields: Fields, name: str) -> Iterator[Fields]:
-    """The objects of a list in the settings, each with its fields by the rest of their paths."""
+    """Yield the objects of a list in the settings, each with its fields by their path in the object."""
     for index in range(int(fields.get(f"{name}.count", 0))):
         start = f"{name}.{index}."
         yield {path[len(start) :]: value for path, value in fields.items() if path.startswith(start)}
@@ -104,7 +104,7 @@
     "late_priority_weight": ("late_worth", float),
     "dedup_scope": ("group", DEDUP_SCOPES.__getitem__),
     "dedup_window_ms": ("window_ms", float),
-    "streamed": ("stream", boolean),
+    "streamed": ("stream", parse_bool),
 }
 TENANT_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "fraction": ("fraction", float),
@@ -116,10 +116,10 @@
     "routers": ("replicas_of_me", int),
     "membership": ("membership_mode", MEMBERSHIP_MODES.__getitem__),
     "reports": ("stats.how", REPORT_SOURCES.__getitem__),
-    "may_probe": ("caps.may_probe", boolean),
-    "may_cancel": ("caps.cancel", boolean),
-    "hedging_allowed": ("caps.second_copies", boolean),
-    "retry_after": ("caps.retry_after", boolean),
+    "may_probe": ("caps.may_probe", parse_bool),
+    "may_cancel": ("caps.cancel", parse_bool),
+    "hedging_allowed": ("caps.second_copies", parse_bool),
+    "retry_after": ("caps.retry_after", parse_bool),
     "max_retry_after_ms": ("caps.max_retry_after_ms", float),
     "max_attempts": ("caps.max_attempts", int),
     "tick_ms": ("tick_ms", float),
@@ -131,7 +131,7 @@
     "overload_multiple": ("safety.fall_multiple", float),
     "overload_window_ms": ("safety.overload_for_ms", float),
     "release_within_ms": ("specifics.let_go_by_ms", float),
-    "decode_may_prefill": ("specifics.read_in_place", boolean),
+    "decode_may_prefill": ("specifics.read_in_place", parse_bool),
     "over_quota_weight": ("over_share_worth", float),
 }
 REQUEST_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
@@ -145,8 +145,8 @@
     "prompt_tokens": ("prompt_len", float),
     "max_output_tokens": ("n_max", float),
     "hint_ms": ("predicted_ms", float),
-    "retry": ("retry", boolean),
-    "reconnect": ("reconnect", boolean),
+    "retry": ("retry", parse_bool),
+    "reconnect": ("reconnect", parse_bool),
 }
 ENTRY_FIELDS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "server": ("host", str),
@@ -160,7 +160,7 @@
 
 
 def router_settings(fields: Fields) -> RouterSettings:
-    """Translate the settings that an instance starts with."""
+    """Translate the settings of an instance."""
     classes = tuple(_request_classes(fields))
     kinds = tuple(_server_kinds(fields))
     tenants = tuple(Tenant(**translate(entry, TENANT_FIELDS)) for entry in indexed_objects(fields, "tenants"))
@@ -168,7 +168,7 @@
 
 
 def _request_classes(fields: Fields) -> Iterator[RequestClass]:
-    """The classes, with the latency objectives that come as lists of their own."""
+    """Yield the request classes. Their token-based latency targets are in separate lists."""
     per_1000_tokens_us = _numbers(fields, "specifics.aim_us_per_1000_prompt_tokens")
     per_token_ms = _numbers(fields, "specifics.token_aim_ms")
     for index, entry in enumerate(indexed_objects(fields, "classes")):
@@ -181,41 +181,41 @@
 
 
 def _server_kinds(fields: Fields) -> Iterator[ServerKind]:
-    """The kinds by their roles; memory is known of the first ones, or of none."""
+    """Yield the server kinds. The list of memory sizes may be shorter than the list of roles."""
     memory_tokens = _numbers(fields, "specifics.kind_memory_tokens")
-    for index, role in enumerate(comma_list(fields.get("specifics.role_by_kind", ""))):
+    for index, role in enumerate(split_list(fields.get("specifics.role_by_kind", ""))):
         yield ServerKind(ROLES[role], memory_tokens[index] if index < len(memory_tokens) else None)
 
 
 def _numbers(fields: Fields, name: str) -> list[float]:
-    """A list of numbers; empty where there is none."""
-    return [float(text) for text in comma_list(fields.get(name, ""))]
+    """Parse a list of numbers. A missing list is empty."""
+    return [float(text) for text in split_list(fields.get(name, ""))]
 
 
 def load_report(fields: Fields) -> LoadReport | None:
-    """Translate the load report that came with an event, if any."""
+    """Translate the load report of an event, if it has one."""
     if "server_stats" not in fields:
         return None
-    pairs = [pair.split(":") for pair in comma_list(fields["server_stats"])]
+    pairs = [pair.split(":") for pair in split_list(fields["server_stats"])]
     return LoadReport(**{LOAD_FIELDS[name]: float(value) for name, value in pairs if name in LOAD_FIELDS})
 
 
 def attempt_outcome(fields: Fields) -> AttemptOutcome:
-    """Translate the end of an attempt."""
+    """Translate the outcome of an attempt."""
     return AttemptOutcome(
         fields["op_id"],
         int(fields["shot"]),
         fields["host"],
         STATUSES[fields["outcome"]],
         float(fields.get("cost_time_ms", 0)),
-        boolean(fields.get("over", "0")),
+        parse_bool(fields.get("over", "0")),
         int(float(fields.get("note", 0))),
         load_report(fields),
     )
 
 
 def first_token(fields: Fields) -> FirstToken:
-    """Translate the start of an answer."""
+    """Translate the first token of an attempt."""
     latency_ms = float(fields.get("cost_time_ms", 0))
     return FirstToken(fields["op_id"], int(fields["shot"]), fields["host"], latency_ms)
 
@@ -234,4 +234,4 @@
     "PING_RESULT": probe_result,
     "RING": lambda fields: TimerFired(fields["cookie"]),
 }
-IGNORED_EVENTS = ("MEMO", "SEAT_NEWS")  # responses to actions that no policy here takes
+IGNORED_EVENTS = ("MEMO", "SEAT_NEWS")  # responses to actions that the policy never takes
--- a/ringledge/routing/simulator_encoder.py
+++ b/ringledge/routing/simulator_encoder.py
@@ -1,4 +1,4 @@
-"""Translates ``interface.py``'s actions to the simulator's messages."""
+"""Translates the actions of ``interface.py`` to the simulator's messages."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def action_line(action: RoutingAction) -> str:
-    """One action as a line of the protocol."""
+    """Return an action as a line of the protocol."""
     match action:
         case SendAttempt(request, server, None):
             return f"DISPATCH op_id={request} host={server}"
--- a/ringledge/routing/snapshot.py
+++ b/ringledge/routing/snapshot.py
@@ -1,7 +1,7 @@
-"""A snapshot of a policy's estimates, as plain values in parts, for the process that succeeds its own.
+"""Snapshot of a policy's estimates for the successor process, as plain values in several parts.
 
-The tables' names and rows are a format between versions of the program. Requests under way stay with the old
-process, which finishes them.
+Table names and row layouts are a data format shared by different versions of the program. The snapshot holds
+no requests: the old process finishes those in flight.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from ringledge.routing.state import DecayingMean, FailureScope, Server
 
 ROWS_PER_PART = 200
-SERVER_TABLES = ("servers", "in_place", "blame", "prefixes")  # whose rows begin with a server's name
+SERVER_TABLES = ("servers", "in_place", "blame", "prefixes")  # each row begins with a server name
 
 
 Row = list[Any]
@@ -29,7 +29,7 @@
 
 
 def _tables(policy: Policy) -> Iterator[tuple[str, Iterator[Row]]]:
-    """Each table's name and rows; keys of 64 bits and more go as hex digits."""
+    """Yield the name and rows of each table. Keys of 64 bits and more are hex strings."""
     yield from _estimate_tables(policy)
     servers = list(policy.fleet.servers.values())
     yield "servers", map(_server_row, servers)
@@ -40,7 +40,7 @@
 
 
 def _estimate_tables(policy: Policy) -> Iterator[tuple[str, Iterator[Row]]]:
-    """The tables of estimates that are of no single server."""
+    """Yield the tables that do not belong to single servers."""
     estimates, buckets = policy.estimates, policy.quotas.buckets.items()
     yield "done", ([role.value, at_ms] for role, times in estimates.completions.items() for at_ms in times)
     yield "work", ([role.value, tokens] for role, tokens in estimates.mean_work.items())
@@ -83,7 +83,7 @@
 
 
 def dump(policy: Policy) -> Iterator[dict[str, Any]]:
-    """All estimates, in parts: a table's name and at most `ROWS_PER_PART` of its rows."""
+    """Yield all estimates in parts, each with a table name and at most `ROWS_PER_PART` of its rows."""
     arrivals = policy.quotas.recent_arrivals
     yield {"pace": [[policy.estimates.prefill_ms_per_token, arrivals.requests, arrivals.updated_ms]]}
     for name, rows in _tables(policy):
@@ -92,7 +92,7 @@
 
 
 def load(policy: Policy, part: dict[str, Any]) -> None:
-    """Load a part; ValueError, TypeError or KeyError where it can't be read."""
+    """Load one part. Raises ValueError, TypeError or KeyError if it is malformed."""
     for name, rows in part.items():
         for row in rows:
             if name in SERVER_TABLES:
@@ -151,6 +151,6 @@
 
 
 def _known_server(policy: Policy, name: str) -> Server:
-    """The server of that name; rows of one that isn't listed are dropped with a stand-in."""
+    """Return the listed server of that name, or an unregistered one that discards the row."""
     unlisted = ServerEntry(name, 0, 0, 0, Availability.REMOVED)
     return policy.fleet.servers.get(name) or Server(unlisted, Role.MIXED)
--- a/ringledge/routing/termination.py
+++ b/ringledge/routing/termination.py
@@ -1,4 +1,4 @@
-"""How a request or an attempt is ended; the types are in ``ringledge/routing/interface.py``."""
+"""Final answers and cancellation. The types are in ``ringledge/routing/interface.py``."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from ringledge.routing.settings import DedupScope, Idempotency, RouterSettings
 from ringledge.routing.state import RequestState
 
-RETRY_AFTER_SHARE = 0.25  # of the maximum that clients follow: congestion often clears within one attempt
+# Share of the maximum retry-after that clients honour. Congestion often clears within one attempt.
+RETRY_AFTER_SHARE = 0.25
 
 
 def final_answer(
     settings: RouterSettings, state: RequestState, reason: GiveUpReason
 ) -> RejectRequest | FailRequest:
-    """The answer of a request that is given up: rejected where a retry is harmless, else failed."""
+    """Return the final answer of a request: rejected if a retry is safe, failed otherwise."""
     if not _may_reject(state):
         return FailRequest(state.request.request, reason)
     retry_after_ms = RETRY_AFTER_SHARE * settings.max_retry_after_ms if settings.retry_after else None
@@ -26,8 +27,8 @@
 
 
 def _may_reject(state: RequestState) -> bool:
-    """Whether a client's retry does no harm: it never ran, or a second run has no further effect."""
-    # An attempt still in flight proves nothing, a prefill neither.
+    """Whether a retry by the client is safe: the request never ran, or a second run has no effect."""
+    # An attempt in flight counts as possibly run until its outcome arrives, even if it is a prefill.
     may_have_run = bool(state.possible_runs) or state.server is not None
     idempotency, scope = state.request_class.idempotency, state.request_class.dedup_scope
     deduplicated = idempotency == Idempotency.KEYED and scope == DedupScope.ALL
@@ -35,7 +36,7 @@
 
 
 def cancel_actions(settings: RouterSettings, state: RequestState) -> list[RoutingAction]:
-    """Cancel a request's attempt where it has one that has not begun to answer, and where that is allowed."""
+    """Return the action that cancels a request's attempt, if it is not streaming and may be cancelled."""
     if state.server is None or state.streaming or not settings.may_cancel:
         return []
     return [CancelAttempt(state.request.request, state.attempt_count - 1)]
