--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -1,4 +1,4 @@
-"""A router under test with a small fleet: two cells in two zones, each with prefill and decode servers."""
+"""Test harness: a router with a small fleet of two cells in two zones, each with both kinds of server."""
 
 from __future__ import annotations
 
@@ -56,8 +56,8 @@
 )
 
 
-def server_entry(server: str, kind: int, cell: int = 0, started_ms: float = 0, **more: Any) -> ServerEntry:
-    availability = more.pop("availability", Availability.UP)
+def server_entry(server: str, kind: int, cell: int = 0, started_ms: float = 0, **fields: Any) -> ServerEntry:
+    availability = fields.pop("availability", Availability.UP)
     return ServerEntry(server, cell, kind, cell, availability, 1.0, started_ms)
 
 
@@ -74,7 +74,7 @@
 
 
 class RouterHarness:
-    """Feeds a policy and records where each attempt was sent, so that a test can play the servers."""
+    """Delivers events to a policy and records where it sends attempts, so that a test can act as server."""
 
     def __init__(self, fleet: tuple[ServerEntry, ...] = FLEET, seed: int = 1, **settings: Any) -> None:
         self.policy = Policy(replace(SETTINGS, **settings), seed)
@@ -109,35 +109,35 @@
         return self.deliver(FirstToken(name, self.attempts[name], self.server_of[name], 30))
 
     def prefill(self, name: str, **fields: Any) -> str:
-        """Have a request prefilled and forwarded to a decode server; return the prefill server."""
+        """Have a request prefilled and sent to a decode server; return the prefill server."""
         self.request(name, **fields)
         prefill_server = self.server_of[name]
         self.outcome(name, AttemptStatus.PREFILLED)
         return prefill_server
 
     def serve(self, name: str, **fields: Any) -> str:
-        """Have a request prefilled, decoded and ended; return the prefill server."""
+        """Serve a request to its end; return the prefill server."""
         prefill_server = self.prefill(name, **fields)
         self.first_token(name)
         self.outcome(name, AttemptStatus.OK, request_ended=True)
         return prefill_server
 
     def abandon(self, name: str) -> None:
-        """Disconnect the client, and end the attempt that is in flight."""
+        """Disconnect the client and end the attempt in flight."""
         self.deliver(ClientDisconnected(name))
         if not releases_cache(self.last_actions):
             self.outcome(name, AttemptStatus.CANCELLED, latency_ms=0, request_ended=True)
 
     def advance(self, ms: float) -> list[RoutingAction]:
-        """Let time pass and fire the timers that fall due; return all actions meanwhile."""
-        end_ms, done = self.now_ms + ms, list[RoutingAction]()
+        """Advance the clock and fire the timers that are due; return all resulting actions."""
+        end_ms, actions = self.now_ms + ms, list[RoutingAction]()
         while due := [timer for timer in self.timers if timer.at_ms <= end_ms]:
             timer = min(due, key=lambda timer: timer.at_ms)
             self.timers.remove(timer)
             self.now_ms = max(self.now_ms, timer.at_ms)
-            done += self.deliver(TimerFired(timer.token))
+            actions += self.deliver(TimerFired(timer.token))
         self.now_ms = end_ms
-        return done
+        return actions
 
 
 def sent_to(actions: list[RoutingAction]) -> list[str]:
@@ -156,10 +156,10 @@
     return any(isinstance(action, CancelAttempt) for action in actions)
 
 
-def prefill_servers_used(world: RouterHarness, name: str, count: int, **fields: Any) -> list[str]:
-    """The servers that new sessions with one prefix are sent to; each is abandoned at once."""
+def prefill_servers_used(harness: RouterHarness, name: str, count: int, **fields: Any) -> list[str]:
+    """Return the servers that new sessions with one prefix are sent to. Each request is abandoned at once."""
     servers = []
     for number in range(count):
-        servers += sent_to(world.request(f"{name}{number}", session=1000 + number, **fields))
-        world.abandon(f"{name}{number}")
+        servers += sent_to(harness.request(f"{name}{number}", session=1000 + number, **fields))
+        harness.abandon(f"{name}{number}")
     return servers
--- a/tests/routing/cold_fleet.py
+++ b/tests/routing/cold_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: independent routers offer its one cold server more than its capacity."""
+"""Simulated fleet in which independent routers offer one cold server more load than its capacity."""
 
 from __future__ import annotations
 
@@ -44,35 +44,35 @@
 
 
 class ColdFleet:
-    """Routers, servers that work at capacity, and one that was restarted cold."""
+    """Routers and servers in virtual time. One of the servers is restarted and cold."""
 
-    def __init__(self, case: Scenario, seed: int) -> None:
-        self.case, self.rng, self.now_ms = case, random.Random(seed), START_MS
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self.scenario, self.rng, self.now_ms = scenario, random.Random(seed), START_MS
         self.sequence, self.scheduled = count(), list[tuple[float, int, Callable[[], None]]]()
-        self.busy_until_ms = defaultdict[str, float](float)  # when each server has finished its queue
+        self.busy_until_ms = defaultdict[str, float](float)  # end of each server's queue
         self.cold_attempts = list[ColdAttempt]()
-        self.cold_start_ms = START_MS + case.lead_ms
-        self.cold_server = "w0" if case.cold_decode_server else "r0"
+        self.cold_start_ms = START_MS + scenario.lead_ms
+        self.cold_server = "w0" if scenario.cold_decode_server else "r0"
         small = RequestClass(1_200, 5_000, Idempotency.IDEMPOTENT, 2.0, target_token_ms=50)
         classes = (small, replace(small, target_ms=2_500, deadline_ms=8_000, priority_weight=6.0))
         settings = replace(
-            SETTINGS, classes=classes, routers=case.routers, cold_capacity=case.cold_capacity,
-            overload_multiple=case.overload_multiple, overload_window_ms=case.overload_window_ms,
-            warm_after_ms=case.warm_after_ms,
+            SETTINGS, classes=classes, routers=scenario.routers, cold_capacity=scenario.cold_capacity,
+            overload_multiple=scenario.overload_multiple, overload_window_ms=scenario.overload_window_ms,
+            warm_after_ms=scenario.warm_after_ms,
         )  # fmt: skip
-        self.policies = [Policy(settings, 1_000 * seed + n) for n in range(case.routers)]
-        traffic = [TRAFFIC_WEIGHTS[n % len(TRAFFIC_WEIGHTS)] for n in range(case.routers)]
-        self.traffic_shares = [part / sum(traffic) for part in traffic]
+        self.policies = [Policy(settings, 1_000 * seed + n) for n in range(scenario.routers)]
+        traffic = [TRAFFIC_WEIGHTS[n % len(TRAFFIC_WEIGHTS)] for n in range(scenario.routers)]
+        self.traffic_shares = [weight / sum(traffic) for weight in traffic]
         fleet = [server_entry(f"r{n}", PREFILL_KIND) for n in range(SERVERS_PER_ROLE)] + [
             server_entry(f"w{n}", DECODE_KIND) for n in range(SERVERS_PER_ROLE)
         ]
         self.attempts, self.server_of = defaultdict[str, int](int), dict[str, str]()
         self.kinds = dict[str, int]()
-        for router in range(case.routers):
+        for router in range(scenario.routers):
             self.deliver(router, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
             cold_entry = server_entry(
                 self.cold_server,
-                DECODE_KIND if case.cold_decode_server else PREFILL_KIND,
+                DECODE_KIND if scenario.cold_decode_server else PREFILL_KIND,
                 started_ms=self.cold_start_ms,
             )
             update = EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (cold_entry,))
@@ -84,7 +84,7 @@
         self.prefix = self._prefix_of_cold(fleet)
 
     def _prefix_of_cold(self, fleet: list[ServerEntry]) -> int:
-        """A shared prefix for which all routers rank the cold server first."""
+        """Return a shared prefix for which all routers rank the cold server first."""
         policy = Policy(self.policies[0].settings, 1)
         policy.handle(START_MS, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, tuple(fleet)))
         for prefix in range(1, 999):
@@ -96,29 +96,29 @@
             )
             if sends[0].server == "r0":
                 return prefix
-        raise AssertionError("no prefix is ranked there")
+        raise AssertionError("no prefix ranks the cold server first")
 
-    def schedule(self, at_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.scheduled, (max(at_ms, self.now_ms), next(self.sequence), what))
+    def schedule(self, at_ms: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.scheduled, (max(at_ms, self.now_ms), next(self.sequence), callback))
 
     def run(self) -> list[ColdAttempt]:
-        """Run the scenario; the attempts at the cold server until it was warm."""
-        end_ms = self.cold_start_ms + self.case.warm_after_ms
+        """Run the scenario; return the attempts sent to the cold server until it was warm."""
+        end_ms = self.cold_start_ms + self.scenario.warm_after_ms
         while self.scheduled and self.scheduled[0][0] < end_ms:
-            self.now_ms, _, what = heapq.heappop(self.scheduled)
-            what()
+            self.now_ms, _, callback = heapq.heappop(self.scheduled)
+            callback()
         return self.cold_attempts
 
     def _rate(self, router: int) -> float:
-        """Arrivals per ms at a router now."""
-        age_ms, case = self.now_ms - self.cold_start_ms, self.case
-        burst = case.burst_factor if age_ms >= case.quiet_ms else 1.0
-        quiet = 0.02 if 0 <= age_ms < case.quiet_ms else 1.0
+        """Return the present arrivals per ms at a router."""
+        age_ms, scenario = self.now_ms - self.cold_start_ms, self.scenario
+        burst = scenario.burst_factor if age_ms >= scenario.quiet_ms else 1.0
+        quiet = 0.02 if 0 <= age_ms < scenario.quiet_ms else 1.0
         return (
             self.traffic_shares[router]
             * SERVERS_PER_ROLE
-            * case.capacity_per_ms
-            * case.load
+            * scenario.capacity_per_ms
+            * scenario.load
             * (burst if age_ms >= 0 else 1.0)
             * quiet
         )
@@ -133,14 +133,14 @@
         if not arrives:
             return
         rng, name = self.rng, f"q{next(self.sequence)}"
-        share = self.case.large_share
+        share = self.scenario.large_share
         if (
-            self.now_ms >= self.cold_start_ms + self.case.quiet_ms
-            and self.case.large_share_in_burst is not None
+            self.now_ms >= self.cold_start_ms + self.scenario.quiet_ms
+            and self.scenario.large_share_in_burst is not None
         ):
-            share = self.case.large_share_in_burst
+            share = self.scenario.large_share_in_burst
         kind = LARGE if rng.random() < share else SMALL
-        tokens = self.case.work[kind] * rng.uniform(0.7, 1.3) - 300.0
+        tokens = self.scenario.work[kind] * rng.uniform(0.7, 1.3) - 300.0
         prefix = self.prefix if rng.random() < 0.5 else None
         self.kinds[name] = kind
         request = Request(
@@ -177,31 +177,31 @@
         attempt = self.attempts[name]
         self.attempts[name] += 1
         self.server_of[name] = send.server
-        weight = self.case.work[kind] / self.case.mean_work
+        weight = self.scenario.work[kind] / self.scenario.mean_work
         if send.server == self.cold_server and now_ms >= self.cold_start_ms:
             self.cold_attempts.append(ColdAttempt(now_ms - self.cold_start_ms, weight, router))
-        pace = PREFILL_TOKENS_PER_MS
+        tokens_per_ms = PREFILL_TOKENS_PER_MS
         if send.server == self.cold_server and now_ms >= self.cold_start_ms:
-            pace *= self.case.warmth(now_ms - self.cold_start_ms)
-            if self.case.unlimited_service:
+            tokens_per_ms *= self.scenario.warmth(now_ms - self.cold_start_ms)
+            if self.scenario.unlimited_service:
                 self.busy_until_ms[self.cold_server] = 0.0
-        takes_ms = self.case.work[kind] / pace
-        self.busy_until_ms[send.server] = done_ms = max(self.busy_until_ms[send.server], now_ms) + takes_ms
-        reads = send.server[0] == "r"
-        if reads:
+        duration_ms = self.scenario.work[kind] / tokens_per_ms
+        self.busy_until_ms[send.server] = end_ms = max(self.busy_until_ms[send.server], now_ms) + duration_ms
+        prefills = send.server[0] == "r"
+        if prefills:
             self.schedule(
-                done_ms,
+                end_ms,
                 partial(
                     self._finish_attempt,
                     router,
                     name,
                     attempt,
                     AttemptStatus.PREFILLED,
-                    latency_ms=done_ms - now_ms,
+                    latency_ms=end_ms - now_ms,
                 ),
             )
         else:
-            self.schedule(done_ms, partial(self._start_stream, router, name, attempt, done_ms - now_ms))
+            self.schedule(end_ms, partial(self._start_stream, router, name, attempt, end_ms - now_ms))
 
     def _start_stream(self, router: int, name: str, attempt: int, latency_ms: float) -> None:
         if self.attempts.get(name) == attempt + 1:
--- a/tests/routing/sized_fleet.py
+++ b/tests/routing/sized_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time whose prompts differ much in length: which share of the longest is answered."""
+"""Simulated fleet with prompts of widely different lengths; measures the share of answered requests."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
 OVERHEAD_TOKENS = 300.0
 LONGEST_TOKENS = 30_000.0
 FIRST_TOKEN_MS, STREAM_MS = 20.0, 1_000.0
-LARGEST = 10  # one in so many counts as large
+LONGEST_DIVISOR = 10  # one in ten requests counts as one of the longest
 
 
 class SizedFleet:
-    """Routers that share nothing before prefill servers that work first come, first served."""
+    """Independent routers in front of prefill servers with first-in-first-out queues."""
 
     def __init__(self, routers: int, load: float, seed: int) -> None:
-        """`load`: part of the prefill servers' capacity that is asked for."""
+        """Create a fleet with `load` as the offered load relative to the prefill servers' capacity."""
         self.rng, self.now_ms, self.sequence = random.Random(seed), 1_000_000.0, count()
         self.scheduled = list[tuple[float, int, Callable[[], None]]]()
-        self.busy_until_ms = defaultdict[str, float](float)  # when each server is through with what it has
-        self.tokens = dict[str, float]()  # of each request's prompt
+        self.busy_until_ms = defaultdict[str, float](float)  # end of each server's queue
+        self.tokens = dict[str, float]()  # prompt length by request
         self.answered, self.ended = set[str](), set[tuple[str, int]]()
         self.attempts, self.server_of = defaultdict[str, int](int), dict[str, str]()
         request_class = RequestClass(1_200, 5_000, Idempotency.IDEMPOTENT, 2.0, target_token_ms=50)
@@ -61,13 +61,13 @@
         self._schedule(0.0, self._arrive)
 
     def run(self, length_ms: float) -> tuple[float, float]:
-        """The share of all that was answered, and that of the tenth with the longest prompts."""
+        """Return the answered share of all requests, and that of the tenth with the longest prompts."""
         end_ms = self.now_ms + length_ms
         while self.scheduled[0][0] < end_ms:
-            self.now_ms, _, what = heapq.heappop(self.scheduled)
-            what()
+            self.now_ms, _, callback = heapq.heappop(self.scheduled)
+            callback()
         names = sorted(self.tokens, key=self.tokens.__getitem__)
-        return self._share(names), self._share(names[-len(names) // LARGEST :])
+        return self._share(names), self._share(names[-len(names) // LONGEST_DIVISOR :])
 
     def _share(self, names: list[str]) -> float:
         return sum(name in self.answered for name in names) / len(names)
@@ -75,8 +75,8 @@
     def _draw_tokens(self) -> float:
         return min(LONGEST_TOKENS, self.rng.lognormvariate(7.3, 1.0))
 
-    def _schedule(self, in_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.scheduled, (self.now_ms + max(0.0, in_ms), next(self.sequence), what))
+    def _schedule(self, in_ms: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.scheduled, (self.now_ms + max(0.0, in_ms), next(self.sequence), callback))
 
     def _arrive(self) -> None:
         self._schedule(self.rng.expovariate(self.arrivals_per_ms), self._arrive)
@@ -105,10 +105,12 @@
         if server[0] == "w":
             self._schedule(FIRST_TOKEN_MS, partial(self._start_stream, router, name, attempt))
             return
-        begins_ms = max(self.busy_until_ms[server], self.now_ms)
-        self.busy_until_ms[server] = begins_ms + (self.tokens[name] + OVERHEAD_TOKENS) / TOKENS_PER_MS
-        takes_ms = self.busy_until_ms[server] - self.now_ms
-        self._schedule_finish(takes_ms, router, name, attempt, AttemptStatus.PREFILLED, latency_ms=takes_ms)
+        start_ms = max(self.busy_until_ms[server], self.now_ms)
+        self.busy_until_ms[server] = start_ms + (self.tokens[name] + OVERHEAD_TOKENS) / TOKENS_PER_MS
+        duration_ms = self.busy_until_ms[server] - self.now_ms
+        self._schedule_finish(
+            duration_ms, router, name, attempt, AttemptStatus.PREFILLED, latency_ms=duration_ms
+        )
 
     def _start_stream(self, router: int, name: str, attempt: int) -> None:
         if (name, attempt) not in self.ended:
