--- a/tests/routing/test_concurrency_limit.py
+++ b/tests/routing/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit on a router's prefills: when it is set, what it admits, and when it is lifted."""
+"""The adaptive limit on a router's prefills: when it is set, what it admits and when it is removed."""
 
 from __future__ import annotations
 
@@ -68,10 +68,10 @@
 
 def test_expensive_prefill_of_low_priority_is_rejected_first() -> None:
     limit = congested()
-    chances = [n / 100 for n in range(100)]
+    draws = [n / 100 for n in range(100)]
 
-    def admitted(tokens: float, value: float) -> int:
-        return sum(limit.admits(1_500.0, tokens, value, chance) for chance in chances)
+    def admitted(tokens: float, priority: float) -> int:
+        return sum(limit.admits(1_500.0, tokens, priority, draw) for draw in draws)
 
     assert admitted(400.0, 0.3) == 100
     assert 0 < admitted(4_000.0, 0.3) < admitted(4_000.0, 1.0) < 100
@@ -85,47 +85,52 @@
     assert limit.limit_tokens == inf
 
 
-def refused(wait_ms: float, one_uncongested: bool) -> tuple[int, int]:
-    """Of 60 requests beside 8 reads that wait: those refused, and sends; `quick` tells of one good reader."""
-    world = RouterHarness(FLEET, routers=40, max_attempts=6)
+def rejections_and_sends(wait_ms: float, one_uncongested: bool) -> tuple[int, int]:
+    """Send 60 requests after 8 prefills that waited; return the numbers of rejections and of sends.
+
+    With `one_uncongested` a further server has just prefilled without a wait.
+    """
+    harness = RouterHarness(FLEET, routers=40, max_attempts=6)
     for n in range(20):
-        world.advance(400)
-        world.serve(f"a{n}", session=n)
-    world.advance(2 * UNCONGESTED_VALIDITY_MS)
+        harness.advance(400)
+        harness.serve(f"a{n}", session=n)
+    harness.advance(2 * UNCONGESTED_VALIDITY_MS)
     for n in range(8):
-        world.request(f"b{n}", session=100 + n)
-    world.advance(wait_ms)
+        harness.request(f"b{n}", session=100 + n)
+    harness.advance(wait_ms)
     for n in range(8):
-        world.outcome(f"b{n}", AttemptStatus.PREFILLED, latency_ms=wait_ms)
+        harness.outcome(f"b{n}", AttemptStatus.PREFILLED, latency_ms=wait_ms)
     if one_uncongested:
-        world.serve("good", session=99)
+        harness.serve("good", session=99)
     rejected_count = sent = 0
-    for n in range(60):  # at readers of which nothing is known, or long ago
-        world.request(f"c{n}", session=1000 + n)
-        rejected_count += len(final_answers(world.last_actions))
-        sent += len(sent_to(world.last_actions))
+    for n in range(60):  # at prefill servers without recent observations
+        harness.request(f"c{n}", session=1000 + n)
+        rejected_count += len(final_answers(harness.last_actions))
+        sent += len(sent_to(harness.last_actions))
     return rejected_count, sent
 
 
 def test_unknown_prefill_server_is_not_assumed_idle_while_others_are_congested() -> None:
-    rejected_count, sent = refused(
-        wait_ms=450, one_uncongested=False
-    )  # under what sheds by one reader's own wait
-    assert rejected_count > 40  # 0 without the limit: each was sent at once
-    assert sent == 60 - rejected_count  # refused at once, nothing held back
+    # A wait of 450 ms is below the one at which a request is shed for its own server's wait.
+    rejected_count, sent = rejections_and_sends(wait_ms=450, one_uncongested=False)
+    assert rejected_count > 40  # without the limit none is rejected
+    assert sent == 60 - rejected_count  # every request is either sent or rejected at once
     assert sent > 0
 
 
 def test_nothing_is_rejected_while_one_prefill_server_is_uncongested() -> None:
-    assert refused(wait_ms=450, one_uncongested=True)[0] < refused(wait_ms=450, one_uncongested=False)[0]
-    assert refused(wait_ms=50, one_uncongested=False)[0] == 0
+    assert (
+        rejections_and_sends(wait_ms=450, one_uncongested=True)[0]
+        < rejections_and_sends(wait_ms=450, one_uncongested=False)[0]
+    )
+    assert rejections_and_sends(wait_ms=50, one_uncongested=False)[0] == 0
 
 
 def test_immediately_cancelled_prefill_is_not_an_uncongested_sample() -> None:
-    world = RouterHarness(FLEET, routers=40)
-    world.serve("a")
-    world.advance(2 * UNCONGESTED_VALIDITY_MS)
-    soon_ms = world.policy.concurrency_limit.uncongested_ms
-    world.request("b", session=1)
-    world.abandon("b")
-    assert world.policy.concurrency_limit.uncongested_ms == soon_ms
+    harness = RouterHarness(FLEET, routers=40)
+    harness.serve("a")
+    harness.advance(2 * UNCONGESTED_VALIDITY_MS)
+    before_ms = harness.policy.concurrency_limit.uncongested_ms
+    harness.request("b", session=1)
+    harness.abandon("b")
+    assert harness.policy.concurrency_limit.uncongested_ms == before_ms
--- a/tests/routing/test_event_types.py
+++ b/tests/routing/test_event_types.py
@@ -1,4 +1,4 @@
-"""The small types of events and actions: timer tokens, the detail of an outcome, failure scopes."""
+"""Timer tokens, the details of attempt outcomes, and failure scopes."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_slow_servers.py
+++ b/tests/routing/test_slow_servers.py
@@ -1,4 +1,4 @@
-"""Servers and cells that are slow, restarted or short, and where requests go instead."""
+"""Selection when servers or cells are slow, restarted or short of capacity."""
 
 from dataclasses import replace
 
@@ -21,32 +21,32 @@
 
 
 def test_slow_prefill_server_loses_new_sessions_to_next_in_rank() -> None:
-    world = RouterHarness()
-    before = prefill_servers_used(world, "a", 60, prefix=5)
-    home = before[0]
-    world.request("b", session=1000, prefix=5)
-    world.outcome("b", AttemptStatus.PREFILLED, latency_ms=50)
+    harness = RouterHarness()
+    before = prefill_servers_used(harness, "a", 60, prefix=5)
+    prefill_server = before[0]
+    harness.request("b", session=1000, prefix=5)
+    harness.outcome("b", AttemptStatus.PREFILLED, latency_ms=50)
     for name in ("c", "d"):
-        world.request(name, session=1000, prefix=5)
-        if world.server_of[name] == home:
-            world.outcome(name, AttemptStatus.PREFILLED, latency_ms=600)
-    after = prefill_servers_used(world, "e", 60, prefix=5)
-    assert after.count(home) < before.count(home) / 2
+        harness.request(name, session=1000, prefix=5)
+        if harness.server_of[name] == prefill_server:
+            harness.outcome(name, AttemptStatus.PREFILLED, latency_ms=600)
+    after = prefill_servers_used(harness, "e", 60, prefix=5)
+    assert after.count(prefill_server) < before.count(prefill_server) / 2
 
 
 def test_decode_server_with_long_delay_is_avoided() -> None:
     fleet = (server_entry("r", PREFILL_KIND), *(server_entry(f"w{n}", DECODE_KIND) for n in range(2)))
-    world = RouterHarness(fleet)
+    harness = RouterHarness(fleet)
     for number in range(20):
-        world.prefill(f"a{number}", session=number)
-        slow = world.server_of[f"a{number}"] == "w0"
-        world.now_ms += 100
-        world.deliver(FirstToken(f"a{number}", 1, world.server_of[f"a{number}"], 450 if slow else 30))
-        world.outcome(f"a{number}", AttemptStatus.OK, request_ended=True)
+        harness.prefill(f"a{number}", session=number)
+        slow = harness.server_of[f"a{number}"] == "w0"
+        harness.now_ms += 100
+        harness.deliver(FirstToken(f"a{number}", 1, harness.server_of[f"a{number}"], 450 if slow else 30))
+        harness.outcome(f"a{number}", AttemptStatus.OK, request_ended=True)
     for number in range(40):
-        world.prefill(f"b{number}", session=number)
-        world.abandon(f"b{number}")
-    assert [world.server_of[f"b{n}"] for n in range(40)].count("w0") < 14
+        harness.prefill(f"b{number}", session=number)
+        harness.abandon(f"b{number}")
+    assert [harness.server_of[f"b{n}"] for n in range(40)].count("w0") < 14
 
 
 def test_kv_cache_entries_spill_from_cell_short_of_decode_servers() -> None:
@@ -56,48 +56,48 @@
         server_entry("s", PREFILL_KIND, 1),
         *(server_entry(f"far{n}", DECODE_KIND, 1) for n in range(3)),
     )
-    at = []
+    servers_used = []
     for seed in range(60):
-        world = RouterHarness(fleet, seed=seed)
-        if world.prefill("a", session=2) != "s":
-            at.append(world.server_of["a"])
-    assert 0.1 < at.count("near") / len(at) < 0.6  # a third of them is its fair part
+        harness = RouterHarness(fleet, seed=seed)
+        if harness.prefill("a", session=2) != "s":
+            servers_used.append(harness.server_of["a"])
+    assert 0.1 < servers_used.count("near") / len(servers_used) < 0.6  # its fair share is one third
 
 
 def test_fleet_wide_slowness_cancels_no_attempts() -> None:
-    world = RouterHarness()
-    for number in range(60):  # every read takes 600 ms, more than the least patience
-        world.request(f"a{number}", session=number % 8)
-        world.now_ms += 600
-        world.outcome(f"a{number}", AttemptStatus.PREFILLED, latency_ms=600)
-        world.first_token(f"a{number}")
-        world.outcome(f"a{number}", AttemptStatus.OK, request_ended=True)
-    world.request("z", session=3)
-    assert not cancels_attempt(world.advance(900))
+    harness = RouterHarness()
+    for number in range(60):  # every prefill takes 600 ms, more than the minimum timeout
+        harness.request(f"a{number}", session=number % 8)
+        harness.now_ms += 600
+        harness.outcome(f"a{number}", AttemptStatus.PREFILLED, latency_ms=600)
+        harness.first_token(f"a{number}")
+        harness.outcome(f"a{number}", AttemptStatus.OK, request_ended=True)
+    harness.request("z", session=3)
+    assert not cancels_attempt(harness.advance(900))
 
 
 def test_restarted_server_starts_slowly_but_is_not_starved() -> None:
-    world = RouterHarness()
-    home = prefill_servers_used(world, "a", 1, prefix=5)[0]
-    again = replace(next(e for e in FLEET if e.server == home), started_ms=world.now_ms)
-    world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (again,)))
-    assert prefill_servers_used(world, "b", 12, prefix=5).count(home) <= 1
-    reads = 0
+    harness = RouterHarness()
+    prefill_server = prefill_servers_used(harness, "a", 1, prefix=5)[0]
+    restarted = replace(next(e for e in FLEET if e.server == prefill_server), started_ms=harness.now_ms)
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (restarted,)))
+    assert prefill_servers_used(harness, "b", 12, prefix=5).count(prefill_server) <= 1
+    prefills = 0
     for second in range(8):
-        world.now_ms += 1000
-        reads += prefill_servers_used(world, f"c{second}-", 12, prefix=5).count(home)
-    assert 3 <= reads <= 16
+        harness.now_ms += 1000
+        prefills += prefill_servers_used(harness, f"c{second}-", 12, prefix=5).count(prefill_server)
+    assert 3 <= prefills <= 16
 
 
 def test_hot_prefix_spreads_in_rank_order() -> None:
     orders = []
     for seed in (1, 2):
-        world = RouterHarness(seed=seed)
-        world.serve("warm-up", session=0, prefix=9, prefix_tokens=0)
+        harness = RouterHarness(seed=seed)
+        harness.serve("warm-up", session=0, prefix=9, prefix_tokens=0)
         for number in range(12):
-            world.request(f"a{number}", session=number + 1, prefix=9, prompt_tokens=3000)
+            harness.request(f"a{number}", session=number + 1, prefix=9, prompt_tokens=3000)
         prefill_servers_used = [
-            world.server_of[f"a{number}"] for number in range(12) if f"a{number}" in world.server_of
+            harness.server_of[f"a{number}"] for number in range(12) if f"a{number}" in harness.server_of
         ]
         assert len(set(prefill_servers_used)) > 1
         orders.append(prefill_servers_used)
@@ -105,69 +105,71 @@
 
 
 def test_restarted_prefill_server_loses_its_affinities() -> None:
-    world = RouterHarness()
-    home = world.serve("a", session=7)
-    other = next(key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != home)
-    assert world.serve("b", session=7, prefix=other) == home
-    world.now_ms += 10
-    again = replace(next(e for e in FLEET if e.server == home), started_ms=world.now_ms)
-    world.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (again,)))
-    world.advance(15_000)  # warm again, within the time-to-live of the binding
-    assert world.serve("c", session=7, prefix=other) != home
+    harness = RouterHarness()
+    prefill_server = harness.serve("a", session=7)
+    other = next(
+        key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != prefill_server
+    )
+    assert harness.serve("b", session=7, prefix=other) == prefill_server
+    harness.now_ms += 10
+    restarted = replace(next(e for e in FLEET if e.server == prefill_server), started_ms=harness.now_ms)
+    harness.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (restarted,)))
+    harness.advance(15_000)  # the server is warm again and the affinity TTL has not ended
+    assert harness.serve("c", session=7, prefix=other) != prefill_server
 
 
 def test_slow_remote_transfer_does_not_raise_local_fetch_delay() -> None:
-    world = RouterHarness()
-    reader = world.prefill("a", session=1)
-    near = {"r0": {"w0", "w1"}, "r1": {"w0", "w1"}}.get(reader, {"w2", "w3"})
-    while world.server_of["a"] in near:
-        world.outcome("a", AttemptStatus.FULL)
-    world.deliver(FirstToken("a", world.attempts["a"], world.server_of["a"], 3000))
-    assert world.prefill("b", session=1) == reader and world.server_of["b"] in near
-    world.first_token("b")
-    world.outcome("b", AttemptStatus.OK, request_ended=True)
-    assert sent_to(world.request("c", session=2))
+    harness = RouterHarness()
+    prefill_server = harness.prefill("a", session=1)
+    same_cell = {"r0": {"w0", "w1"}, "r1": {"w0", "w1"}}.get(prefill_server, {"w2", "w3"})
+    while harness.server_of["a"] in same_cell:
+        harness.outcome("a", AttemptStatus.FULL)
+    harness.deliver(FirstToken("a", harness.attempts["a"], harness.server_of["a"], 3000))
+    assert harness.prefill("b", session=1) == prefill_server and harness.server_of["b"] in same_cell
+    harness.first_token("b")
+    harness.outcome("b", AttemptStatus.OK, request_ended=True)
+    assert sent_to(harness.request("c", session=2))
 
 
 def test_state_of_removed_servers_and_cells_is_deleted() -> None:
-    """On a long day all of them do, under new names, again and again."""
-    world = RouterHarness(())
+    """Over time all servers and cells are replaced by others with new names, many times over."""
+    harness = RouterHarness(())
     sizes = []
     for day in range(8):
         fleet = tuple(replace(e, server=f"{e.server}-{day}", cell=2 * day + e.cell) for e in FLEET)
-        world.deliver(EndpointUpdate(EndpointUpdateKind.FULL, day + 1, fleet))
+        harness.deliver(EndpointUpdate(EndpointUpdateKind.FULL, day + 1, fleet))
         for number in range(12):
-            world.serve(f"a{day}-{number}", session=100 * day + number, prefix=1000 * day + number)
-        world.advance(70_000)
-        policy = world.policy
-        kept = (
+            harness.serve(f"a{day}-{number}", session=100 * day + number, prefix=1000 * day + number)
+        harness.advance(70_000)
+        policy = harness.policy
+        size = (
             len(policy.fleet.servers)
             + len(policy.affinities.by_session)
             + len(policy.requests)
             + len(policy.fleet.rankings)
         )
         spill_chance = policy.fleet.spill_chance
-        kept += len(policy.estimates.fetch_delays) + len(spill_chance.by_cell) + len(spill_chance.by_zone)
-        sizes.append(kept + sum(len(each.cached_prefixes) for each in policy.fleet.servers.values()))
+        size += len(policy.estimates.fetch_delays) + len(spill_chance.by_cell) + len(spill_chance.by_zone)
+        sizes.append(size + sum(len(each.cached_prefixes) for each in policy.fleet.servers.values()))
     assert max(sizes) < 1.5 * sizes[0]
 
 
 def test_decode_server_with_slow_streams_is_selected_less() -> None:
-    """Its first tokens come in time; what is slow is each further one, so those that still run count too."""
-    world = RouterHarness(
+    """The server's first tokens are in time and only later tokens slow, so running streams have to count."""
+    harness = RouterHarness(
         (
             server_entry("r", PREFILL_KIND),
             server_entry("fast", DECODE_KIND),
             server_entry("slow", DECODE_KIND),
         )
     )
-    at = []
+    servers_used = []
     for number in range(200):
-        world.now_ms += 200
-        world.prefill(f"a{number}", session=1)
-        at.append(world.server_of[f"a{number}"])
-        world.first_token(f"a{number}")
-        for old in (number - 10, number - 100):  # streams last 2 s, at the slow one 20 s
-            if old >= 0 and (at[old] == "slow") == (old == number - 100):
-                world.outcome(f"a{old}", AttemptStatus.OK, request_ended=True)
-    assert at[50:].count("slow") < 0.3 * len(at[50:])
+        harness.now_ms += 200
+        harness.prefill(f"a{number}", session=1)
+        servers_used.append(harness.server_of[f"a{number}"])
+        harness.first_token(f"a{number}")
+        for earlier in (number - 10, number - 100):  # streams last 2 s, on the slow server 20 s
+            if earlier >= 0 and (servers_used[earlier] == "slow") == (earlier == number - 100):
+                harness.outcome(f"a{earlier}", AttemptStatus.OK, request_ended=True)
+    assert servers_used[50:].count("slow") < 0.3 * len(servers_used[50:])
--- a/tests/routing/test_snapshot.py
+++ b/tests/routing/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot of a policy's estimates, loaded by its successor."""
+"""Snapshot of a policy's estimates, as loaded by its successor."""
 
 from dataclasses import replace
 
@@ -17,7 +17,7 @@
 
 
 def restored_router(old: RouterHarness, **settings: int) -> RouterHarness:
-    """A fresh router that was told what the old one knows."""
+    """Return a new router that has loaded a snapshot of the old one."""
     new = RouterHarness(tuple(each.entry for each in old.policy.fleet.servers.values()), seed=2, **settings)
     new.now_ms = old.now_ms
     for part in snapshot.dump(old.policy):
@@ -28,7 +28,9 @@
 
 def test_snapshot_restores_affinities_prefill_rate_and_failures() -> None:
     old = RouterHarness()
-    homes = {session: old.serve(f"a{session}", session=session, prefix=2**200) for session in range(20)}
+    prefill_servers = {
+        session: old.serve(f"a{session}", session=session, prefix=2**200) for session in range(20)
+    }
     old.deliver(OperatorOverride("w0", True))
     old.deliver(OperatorOverride("w0", False))
     old.prefill("b1")
@@ -36,7 +38,10 @@
     new = restored_router(old)
     assert new.policy.estimates.prefill_ms_per_token == old.policy.estimates.prefill_ms_per_token > 0
     assert server_views(new.policy, new.now_ms) == server_views(old.policy, old.now_ms)
-    assert {new.prefill(f"c{session}", session=session) == home for session, home in homes.items()} == {True}
+    assert {
+        new.prefill(f"c{session}", session=session) == prefill_server
+        for session, prefill_server in prefill_servers.items()
+    } == {True}
 
 
 def test_snapshot_restores_completions_for_slow_start() -> None:
@@ -47,16 +52,16 @@
     cold = tuple(replace(each, started_ms=old.now_ms) for each in FLEET if each.server == "r0")
     old.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, cold))
     fleet = tuple(each.entry for each in old.policy.fleet.servers.values())
-    news = [restored_router(old, routers=8), RouterHarness(fleet, seed=2, routers=8)]
+    successors = [restored_router(old, routers=8), RouterHarness(fleet, seed=2, routers=8)]
     used = []
-    for new in news:
+    for new in successors:
         new.now_ms = old.now_ms
-        reads = 0
+        prefills = 0
         for number in range(60):
             new.advance(50)
             new.request(f"b{number}", session=1000 + number)
-            reads += new.server_of[f"b{number}"] == "r0"
-        used.append(reads)
+            prefills += new.server_of[f"b{number}"] == "r0"
+        used.append(prefills)
     assert used[0] > used[1]
 
 
@@ -68,7 +73,7 @@
 def test_snapshot_rows_of_unknown_servers_and_tables_change_nothing(
     part: dict[str, list[list[object]]],
 ) -> None:
-    world = RouterHarness()
-    before = server_views(world.policy, world.now_ms)
-    snapshot.load(world.policy, part)
-    assert server_views(world.policy, world.now_ms) == before and not world.policy.affinities.by_session
+    harness = RouterHarness()
+    before = server_views(harness.policy, harness.now_ms)
+    snapshot.load(harness.policy, part)
+    assert server_views(harness.policy, harness.now_ms) == before and not harness.policy.affinities.by_session
