--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on its wire, and what holds for the files themselves."""
+"""The simulator adapter's protocol, and constraints on the files of the routing policy."""
 
 import io
 import subprocess
@@ -49,19 +49,19 @@
 
 
 def test_prefill_is_followed_by_decode() -> None:
-    read = (
+    prefilled = (
         "ROUND wall_ms=1050\nAT dispatcher=3\nRESOLVED op_id=t/a shot=0 host=10.0.0.1:5000 outcome=100 "
         "cost_time_ms=49 note=3 server_stats=x0:0.5,x1:2.5,new:1\nEOB\n"
     )
-    code, out, err = exchange(START + BATCH + REQUEST + "EOB\n" + read)
+    code, out, err = exchange(START + BATCH + REQUEST + "EOB\n" + prefilled)
     assert (code, err) == (0, "")
     assert "DISPATCH op_id=t/a host=10.0.0.2:5000" in out
 
 
 def test_instances_are_isolated_and_retire_deletes_one() -> None:
-    twice = START + START.replace("dispatcher=3", "dispatcher=4")
-    after = "ROUND wall_ms=1001\nAT dispatcher=3\nRETIRE\nAT dispatcher=4\n" + REQUEST + "EOB\n"
-    code, out, _ = exchange(twice + after)
+    two_instances = START + START.replace("dispatcher=3", "dispatcher=4")
+    batch = "ROUND wall_ms=1001\nAT dispatcher=3\nRETIRE\nAT dispatcher=4\n" + REQUEST + "EOB\n"
+    code, out, _ = exchange(two_instances + batch)
     assert code == 0 and out.split("NEXT\n")[2].startswith("FROM dispatcher=4\nDISPATCH")
 
 
@@ -90,17 +90,17 @@
 
 
 def test_policy_exception_is_reported_as_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
+    def failing_handle(*_: object) -> None:
         raise KeyError("nobody")
 
-    monkeypatch.setattr(Policy, "handle", broken)
+    monkeypatch.setattr(Policy, "handle", failing_handle)
     code, out, _ = exchange(START + BATCH + REQUEST + "EOB\n")
     assert code == 0 and "INTERNAL_ERROR msg=KeyError" in out
 
 
 def test_decision_files_stay_within_format_limits() -> None:
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    texts = [(ROOT / name).read_text() for name in named]
+    policy_files = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    texts = [(ROOT / name).read_text() for name in policy_files]
     lines = [line for text in texts for line in text.splitlines()]
     assert max(map(len, lines)) <= 110
     assert all("interface.py" in text.splitlines()[0] for text in texts)
@@ -108,7 +108,7 @@
     assert all(len(text.splitlines()) <= 250 for text in texts)
 
 
-# Modules of the decision package that choose nothing: types, state, estimates and translations.
+# Modules of the routing package without decision logic: types, state, estimates and translations.
 NO_DECISIONS = {
     "__init__", "actions", "affinity", "concurrency_limit", "context", "control_events", "endpoints",
     "estimates", "events", "fleet", "interface", "observations", "server_views", "settings",
@@ -117,24 +117,24 @@
 
 
 def modules_in_use(component: object) -> set[str]:
-    """The decision modules of a component: its classes', its functions', and those of what it holds."""
+    """Return the modules of a component's classes, of its module's functions and of its attributes."""
     if not type(component).__module__.startswith("ringledge.routing."):
         return set()
     modules = {each.__module__ for each in type(component).__mro__}
-    own = vars(sys.modules[type(component).__module__]).values()
-    modules |= {each.__module__ for each in own if isinstance(each, FunctionType)}
+    module_globals = vars(sys.modules[type(component).__module__]).values()
+    modules |= {each.__module__ for each in module_globals if isinstance(each, FunctionType)}
     found = {
         module.removeprefix("ringledge.routing.") for module in modules if "ringledge.routing." in module
     }
-    held = vars(component).values() if hasattr(component, "__dict__") else ()
-    return found.union(*map(modules_in_use, held))
+    attributes = vars(component).values() if hasattr(component, "__dict__") else ()
+    return found.union(*map(modules_in_use, attributes))
 
 
 def test_every_decision_module_is_listed_in_deployment() -> None:
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    decisions = {Path(name).stem for name in named}
+    policy_files = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    decisions = {Path(name).stem for name in policy_files}
     files = {path.stem for path in (ROOT / "ringledge" / "routing").glob("*.py")}
-    assert all(name == f"ringledge/routing/{Path(name).name}" for name in named)
+    assert all(name == f"ringledge/routing/{Path(name).name}" for name in policy_files)
     assert files - NO_DECISIONS == decisions
     assert files > NO_DECISIONS
     assert modules_in_use(Policy(SETTINGS, 1)) - NO_DECISIONS == decisions
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -1,4 +1,4 @@
-"""The ordinary path: session affinity, rendezvous hashing, late decode selection by two choices."""
+"""Server selection without faults: session affinity, rendezvous hashing, power of two choices."""
 
 from dataclasses import replace
 
@@ -21,54 +21,60 @@
 
 
 def test_session_returns_to_its_prefill_server_and_use_renews_affinity() -> None:
-    world = RouterHarness()
-    home = world.serve("a0", session=7, prefix=None)
-    key_home = world.serve("b0", session=8, prefix=3)
-    other = next(key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != home)
-    for turn in range(4):  # 40 s apart: the whole outlives one time-to-live
-        world.advance(40_000)
-        assert world.serve(f"a{turn + 1}", session=7, prefix=other) == home
-        assert world.serve(f"b{turn + 1}", session=8, prefix=3) == key_home
+    harness = RouterHarness()
+    prefill_server = harness.serve("a0", session=7, prefix=None)
+    prefix_server = harness.serve("b0", session=8, prefix=3)
+    other = next(
+        key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != prefill_server
+    )
+    for turn in range(4):  # 40 s apart, so that the session lasts longer than one TTL
+        harness.advance(40_000)
+        assert harness.serve(f"a{turn + 1}", session=7, prefix=other) == prefill_server
+        assert harness.serve(f"b{turn + 1}", session=8, prefix=3) == prefix_server
 
 
 def test_idle_affinity_expires_with_its_ttl() -> None:
-    world = RouterHarness()
-    home = world.serve("a", session=7)
-    other = next(key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != home)
-    world.advance(67_000)
-    assert not world.policy.affinities.by_session  # the reaper has been
-    assert world.serve("b", session=7, prefix=other) != home
+    harness = RouterHarness()
+    prefill_server = harness.serve("a", session=7)
+    other = next(
+        key for key in range(1, 100) if RouterHarness().serve("x", session=1, prefix=key) != prefill_server
+    )
+    harness.advance(67_000)
+    assert not harness.policy.affinities.by_session  # expired
+    assert harness.serve("b", session=7, prefix=other) != prefill_server
 
 
 def test_rendezvous_hash_is_equal_on_every_router_and_keyed_by_prefix() -> None:
     for prefix in range(1, 11):
         first, second = RouterHarness(seed=1), RouterHarness(seed=2, router=1, zone=1)
         for session in range(4):
-            reader = first.serve(f"a{session}", session=session, prefix=prefix)
-            assert second.serve(f"b{session}", session=session, prefix=prefix) == reader
-    readers = {RouterHarness().serve("a", session=session) for session in range(40)}
-    assert readers == {"r0", "r1", "r2", "r3"}
+            prefill_server = first.serve(f"a{session}", session=session, prefix=prefix)
+            assert second.serve(f"b{session}", session=session, prefix=prefix) == prefill_server
+    prefill_servers = {RouterHarness().serve("a", session=session) for session in range(40)}
+    assert prefill_servers == {"r0", "r1", "r2", "r3"}
 
 
 def test_removed_prefill_server_moves_only_its_own_keys() -> None:
     before = {prefix: RouterHarness().serve("a", session=1, prefix=prefix) for prefix in range(1, 41)}
     fleet = tuple(each for each in FLEET if each.server != "r1")
     after = {prefix: RouterHarness(fleet).serve("a", session=1, prefix=prefix) for prefix in before}
-    moved = [prefix for prefix in before if before[prefix] not in ("r1", after[prefix])]
-    assert len(moved) < 14  # where it was the other of the first two, the session may draw the new one
+    moved_keys = [prefix for prefix in before if before[prefix] not in ("r1", after[prefix])]
+    assert len(moved_keys) < 14  # a prefix may move if r1 was its second in rank
 
 
 def test_prefix_is_prefilled_by_first_in_rank_until_that_is_queued() -> None:
-    """Kept at two readers it is read twice: a fleet whose caches were lost has no time for that."""
+    """Guards against prefilling a prefix twice, which costs too much after the fleet has lost its caches."""
     for prefix in range(1, 11):
-        world = RouterHarness()
-        first = world.serve("a", session=1, prefix=prefix, prefix_tokens=900)
-        calm = {world.serve(f"b{n}", session=10 + n, prefix=prefix, prefix_tokens=900) for n in range(12)}
-        assert calm == {first}
-        for number in range(6):  # they wait there, so it falls behind
-            world.request(f"c{number}", session=100 + number, prefix=prefix, prefix_tokens=0)
-        others = {world.server_of[f"c{number}"] for number in range(6)} - {first}
-        assert len(others) == 1  # and the same second one helps out
+        harness = RouterHarness()
+        first = harness.serve("a", session=1, prefix=prefix, prefix_tokens=900)
+        idle_servers = {
+            harness.serve(f"b{n}", session=10 + n, prefix=prefix, prefix_tokens=900) for n in range(12)
+        }
+        assert idle_servers == {first}
+        for number in range(6):  # these queue at the first in rank
+            harness.request(f"c{number}", session=100 + number, prefix=prefix, prefix_tokens=0)
+        others = {harness.server_of[f"c{number}"] for number in range(6)} - {first}
+        assert len(others) == 1  # the overflow goes to a single server
 
 
 def test_prefix_is_prefilled_at_few_servers() -> None:
@@ -77,14 +83,16 @@
 
 
 def test_decode_server_is_selected_after_prefill_in_the_same_cell() -> None:
-    near = 0
+    same_cell = 0
     for seed in range(50):
-        world = RouterHarness(seed=seed)
-        assert len(sent_to(world.request("a", session=1))) == 1
-        reader = world.server_of["a"]
-        world.outcome("a", AttemptStatus.PREFILLED)
-        near += world.server_of["a"] in (("w0", "w1") if reader in ("r0", "r1") else ("w2", "w3"))
-    assert near == 50  # nobody is loaded, so the far writer is never clearly lighter
+        harness = RouterHarness(seed=seed)
+        assert len(sent_to(harness.request("a", session=1))) == 1
+        prefill_server = harness.server_of["a"]
+        harness.outcome("a", AttemptStatus.PREFILLED)
+        same_cell += harness.server_of["a"] in (
+            ("w0", "w1") if prefill_server in ("r0", "r1") else ("w2", "w3")
+        )
+    assert same_cell == 50  # without load, no remote server is clearly less loaded
 
 
 def test_remote_decode_server_needs_clearly_fewer_pending_tokens() -> None:
@@ -95,33 +103,32 @@
         server_entry("far", DECODE_KIND, 1),
     )
     session = next(key for key in range(100) if RouterHarness(fleet).serve("x", session=key) == "r")
-    world = RouterHarness(fleet)
+    harness = RouterHarness(fleet)
     for name in ("a", "b"):
-        world.prefill(name, session=session, prompt_tokens=100)
-    assert world.server_of in ({"a": "near", "b": "near"}, {"a": "near", "b": "far"})
+        harness.prefill(name, session=session, prompt_tokens=100)
+    assert harness.server_of in ({"a": "near", "b": "near"}, {"a": "near", "b": "far"})
     for number in range(6):
-        world.prefill(f"c{number}", session=session, prompt_tokens=100)
-    assert (
-        3 <= list(world.server_of.values()).count("near") <= 5
-    )  # with some there, the far one is clearly lighter
+        harness.prefill(f"c{number}", session=session, prompt_tokens=100)
+    # Once the near server has some load, the far one is clearly less loaded.
+    assert 3 <= list(harness.server_of.values()).count("near") <= 5
 
 
 def test_pending_tokens_use_hint_else_half_of_bound_and_do_not_leak() -> None:
     fleet = (server_entry("r", PREFILL_KIND, 0), server_entry("w", DECODE_KIND, 0))
-    world = RouterHarness(fleet)
+    harness = RouterHarness(fleet)
     for name, hint_ms in (("a", None), ("b", 500.0)):
-        world.prefill(name, session=1, hint_ms=hint_ms)
-    assert world.policy.fleet.servers["w"].pending_tokens == (1000 + 200) + (1000 + 10)
-    world.first_token("a")
-    world.outcome("a", AttemptStatus.OK, request_ended=True)
-    world.deliver(ClientDisconnected("b"))
-    world.outcome("b", AttemptStatus.CANCELLED)
-    assert all(server.pending_tokens == 0 for server in world.policy.fleet.servers.values())
-    assert not world.policy.requests
+        harness.prefill(name, session=1, hint_ms=hint_ms)
+    assert harness.policy.fleet.servers["w"].pending_tokens == (1000 + 200) + (1000 + 10)
+    harness.first_token("a")
+    harness.outcome("a", AttemptStatus.OK, request_ended=True)
+    harness.deliver(ClientDisconnected("b"))
+    harness.outcome("b", AttemptStatus.CANCELLED)
+    assert all(server.pending_tokens == 0 for server in harness.policy.fleet.servers.values())
+    assert not harness.policy.requests
 
 
 def test_mixed_server_decodes_in_place_but_long_uncached_prompts_go_to_prefill_servers() -> None:
-    world = RouterHarness(
+    harness = RouterHarness(
         (server_entry("m", MIXED_KIND), server_entry("r", PREFILL_KIND), server_entry("w", DECODE_KIND))
     )
     key = next(
@@ -132,45 +139,45 @@
         )
         == "m"
     )
-    world.request("a", session=key)
-    assert world.server_of["a"] == "m"
-    world.first_token("a")
-    world.outcome("a", AttemptStatus.OK, request_ended=True)
-    world.request("b", session=key, prompt_tokens=30_000)
-    assert world.server_of["b"] == "m"  # bound by a: most is kept or it is its home
-    world.request("c", session=None, prefix=key, prompt_tokens=30_000)
-    assert world.server_of["c"] == "r"
+    harness.request("a", session=key)
+    assert harness.server_of["a"] == "m"
+    harness.first_token("a")
+    harness.outcome("a", AttemptStatus.OK, request_ended=True)
+    harness.request("b", session=key, prompt_tokens=30_000)
+    assert harness.server_of["b"] == "m"  # by the affinity from request a
+    harness.request("c", session=None, prefix=key, prompt_tokens=30_000)
+    assert harness.server_of["c"] == "r"
 
 
-@pytest.mark.parametrize(("readers", "helps"), [(2, False), (1, True)])
+@pytest.mark.parametrize(("prefill_server_count", "mixed_prefills"), [(2, False), (1, True)])
 def test_mixed_server_prefills_long_prompts_only_when_prefill_servers_are_congested(
-    readers: int, helps: bool
+    prefill_server_count: int, mixed_prefills: bool
 ) -> None:
-    """A fleet whose readers are mostly fresh was short of reads while those that can read idled."""
+    """Guards against idle mixed servers while the prefill servers are mostly cold and overloaded."""
     fleet = (
-        *(server_entry(f"r{n}", PREFILL_KIND) for n in range(readers)),
+        *(server_entry(f"r{n}", PREFILL_KIND) for n in range(prefill_server_count)),
         server_entry("m", MIXED_KIND),
         server_entry("w", DECODE_KIND),
     )
     for session in range(20):
-        world = RouterHarness(fleet, seed=session)
-        for number in range(4):  # the pace of reads is known
-            world.serve(f"p{number}", session=1000 + number)
-        world.policy.fleet.servers["r0"].delay.add(world.now_ms, 5_000)  # it is jammed
-        world.request("b", session=5_000 + session, prompt_tokens=3_000)
-        assert world.server_of["b"] == ("m" if helps else "r1")
+        harness = RouterHarness(fleet, seed=session)
+        for number in range(4):  # sets the prefill rate
+            harness.serve(f"p{number}", session=1000 + number)
+        harness.policy.fleet.servers["r0"].delay.add(harness.now_ms, 5_000)  # r0 is congested
+        harness.request("b", session=5_000 + session, prompt_tokens=3_000)
+        assert harness.server_of["b"] == ("m" if mixed_prefills else "r1")
 
 
 def test_decode_server_prefills_where_there_is_no_prefill_server() -> None:
-    alone = (server_entry("w", DECODE_KIND),)
-    assert sent_to(RouterHarness(alone, decode_may_prefill=True).request("a", session=1)) == ["w"]
-    assert isinstance(RouterHarness(alone).request("a", session=1)[0], RejectRequest)
+    decode_only = (server_entry("w", DECODE_KIND),)
+    assert sent_to(RouterHarness(decode_only, decode_may_prefill=True).request("a", session=1)) == ["w"]
+    assert isinstance(RouterHarness(decode_only).request("a", session=1)[0], RejectRequest)
 
 
 def test_requests_without_affinity_keys_and_reconnects_are_served() -> None:
-    world = RouterHarness()
-    assert len(sent_to(world.request("a"))) == 1
-    assert len(sent_to(world.request("b", session=3, reconnect=True, retry=True))) == 1
+    harness = RouterHarness()
+    assert len(sent_to(harness.request("a"))) == 1
+    assert len(sent_to(harness.request("b", session=3, reconnect=True, retry=True))) == 1
 
 
 def test_cold_decode_server_is_selected_in_proportion_to_its_warmth() -> None:
@@ -179,24 +186,25 @@
         server_entry("w0", DECODE_KIND),
         server_entry("w1", DECODE_KIND, started_ms=1_000_000.0 - 5_000),
     )
-    chosen = []
+    selections = []
     for seed in range(400):
-        world = RouterHarness(fleet, seed=seed)
-        world.policy.fleet.servers["w1"].start_credit = 1.0  # it has room, as far as the rule goes
-        world.prefill("a", session=1)
-        chosen.append(world.server_of["a"])
-    share = chosen.count("w1") / len(chosen)
-    assert 0.32 < share < 0.47  # 0.65 of a warm one's; evenly it would be half
+        harness = RouterHarness(fleet, seed=seed)
+        harness.policy.fleet.servers["w1"].start_credit = 1.0  # slow start allows one attempt
+        harness.prefill("a", session=1)
+        selections.append(harness.server_of["a"])
+    share = selections.count("w1") / len(selections)
+    assert 0.32 < share < 0.47  # its warmth is 0.65; equal warmth would give one half
 
 
 def test_cell_with_cold_decode_servers_spills_more_kv_cache_entries() -> None:
-    fresh = {"w0", "w1"}
+    cold = {"w0", "w1"}
     start = 1_000_000.0 - 1
-    fleet = tuple(replace(each, zone=0, started_ms=start * (each.server in fresh)) for each in FLEET)
-    world = RouterHarness(fleet)
-    leave = world.policy.fleet.spill_chance.by_cell
-    assert leave[0] > 0.3 and leave[1] < 0  # 0.6 of 2.6 of the writing, half of the reading
-    world.advance(5_000)
-    assert 0.1 < world.policy.fleet.spill_chance.by_cell[0] < leave[0]  # they warm
-    world.advance(6_000)
-    assert abs(world.policy.fleet.spill_chance.by_cell[0]) < 0.01
+    fleet = tuple(replace(each, zone=0, started_ms=start * (each.server in cold)) for each in FLEET)
+    harness = RouterHarness(fleet)
+    initial = harness.policy.fleet.spill_chance.by_cell
+    # Cell 0 has 0.6 of 2.6 of the decode capacity and half of the prefill capacity.
+    assert initial[0] > 0.3 and initial[1] < 0
+    harness.advance(5_000)
+    assert 0.1 < harness.policy.fleet.spill_chance.by_cell[0] < initial[0]  # its servers warm up
+    harness.advance(6_000)
+    assert abs(harness.policy.fleet.spill_chance.by_cell[0]) < 0.01
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -1,4 +1,4 @@
-"""Roles by plan in the decisions: what servers that do both get new, and what they end all the same."""
+"""Effect of a role plan on routing: new work of mixed servers, and work that they still finish."""
 
 from ringledge.decide.interface import RoleAssignment
 from ringledge.decide.ratio.role_registry import RoleRegistry
@@ -18,49 +18,53 @@
     server_entry,
 )
 
-MIXES = tuple(server_entry(f"m{at}", MIXED_KIND) for at in range(4))
+MIXED_SERVERS = tuple(server_entry(f"m{number}", MIXED_KIND) for number in range(4))
 
 
-def servers_used(world: RouterHarness, start: int = 0) -> set[str]:
-    """Where the first attempts of many requests go."""
-    for at in range(start, start + 40):
-        world.request(f"a{at}", session=at)
-    return {world.server_of[f"a{at}"] for at in range(start, start + 40)}
+def servers_used(harness: RouterHarness, start: int = 0) -> set[str]:
+    """Return the servers that the first attempts of 40 requests are sent to."""
+    for number in range(start, start + 40):
+        harness.request(f"a{number}", session=number)
+    return {harness.server_of[f"a{number}"] for number in range(start, start + 40)}
 
 
 def test_server_planned_without_prefill_gets_none_until_the_plan_omits_it() -> None:
-    world = RouterHarness(MIXES)
-    assert servers_used(world) == {"m0", "m1", "m2", "m3"}
-    world.deliver(RolePlan(no_prefill=frozenset({"m0", "m1"})))
-    assert servers_used(world, 100) == {"m2", "m3"}
-    world.deliver(RolePlan())
-    assert servers_used(world, 200) == {"m0", "m1", "m2", "m3"}
+    harness = RouterHarness(MIXED_SERVERS)
+    assert servers_used(harness) == {"m0", "m1", "m2", "m3"}
+    harness.deliver(RolePlan(no_prefill=frozenset({"m0", "m1"})))
+    assert servers_used(harness, 100) == {"m2", "m3"}
+    harness.deliver(RolePlan())
+    assert servers_used(harness, 200) == {"m0", "m1", "m2", "m3"}
 
 
 def test_role_plan_neither_removes_a_role_entirely_nor_overrides_server_kind() -> None:
-    world = RouterHarness((*MIXES, server_entry("r0", PREFILL_KIND), server_entry("w0", DECODE_KIND)))
+    harness = RouterHarness(
+        (*MIXED_SERVERS, server_entry("r0", PREFILL_KIND), server_entry("w0", DECODE_KIND))
+    )
     names = frozenset({"m0", "m1", "m2", "m3"})
-    world.deliver(RolePlan(names | {"r0"}, names | {"w0"}))
-    assert servers_used(world) == {"r0"}
-    world.outcome("a0", AttemptStatus.PREFILLED)
-    assert world.server_of["a0"] == "w0"
-    mixed_only = RouterHarness(MIXES)
-    mixed_only.deliver(RolePlan(no_prefill=frozenset(each.server for each in MIXES)))
+    harness.deliver(RolePlan(names | {"r0"}, names | {"w0"}))
+    assert servers_used(harness) == {"r0"}
+    harness.outcome("a0", AttemptStatus.PREFILLED)
+    assert harness.server_of["a0"] == "w0"
+    mixed_only = RouterHarness(MIXED_SERVERS)
+    mixed_only.deliver(RolePlan(no_prefill=frozenset(each.server for each in MIXED_SERVERS)))
     assert servers_used(mixed_only) == {"m0", "m1", "m2", "m3"}
 
 
 def test_role_change_leaves_waiting_kv_cache_entry_and_stream_intact() -> None:
-    world = RouterHarness((*MIXES[:2], server_entry("r0", PREFILL_KIND)), classes=(IDEMPOTENT,))
-    world.deliver(RolePlan(no_prefill=frozenset({"m0", "m1"})))
-    world.request("a", session=1)
-    assert world.server_of["a"] == "r0"
-    world.deliver(RolePlan(no_decode=frozenset({"m0"})))  # while it is read
-    assert sent_to(world.outcome("a", AttemptStatus.PREFILLED)) == ["m1"]  # fetched, by whom is left
-    world.first_token("a")
-    actions = world.deliver(RolePlan(no_decode=frozenset({"m0", "m1"})))
-    assert actions == []  # its stream goes on, nothing is sent again
-    assert not sent_to(world.outcome("a", AttemptStatus.OK, request_ended=True)) and not releases_cache(
-        world.last_actions
+    harness = RouterHarness((*MIXED_SERVERS[:2], server_entry("r0", PREFILL_KIND)), classes=(IDEMPOTENT,))
+    harness.deliver(RolePlan(no_prefill=frozenset({"m0", "m1"})))
+    harness.request("a", session=1)
+    assert harness.server_of["a"] == "r0"
+    harness.deliver(RolePlan(no_decode=frozenset({"m0"})))  # while the prefill is in flight
+    assert sent_to(harness.outcome("a", AttemptStatus.PREFILLED)) == [
+        "m1"
+    ]  # the only server left that decodes
+    harness.first_token("a")
+    actions = harness.deliver(RolePlan(no_decode=frozenset({"m0", "m1"})))
+    assert actions == []  # the stream continues, and nothing is sent again
+    assert not sent_to(harness.outcome("a", AttemptStatus.OK, request_ended=True)) and not releases_cache(
+        harness.last_actions
     )
 
 
@@ -68,9 +72,11 @@
     registry = RoleRegistry(RatioConfig())
     registry.update_servers(0.0, {"m0": "both", "m1": "both", "r0": "read", "w0": "write"})
     registry.receive(0.0, "m0", RoleAssignment(1, 1, "read"))
-    for at in range(60):
-        registry.tick(float(at))
+    for number in range(60):
+        registry.tick(float(number))
     assert registry.excluded_servers() == (frozenset({"w0"}), frozenset({"m0", "r0"}))
-    world = RouterHarness((*MIXES[:2], server_entry("r0", PREFILL_KIND), server_entry("w0", DECODE_KIND)))
-    world.deliver(RolePlan(*registry.excluded_servers()))
-    assert servers_used(world) <= {"m0", "m1", "r0"}
+    harness = RouterHarness(
+        (*MIXED_SERVERS[:2], server_entry("r0", PREFILL_KIND), server_entry("w0", DECODE_KIND))
+    )
+    harness.deliver(RolePlan(*registry.excluded_servers()))
+    assert servers_used(harness) <= {"m0", "m1", "r0"}
