--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -45,9 +45,9 @@
         self.stopping = False
         self.all_enqueued = False
 
-    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
+    def __call__(self, entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
         """Start an attempt."""
-        self._in_flight[entry.name] = ended
+        self._in_flight[entry.name] = on_result
         write_line("sent", entry.name)
         return self
 
@@ -81,7 +81,7 @@
     """A mutant that records an attempt only after it was sent."""
 
     async def _send_entry(
-        self, scheduler: ReplayScheduler, head: QueueHead, token: int, still: LeaseCheck
+        self, scheduler: ReplayScheduler, head: QueueHead, token: int, is_held: LeaseCheck
     ) -> bool:
         entry = await self._queue.get(head.name)
         assert entry is not None
--- a/ringledge/lifecycle/components/lease_holder_duties.py
+++ b/ringledge/lifecycle/components/lease_holder_duties.py
@@ -72,12 +72,12 @@
 
     def _stop_leases(self) -> None:
         if self._members.service is not None:
-            self._members.service.act(self._leases.stop(boottime_s()))
+            self._members.service.execute_actions(self._leases.stop(boottime_s()))
 
     def _give_up(self, duty: str) -> None:
         """Release the lease of a duty that this member cannot perform."""
         if self._members.service is not None:
-            self._members.service.act(self._leases.release(boottime_s(), duty))
+            self._members.service.execute_actions(self._leases.release(boottime_s(), duty))
 
     def _on_membership_change(self, change: MembershipChange) -> None:
         self._leases.set_live_members(each.name for each in self._members.membership.active_members())
@@ -87,7 +87,7 @@
 
     def _restart_leases(self, start_number: int) -> None:
         if self._members.service is not None:
-            self._members.service.act(self._leases.restart(boottime_s(), start_number))
+            self._members.service.execute_actions(self._leases.restart(boottime_s(), start_number))
             self._log_once_voting()
 
     def _on_address_bound(self) -> None:
--- a/ringledge/members/planner.py
+++ b/ringledge/members/planner.py
@@ -64,31 +64,31 @@
         self._published = set[str]()  # keys of the assignments of this member
         self._next_round_s = 0.0
         self.malformed = 0  # records that could not be decoded
-        self.changes = 0  # changes of role begun
+        self.role_change_count = 0  # changes of role begun
 
     def begin(self, token: int) -> None:
         """Begin a term under a new fencing token; nothing is published before the first step."""
         self._planner.begin(self._clock(), token)
         self._next_round_s = self._clock()
 
-    async def step(self, token: int, still: LeaseCheck) -> float:
-        """Run a planning round if one is due; returns s until the next. `still` is checked at each effect."""
+    async def step(self, token: int, is_held: LeaseCheck) -> float:
+        """Run a planning round if one is due; returns s until the next. `is_held` is checked per effect."""
         interval_s = self.settings.planning_interval_s
         if token != self._planner.token:
             return interval_s  # of a term that has ended
         now_s = self._clock()
         self._receive_assignments(now_s)
         for server, assignment in self._planner.reissued_assignments(now_s).items():
-            if not self._publish(server, assignment, still):
+            if not self._publish(server, assignment, is_held):
                 return interval_s
         if now_s < self._next_round_s:
             return self._next_round_s - now_s
         self._next_round_s = now_s + interval_s
         result = self._run_round(now_s)
         for server, assignment in result.assignments.items():
-            if not self._publish(server, assignment, still):
+            if not self._publish(server, assignment, is_held):
                 return interval_s
-            self.changes += 1
+            self.role_change_count += 1
         if result.assignments:
             log.info("role_plan_published", token=token, number=self._planner.number, **plan_summary(result))
         return interval_s
@@ -111,9 +111,9 @@
         self._delete_unlisted(now_s, {server.name for server in listed})
         return result
 
-    def _publish(self, server: str, assignment: RoleAssignment, still: LeaseCheck) -> bool:
+    def _publish(self, server: str, assignment: RoleAssignment, is_held: LeaseCheck) -> bool:
         """Publish an assignment; False where the lease is lost."""
-        if not still():
+        if not is_held():
             return False
         now_s = self._clock()
         key, value = encode_assignment(server, assignment)
--- a/ringledge/members/replay_sender.py
+++ b/ringledge/members/replay_sender.py
@@ -32,6 +32,6 @@
 class EntrySender(Protocol):
     """Sends entries by the same routing as all other requests."""
 
-    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
-        """Start one; `ended` is called once, maybe before this returns. None: it can't be sent at all."""
+    def __call__(self, entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
+        """Start one; `on_result` is called once, maybe before this returns. None: it can't be sent at all."""
         ...
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -90,22 +90,22 @@
         self.scheduler = None
         self._handles = {name: handle for name, handle in self._handles.items() if not handle.cancel()}
 
-    async def step(self, token: int, still: LeaseCheck) -> float:
+    async def step(self, token: int, is_held: LeaseCheck) -> float:
         """Write unsettled results, then send the entries that are due; returns s until the next step.
 
         Shielded: cancelled between a start on the disk and its send, a booking that was never sent would end
-        as unknown. It lasts some syncs, and `still` is checked before each effect.
+        as unknown. It lasts some syncs, and `is_held` is checked before each effect.
         """
         with anyio.CancelScope(shield=True):
-            await self._step(token, still)
+            await self._step(token, is_held)
         return BUSY_INTERVAL_S if self._has_entries else IDLE_INTERVAL_S
 
-    async def _step(self, token: int, still: LeaseCheck) -> None:
+    async def _step(self, token: int, is_held: LeaseCheck) -> None:
         try:
             await self._adopt(token)
             await self.settle()
             if self.scheduler is not None:
-                await self._send_due(self.scheduler, token, still)
+                await self._send_due(self.scheduler, token, is_held)
         except StaleTokenError as error:
             self._handle_stale_token(token, error)
         except QueueError as error:
@@ -132,7 +132,7 @@
             self._report_end(name, EntryOutcome.UNKNOWN, token)
         log.info("queue_taken_over", token=token, again=found.requeued, unknown=len(found.unknown))
 
-    async def _send_due(self, scheduler: ReplayScheduler, token: int, still: LeaseCheck) -> None:
+    async def _send_due(self, scheduler: ReplayScheduler, token: int, is_held: LeaseCheck) -> None:
         probing = self._site_state() is not SiteState.AVAILABLE
         if probing:
             scheduler.rate_controller.close()
@@ -145,23 +145,23 @@
             if head is None:
                 return
             heads.remove(head)
-            if not await self._send_entry(scheduler, head, token, still):
+            if not await self._send_entry(scheduler, head, token, is_held):
                 return
 
     async def _send_entry(
-        self, scheduler: ReplayScheduler, head: QueueHead, token: int, still: LeaseCheck
+        self, scheduler: ReplayScheduler, head: QueueHead, token: int, is_held: LeaseCheck
     ) -> bool:
         """Send one entry; False where the lease is lost."""
         sent = False
         try:
-            if not still():
+            if not is_held():
                 return False
             entry = await self._queue.begin_attempt(head.name, token)
             if entry.state is not EntryState.BEGUN:  # it has expired, or its row is corrupt
                 assert entry.outcome is not None
                 self._report_end(entry.name, entry.outcome, token)
                 return True
-            if not still() or self.scheduler is not scheduler:  # lost during the sync; nothing was sent
+            if not is_held() or self.scheduler is not scheduler:  # lost during the sync; nothing was sent
                 await self._queue.record_failed_attempt(entry.name, token, may_have_run=False)
                 return False
             sent = True
@@ -174,19 +174,19 @@
                 scheduler.record_outcome(self._now(), head.name, SendOutcome.NOT_SENT)
 
     def _start(self, entry: Entry, token: int) -> None:
-        def ended(result: SendResult) -> None:
+        def on_result(result: SendResult) -> None:
             self._on_result(_UnsettledResult(entry, token, result))
 
         log.info("queue_entry_sent", entry=entry.name, token=token, attempt=entry.attempts)
         try:
-            handle = self._send(entry, ended)
+            handle = self._send(entry, on_result)
         except Exception as error:  # a fault of the sender: the entry may have been sent
             log.exception("queue_send_crashed", error, entry=entry.name)
-            ended(SendResult(SendOutcome.FAILED, may_have_run=True))
+            on_result(SendResult(SendOutcome.FAILED, may_have_run=True))
             return
         if handle is None:
             reason = b"its class or model is not served any more"
-            ended(SendResult(SendOutcome.FAILED, may_have_run=False, answer=reason))
+            on_result(SendResult(SendOutcome.FAILED, may_have_run=False, answer=reason))
         elif self.scheduler is not None and entry.name in self.scheduler.in_flight:
             self._handles[entry.name] = handle
 
--- a/ringledge/members/service.py
+++ b/ringledge/members/service.py
@@ -102,7 +102,7 @@
         """Announce that the member leaves."""
         self._execute(self._membership.leave(self._clock()))
 
-    def act(self, actions: list[Action]) -> None:
+    def execute_actions(self, actions: list[Action]) -> None:
         """Execute actions of a decider that was called from outside, as when a lease is released."""
         self._execute(self._without_messages_once_stopped(actions))
         self.wake()
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -149,9 +149,9 @@
             row = QueueBacklog(self._token, entries, oldest_s, weight, replay.served_work)
             self._records.write(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(row))
 
-    def _send(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
+    def _send(self, entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
         assert self.sender is not None
-        return self.sender(entry, ended)
+        return self.sender(entry, on_result)
 
     def _begin_lease(self, now_s: float, token: int) -> ReplayScheduler:
         """The scheduler for a newly acquired lease."""
--- a/ringledge/store/seal.py
+++ b/ringledge/store/seal.py
@@ -17,7 +17,7 @@
     "name, tenant, kind, safe, question, work, created_s, expires_s, state, token, attempts, ended_s, end, "
     "answer, key"
 )
-SEAL_BYTES = 12  # detects corruption, not forgery: whoever can write the file can also write a seal
+CHECKSUM_BYTES = 12  # detects corruption, not forgery: whoever can write the file can also write a seal
 
 Row = tuple[Any, ...]  # the values of COLUMNS; "sealed": followed by the seal
 
@@ -46,27 +46,27 @@
         entry.response,
         request.idempotency_key,
     )
-    return (*row, row_seal(row))
+    return (*row, row_checksum(row))
 
 
 def from_row(sealed_row: Row) -> Entry:
     """The entry of a sealed row; CorruptRowError if any byte differs from what was written."""
     *columns, seal = sealed_row
     try:
-        if row_seal(tuple(columns)) != seal:
+        if row_checksum(tuple(columns)) != seal:
             raise CorruptRowError(str(columns[0]))
         return _entry(columns)
     except (ValueError, TypeError) as error:
         raise CorruptRowError(str(sealed_row[0])) from error
 
 
-def row_seal(row: Row) -> bytes:
+def row_checksum(row: Row) -> bytes:
     """The checksum over a row's values.
 
     An absent idempotency key is left out, so that rows of version 1, which had no such column, keep theirs.
     """
     sealed_values = row if row[-1] is not None else row[:-1]
-    return blake2b(msgspec.msgpack.encode(sealed_values), digest_size=SEAL_BYTES).digest()
+    return blake2b(msgspec.msgpack.encode(sealed_values), digest_size=CHECKSUM_BYTES).digest()
 
 
 def _entry(columns: Sequence[Any]) -> Entry:
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -92,7 +92,7 @@
         self._names = names
         self._conductor = conductor
 
-    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
+    def __call__(self, entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
         """Start an attempt; None if the entry's class or model is not served any more."""
         queued = entry.request
         question: dict[str, Any] = orjson.loads(queued.body)
@@ -108,11 +108,11 @@
             session_name, question, class_index, request.max_output_tokens, len(queued.body)
         )
         idempotent = self._is_idempotent(class_index) and queued.idempotent
-        attempt = _ReplayAttempt(session, self._conductor, ended, idempotent)
+        attempt = _ReplayAttempt(session, self._conductor, on_result, idempotent)
         try:
             session.record = self._conductor.accept(request, _payload(question, request), attempt)
         except DuplicateRequestError:  # the previous attempt is not closed yet
-            ended(SendResult(SendOutcome.REJECTED, False))
+            on_result(SendResult(SendOutcome.REJECTED, False))
         return attempt
 
     def _is_idempotent(self, class_index: int) -> bool:
--- a/tests/compatibility/test_formats.py
+++ b/tests/compatibility/test_formats.py
@@ -186,7 +186,7 @@
 
 
 def test_a_changed_seal_is_found(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(seal, "SEAL_BYTES", 13)
+    monkeypatch.setattr(seal, "CHECKSUM_BYTES", 13)
     write_current(tmp_path / "queue.db")
     assert dump(tmp_path / "queue.db") != path("queue-2.sql").read_text()
 
--- a/tests/members/test_component.py
+++ b/tests/members/test_component.py
@@ -150,11 +150,11 @@
             assert not listener.received
             await wait_until(lambda: all(len(each.membership.active_members()) == 2 for each in (one, two)))
             assert two.service is not None
-            two.service.act(talker.tick(0.0))
+            two.service.execute_actions(talker.tick(0.0))
             await wait_until(lambda: listener.received == [("n1", "hello")])
             assert isinstance(acquired[0], LeaseAcquired)
             one.membership.stopped = True  # as if superseded: none of its deciders receives or sends any more
-            two.service.act(talker.tick(0.0))
+            two.service.execute_actions(talker.tick(0.0))
             await wait_until(lambda: dropped_count(one, "silent") > 0)
             assert len(listener.received) == 1
             assert dropped_count(two, "too_long") >= 2 and dropped_count(two, "no_address") >= 2
--- a/tests/store/test_component.py
+++ b/tests/store/test_component.py
@@ -63,8 +63,8 @@
         await anyio.sleep(0.005)
 
 
-def serve(entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
-    ended(SendResult(SendOutcome.SERVED, True, b'{"ok":1}', 20.0, 10.0))
+def serve(entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
+    on_result(SendResult(SendOutcome.SERVED, True, b'{"ok":1}', 20.0, 10.0))
     return None
 
 
@@ -81,12 +81,12 @@
         component = QueueComponent(config, observations, CollectorRegistry(), random.Random(1), records)
         rejected = list[str]()
 
-        def send(entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
+        def send(entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
             if not observations.reachable:
                 rejected.append(entry.name)
-                ended(SendResult(SendOutcome.REJECTED, False))
+                on_result(SendResult(SendOutcome.REJECTED, False))
                 return None
-            return serve(entry, ended)
+            return serve(entry, on_result)
 
         component.sender = send
         with anyio.fail_after(20):
--- a/tests/store/test_kills.py
+++ b/tests/store/test_kills.py
@@ -15,7 +15,7 @@
 )
 from ringledge.store.entry import EntryOutcome
 from ringledge.store.schema import connect
-from ringledge.store.seal import COLUMNS, row_seal
+from ringledge.store.seal import COLUMNS, row_checksum
 
 
 def test_kills_at_random_lose_no_accepted_request_and_send_no_booking_twice(tmp_path: Path) -> None:
@@ -77,7 +77,7 @@
     db.execute(corruption, (name,))
     if "state" in corruption:  # sealed, as a faulty transition would leave it
         row = db.execute(f"SELECT {COLUMNS} FROM entries WHERE name = ?", (name,)).fetchone()
-        db.execute("UPDATE entries SET seal = ? WHERE name = ?", (row_seal(tuple(row)), name))
+        db.execute("UPDATE entries SET seal = ? WHERE name = ?", (row_checksum(tuple(row)), name))
     db.close()
 
     found = violations(observed, read_entries(path, list(observed.accepted)))
--- a/tests/store/test_replayer.py
+++ b/tests/store/test_replayer.py
@@ -30,9 +30,9 @@
         self.out: dict[str, Callable[[SendResult], None]] = {}
         self.cancelled: list[str] = []
 
-    def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
+    def __call__(self, entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
         self.sent.append(entry.name)
-        self.out[entry.name] = ended
+        self.out[entry.name] = on_result
         outer = self
 
         class Out:
