--- a/ringledge/members/__init__.py
+++ b/ringledge/members/__init__.py
@@ -1,1 +1,1 @@
-"""Datagrams, duties and facts between instances."""
+"""Cluster membership: datagrams between members, leased duties and replicated records."""
--- a/ringledge/members/address_book.py
+++ b/ringledge/members/address_book.py
@@ -1,4 +1,4 @@
-"""The network addresses of other members: configured, advertised by themselves, or learnt from datagrams."""
+"""Network addresses of other members, which are configured, advertised, or learnt from received datagrams."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from ringledge.members.codec import DatagramError, DropReason
 from ringledge.members.datagrams import Endpoint, parse_endpoint
 
-MAX_SOURCES = 256  # names whose latest source address is remembered
+MAX_SOURCES = 256  # bounds the source addresses remembered; the least recently learnt is evicted
 
 
 class AddressBook:
-    """Resolves names of members. `configured`: IP:PORT by name."""
+    """Resolves member names to endpoints. `configured` maps names to IP:PORT addresses."""
 
     def __init__(self, configured: Mapping[str, str]) -> None:
         self._configured = dict(configured)
-        self._sources: dict[str, Endpoint] = {}  # the least recently learnt first
+        self._sources: dict[str, Endpoint] = {}  # by member name, least recently learnt first
 
     def is_configured(self, name: str) -> bool:
-        """Whether the settings list a member of this name."""
+        """Whether the settings contain an address for this member."""
         return name in self._configured
 
     def learn(self, name: str, source: Endpoint) -> None:
-        """Remember the source of a member's latest datagram."""
+        """Store the source address of the latest datagram from a member."""
         self._sources.pop(name, None)
         self._sources[name] = source
         if len(self._sources) > MAX_SOURCES:
             del self._sources[next(iter(self._sources))]
 
     def resolve(self, name: str, member: Member | None) -> Endpoint:
-        """Where to send to a member: the configured address, the advertised one, or its latest source.
+        """Return the configured address of a member, else its advertised one, else its latest source.
 
-        `member`: the latest known member of the name. DatagramError where none of them is known.
+        `member` is the latest known member with that name. Raises DatagramError if no address is known.
         """
         address = self._configured.get(name) or ("" if member is None else member.address)
         if address:
--- a/ringledge/members/clock_adapter.py
+++ b/ringledge/members/clock_adapter.py
@@ -1,4 +1,4 @@
-"""Runs a decider on a clock of its own, beside deciders on the runner's clock."""
+"""Adapter for a decider whose clock differs from the clock of the service that runs it."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 
 def boottime_s() -> float:
-    """The clock of leases, s: monotonic, also while the process is stopped or the machine sleeps."""
+    """Return CLOCK_BOOTTIME in seconds: monotonic, and it advances while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ClockAdapter:
-    """Implements Decider: translates between the runner's clock and the decider's.
+    """Implements Decider by translating between the clock of the service and that of the wrapped decider.
 
-    Leases expire also while the machine sleeps; the other deciders run on the ordinary monotonic clock. The
-    two clocks run at the same rate otherwise.
+    Leases also expire while the machine is suspended, so their decider needs CLOCK_BOOTTIME. The other
+    deciders use the monotonic clock, which runs at the same rate but stops during suspension.
     """
 
     def __init__(
-        self, decider: Decider, decider_clock: Callable[[], float], runner_clock: Callable[[], float]
+        self, decider: Decider, decider_clock: Callable[[], float], service_clock: Callable[[], float]
     ) -> None:
         self._decider = decider
         self._decider_clock = decider_clock
-        self._runner_clock = runner_clock
+        self._service_clock = service_clock
 
     def receive(self, now_s: float, sender: str, message: Any) -> list[Action]:
-        """Handle a message, at the decider's time instead of `now_s`."""
+        """Pass on a message with the decider's own time; `now_s` is ignored."""
         return self._decider.receive(self._decider_clock(), sender, message)
 
     def tick(self, now_s: float) -> list[Action]:
-        """Do what is due, at the decider's time instead of `now_s`."""
+        """Tick the decider with its own time; `now_s` is ignored."""
         return self._decider.tick(self._decider_clock())
 
     def next_tick_s(self) -> float:
-        """When the next call of `tick` is needed, on the runner's clock."""
-        return self._decider.next_tick_s() - self._decider_clock() + self._runner_clock()
+        """Return when `tick` is due next, on the clock of the service."""
+        return self._decider.next_tick_s() - self._decider_clock() + self._service_clock()
--- a/ringledge/members/cluster.py
+++ b/ringledge/members/cluster.py
@@ -1,4 +1,4 @@
-"""What the components of this process share that take part in the cluster."""
+"""State shared by the components of this process that take part in the cluster."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 
 
 def _no_lease(duty: str) -> None:
-    """Without a lease manager there is nothing to release."""
+    """Do nothing; the default where this process has no lease manager."""
 
 
 @dataclass(slots=True, eq=False)
 class ClusterMember:
-    """The member that this process is, and the duties that its components offer."""
+    """The cluster member of this process, and the duties that its components can perform."""
 
     members: MembersComponent
-    duties: dict[str, Duty] = field(default_factory=dict)  # by name; the lease holder performs it
-    release_duty: Callable[[str], None] = _no_lease  # for a lease holder that can't perform its duty
+    duties: dict[str, Duty] = field(
+        default_factory=dict
+    )  # by name; each is performed only by its lease holder
+    release_duty: Callable[[str], None] = _no_lease  # called by a lease holder that cannot perform its duty
--- a/ringledge/members/codec.py
+++ b/ringledge/members/codec.py
@@ -1,9 +1,17 @@
-"""Encodes messages of deciders as datagrams, numbered and authenticated; invalid ones are dropped by reason.
-
-Layout, integers big-endian: version (1 byte), kind (1), cluster (4, hash of its name), sequence number (5,
-counts the sender's datagrams), the sender's start (6), the recipient's start as the sender knows it (6, 0:
-unknown), length of the sender's name (1), the name, tag (12, BLAKE2b keyed with the cluster's key over all
-other bytes), body (msgpack). 256 bytes at most.
+"""Encodes messages between deciders as numbered, authenticated datagrams, and validates received ones.
+
+A datagram has at most 256 bytes. Its fields, with integers in big-endian order:
+
+    version          1 byte
+    message kind     1 byte
+    cluster          4 bytes, hash of the cluster's name
+    sequence number  5 bytes, counts the sender's datagrams
+    start            6 bytes, start number of the sender
+    recipient start  6 bytes, start number of the recipient as known to the sender; 0 if unknown
+    name length      1 byte
+    name             the sender's name
+    tag              12 bytes, BLAKE2b over all other bytes, keyed with the cluster's key
+    body             msgpack
 """
 
 from __future__ import annotations
@@ -22,13 +30,13 @@
 
 VERSION = 1
 MIN_KEY_BYTES = 16
-MAX_KEY_BYTES = 64  # BLAKE2b takes no longer one
-# The first kind of each decider; its message types follow in the order of its MESSAGES. A new decider adds a
-# line here; a type is added at the end of its MESSAGES, none is ever removed.
+MAX_KEY_BYTES = 64  # limit of BLAKE2b
+# Each decider has a range of message kinds, one per type in the order of its MESSAGES. Kinds are part of the
+# wire format: append new types to MESSAGES and never remove any; a new decider gets a new range here.
 KINDS_PER_DECIDER = 16
 FIRST_KIND = {"membership": 0, "facts": 16, "leases": 32, "duties": 48, "replay": 64, "ratio": 80}
 MAX_SEQUENCE = (1 << 40) - 1
-# Offsets of the header's fields, in bytes.
+# Offsets of header fields in bytes.
 CLUSTER_OFFSET = 2
 SEQUENCE_OFFSET = 6
 START_OFFSET = 11
@@ -38,7 +46,7 @@
 
 
 class DropReason(enum.Enum):
-    """Why a datagram was not accepted, or not sent."""
+    """Why a datagram was not accepted or not sent. The values are metric labels and appear in logs."""
 
     TOO_LONG = "too_long"
     TOO_SHORT = "too_short"
@@ -47,17 +55,17 @@
     TAG = "tag"
     KIND = "kind"
     BODY = "body"
-    SENDER_UNKNOWN = "sender_unknown"  # a name that is not permitted here, or an inactive member
-    OTHER_START = "other_start"  # addressed to a predecessor of this member
+    SENDER_UNKNOWN = "sender_unknown"  # not permitted to join, or not an active member
+    OTHER_START = "other_start"  # addressed to another start of this member, such as a predecessor
     REPLAYED = "replayed"
-    MEMBER_STOPPED = "silent"  # this member has left or was superseded
-    BUFFER_FULL = "full"
+    MEMBER_STOPPED = "silent"  # the local member has left or was superseded
+    BUFFER_FULL = "full"  # the send or receive buffer of the socket
     NO_ADDRESS = "no_address"
-    NETWORK = "network"  # the system could not send it
+    NETWORK = "network"  # the operating system failed to send it
 
 
 class DatagramError(Exception):
-    """A datagram that can't be accepted or sent."""
+    """A datagram cannot be accepted or sent."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -66,27 +74,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedDatagram:
-    """A decoded datagram."""
+    """A decoded and authenticated datagram."""
 
     sender: str
-    start: int  # the sender's
-    to_start: int  # the recipient's as the sender knows it; 0: unknown
+    start: int  # start number of the sender
+    to_start: int  # start number of the recipient as known to the sender; 0 if unknown
     sequence: int
     message: msgspec.Struct
 
 
 class Codec:
-    """Encodes the datagrams of one member, and decodes those of others.
+    """Encodes the datagrams of the local member and decodes those of others.
 
-    `tables`: the MESSAGES of each decider by its name in FIRST_KIND. `key`: shared by all members, 16 to 64
-    bytes. ValueError where key, name or tables exceed the layout.
+    `tables` maps the decider names in FIRST_KIND to their MESSAGES. `key` is shared by all members and has 16
+    to 64 bytes. Raises ValueError if the key, the name or a table does not fit the datagram format.
     """
 
     def __init__(
         self, cluster: str, key: bytes, name: str, tables: Mapping[str, tuple[type[msgspec.Struct], ...]]
     ) -> None:
         if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
-            raise ValueError(f"key: {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
+            raise ValueError(f"key: length must be {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
         self._key = key
         self._name = validated_name(name).encode()
         self._cluster = hashlib.blake2b(cluster.encode(), digest_size=4).digest()
@@ -94,7 +102,7 @@
         self._decoders: dict[int, msgspec.msgpack.Decoder[Any]] = {}
         for decider, message_types in tables.items():
             if len(message_types) > KINDS_PER_DECIDER:
-                raise ValueError(f"{decider}: more than {KINDS_PER_DECIDER} kinds of messages")
+                raise ValueError(f"{decider}: more than {KINDS_PER_DECIDER} message types")
             for kind, message_type in enumerate(message_types, FIRST_KIND[decider]):
                 self._kinds[message_type] = kind
                 self._decoders[kind] = msgspec.msgpack.Decoder(message_type)
@@ -102,7 +110,10 @@
         self._sequence = 0
 
     def encode(self, message: msgspec.Struct, start: int, to_start: int) -> bytes:
-        """A datagram with the next sequence number; DatagramError: it is too long, or of an unknown kind."""
+        """Encode a message under the next sequence number.
+
+        Raises DatagramError if the datagram would be too long or no decider has this type of message.
+        """
         kind = self._kinds.get(type(message))
         if kind is None:
             raise DatagramError(DropReason.KIND)
@@ -124,7 +135,7 @@
         return header + self._tag(header, body) + body
 
     def decode(self, datagram: bytes) -> ReceivedDatagram:
-        """The contents of a datagram; DatagramError with the reason where it is invalid."""
+        """Authenticate and decode a datagram; raises DatagramError with the reason if it is invalid."""
         header, body = self._authenticate(datagram)
         decoder = self._decoders.get(header[1])
         if decoder is None:
@@ -143,10 +154,13 @@
         )
 
     def _authenticate(self, datagram: bytes) -> tuple[bytes, bytes]:
-        """Header with name, and body; DatagramError: it is malformed, of another cluster, or forged."""
+        """Return the header, including the name, and the body.
+
+        Raises DatagramError if the datagram is malformed, of another cluster, or wrongly authenticated.
+        """
         if len(datagram) > MAX_DATAGRAM_BYTES:
             raise DatagramError(DropReason.TOO_LONG)
-        if len(datagram) < FIXED_HEADER_BYTES + 2:  # name and body have at least one byte each
+        if len(datagram) < FIXED_HEADER_BYTES + 2:  # at least one byte each of name and body
             raise DatagramError(DropReason.TOO_SHORT)
         if datagram[0] != VERSION:
             raise DatagramError(DropReason.VERSION)
--- a/ringledge/members/component.py
+++ b/ringledge/members/component.py
@@ -1,4 +1,4 @@
-"""Members as a component of the program: built from the settings, started, asked for readiness, stopped."""
+"""Life cycle of cluster membership in this process: construction from settings, start, readiness, stop."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
 from ringledge.members.settings import MembersConfig, with_platform_config
 from ringledge.observe.logging import log
 
-BIND_RETRY_INTERVAL_S = 0.05  # a predecessor that hands over releases the address only when it stops
-ALONE_S = 2.0  # a member that finds no other for so long considers itself the first, and ready
+BIND_RETRY_INTERVAL_S = 0.05  # a predecessor holds the address until it stops after the hand-over
+SOLE_MEMBER_TIMEOUT_S = 2.0  # a member that has found no other by then is ready as the first of its cluster
 
 
 class MembersComponent:
-    """The member that this process is.
+    """Runs the local member.
 
-    `relay_config`: RELAY_CONFIG as read, for peer_listen, peers and peers_all. ValueError: invalid settings.
-    Further deciders, and hooks for leases and changes, are to be added before the start.
+    `relay_config` is the parsed RELAY_CONFIG, of which peer_listen, peers and peers_all are used. Raises
+    ValueError for invalid settings. Additional deciders and hooks have to be added before `start`.
     """
 
     def __init__(
@@ -54,8 +54,9 @@
         self._settings = with_platform_config(settings, relay_config)
         self._key = self._settings.key()
         self._metrics = MemberMetrics(registry)
-        # There may be no lasting disk: the wall clock grows over restarts. Where it was set back, a member
-        # learns of its predecessor and continues above its start.
+        # The start number has to grow with each restart. It is read from the wall clock, since there may be
+        # no persistent disk. If that clock was set back, the member raises its start above that of its
+        # predecessor as soon as it learns of it.
         start = time.time_ns() // 1_000_000
         address = self._settings.advertise or self._settings.listen
         seeds = [*self._settings.peers, *([BROADCAST] if self._settings.broadcast_address else [])]
@@ -69,29 +70,32 @@
         self._scope = anyio.CancelScope()
         self._created_s = time.monotonic()
         self._bound = anyio.Event()
-        self._address = ""  # known once bound
+        self._address = ""  # set once the socket is bound
 
     def add_decider(self, name: str, decider: Decider, message_types: MessageTypes) -> None:
-        """Run a further decider, by its name in the codec's table."""
+        """Add a decider to run; `name` is its key in the codec's FIRST_KIND."""
         self._deciders.add(name, decider, message_types)
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start; returns at once."""
+        """Start the member in a task and return immediately."""
         tasks.start_soon(self._run)
 
     async def wait_bound(self) -> str:
-        """Wait until the socket is bound; its address."""
+        """Wait until the socket is bound; returns its address."""
         await self._bound.wait()
         return self._address
 
     def is_ready(self) -> bool:
-        """Whether the other members are known: one was found, or none for so long that this is the first."""
+        """Whether another member was found, or none within the time-out, so that this is the first one."""
         if not self._bound.is_set():
             return False
-        return len(self.membership.active_members()) > 1 or time.monotonic() - self._created_s >= ALONE_S
+        return (
+            len(self.membership.active_members()) > 1
+            or time.monotonic() - self._created_s >= SOLE_MEMBER_TIMEOUT_S
+        )
 
     def stop(self) -> None:
-        """Announce that the member leaves, and release the address."""
+        """Announce to the others that the member leaves, and close the socket."""
         if self.service is not None and self._bound.is_set():
             self.service.leave()
         self._scope.cancel()
@@ -107,7 +111,9 @@
                 hook()
             try:
                 settings = self._settings
-                if settings.listen.endswith(":0") and not settings.advertise:  # the system chose the port
+                if (
+                    settings.listen.endswith(":0") and not settings.advertise
+                ):  # the operating system has chosen the port
                     self.membership.set_address(socket.address)
                 self.service = self._build_service(socket)
                 self._address = socket.address
@@ -118,7 +124,7 @@
                 socket.close()
 
     async def _bind(self) -> DatagramSocket:
-        """The socket, as soon as no other process has its address."""
+        """Bind the socket, retrying while another process uses the address."""
         is_logged = False
         while True:
             try:
@@ -143,7 +149,7 @@
 
 
 def _log_change(change: MembershipChange) -> None:
-    """Log a change that on-call staff may ask about."""
+    """Log a membership change that operators may need to know of."""
     match change:
         case MemberJoined(member):
             log.info("member_joined", member=member.name, start=member.start, address=member.address)
--- a/ringledge/members/deciders.py
+++ b/ringledge/members/deciders.py
@@ -1,4 +1,4 @@
-"""The deciders that a member runs, with the message types of each."""
+"""Table of the deciders that a member runs, with the message types of each."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 @dataclass(slots=True)
 class DeciderTable:
-    """All deciders by their name in the codec's table, in the order in which they are ticked."""
+    """Deciders by their key in the codec's FIRST_KIND, in the order in which they are ticked."""
 
     membership: Membership
     records: ReplicatedRecords
-    _further: dict[str, tuple[Decider, MessageTypes]] = field(default_factory=dict)
+    _additional: dict[str, tuple[Decider, MessageTypes]] = field(default_factory=dict)
 
     def add(self, name: str, decider: Decider, message_types: MessageTypes) -> None:
-        """Add a decider of another subsystem."""
-        self._further[name] = (decider, message_types)
+        """Add a decider beside those of membership and replicated records."""
+        self._additional[name] = (decider, message_types)
 
     def all(self) -> list[Decider]:
-        """The deciders."""
+        """Return all deciders in tick order."""
         return [decider for decider, _ in self._entries().values()]
 
     def message_types(self) -> Mapping[str, MessageTypes]:
-        """The message types of each decider, by its name."""
+        """Return the message types of each decider by its name."""
         return {name: message_types for name, (_, message_types) in self._entries().items()}
 
     def by_message_type(self) -> Mapping[type[msgspec.Struct], Decider]:
-        """The decider that takes messages of each type."""
+        """Return the decider that handles each type of message."""
         return {
             message_type: decider
             for decider, message_types in self._entries().values()
@@ -48,5 +48,5 @@
         return {
             "membership": (self.membership, swim.MESSAGES),
             "facts": (self.records, replicated_records.MESSAGES),
-            **self._further,
+            **self._additional,
         }
--- a/ringledge/members/duty.py
+++ b/ringledge/members/duty.py
@@ -1,24 +1,27 @@
-"""The interface between a duty and the holder of its lease."""
+"""The interface of a duty, which one member at a time performs while it holds the duty's lease."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-LeaseCheck = Callable[[], bool]  # whether the lease is held at this moment of this process's own clock
+LeaseCheck = Callable[[], bool]  # whether the lease is held now, by the local clock
 
 
 class Duty(Protocol):
-    """Work that one member does at a time."""
+    """Work that is performed by the holder of its lease only."""
 
     def begin(self, token: int) -> None:
-        """Start under a fencing token, which each effect from here on carries."""
+        """Start under a fencing token, which every effect has to carry until `stop`."""
         ...
 
     async def step(self, token: int, is_held: LeaseCheck, /) -> float:
-        """One step, `is_held` checked right before each effect; s until the next step. May be cancelled."""
+        """Perform one step and return the seconds until the next one; the step may be cancelled.
+
+        `is_held` has to be checked immediately before each effect.
+        """
         ...
 
     def stop(self) -> None:
-        """Begin nothing new: the lease is not held any more."""
+        """Stop starting new work, because the lease is no longer held."""
         ...
--- a/ringledge/members/duty_runner.py
+++ b/ringledge/members/duty_runner.py
@@ -1,9 +1,12 @@
-"""Runs the duties whose leases this member holds: begun with a token, a step at a time, stopped at the end.
+"""Runs the duties whose leases this member holds.
 
-Whether a lease is still held is read from this process's own clock before each step, and by the duty itself
-right before each effect. That clock is the one that ticks the leases (`clock_adapter.boottime_s` in the
-program): it runs on while the process is stopped or the machine sleeps. A process suspended between that
-check and its effect acts late all the same: each effect carries its token, and its receiver checks it by a
+A duty begins with a fencing token, runs in steps, and is stopped when the lease ends. Before each step the
+runner checks by the local clock that the lease is held, and the duty checks it again before each effect. That
+clock is the one of the leases (`clock_adapter.boottime_s` in the program), which advances while the process
+is stopped or the machine is suspended.
+
+The check alone is not sufficient: a process that is suspended between the check and the effect acts after the
+lease has expired. Therefore each effect carries its token, and the receiver rejects outdated tokens with a
 `ringledge.decide.leases.fencing.FencingTokenCheck`.
 """
 
@@ -25,16 +28,17 @@
 Clock = Callable[[], float]
 Sleep = Callable[[float], Awaitable[None]]
 
-STEP_RETRY_INTERVAL_S = 1.0  # after a step that raised: neither a busy loop nor a duty undone
-LEASE_POLL_INTERVAL_S = 0.02  # where the lease has expired by the clock and its end is not reported yet
-MAX_FAILED_STEPS = 5  # in a row; then the duty is released, for another member may do better
+STEP_RETRY_INTERVAL_S = 1.0  # after a step that raised; avoids a busy loop without neglecting the duty
+LEASE_POLL_INTERVAL_S = 0.02  # while the lease has expired by the clock but `LeaseEnded` has not arrived
+MAX_FAILED_STEPS = 5  # consecutive ones, after which the duty is released so that another member can try
 
 
 class DutyEvent(StrEnum):
-    """What happened to a duty of this member; the values appear in logs and counters."""
+    """Event in the life of a duty on this member; the values appear in logs and counters."""
 
     BEGUN = "begun"
-    GIVEN_UP = "given_up"  # the reasons of `LeaseEnded`
+    # The next three are the reasons of `LeaseEnded`.
+    GIVEN_UP = "given_up"
     EXPIRED = "expired"
     STOPPED = "stopped"
     STEP_FAILED = "step_failed"
@@ -42,16 +46,16 @@
 
 @dataclass(slots=True)
 class _Holding:
-    """One holding of a duty, from its begin until its task has stopped."""
+    """A period in which this member holds the lease of a duty; it lasts until the task has stopped."""
 
     token: int
-    predecessor_stopped: anyio.Event | None  # None: the duty's first holding here
+    predecessor_stopped: anyio.Event | None  # end of the holding before; None for the first one
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     stopped: anyio.Event = field(default_factory=anyio.Event)
 
 
 class DutyRunner:
-    """Carries out `LeaseAcquired` and `LeaseEnded`, with a task for each holding."""
+    """Starts a task for each `LeaseAcquired` and stops it at `LeaseEnded`."""
 
     def __init__(
         self,
@@ -62,20 +66,20 @@
         clock: Clock = time.monotonic,
         sleep: Sleep = anyio.sleep,
     ) -> None:
-        """`clock`: the one that ticks the leases. `release(duty)`: called where the steps keep failing."""
+        """`clock` has to be the clock of the leases; `release(duty)` is called if its steps keep failing."""
         self._duties = duties
         self._tokens = tokens
         self._group = group
         self._release = release
         self._clock = clock
         self._sleep = sleep
-        self._holdings: dict[str, _Holding] = {}  # by duty: the current ones
-        # Invariant: a duty's next holding begins only after this event of the one before is set.
-        self._last_stopped: dict[str, anyio.Event] = {}  # by duty: of its latest holding
+        self._holdings: dict[str, _Holding] = {}  # current ones by duty
+        # Invariant: a holding of a duty begins only after the previous one has set this event.
+        self._last_stopped: dict[str, anyio.Event] = {}  # event of the latest holding, by duty
         self.counts: Counter[DutyEvent] = Counter()
 
     def apply(self, action: Action) -> None:
-        """Begin or stop a duty; other actions, and ends of earlier holdings, are ignored."""
+        """Begin or stop a duty; ignores other actions, and `LeaseEnded` of an earlier holding."""
         match action:
             case LeaseAcquired() if action.duty in self._duties:
                 self._begin(action.duty, action.token)
@@ -86,11 +90,11 @@
                     self._stop(action.duty)
 
     def running(self) -> dict[str, int]:
-        """The tokens of the duties that run here."""
+        """Return the fencing tokens of the duties that are held here, by duty."""
         return {duty: holding.token for duty, holding in self._holdings.items()}
 
     async def stop_all(self) -> None:
-        """Stop all duties, and wait until their tasks have ended."""
+        """Stop all duties and wait until their tasks have ended."""
         for duty in [*self._holdings]:
             self._stop(duty)
         for stopped in [*self._last_stopped.values()]:
@@ -109,14 +113,14 @@
             holding.scope.cancel()
 
     def _is_held(self, duty: str, token: int) -> bool:
-        """Whether the lease is held under the token, by the clock now."""
+        """Whether the lease is held under this token at the current time of the clock."""
         holding = self._holdings.get(duty)
         if holding is None or holding.token != token:
             return False
         return self._tokens.token(self._clock(), duty) == token
 
     async def _run(self, name: str, holding: _Holding) -> None:
-        """Run one holding, once the one before of the same duty has stopped."""
+        """Run one holding after the previous one of the same duty has stopped."""
         duty = self._duties[name]
         begun = False
         try:
@@ -132,7 +136,7 @@
             holding.stopped.set()
 
     async def _run_steps(self, name: str, duty: Duty, token: int) -> None:
-        """Step until cancelled, or until too many steps in a row have failed."""
+        """Run steps until cancelled; after too many consecutive failures, release the duty."""
         failed_steps = 0
         while failed_steps < MAX_FAILED_STEPS:
             wait_s = LEASE_POLL_INTERVAL_S
--- a/ringledge/members/duty_settings.py
+++ b/ringledge/members/duty_settings.py
@@ -1,4 +1,4 @@
-"""The settings in deploy/duties.toml."""
+"""Settings of leased duties: the keys of deploy/duties.toml."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class DutiesConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who the acceptors are, how long a lease lasts, and how far clocks may drift."""
+    """The acceptors, the duration of leases, the assumed clock drift, and how duties are distributed."""
 
     acceptors: Annotated[list[Name], Meta(min_length=3, max_length=5)] = msgspec.field(name="voters")
     generation: Annotated[int, Meta(ge=1, le=MAX_GENERATION)] = 1
     lease_s: LeaseSeconds = 3.0
-    max_lease_s: LeaseSeconds | None = msgspec.field(name="longest_s", default=None)  # None: lease_s
+    max_lease_s: LeaseSeconds | None = msgspec.field(name="longest_s", default=None)  # None means lease_s
     clock_drift: Annotated[float, Meta(ge=0, le=0.5)] = msgspec.field(name="rate", default=0.1)
     max_candidates: Annotated[int, Meta(ge=2, le=200)] = msgspec.field(name="candidates", default=5)
     overloaded_delay_s: Annotated[float, Meta(ge=0, le=3600)] = msgspec.field(
@@ -28,17 +28,17 @@
     )
 
     def __post_init__(self) -> None:
-        self.terms()  # raises ValueError where they are inconsistent
+        self.terms()  # raises ValueError if the settings are inconsistent
         if any(len(name.encode()) > MAX_NAME_BYTES for name in self.acceptors):
-            raise ValueError(f"voters: names of at most {MAX_NAME_BYTES} bytes")
+            raise ValueError(f"voters: a name must have at most {MAX_NAME_BYTES} bytes")
 
     def terms(self) -> LeaseTerms:
-        """What all members have to agree on."""
+        """Return the terms that all members have to agree on."""
         max_lease_s = self.lease_s if self.max_lease_s is None else self.max_lease_s
         return LeaseTerms(tuple(self.acceptors), self.lease_s, max_lease_s, self.clock_drift, self.generation)
 
     def acquisition_delays(self) -> AcquisitionDelays:
-        """How duties are spread over members."""
+        """Return the delays by which duties are distributed over the members."""
         return AcquisitionDelays(
             max_candidates=self.max_candidates,
             overloaded_s=self.overloaded_delay_s,
--- a/ringledge/members/metrics.py
+++ b/ringledge/members/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of members, in the program's registry only while members are enabled."""
+"""Prometheus metrics of cluster membership, registered only if membership is enabled."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Direction(enum.Enum):
-    """Which way a datagram goes."""
+    """Direction of a datagram; the values are metric labels."""
 
     SENT = "sent"
     RECEIVED = "heard"
 
 
 class MemberMetrics:
-    """Counts of datagrams sent, received and dropped, of failures, and the number of active members."""
+    """Counters of sent, received and dropped datagrams and of failed members, and a gauge of active ones."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self._datagrams = Counter(
@@ -41,19 +41,19 @@
         )
 
     def record_sent(self, size_bytes: int) -> None:
-        """Count a datagram that was sent."""
+        """Count a sent datagram."""
         self._record(Direction.SENT, size_bytes)
 
     def record_received(self, size_bytes: int) -> None:
-        """Count a datagram that was received, whether it is accepted or dropped."""
+        """Count a received datagram, whether it is accepted or dropped."""
         self._record(Direction.RECEIVED, size_bytes)
 
     def record_dropped(self, direction: Direction, reason: DropReason, count: int = 1) -> None:
-        """Count datagrams that were not sent, or not accepted."""
+        """Count datagrams that were not sent or not accepted."""
         self._dropped.labels(direction.value, reason.value).inc(count)
 
     def record_failure(self, reason: FailureReason) -> None:
-        """Count a member that was declared failed."""
+        """Count a member that was declared failed, with the reason."""
         self._failures.labels(reason.value).inc()
 
     def _record(self, direction: Direction, size_bytes: int) -> None:
--- a/ringledge/members/planner.py
+++ b/ringledge/members/planner.py
@@ -1,7 +1,7 @@
-"""The planner of roles as work under a lease: reads the records, decides, publishes assignments.
+"""Duty of the role planner: reads demand and server records, plans server roles, and publishes assignments.
 
-The part that holds leases begins it with a fencing token, calls its steps while the lease runs, and stops it.
-Without a holder the last assignments stay in force at every conductor.
+The duty runner begins it with a fencing token, calls its steps while the lease is held, and stops it. While
+no member holds the lease, every conductor keeps the last assignments.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 
 
 class FleetView(Protocol):
-    """The servers and members that the planner plans for."""
+    """Provides the servers and members that the planner plans for."""
 
     def servers(self) -> Sequence[ListedServer]:
-        """The servers of the server list."""
+        """Return the servers in the endpoint list."""
         ...
 
     def members(self) -> Mapping[str, str]:
-        """The site of each member that is alive."""
+        """Return the site of each active member by its name."""
         ...
 
 
 class RolePlannerService:
-    """Plans roles while the planner's lease is held; implements `Duty`."""
+    """Plans server roles while the lease is held; implements `Duty`."""
 
     def __init__(
         self,
@@ -54,28 +54,31 @@
         registry: RoleRegistry,
         clock: Callable[[], float],
     ) -> None:
-        """`registry`: of this conductor, which receives all assignments; `clock`: monotonic, in s."""
+        """`registry` belongs to this conductor and receives all assignments; `clock` is monotonic, in s."""
         self.settings = settings
         self._records = records
         self._fleet = fleet
         self._registry = registry
         self._clock = clock
         self._planner = RolePlanner(settings, registry)
-        self._published = set[str]()  # keys of the assignments of this member
+        self._published = set[str]()  # keys of the assignments that this member has written
         self._next_round_s = 0.0
         self.malformed = 0  # records that could not be decoded
-        self.role_change_count = 0  # changes of role begun
+        self.role_change_count = 0  # role changes begun by this planner
 
     def begin(self, token: int) -> None:
-        """Begin a term under a new fencing token; nothing is published before the first step."""
+        """Begin under a new fencing token; nothing is published before the first step."""
         self._planner.begin(self._clock(), token)
         self._next_round_s = self._clock()
 
     async def step(self, token: int, is_held: LeaseCheck) -> float:
-        """Run a planning round if one is due; returns s until the next. `is_held` is checked per effect."""
+        """Run a planning round if one is due; returns the seconds until the next step.
+
+        `is_held` is checked before each assignment is published.
+        """
         interval_s = self.settings.planning_interval_s
         if token != self._planner.token:
-            return interval_s  # of a term that has ended
+            return interval_s  # the token belongs to an earlier holding of the lease
         now_s = self._clock()
         self._receive_assignments(now_s)
         for server, assignment in self._planner.reissued_assignments(now_s).items():
@@ -94,11 +97,11 @@
         return interval_s
 
     def stop(self) -> None:
-        """The lease is lost or given up; published assignments stay in force."""
+        """Stop planning because the lease has ended; published assignments remain in force."""
         self._planner.token = 0
 
     def _receive_assignments(self, now_s: float) -> None:
-        """Receive all assignments, above all those of the predecessor."""
+        """Read all assignments from the records, in particular those of the previous lease holder."""
         for server, assignment in decode_assignments(self._records.values(now_s, KEY_PREFIX)):
             self._registry.receive(now_s, server, assignment)
 
@@ -112,7 +115,7 @@
         return result
 
     def _publish(self, server: str, assignment: RoleAssignment, is_held: LeaseCheck) -> bool:
-        """Publish an assignment; False where the lease is lost."""
+        """Publish an assignment; returns False if the lease is no longer held."""
         if not is_held():
             return False
         now_s = self._clock()
@@ -123,24 +126,26 @@
         return True
 
     def _delete_unlisted(self, now_s: float, listed: set[str]) -> None:
-        """Delete the assignments of servers that are no longer listed."""
+        """Delete the assignments of servers that are no longer in the endpoint list."""
         for key in [key for key in self._published if key.partition("/")[2] not in listed]:
             self._records.delete(now_s, key)
             self._published.discard(key)
 
-    def _read_reports(self, now_s: float, prefix: str, kind: type[Report]) -> dict[tuple[str, str], Report]:
-        """Records of one type, by member and the rest of the key; malformed ones are counted."""
+    def _read_reports(
+        self, now_s: float, prefix: str, report_type: type[Report]
+    ) -> dict[tuple[str, str], Report]:
+        """Decode the records under a prefix, by member and key without the prefix; counts malformed ones."""
         reports = dict[tuple[str, str], Report]()
         for (member, key), value in self._records.values(now_s, prefix).items():
             try:
-                reports[member, key.removeprefix(prefix)] = msgspec.msgpack.decode(value, type=kind)
+                reports[member, key.removeprefix(prefix)] = msgspec.msgpack.decode(value, type=report_type)
             except (msgspec.DecodeError, msgspec.ValidationError):
                 self.malformed += 1
         return reports
 
 
 def plan_summary(result: PlanningRound) -> dict[str, object]:
-    """The fields of the log event of a round that begins changes."""
+    """Return the log fields for a planning round that has begun role changes."""
     return {
         "moves": {server: assignment.role for server, assignment in result.assignments.items()},
         "wanted": {site: plan.prefill_target for site, plan in result.plans.items()},
--- a/ringledge/members/record_writer.py
+++ b/ringledge/members/record_writer.py
@@ -1,4 +1,4 @@
-"""Replicated records for other components: a write schedules the push at once."""
+"""Access to the replicated records for other components; each write is replicated without delay."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class RecordWriter:
-    """Implements RecordStore. `on_write` is called after each change, for the next tick is due sooner."""
+    """Implements RecordStore; calls `on_write` after each change, since the next tick is due earlier."""
 
     def __init__(self, records: ReplicatedRecords, on_write: Callable[[], None]) -> None:
         self._records = records
         self._on_write = on_write
 
     def write(self, now_s: float, key: str, value: bytes) -> None:
-        """Write a record of the local member; ValueError: it is too long, or there are too many keys."""
+        """Write a record of the local member; ValueError if it is too long or there are too many keys."""
         self._records.write(now_s, key, value)
         self._on_write()
 
@@ -25,5 +25,5 @@
         self._on_write()
 
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
-        """All known values under keys with a prefix, by the writer's name and the key."""
+        """Return all known values whose keys have the prefix, by the writer's name and the key."""
         return self._records.values(now_s, prefix)
--- a/ringledge/members/replay_sender.py
+++ b/ringledge/members/replay_sender.py
@@ -1,4 +1,4 @@
-"""The interface between the replayer and what sends its entries; the front ends implement it."""
+"""The interface by which the replayer sends queue entries; the fronts of client protocols implement it."""
 
 from __future__ import annotations
 
@@ -12,26 +12,32 @@
 
 @dataclass(slots=True, frozen=True)
 class SendResult:
-    """The result of sending one entry."""
+    """Result of an attempt to send a queue entry."""
 
     outcome: SendOutcome
     may_have_run: bool
-    answer: bytes = b""  # served: what the client gets; failed for good: the reason
-    work: float | None = None  # tokens of prefill and decode, where they are known
-    decode_work: float = 0.0  # those of decode
+    answer: bytes = b""  # if served, the response for the client; if failed permanently, the reason
+    work: float | None = None  # prefill and decode tokens together; None if not known
+    decode_work: float = 0.0  # decode tokens
 
 
 class SendHandle(Protocol):
-    """One entry in flight."""
+    """Handle of a queue entry in flight."""
 
     def cancel(self) -> bool:
-        """Cancel it; False for one that must not run twice: it runs on, and its result may still count."""
+        """Cancel the attempt; returns False if the entry must not run twice.
+
+        Such an attempt continues, and its result may still be accepted.
+        """
         ...
 
 
 class EntrySender(Protocol):
-    """Sends entries by the same routing as all other requests."""
+    """Sends queue entries through the same routing as all other requests."""
 
     def __call__(self, entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
-        """Start one; `on_result` is called once, maybe before this returns. None: it can't be sent at all."""
+        """Start an attempt; returns None if the entry cannot be sent at all.
+
+        Otherwise `on_result` is called exactly once, possibly before this method returns.
+        """
         ...
--- a/ringledge/members/replay_window.py
+++ b/ringledge/members/replay_window.py
@@ -1,29 +1,31 @@
-"""Detects duplicated and replayed datagrams by a window over the sequence numbers of each sender's start."""
+"""Detects duplicate and replayed datagrams by a sliding window of sequence numbers per sender and start."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-WINDOW_SIZE = 1024  # sequence numbers by which a datagram may be overtaken by others of its sender
-MAX_SENDERS = 1024  # starts of names that are remembered, the latest received
+WINDOW_SIZE = 1024  # a datagram that is this far behind the highest sequence number is rejected
+MAX_SENDERS = 1024  # bounds the windows kept; the least recently used one is evicted
 
 
 @dataclass(slots=True)
 class _SenderWindow:
-    """The highest sequence number, and a bit mask of those accepted: bit 0 is the highest, bit n n below."""
+    """Accepted sequence numbers as a bit mask; bit n stands for the one that is n below the highest."""
 
     highest: int
     accepted: int = 0
 
 
 class ReplayWindow:
-    """Tells new datagrams from duplicated or replayed ones."""
+    """Distinguishes new datagrams from duplicate or replayed ones."""
 
     def __init__(self) -> None:
-        self._windows: dict[tuple[str, int], _SenderWindow] = {}  # the least recently received first
+        self._windows: dict[
+            tuple[str, int], _SenderWindow
+        ] = {}  # by sender and start, least recently used first
 
     def accept(self, sender: str, start: int, sequence: int) -> bool:
-        """Whether a datagram is new as far as is remembered; from now on it is not."""
+        """Mark a datagram as received; returns whether it was new, False if it is too old to tell."""
         window = self._windows.pop((sender, start), None) or _SenderWindow(sequence)
         is_new = _accept(window, sequence)
         self._windows[sender, start] = window
@@ -34,7 +36,7 @@
 
 def _accept(window: _SenderWindow, sequence: int) -> bool:
     behind = window.highest - sequence
-    if behind >= WINDOW_SIZE:  # too old to tell
+    if behind >= WINDOW_SIZE:  # left the window
         return False
     if behind < 0:
         ahead = -behind
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -1,8 +1,9 @@
-"""The replay of one site's queue by the member that holds its lease.
+"""Replay of a site's queue by the member that holds the replay lease.
 
-Before an entry is sent, its start is on the disk with the fencing token; between that and the send the lease
-is checked once more. What has begun runs on when the lease is lost: nobody else ever sends a booking that has
-begun, and its result is rejected by the file if a newer holder has settled it.
+The start of an attempt is durable in the queue's file, with the fencing token, before the entry is sent; the
+lease is checked again in between. When the lease is lost, entries in flight that are not idempotent are not
+cancelled: no other holder ever sends them again, and the file rejects their results if a newer holder has
+already recorded an outcome.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 from ringledge.store.metrics import QueueMetrics
 from ringledge.store.queue import Queue
 
-HEADS_PER_TENANT = 4  # oldest entries of each tenant to choose from, besides as many as are in flight
-BUSY_INTERVAL_S = 0.05  # until the next step while entries wait or are in flight
-IDLE_INTERVAL_S = 0.5  # until the next step while there are none
-MAX_SENDS_PER_STEP = 8  # the lease is checked again soon
+HEADS_PER_TENANT = 4  # oldest entries read per tenant, in addition to the number of entries in flight
+BUSY_INTERVAL_S = 0.05  # between steps while entries wait or are in flight
+IDLE_INTERVAL_S = 0.5  # between steps otherwise
+MAX_SENDS_PER_STEP = 8  # bounds the duration of a step
 
 
 @dataclass(slots=True, frozen=True)
 class _UnsettledResult:
-    """The result of a send that is not on the disk yet."""
+    """Result of an attempt that has not been written to the queue's file yet."""
 
     entry: Entry
     token: int
@@ -38,7 +39,7 @@
 
 
 class Replayer:
-    """Replays a site's queue while its lease is held; implements `Duty`."""
+    """Replays a site's queue while the lease is held; implements `Duty`."""
 
     def __init__(
         self,
@@ -46,45 +47,45 @@
         send: EntrySender,
         make_scheduler: Callable[[float, int], ReplayScheduler],
         site_state: Callable[[], SiteState],
-        now_s: Callable[[], float],
-        figures: QueueMetrics | None = None,
+        clock: Callable[[], float],
+        metrics: QueueMetrics | None = None,
     ) -> None:
-        """`make_scheduler`: called for each term with time and token; `now_s`: a monotonic clock."""
+        """`make_scheduler(now_s, token)` is called at each lease acquisition; `clock` is monotonic, in s."""
         self._queue = queue
         self._send = send
         self._make_scheduler = make_scheduler
         self._site_state = site_state
-        self._now = now_s
-        self._figures = figures
-        self.tasks: anyio.abc.TaskGroup | None = None  # set before the first step
-        self.scheduler: ReplayScheduler | None = None  # None: the lease is not held
+        self._clock = clock
+        self._metrics = metrics
+        self.tasks: anyio.abc.TaskGroup | None = None  # has to be set before the first step
+        self.scheduler: ReplayScheduler | None = None  # None while the lease is not held
         self._token = 0
         self._adopted = False
         self._handles: dict[str, SendHandle] = {}
-        self._unsettled_results: list[_UnsettledResult] = []  # that the disk has not accepted yet
-        self._settling = 0  # results that are being written for the first time
+        self._unsettled_results: list[_UnsettledResult] = []  # results whose first write has failed
+        self._first_writes = 0  # number of results that are being written for the first time
         self._has_entries = False
         self._completed = anyio.Event()
 
     @property
     def in_flight_count(self) -> int:
-        """Entries that were sent and whose result is not on the disk."""
+        """Number of entries in flight, and of those whose result could not be written yet."""
         return len(self._handles) + len(self._unsettled_results)
 
     @property
     def unsettled_count(self) -> int:
-        """Results that have been received and are not on the disk."""
-        return len(self._unsettled_results) + self._settling
+        """Number of results that have been received but not written to the file."""
+        return len(self._unsettled_results) + self._first_writes
 
     def begin(self, token: int) -> None:
-        """Begin a term under a new fencing token."""
+        """Begin to replay under a new fencing token."""
         self._token = token
         self._adopted = False
-        self.scheduler = self._make_scheduler(self._now(), token)
+        self.scheduler = self._make_scheduler(self._clock(), token)
         log.info("replay_begun", token=token)
 
     def stop(self) -> None:
-        """The lease is lost or given up: idempotent entries are cancelled, the new holder sends them."""
+        """Stop because the lease has ended; cancels idempotent entries, which the next holder sends again."""
         if self.scheduler is not None:
             log.info("replay_stopped", token=self._token, under_way=self.in_flight_count)
         self.scheduler = None
@@ -93,8 +94,9 @@
     async def step(self, token: int, is_held: LeaseCheck) -> float:
         """Write unsettled results, then send the entries that are due; returns s until the next step.
 
-        Shielded: cancelled between a start on the disk and its send, a booking that was never sent would end
-        as unknown. It lasts some syncs, and `is_held` is checked before each effect.
+        The step is shielded from cancellation: if it were cancelled after the start of an attempt has been
+        written and before the send, an entry that is not idempotent would end as unknown although it was
+        never sent. A step takes a few syncs of the disk, and `is_held` is checked before each effect.
         """
         with anyio.CancelScope(shield=True):
             await self._step(token, is_held)
@@ -112,36 +114,36 @@
             log.rate_limited("queue_step_failed", why=error.reason.value, error=str(error))
 
     async def wait_for_completion(self, timeout_s: float) -> None:
-        """Wait until an entry has completed, so that the next step may come sooner."""
+        """Wait until a result has been written, so that the next step can run earlier, or time out."""
         with anyio.move_on_after(timeout_s):
             await self._completed.wait()
 
     async def settle(self) -> None:
-        """Write the results that the disk did not accept before."""
+        """Retry the write of results whose earlier writes have failed."""
         results, self._unsettled_results = self._unsettled_results, []
         for unsettled in results:
             await self._settle(unsettled)
 
     async def _adopt(self, token: int) -> None:
-        """Take the queue over from the holder before, once in a term."""
+        """Take over the queue from the previous lease holder, once per token."""
         if self._adopted:
             return
-        found = await self._queue.adopt(token)
+        adoption = await self._queue.adopt(token)
         self._adopted = True
-        for name in found.unknown:
-            self._report_end(name, EntryOutcome.UNKNOWN, token)
-        log.info("queue_taken_over", token=token, again=found.requeued, unknown=len(found.unknown))
+        for name in adoption.unknown:
+            self._report_outcome(name, EntryOutcome.UNKNOWN, token)
+        log.info("queue_taken_over", token=token, again=adoption.requeued, unknown=len(adoption.unknown))
 
     async def _send_due(self, scheduler: ReplayScheduler, token: int, is_held: LeaseCheck) -> None:
         probing = self._site_state() is not SiteState.AVAILABLE
         if probing:
             scheduler.rate_controller.close()
         else:
-            scheduler.rate_controller.open(self._now())
+            scheduler.rate_controller.open(self._clock())
         heads = await self._queue.oldest_entries(HEADS_PER_TENANT + scheduler.in_flight_count)
         self._has_entries = bool(heads) or bool(scheduler.in_flight_count)
         for _ in range(MAX_SENDS_PER_STEP):
-            head = scheduler.choose_next(self._now(), heads, probing)
+            head = scheduler.choose_next(self._clock(), heads, probing)
             if head is None:
                 return
             heads.remove(head)
@@ -151,27 +153,27 @@
     async def _send_entry(
         self, scheduler: ReplayScheduler, head: QueueHead, token: int, is_held: LeaseCheck
     ) -> bool:
-        """Send one entry; False where the lease is lost."""
+        """Send an entry; returns False if the lease is lost."""
         sent = False
         try:
             if not is_held():
                 return False
             entry = await self._queue.begin_attempt(head.name, token)
-            if entry.state is not EntryState.BEGUN:  # it has expired, or its row is corrupt
+            if entry.state is not EntryState.BEGUN:  # expired, or its row is corrupt
                 assert entry.outcome is not None
-                self._report_end(entry.name, entry.outcome, token)
+                self._report_outcome(entry.name, entry.outcome, token)
                 return True
-            if not is_held() or self.scheduler is not scheduler:  # lost during the sync; nothing was sent
+            if not is_held() or self.scheduler is not scheduler:  # lost while the start was written
                 await self._queue.record_failed_attempt(entry.name, token, may_have_run=False)
                 return False
             sent = True
             self._start(entry, token)
             return True
-        except InvalidTransitionError:  # its client withdrew it meanwhile
+        except InvalidTransitionError:  # withdrawn by its client in the meantime
             return True
         finally:
             if not sent:
-                scheduler.record_outcome(self._now(), head.name, SendOutcome.NOT_SENT)
+                scheduler.record_outcome(self._clock(), head.name, SendOutcome.NOT_SENT)
 
     def _start(self, entry: Entry, token: int) -> None:
         def on_result(result: SendResult) -> None:
@@ -180,7 +182,7 @@
         log.info("queue_entry_sent", entry=entry.name, token=token, attempt=entry.attempts)
         try:
             handle = self._send(entry, on_result)
-        except Exception as error:  # a fault of the sender: the entry may have been sent
+        except Exception as error:  # a defect in the sender; the entry may have been sent
             log.exception("queue_send_crashed", error, entry=entry.name)
             on_result(SendResult(SendOutcome.FAILED, may_have_run=True))
             return
@@ -194,21 +196,23 @@
         name, result = unsettled.entry.name, unsettled.result
         self._handles.pop(name, None)
         if self.scheduler is not None:
-            self.scheduler.record_outcome(self._now(), name, result.outcome, result.work, result.decode_work)
-        if self._figures is not None:
-            self._figures.attempts.labels(result.outcome.value).inc()
-        self._settling += 1
+            self.scheduler.record_outcome(
+                self._clock(), name, result.outcome, result.work, result.decode_work
+            )
+        if self._metrics is not None:
+            self._metrics.attempts.labels(result.outcome.value).inc()
+        self._first_writes += 1
         assert self.tasks is not None
-        self.tasks.start_soon(self._settle_first, unsettled)
+        self.tasks.start_soon(self._settle_new, unsettled)
 
-    async def _settle_first(self, unsettled: _UnsettledResult) -> None:
+    async def _settle_new(self, unsettled: _UnsettledResult) -> None:
         try:
             await self._settle(unsettled)
         finally:
-            self._settling -= 1
+            self._first_writes -= 1
 
     async def _settle(self, unsettled: _UnsettledResult) -> None:
-        """Write the result of a send; retained for a later attempt where the disk fails."""
+        """Write the result of an attempt to the file; a result that cannot be written is kept for a retry."""
         name, token = unsettled.entry.name, unsettled.token
         try:
             entry = await self._write_result(name, token, unsettled.result)
@@ -223,7 +227,7 @@
             self._unsettled_results.append(unsettled)
             return
         if entry.outcome is not None:
-            self._report_end(name, entry.outcome, token)
+            self._report_outcome(name, entry.outcome, token)
         self._completed.set()
         self._completed = anyio.Event()
 
@@ -234,15 +238,15 @@
             return await self._queue.complete(name, token, EntryOutcome.FAILED, result.answer)
         return await self._queue.record_failed_attempt(name, token, result.may_have_run)
 
-    def _report_end(self, name: str, end: EntryOutcome, token: int) -> None:
-        log.info("queue_entry_ended", entry=name, how=end.value, token=token)
-        if self._figures is not None:
-            self._figures.outcomes.labels(end.value).inc()
+    def _report_outcome(self, name: str, outcome: EntryOutcome, token: int) -> None:
+        log.info("queue_entry_ended", entry=name, how=outcome.value, token=token)
+        if self._metrics is not None:
+            self._metrics.outcomes.labels(outcome.value).inc()
 
     def _handle_stale_token(self, token: int, error: StaleTokenError) -> None:
-        """A newer holder has written to the file: stop, if the token is still the present one."""
+        """Record that a newer holder has written to the file; stop if the token is the current one."""
         log.warning("queue_stale_token_rejected", token=token, error=str(error))
-        if self._figures is not None:
-            self._figures.stale_effects.inc()
+        if self._metrics is not None:
+            self._metrics.stale_effects.inc()
         if token == self._token:
             self.scheduler = None
--- a/ringledge/members/role_keeper.py
+++ b/ringledge/members/role_keeper.py
@@ -1,4 +1,4 @@
-"""A conductor's side of the roles: publishes its measurements and has the policy follow the assignments."""
+"""Role changes on each conductor: publishes its measurements and applies role assignments to its policy."""
 
 from __future__ import annotations
 
@@ -35,25 +35,25 @@
 )
 from ringledge.routing.server_views import server_views
 
-KIND_OF_ROLE = {
+KIND_BY_ROLE = {
     Role.PREFILL: ServerRole.PREFILL,
     Role.DECODE: ServerRole.DECODE,
     Role.MIXED: ServerRole.MIXED,
 }
-MIN_RELATIVE_CHANGE = 0.1  # of a server's figures from which they are published again, to all members
+MIN_RELATIVE_CHANGE = 0.1  # of a rate or the warmth; smaller changes are not sent to all members
 
 
 @dataclass(slots=True)
 class InFlightWork:
-    """What this conductor has in flight at each server."""
+    """Numbers of attempts in flight and of unfetched KV cache entries, by server."""
 
     prefills: Counter[str] = field(default_factory=Counter)
     streams: Counter[str] = field(default_factory=Counter)
-    cache_entries: Counter[str] = field(default_factory=Counter)  # that wait to be fetched
+    cache_entries: Counter[str] = field(default_factory=Counter)  # not fetched yet
 
 
 class RoleFollower:
-    """Implements the core's Observer and the planner's FleetView."""
+    """Implements the Observer of the core and the FleetView of the planner."""
 
     def __init__(
         self,
@@ -76,17 +76,17 @@
         self._logged: dict[str, RoleAssignment] = {}
         self._role_plan = RolePlan()
 
-    # Observer
+    # Implementation of Observer
 
     def on_request_accepted(self, record: RequestRecord) -> None:
-        """A request was admitted."""
+        """Record the demand of an admitted request."""
         request = record.request
         self._measurements.request_received(
             time.monotonic(), request.class_index, request.prompt_tokens, request.max_output_tokens
         )
 
     def on_attempt_ended(self, attempt: Attempt, status: AttemptStatus, note: int) -> None:
-        """An attempt has its outcome; `note`: cached prompt tokens, after a prefill."""
+        """Record the duration of an attempt; `note` is the number of cached prompt tokens after a prefill."""
         request = attempt.record.request
         if status == AttemptStatus.PREFILLED:
             uncached_tokens = max(0.0, request.prompt_tokens - note)
@@ -103,16 +103,16 @@
                 duration_s,
             )
 
-    # FleetView
+    # Implementation of FleetView
 
     def servers(self) -> Sequence[ListedServer]:
-        """The listed servers that are up, by the sites that members name."""
+        """Return the listed servers that are up; the site of a server is the name of its zone."""
         return [
             ListedServer(
                 name=entry.server,
                 site=self._names.zones[entry.zone],
                 rack=f"{entry.zone}/{entry.cell}",
-                kind=KIND_OF_ROLE[role],
+                kind=KIND_BY_ROLE[role],
             )
             for entry in self._context.servers.entries.values()
             if entry.availability == Availability.UP
@@ -121,19 +121,19 @@
         ]
 
     def members(self) -> Mapping[str, str]:
-        """The site of each member that is alive."""
+        """Return the site of each active member by its name."""
         return {member.name: member.site for member in self._membership.active_members()}
 
-    # Updates
+    # Periodic update
 
     async def run(self) -> None:
-        """Update at each planning interval, until cancelled."""
+        """Call `update` once per planning interval until cancelled."""
         while True:
             self.update(time.monotonic())
             await anyio.sleep(self._settings.planning_interval_s)
 
     def update(self, now_s: float) -> None:
-        """Publish the measurements, receive assignments, and update the role plan where it has changed."""
+        """Publish measurements, receive assignments, and pass a changed role plan to the conductor."""
         kinds = {server.name: server.kind for server in self.servers()}
         work = self._count_in_flight()
         self._publish_demand(now_s)
@@ -164,7 +164,7 @@
         return work
 
     def _log_assignments(self) -> None:
-        """Log new assignments, also those of a planner in this process, which are in the registry already."""
+        """Log new assignments, including those that a planner in this process put into the registry."""
         for server, assignment in self._registry.assignments.items():
             if self._logged.get(server) != assignment:
                 self._logged[server] = assignment
@@ -183,7 +183,7 @@
                 self._records.write(now_s, key, msgspec.msgpack.encode(demand))
 
     def _publish_servers(self, now_s: float, listed: set[str], work: InFlightWork) -> None:
-        """Publish the observations of listed servers that have changed, and delete those of others."""
+        """Publish changed observations of the listed servers, and delete those of other servers."""
         self._measurements.retain_servers(listed)
         for view in server_views(self._conductor.policy, self._conductor.clock.now_ms()):
             if view.server not in listed:
@@ -207,7 +207,7 @@
 
 
 def has_changed(published: ServerObservation | None, current: ServerObservation) -> bool:
-    """Whether an observation differs enough from the published one to be sent to all members."""
+    """Whether an observation differs enough from the published one to be published again."""
     if published is None or bool(published.waiting_entries) != bool(current.waiting_entries):
         return True
     pairs = (
--- a/ringledge/members/service.py
+++ b/ringledge/members/service.py
@@ -1,4 +1,4 @@
-"""Runs the deciders of one member: ticks them when due, passes them messages, and executes their actions."""
+"""Runs the deciders of the local member: ticks them, passes messages to them, and executes their actions."""
 
 from __future__ import annotations
 
@@ -20,38 +20,38 @@
 from ringledge.members.replay_window import ReplayWindow
 from ringledge.observe.logging import log
 
-MAX_BATCHES_PER_TICK = 8  # of waiting datagrams that are read before a tick
-# Drops that networks and restarts cause in ordinary operation: counted, not logged.
+MAX_BATCHES_PER_TICK = 8  # batches of waiting datagrams that are received before a tick
+# Reasons for drops that networks and restarts cause in normal operation; they are counted but not logged.
 UNLOGGED_REASONS = (DropReason.REPLAYED, DropReason.OTHER_START, DropReason.MEMBER_STOPPED)
 
 
 class Socket(Protocol):
-    """What the service needs of its socket."""
+    """The part of a datagram socket that the service uses."""
 
     overflow_count: int
 
     def send(self, datagram: bytes, to: Endpoint) -> None:
-        """Send a datagram; BlockingIOError where the buffer is full, else OSError where it fails."""
+        """Send a datagram; raises BlockingIOError if the send buffer is full, or another OSError."""
 
     async def wait_readable(self) -> None:
-        """Wait until a datagram is waiting."""
+        """Wait until at least one datagram can be received."""
 
     def receive(self) -> list[tuple[bytes, Endpoint]]:
-        """The waiting datagrams with their sources, up to a batch."""
+        """Receive a batch of waiting datagrams with their sources."""
 
 
 @dataclass(slots=True)
 class Hooks:
-    """Callbacks for what the deciders report."""
+    """Callbacks of other components for events of the local member."""
 
     on_lease_event: list[Callable[[LeaseAcquired | LeaseEnded], None]] = field(default_factory=list)
     on_membership_change: list[Callable[[MembershipChange], None]] = field(default_factory=list)
-    on_bound: list[Callable[[], None]] = field(default_factory=list)  # the socket has its address
+    on_bound: list[Callable[[], None]] = field(default_factory=list)  # called when the socket is bound
 
 
 @dataclass(frozen=True, slots=True)
 class Transport:
-    """How datagrams are encoded, sent, received and counted. `clock`: monotonic, in s."""
+    """Encoding, socket and metrics of datagrams, and the monotonic clock in s that ticks the deciders."""
 
     codec: Codec
     socket: Socket
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerPolicy:
-    """Where other members are reached, and whether those that the settings do not list may join."""
+    """Addresses of other members, and whether members that are not configured may join."""
 
     addresses: AddressBook
     accept_unlisted: bool
 
 
 class MemberService:
-    """One member at a socket. All deciders have to be in the table by now."""
+    """The local member on its socket; all deciders have to be in the table at construction."""
 
     def __init__(
         self, deciders: DeciderTable, hooks: Hooks, policy: PeerPolicy, transport: Transport
@@ -85,26 +85,26 @@
         self._metrics = transport.metrics
         self._replay_window = ReplayWindow()
         self._wake_event = anyio.Event()
-        self._scheduled_s = -math.inf  # until when the tick loop sleeps
+        self._scheduled_s = -math.inf  # time until which the tick loop sleeps
 
     async def run(self) -> None:
-        """Receive and tick until cancelled."""
+        """Receive datagrams and tick deciders until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._receive_loop)
             await self._tick_loop()
 
     def wake(self) -> None:
-        """Interrupt the tick loop's sleep where a decider is due earlier by now."""
+        """Interrupt the sleep of the tick loop if a decider has become due earlier."""
         if self._next_s() < self._scheduled_s:
             self._wake_event.set()
 
     def leave(self) -> None:
-        """Announce that the member leaves."""
+        """Announce to the other members that this one leaves."""
         self._execute(self._membership.leave(self._clock()))
 
     def execute_actions(self, actions: list[Action]) -> None:
-        """Execute actions of a decider that was called from outside, as when a lease is released."""
-        self._execute(self._without_messages_once_stopped(actions))
+        """Execute actions of a decider that another component has called, for example to release a lease."""
+        self._execute(self._drop_messages_if_stopped(actions))
         self.wake()
 
     def _next_s(self) -> float:
@@ -112,14 +112,15 @@
 
     async def _tick_loop(self) -> None:
         while True:
-            # Waiting datagrams come first: after a stall they show that other members are alive.
+            # Waiting datagrams are processed before the tick: after this process has stalled, they prove that
+            # the other members are alive.
             for _ in range(MAX_BATCHES_PER_TICK):
                 if not self._receive_batch():
                     break
             now_s = self._clock()
             for decider in self._deciders:
                 if decider.next_tick_s() <= now_s:
-                    self._execute(self._without_messages_once_stopped(decider.tick(now_s)))
+                    self._execute(self._drop_messages_if_stopped(decider.tick(now_s)))
             self._scheduled_s = self._next_s()
             self._wake_event = anyio.Event()
             sleep_s = self._scheduled_s - self._clock()
@@ -134,7 +135,7 @@
             await anyio.sleep(0)
 
     def _receive_batch(self) -> bool:
-        """Take the waiting datagrams, up to a batch; whether there were any."""
+        """Receive and process a batch of waiting datagrams; returns whether there were any."""
         overflows_before = self._socket.overflow_count
         batch = self._socket.receive()
         for datagram, source in batch:
@@ -154,7 +155,7 @@
             log.rate_limited("datagram_dropped", why=reason.value, source=source[0], bytes=len(datagram))
 
     def _receive(self, datagram: bytes, source: Endpoint) -> None:
-        """Pass a datagram to its decider; DatagramError with the reason where it is rejected."""
+        """Pass a datagram to its decider; raises DatagramError with the reason if it is rejected."""
         if self._membership.stopped:
             raise DatagramError(DropReason.MEMBER_STOPPED)
         received = self._codec.decode(datagram)
@@ -166,7 +167,7 @@
         self._execute(decider.receive(self._clock(), received.sender, received.message))
 
     def _check_sender(self, decider: Decider, received: ReceivedDatagram) -> None:
-        """DatagramError where the sender may not send to this decider, or means a predecessor of ours."""
+        """Raise DatagramError if the sender may not send to this decider, or addresses another start."""
         member = self._membership.latest_member(received.sender)
         if decider is self._membership:
             if not self._may_join(received.sender) and not isinstance(received.message, MemberListQuery):
@@ -193,8 +194,8 @@
                     for hook in self._hooks.on_lease_event:
                         hook(action)
 
-    def _without_messages_once_stopped(self, actions: list[Action]) -> list[Action]:
-        """A stopped member sends nothing, for its name may be a successor's; its leases still end."""
+    def _drop_messages_if_stopped(self, actions: list[Action]) -> list[Action]:
+        """Remove messages if the member has stopped, as a successor may use its name; keep lease events."""
         if not self._membership.stopped:
             return actions
         return [action for action in actions if not isinstance(action, SendMessage)]
--- a/ringledge/members/settings.py
+++ b/ringledge/members/settings.py
@@ -1,4 +1,4 @@
-"""Settings of members: deploy/members.toml, and what RELAY_CONFIG overrides of it."""
+"""Settings of cluster membership: the keys of deploy/members.toml, some overridden by RELAY_CONFIG."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class MembersConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The cluster, the addresses of its members, and the settings of membership and record replication."""
+    """The cluster, the addresses of its members, and the settings of probes and record replication."""
 
     cluster: Text  # datagrams of other clusters are dropped
-    key_file: str  # holds the key that all members share, in hex, 16 to 64 bytes
-    listen: str = ""  # IP:PORT of the datagram socket; empty: peer_listen of RELAY_CONFIG
-    advertise: str = ""  # where others reach this member, if not at listen
-    # One address that reaches all members; peers_all of RELAY_CONFIG overrides it.
+    key_file: str  # file with the key shared by all members: 16 to 64 bytes in hex
+    listen: str = ""  # IP:PORT of the datagram socket; overridden by peer_listen of RELAY_CONFIG
+    advertise: str = ""  # IP:PORT at which other members reach this one, if not listen
+    # IP:PORT that reaches all members at once; overridden by peers_all of RELAY_CONFIG.
     broadcast_address: str = msgspec.field(name="everyone", default="")
     site: Annotated[str, Meta(max_length=MAX_NAME_BYTES)] = ""
-    peers: dict[str, str] = {}  # name to IP:PORT; those of RELAY_CONFIG override these
-    # Whether members that `peers` does not list may join, if they have the key.
+    peers: dict[str, str] = {}  # IP:PORT by name; peers of RELAY_CONFIG override single names
+    # Whether members that are not in `peers` may join; they need the key all the same.
     accept_unlisted: bool = msgspec.field(name="strangers", default=False)
-    buffer_kb: Annotated[int, Meta(ge=16, le=4096)] = 256  # of the socket, for waiting datagrams
+    buffer_kb: Annotated[int, Meta(ge=16, le=4096)] = 256  # size of the receive buffer of the socket
     probe: ProbeConfig = ProbeConfig()
     records: RecordsConfig = msgspec.field(name="facts", default=RecordsConfig())
 
@@ -45,23 +45,26 @@
             _check_address(f"peers.{name}", address)
 
     def key(self) -> bytes:
-        """The shared key; ValueError where the file does not hold one."""
+        """Read the shared key; raises ValueError if the file does not contain a valid one."""
         try:
             key = bytes.fromhex(Path(self.key_file).read_text().strip())
         except (OSError, ValueError) as error:
             raise ValueError(f"key_file: {self.key_file}: {error}") from error
         if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
             raise ValueError(
-                f"key_file: {self.key_file}: {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes in hex are allowed"
+                f"key_file: {self.key_file}: expected {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes in hex"
             )
         return key
 
 
 def with_platform_config(settings: MembersConfig, relay_config: Mapping[str, Any]) -> MembersConfig:
-    """The settings as overridden by RELAY_CONFIG; ValueError: they are invalid, or name no listen address."""
+    """Return the settings with the overrides of RELAY_CONFIG.
+
+    Raises ValueError if the result is invalid or has no listen address.
+    """
     peers = relay_config.get("peers") or {}
     if not isinstance(peers, Mapping):
-        raise ValueError("peers: names with their addresses are allowed")
+        raise ValueError("peers: expected a table of names and addresses")
     merged = msgspec.structs.replace(
         settings,
         listen=str(relay_config.get("peer_listen") or settings.listen),
@@ -69,7 +72,7 @@
         peers={**settings.peers, **{str(name): str(address) for name, address in peers.items()}},
     )
     if not merged.listen:
-        raise ValueError("listen: an address is needed here, or peer_listen in RELAY_CONFIG")
+        raise ValueError("listen: no address is set, neither here nor as peer_listen in RELAY_CONFIG")
     return merged
 
 
--- a/ringledge/members/snapshot_query.py
+++ b/ringledge/members/snapshot_query.py
@@ -1,4 +1,4 @@
-"""Queries a member for its member table: one datagram, answered by MemberLists."""
+"""Queries a member for its member table: sends one MemberListQuery and collects the MemberList responses."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 from ringledge.members.codec import Codec, DatagramError
 from ringledge.members.datagrams import address_family, parse_endpoint
 
-QUIET_S = 0.3  # after the last MemberList no more are expected
+LAST_RESPONSE_TIMEOUT_S = 0.3  # if no MemberList follows within this time, the table is complete
 MAX_RECEIVE_BYTES = 4096
 
 
 def query_members(cluster: str, key: bytes, address: str, wait_s: float) -> list[MembershipUpdate]:
-    """The member table of the member at an address, itself first; empty where it does not answer in time."""
+    """Return the member table of the member at an address, with that member first.
+
+    The result is empty if the member does not respond in time.
+    """
     endpoint = parse_endpoint(address)
     codec = Codec(cluster, key, f"look-{os.getpid()}", {"membership": MESSAGES})
     updates: dict[str, MembershipUpdate] = {}
@@ -30,9 +33,9 @@
                 break
             except DatagramError:
                 continue
-            except ConnectionError:  # reported by the system: nobody listens there
+            except ConnectionError:  # no process listens at the address
                 break
             if isinstance(message, MemberList):
                 updates |= {update.name: update for update in message.updates}
-                deadline_s = min(deadline_s, time.monotonic() + QUIET_S)
+                deadline_s = min(deadline_s, time.monotonic() + LAST_RESPONSE_TIMEOUT_S)
     return list(updates.values())
--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -52,8 +52,8 @@
     [
         ('sight = "a"\n', "sight: no such key"),
         ('site = "' + "s" * 25 + '"\n', "site"),
-        ('everyone = "host:1"\n', "everyone: IP:PORT is allowed"),
-        ('[peers]\nn1 = "127.0.0.1"\n', "peers.n1: IP:PORT is allowed"),
+        ('everyone = "host:1"\n', "everyone: expected IP:PORT"),
+        ('[peers]\nn1 = "127.0.0.1"\n', "peers.n1: expected IP:PORT"),
         ('[peers]\n"' + "n" * 25 + '" = "127.0.0.1:1"\n', "1 to 24 bytes"),
         ("[probe]\nanswer_s = 0.4\n", "answer_s: half of interval_s at most"),
         ("[facts]\nfan_out = 0\n", "facts.fan_out"),
