--- a/benchmarks/ratio_strategies.py
+++ b/benchmarks/ratio_strategies.py
@@ -183,8 +183,8 @@
         """The holder fails; another begins."""
         self.holder = (self.holder + 1) % len(self.simulation.conductors)
         self.service.stop()
-        changes, self.service = self.service.role_change_count, self._new_service()
-        self.service.role_change_count = changes
+        changes, self.service = self.service.changes, self._new_service()
+        self.service.changes = changes
         self.begin()
 
     def _step(self, service: RolePlannerService, token: int) -> None:
@@ -200,4 +200,4 @@
 
     @property
     def changes(self) -> int:
-        return self.service.role_change_count
+        return self.service.changes
--- a/ringledge/members/planner.py
+++ b/ringledge/members/planner.py
@@ -64,7 +64,7 @@
         self._published = set[str]()  # keys of the assignments that this member has written
         self._next_round_s = 0.0
         self.malformed = 0  # records that could not be decoded
-        self.role_change_count = 0  # role changes begun by this planner
+        self.changes = 0  # role changes begun by this planner
 
     def begin(self, token: int) -> None:
         """Begin under a new fencing token; nothing is published before the first step."""
@@ -91,7 +91,7 @@
         for server, assignment in result.assignments.items():
             if not self._publish(server, assignment, is_held):
                 return interval_s
-            self.role_change_count += 1
+            self.changes += 1
         if result.assignments:
             log.info("role_plan_published", token=token, number=self._planner.number, **plan_summary(result))
         return interval_s
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -2,8 +2,7 @@
 
 The start of an attempt is durable in the queue's file, with the fencing token, before the entry is sent; the
 lease is checked again in between. When the lease is lost, entries in flight that are not idempotent are not
-cancelled: no other holder ever sends them again, and the file rejects their results if a newer holder has
-already recorded an outcome.
+cancelled: no other holder sends them again, and the file rejects results that a newer holder has settled.
 """
 
 from __future__ import annotations
@@ -94,9 +93,8 @@
     async def step(self, token: int, is_held: LeaseCheck) -> float:
         """Write unsettled results, then send the entries that are due; returns s until the next step.
 
-        The step is shielded from cancellation: if it were cancelled after the start of an attempt has been
-        written and before the send, an entry that is not idempotent would end as unknown although it was
-        never sent. A step takes a few syncs of the disk, and `is_held` is checked before each effect.
+        Shielded from cancellation: between the write of a start and the send it would end an entry that is
+        not idempotent as unknown, although never sent. A step takes a few syncs of the disk.
         """
         with anyio.CancelScope(shield=True):
             await self._step(token, is_held)
