--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -2,7 +2,7 @@
 
 The start of an attempt is durable in the queue's file, with the fencing token, before the entry is sent; the
 lease is checked again in between. When the lease is lost, entries in flight that are not idempotent are not
-cancelled: no other holder sends them again, and the file rejects results that a newer holder has settled.
+cancelled: no other holder sends them again, and the file rejects a result once a newer holder took over.
 """
 
 from __future__ import annotations
--- a/ringledge/store/__init__.py
+++ b/ringledge/store/__init__.py
@@ -1,1 +1,1 @@
-"""The durable queue of a site: requests that wait on disk, in SQLite, until they are replayed."""
+"""Durable queue of a site: stores requests in an SQLite file until they are replayed."""
--- a/ringledge/store/admission.py
+++ b/ringledge/store/admission.py
@@ -1,4 +1,4 @@
-"""Admission control of the durable queue: limits on entries, bytes, a tenant's quota and disk space."""
+"""Admission control of the durable queue: limits on entries, bytes, tenant quotas and disk space."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from ringledge.store.entry import QueuedRequest, QueueError, QueueRejectionReason
 
-RESERVED_DISK_BYTES = 4 * 1024 * 1024  # not used by new entries, so that present ones can still begin and end
+RESERVED_DISK_BYTES = 4 * 1024 * 1024  # kept free so that existing entries can still begin and end
 
-TOTALS = "SELECT coalesce(sum(entries), 0), coalesce(sum(bytes), 0) FROM totals"
+TOTALS_QUERY = "SELECT coalesce(sum(entries), 0), coalesce(sum(bytes), 0) FROM totals"
 
 
 @dataclass(slots=True, frozen=True)
 class QueueLimits:
-    """Upper bounds on what is queued."""
+    """Limits on the queue's contents."""
 
-    max_entries: int  # waiting or begun
-    max_bytes: int  # of bodies and responses, those of ended entries included
-    tenant_quota: float  # fraction of both that one tenant may use
-    max_entry_bytes: int  # of one body
+    max_entries: int  # entries that wait or have begun
+    max_bytes: int  # bodies and responses, including those of ended entries
+    tenant_quota: float  # fraction of both limits that one tenant may use
+    max_entry_bytes: int  # size of one body
 
 
 def check_limits(
@@ -29,46 +29,48 @@
     limits: QueueLimits,
     free_disk_bytes: float,
 ) -> None:
-    """Raise QueueError with the first limit that rejects the request."""
+    """Raise QueueError for the first limit that the request exceeds."""
     size = len(request.body)
     if request.expires_s <= now_s:
         raise QueueError(
             QueueRejectionReason.ALREADY_EXPIRED,
-            "it would have expired before it was sent",
+            "request has already expired",
         )
     if size > limits.max_entry_bytes:
         raise QueueError(
             QueueRejectionReason.TOO_LARGE,
-            f"{size} bytes; {limits.max_entry_bytes} are allowed",
+            f"{size} bytes in the request body exceed the limit of {limits.max_entry_bytes} bytes",
         )
     _check_totals(db, size, limits)
     _check_tenant_quota(db, request.tenant, size, limits)
-    # Each byte is written twice: to the write-ahead log, then to the file.
+    # SQLite writes each byte twice: to the write-ahead log and then to the file.
     if min(free_disk_bytes, _growable_bytes(db)) < RESERVED_DISK_BYTES + 2 * size:
-        raise QueueError(QueueRejectionReason.DISK_FULL, "little room is left on the disk")
+        raise QueueError(QueueRejectionReason.DISK_FULL, "free disk space would fall below the reserve")
 
 
 def _check_totals(db: sqlite3.Connection, size: int, limits: QueueLimits) -> None:
-    entries, stored_bytes = db.execute(TOTALS).fetchone()
+    entries, stored_bytes = db.execute(TOTALS_QUERY).fetchone()
     if entries >= limits.max_entries:
-        raise QueueError(QueueRejectionReason.MAX_ENTRIES, f"{entries} entries are queued")
+        raise QueueError(QueueRejectionReason.MAX_ENTRIES, f"{entries} entries are queued, limit reached")
     if stored_bytes + size > limits.max_bytes:
-        raise QueueError(QueueRejectionReason.MAX_BYTES, f"{stored_bytes} bytes are kept")
+        raise QueueError(
+            QueueRejectionReason.MAX_BYTES, f"{stored_bytes} bytes are stored, limit would be exceeded"
+        )
 
 
 def _check_tenant_quota(db: sqlite3.Connection, tenant: str, size: int, limits: QueueLimits) -> None:
-    entries, stored_bytes = db.execute(TOTALS + " WHERE tenant = ?", (tenant,)).fetchone()
+    entries, stored_bytes = db.execute(TOTALS_QUERY + " WHERE tenant = ?", (tenant,)).fetchone()
     max_entries = limits.max_entries * limits.tenant_quota
     max_bytes = limits.max_bytes * limits.tenant_quota
     if entries >= max_entries or stored_bytes + size > max_bytes:
         raise QueueError(
             QueueRejectionReason.TENANT_QUOTA,
-            f"this tenant has {entries} entries of {stored_bytes} bytes",
+            f"tenant quota exceeded: {entries} entries with {stored_bytes} bytes",
         )
 
 
 def _growable_bytes(db: sqlite3.Connection) -> int:
-    """Bytes by which the file may still grow under SQLite's own limit of pages."""
+    """Return the bytes by which the file can grow within SQLite's page limit."""
     pragmas = (
         "SELECT * FROM pragma_max_page_count, pragma_page_count, pragma_freelist_count, pragma_page_size"
     )
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -1,12 +1,12 @@
-"""The durable queue of a site as a component of the program: its file, the site's state, and its replay.
+"""Life cycle of the durable queue in this process: its file, the monitoring of the site, and the replay.
 
-    component = QueueComponent(config, observations, registry, random, records, leased)
+    component = QueueComponent(config, observations, registry, random, records, uses_leases)
     queued = QueuedChat(component.queue, component.site_state, ...)
     component.sender = ReplaySender(...)
     component.start(tasks); component.ready(); await component.stop()
 
-Where members hold leases (`leased`), `component.replayer` is registered there as the duty
-`component.duty_name`; elsewhere a lock beside the file decides which process replays.
+With `uses_leases`, the caller registers `component.replayer` as the duty `component.duty_name`. Otherwise a
+lock file beside the queue's file decides which process replays.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 from ringledge.store.settings import QueueConfig
 from ringledge.store.site_monitor import SiteMonitor, SiteObservations
 
-BUSY_INTERVAL_S = 0.1  # maximum between two steps while entries wait
-IDLE_INTERVAL_S = 0.5  # maximum between two steps while none do
-MAINTENANCE_INTERVAL_S = 1.0  # between two rounds of expiry, metrics and exchange with other sites
-DRAIN_TIMEOUT_S = 2.5  # at a graceful shutdown, for requests in flight: SIGKILL comes 3.7 s after SIGTERM
+BUSY_INTERVAL_S = 0.1  # maximum time between two steps while entries wait
+IDLE_INTERVAL_S = 0.5  # maximum time between two steps otherwise
+MAINTENANCE_INTERVAL_S = 1.0  # between runs of expiry, metrics update and exchange with other sites
+DRAIN_TIMEOUT_S = 2.5  # for entries in flight at shutdown; SIGKILL comes 3.7 s after SIGTERM
 
 
 class QueueComponent:
-    """Life cycle of a site's queue: start, ready, stop."""
+    """The queue of the local site; call `start`, `ready` and `stop` in this order."""
 
     def __init__(
         self,
@@ -53,9 +53,9 @@
         registry: CollectorRegistry,
         random: Random,
         records: RecordStore | None = None,
-        leased: bool = False,
+        uses_leases: bool = False,
     ) -> None:
-        """`leased`: members' leases start and stop the replay; else the lock beside the file does."""
+        """`uses_leases`: a lease of the cluster starts and stops the replay, instead of the lock file."""
         self.config = config
         self.metrics = QueueMetrics(registry)
         self.queue = Queue(config)
@@ -68,33 +68,33 @@
         self._records = records
         self._site_monitor = SiteMonitor(config.site, observations, records)
         self._capacity_sharing = CapacitySharing(config, records)
-        self._file_lock = None if leased else FileLockLease(Path(config.path), self.queue, self.replayer)
+        self._file_lock = None if uses_leases else FileLockLease(Path(config.path), self.queue, self.replayer)
         self._tasks: anyio.abc.TaskGroup | None = None
         self._backlog: list[TenantBacklog] = []
-        self._token = 0  # of the lease that was acquired last
+        self._token = 0  # fencing token of the latest lease
         self._maintained_s = 0.0
         self._stopping = False
 
     def site_state(self) -> SiteState:
-        """Whether the site is open, short of capacity, or cut off from its servers."""
+        """Return whether the site is available, short of capacity, or partitioned from its servers."""
         return self._site_monitor.state
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Open the file; `sender` has to be set before."""
+        """Start the worker of the queue's file; `sender` has to be set before."""
         assert self.sender is not None
         self.queue.start()
         self._tasks = tasks
         self.replayer.tasks = tasks
 
     def ready(self) -> None:
-        """Begin to monitor the site and to replay, now that the list of servers is known."""
+        """Start to monitor the site and to replay; call this once the endpoint list is known."""
         assert self._tasks is not None
         self._tasks.start_soon(self._run)
 
     async def stop(self) -> None:
-        """Release the lease, then wait for requests in flight and record their outcomes.
+        """Release the file lock, then wait for entries in flight and record their outcomes.
 
-        The file stays open: clients may still poll their entries, and it withstands a kill.
+        The file stays open, because clients may still poll their entries, and a kill does not damage it.
         """
         self._stopping = True
         if self._file_lock is not None:
@@ -131,30 +131,30 @@
             log.info("queue_entry_ended", entry=name, how=outcome, token=0)
 
     def _report_backlog(self, now_s: float, unix_s: float) -> None:
-        """Set the metrics; as the lease holder also allot capacity and publish the backlog to other sites."""
+        """Update the metrics; the lease holder also allots capacity and publishes its backlog."""
         entries = sum(backlog.entries for backlog in self._backlog)
         ages_s = (unix_s - backlog.oldest_created_s for backlog in self._backlog)
         oldest_s = max(ages_s, default=0.0)
         self.metrics.backlog_entries.set(entries)
         self.metrics.backlog_age.set(oldest_s)
-        replay = self.replayer.scheduler
-        if replay is None:
+        replay_scheduler = self.replayer.scheduler
+        if replay_scheduler is None:
             self.metrics.replay_rate.set(0.0)
             return
         has_work = entries > 0 and self.site_state() is SiteState.AVAILABLE
-        self._capacity_sharing.allot(now_s, replay, has_work)
-        self.metrics.replay_rate.set(replay.rate_controller.rate)
+        self._capacity_sharing.allot(now_s, replay_scheduler, has_work)
+        self.metrics.replay_rate.set(replay_scheduler.rate_controller.rate)
         if self._records is not None:
             weight = self.config.site_weights.get(self.config.site, 1.0)
-            row = QueueBacklog(self._token, entries, oldest_s, weight, replay.served_work)
-            self._records.write(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(row))
+            record = QueueBacklog(self._token, entries, oldest_s, weight, replay_scheduler.served_work)
+            self._records.write(now_s, f"backlog/{self.config.site}", msgspec.msgpack.encode(record))
 
     def _send(self, entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
         assert self.sender is not None
         return self.sender(entry, on_result)
 
     def _begin_lease(self, now_s: float, token: int) -> ReplayScheduler:
-        """The scheduler for a newly acquired lease."""
+        """Return a scheduler for a newly acquired lease."""
         self._token = token
         self._capacity_sharing.begin_lease(now_s, token)
         return ReplayScheduler(
--- a/ringledge/store/entry.py
+++ b/ringledge/store/entry.py
@@ -1,6 +1,6 @@
-"""The data model of the durable queue: requests, entries, their states and outcomes, and the queue's errors.
+"""Data model of the durable queue: requests, entries with their states and outcomes, and errors.
 
-All times are Unix seconds: an entry outlives the process that wrote it.
+All times are Unix seconds, since an entry can outlive the process that wrote it.
 """
 
 from __future__ import annotations
@@ -11,33 +11,33 @@
 
 
 class EntryState(IntEnum):
-    """The state of an entry; the numbers are stored in the file."""
+    """State of an entry; the values are stored in the queue's file."""
 
     WAITING = 0
-    BEGUN = 1  # the first byte of an attempt may have been sent
+    BEGUN = 1  # an attempt may have been sent, wholly or in part
     ENDED = 2
 
 
 class EntryOutcome(Enum):
-    """The outcome of an ended entry; the words are stored in the file."""
+    """Outcome of an ended entry; the values are stored in the queue's file."""
 
     SERVED = "served"
-    FAILED = "failed"  # it did not run, or an idempotent request used up its attempts
+    FAILED = "failed"  # did not run, or an idempotent request has used up its attempts
     EXPIRED = "expired"  # never sent
-    UNKNOWN = "unknown"  # not idempotent, and it may have run
+    UNKNOWN = "unknown"  # may have run, and is not idempotent
     WITHDRAWN = "withdrawn"  # cancelled by its client before it was sent
 
 
 @dataclass(slots=True, frozen=True)
 class QueuedRequest:
-    """A client's request as it is enqueued."""
+    """A client's request as enqueued."""
 
-    name: str  # unguessable: a client of the tenant that knows it may fetch the response
+    name: str  # not guessable; any client of the tenant that knows it may fetch the response
     tenant: str
     request_class: str
     idempotent: bool  # whether it may run more than once
     body: bytes
-    estimated_tokens: float  # prompt and output tokens
+    estimated_tokens: float  # prompt and output tokens together
     created_s: float
     expires_s: float
     idempotency_key: str | None = None  # as sent by the client
@@ -45,49 +45,51 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """A queued request with its state; immutable, each transition returns a new one."""
+    """A queued request with its state; immutable, so each transition returns a new entry."""
 
     request: QueuedRequest
     state: EntryState
-    token: int  # fencing token of the lease under which it was begun or ended; 0: neither
-    attempts: int  # begun so far, without those that were rejected before they ran
+    token: int  # fencing token of the lease under which it was last begun or ended; 0 if never
+    attempts: int  # begun so far, except those that were rejected before they ran
     ended_s: float | None = None
     outcome: EntryOutcome | None = None
-    response: bytes | None = None  # the response if served, else the reason in words
+    response: bytes | None = None  # the response if served, otherwise a text with the reason
 
     @property
     def name(self) -> str:
-        """The name of the request: the last segment of the URL at which a client polls it."""
+        """Name of the request, the last segment of the URL at which the client polls the entry."""
         return self.request.name
 
 
 class QueueRejectionReason(Enum):
-    """Why the queue rejected a call; the value is the label of the metric that counts it."""
+    """Why the queue rejected a call; the values are metric labels."""
 
     MAX_ENTRIES = "entries"
     MAX_BYTES = "bytes"
     TENANT_QUOTA = "tenant"
-    TOO_LARGE = "large"  # this one body exceeds the limit of an entry
+    TOO_LARGE = "large"  # the body exceeds the limit for one entry
     ALREADY_EXPIRED = "age"
     DISK_FULL = "disk"
-    IO_ERROR = "failed"  # the sync failed: only reading the file again shows whether the change is durable
-    LOCKED = "busy"  # another process held the file's lock for longer than the time-out
-    UNAVAILABLE = "closed"  # the file can't be opened or used
+    IO_ERROR = (
+        "failed"  # the sync failed; whether the change is durable shows only when the file is read again
+    )
+    LOCKED = "busy"  # another process held the file's lock until the time-out
+    UNAVAILABLE = "closed"  # the file cannot be opened or used
 
 
 class QueueError(Exception):
-    """The queue rejected a call. Nothing was changed, except that IO_ERROR leaves this unknown."""
+    """The queue rejected a call. Nothing was changed; after IO_ERROR this is not known."""
 
     def __init__(self, reason: QueueRejectionReason, message: str, path: Path | None = None) -> None:
-        """`path`: the queue's file where the error concerns the file as a whole."""
+        """`path` is the queue's file if the error concerns the whole file."""
         super().__init__(message if path is None else f"{path}: {message}")
         self.reason = reason
         self.path = path
 
 
 class StaleTokenError(Exception):
-    """The fencing token is not the highest one seen by the file; nothing was changed."""
+    """The fencing token is not the highest one recorded in the file; nothing was changed."""
 
 
 class InvalidTransitionError(Exception):
-    """The entry does not exist or is not in the transition's source state; nothing was changed."""
+    """The entry does not exist or is not in the source state of the transition; nothing was changed."""
--- a/ringledge/store/file_lock.py
+++ b/ringledge/store/file_lock.py
@@ -1,9 +1,8 @@
-"""A file lock in place of a lease: decides which process replays a site's queue where there are no leases.
+"""File lock that replaces a lease: decides which process replays a site's queue without a cluster.
 
-The lock (flock) belongs to the kernel, which releases it when the process ends, however it ends. A process
-that hangs keeps the lock, and then the queue is not replayed: a holder that is not known to be dead is never
-replaced. The fencing token is one above the highest in the queue's file, so that effects of an earlier
-holder are rejected as they are under leases.
+The kernel releases the lock (flock) when its process ends for any reason. A process that hangs keeps it, and
+then the queue is not replayed, since a holder that may be alive is never replaced. The fencing token is
+one above the highest in the queue's file, so the effects of an earlier holder are rejected as with leases.
 """
 
 from __future__ import annotations
@@ -18,10 +17,10 @@
 
 
 class FileLockLease:
-    """Runs one duty while this process holds the lock."""
+    """Runs a duty while this process holds the lock."""
 
     def __init__(self, queue_path: Path, queue: Queue, duty: Duty) -> None:
-        """The lock is taken on a file of its own beside the queue's."""
+        """The lock is on a separate file beside the queue's file."""
         self._lock_path = queue_path.with_name(queue_path.name + ".lock")
         self._queue = queue
         self._duty = duty
@@ -33,7 +32,7 @@
         return self.token is not None
 
     async def step(self) -> None:
-        """Acquire the lock if it is free, then run a step of the duty if it is held."""
+        """Try to acquire the lock unless it is held, then run one step of the duty if it is."""
         if self.token is None:
             await self._try_acquire()
         if self.token is not None:
@@ -54,7 +53,10 @@
                 self._descriptor = os.open(self._lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             token = await self._queue.highest_token() + 1
-        except (OSError, QueueError):  # held elsewhere, or the file is unusable, which others report
+        except (
+            OSError,
+            QueueError,
+        ):  # held by another process, or the file is unusable, which is reported elsewhere
             return
         self.token = token
         self._duty.begin(token)
--- a/ringledge/store/metrics.py
+++ b/ringledge/store/metrics.py
@@ -1,4 +1,4 @@
-"""The queue's Prometheus metrics; registered only where the queue is enabled."""
+"""Prometheus metrics of the durable queue, registered only if the queue is enabled."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class QueueMetrics:
-    """Counters and gauges of one site's queue and its replay."""
+    """Counters and gauges of the local site's queue and its replay."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self.accepted = Counter("ringledge_queue_entries", "Requests answered 202", registry=registry)
--- a/ringledge/store/queries.py
+++ b/ringledge/store/queries.py
@@ -1,4 +1,4 @@
-"""Read-only queries on the durable queue: an entry, the backlog by tenant, the oldest entries, the token."""
+"""Read-only queries on the queue's file: entries, backlog by tenant, and the highest fencing token."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def get_entry(db: sqlite3.Connection, name: str) -> Entry | None:
-    """The entry of that name; a corrupt one is returned as ended with an unknown outcome."""
+    """Return an entry, or None; a corrupt one is returned as ended with an unknown outcome."""
     row = db.execute(f"SELECT {COLUMNS}, seal FROM entries WHERE name = ?", (name,)).fetchone()
     if row is None:
         return None
@@ -36,20 +36,20 @@
 
 
 def find_by_idempotency_key(db: sqlite3.Connection, tenant: str, idempotency_key: str) -> Entry | None:
-    """The entry that the tenant enqueued with that idempotency key."""
+    """Return the entry that the tenant has enqueued with an idempotency key, or None."""
     name = name_by_idempotency_key(db, tenant, idempotency_key)
     return None if name is None else get_entry(db, name)
 
 
 def name_by_idempotency_key(db: sqlite3.Connection, tenant: str, idempotency_key: str) -> str | None:
-    """The name of the entry that the tenant enqueued with that idempotency key."""
+    """Return the name of the entry that the tenant has enqueued with an idempotency key, or None."""
     query = "SELECT name FROM entries WHERE tenant = ? AND key = ?"
     row = db.execute(query, (tenant, idempotency_key)).fetchone()
     return None if row is None else row[0]
 
 
 def backlog_by_tenant(db: sqlite3.Connection) -> list[TenantBacklog]:
-    """The backlog of each tenant that has waiting entries."""
+    """Return the backlog of each tenant that has waiting entries."""
     count = "SELECT count(*) FROM entries INDEXED BY waiting WHERE state = 0 AND tenant = ?"
     oldest = """SELECT created_s FROM entries INDEXED BY waiting
         WHERE state = 0 AND tenant = ? ORDER BY seq LIMIT 1"""
@@ -60,9 +60,9 @@
 
 
 def oldest_entries(db: sqlite3.Connection, per_tenant: int) -> list[QueueHead]:
-    """The oldest waiting entries, up to `per_tenant` of each tenant.
+    """Return the oldest waiting entries, up to `per_tenant` of each tenant.
 
-    The cost grows with the number of tenants, not with the number of entries.
+    The cost depends on the number of tenants, but not on the number of entries.
     """
     heads = list[QueueHead]()
     oldest = """SELECT name, tenant, work, created_s, safe FROM entries INDEXED BY waiting
@@ -77,7 +77,7 @@
 
 
 def highest_token(db: sqlite3.Connection) -> int:
-    """The highest fencing token that the file has seen."""
+    """Return the highest fencing token that is recorded in the file."""
     return int(_scalar(db, "SELECT value FROM meta WHERE name = 'token'"))
 
 
@@ -104,7 +104,7 @@
 
 
 def _waiting_tenants(db: sqlite3.Connection) -> Iterator[str]:
-    """Tenants with waiting entries: one index seek for each, however many entries wait (a loose scan)."""
+    """Iterate over tenants with waiting entries, by one index seek per tenant (a loose index scan)."""
     first = "SELECT min(tenant) FROM entries INDEXED BY waiting WHERE state = 0"
     tenant = _scalar(db, first)
     while tenant is not None:
@@ -113,5 +113,5 @@
 
 
 def _scalar(db: sqlite3.Connection, query: str, *values: Any) -> Any:
-    """The first column of the first row."""
+    """Return the first column of the first row."""
     return db.execute(query, values).fetchone()[0]
--- a/ringledge/store/queue.py
+++ b/ringledge/store/queue.py
@@ -1,4 +1,4 @@
-"""The durable queue of a site as the program uses it: a call returns once its effect is on the disk."""
+"""Asynchronous interface of a site's durable queue; a call returns once its effect is durable."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Queue:
-    """One site's queue file.
+    """The queue of the local site.
 
-    Each call may raise QueueError; one that carries a fencing token also StaleTokenError, and one that
-    changes the state of an entry also InvalidTransitionError.
+    Every call may raise QueueError. Calls with a fencing token may also raise StaleTokenError, and calls that
+    change the state of an entry InvalidTransitionError.
     """
 
     def __init__(self, config: QueueConfig, clock: Callable[[], float] | None = None) -> None:
-        """`clock`: Unix seconds; None for the file's own clock."""
+        """`clock` returns Unix seconds; None selects the clock of the file."""
         self._config = config
         self._file_clock = QueueClock()
         self._clock = clock or self._file_clock.now_s
@@ -46,25 +46,25 @@
         self.worker.start()
 
     def stop(self) -> None:
-        """Finish pending calls, then close the file."""
+        """Complete pending calls, then close the file."""
         self.worker.stop()
 
     async def now_s(self) -> float:
-        """Unix seconds of the clock that entries' times are of; QueueError while the file can't be opened."""
+        """Return Unix seconds on the clock of the entries; raises QueueError if the file cannot be opened."""
         if not self._file_clock.synchronized:
-            await self.worker.run(self._file_clock.read, writes=False)  # another process may have stored it
+            await self.worker.run(self._file_clock.read, writes=False)  # another process may have set it
         return self._clock()
 
     async def enqueue(self, request: QueuedRequest) -> Entry:
-        """Insert a request; once this returns it is durable and may be answered 202."""
+        """Insert a request; when this returns, it is durable and may be answered with 202."""
         return await self.worker.run(partial(self._enqueue, request=request))
 
     async def get(self, name: str) -> Entry | None:
-        """The entry of that name."""
+        """Return an entry, or None."""
         return await self.worker.run(lambda db: queries.get_entry(db, name), writes=False)
 
     async def find_by_idempotency_key(self, tenant: str, idempotency_key: str) -> Entry | None:
-        """The entry that the tenant enqueued with that idempotency key."""
+        """Return the entry that the tenant has enqueued with an idempotency key, or None."""
         return await self.worker.run(
             lambda db: queries.find_by_idempotency_key(db, tenant, idempotency_key), writes=False
         )
@@ -74,11 +74,11 @@
         return await self.worker.run(lambda db: transitions.withdraw(db, name, self._clock()))
 
     async def adopt(self, token: int) -> AdoptionResult:
-        """Take the queue over as the lease holder with a new fencing token."""
+        """Take over the queue as the lease holder with a new fencing token."""
         return await self.worker.run(lambda db: transitions.adopt(db, token, self._clock()))
 
     async def begin_attempt(self, name: str, token: int) -> Entry:
-        """Record that an attempt starts; only an entry that is returned as BEGUN may be sent."""
+        """Record the start of an attempt; the entry may be sent only if it is returned as BEGUN."""
         return await self.worker.run(lambda db: transitions.begin_attempt(db, name, token, self._clock()))
 
     async def record_failed_attempt(self, name: str, token: int, may_have_run: bool) -> Entry:
@@ -97,27 +97,27 @@
         )
 
     async def expire_and_purge(self) -> tuple[str, ...]:
-        """End entries that have expired and delete old ended ones; returns the names of the expired."""
+        """End expired entries and delete old ended ones; returns the names of the expired entries."""
         expired = await self.worker.run(lambda db: transitions.expire(db, self._clock()))
         await self.worker.run(lambda db: transitions.purge(db, self._clock(), self._config.retention_s))
         return expired
 
     async def oldest_entries(self, per_tenant: int) -> list[QueueHead]:
-        """The oldest waiting entries, up to `per_tenant` of each tenant."""
+        """Return the oldest waiting entries, up to `per_tenant` of each tenant."""
         return await self.worker.run(partial(queries.oldest_entries, per_tenant=per_tenant), writes=False)
 
     async def backlog_by_tenant(self) -> list[TenantBacklog]:
-        """The backlog of each tenant that has waiting entries."""
+        """Return the backlog of each tenant that has waiting entries."""
         return await self.worker.run(queries.backlog_by_tenant, writes=False)
 
     async def highest_token(self) -> int:
-        """The highest fencing token that the file has seen."""
+        """Return the highest fencing token that is recorded in the file."""
         return await self.worker.run(queries.highest_token, writes=False)
 
     def _enqueue(self, db: sqlite3.Connection, request: QueuedRequest) -> Entry:
         return transitions.enqueue(db, request, self._clock(), self._limits, self._free_disk_bytes())
 
     def _free_disk_bytes(self) -> float:
-        """Bytes available on the file system; runs in the worker thread, which may wait for the disk."""
+        """Return the bytes available on the file system; called in the worker thread, as it may block."""
         file_system = os.statvfs(self._directory)
         return float(file_system.f_bavail * file_system.f_frsize)
--- a/ringledge/store/schema.py
+++ b/ringledge/store/schema.py
@@ -1,12 +1,12 @@
-"""The queue's SQLite file: its schema, migrations between versions of it, and checks when it is opened.
+"""The queue's SQLite file: schema, migrations between its versions, and checks when the file is opened.
 
-    meta     name, value        'token': the highest fencing token of the replay lease that was seen
+    meta     name-value pairs; 'token' is the highest fencing token of the replay lease
     entries  one row per entry; `seq` is the order of arrival, `seal` a checksum over all other columns
-    totals   one row per tenant: its entries that have not ended, and its bytes, ended entries included;
-             maintained by triggers, so that a limit is checked without a scan and matches the rows
+    totals   one row per tenant with its number of entries that have not ended, and the bytes of all its
+             entries; maintained by triggers, so that limits are checked without a scan of the entries
 
-The file is in WAL mode with full sync: a commit returns once the log is on the disk, and the log's checksums
-reveal a torn last write. Pages of the file have no checksum, hence the seal: no corrupt row is trusted.
+The file is in WAL mode with full sync: a commit returns once the log is durable, and the checksums of the log
+detect a torn write at its end. Pages of the file have no checksum; the column `seal` detects corrupt rows.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from ringledge.store.entry import QueueError, QueueRejectionReason
 
 SCHEMA_VERSION = 2  # PRAGMA user_version
-APPLICATION_ID = 0x52_4C_51_31  # PRAGMA application_id, "RLQ1": tells the file from other programs' databases
+APPLICATION_ID = 0x52_4C_51_31  # PRAGMA application_id, "RLQ1"; distinguishes the file from other databases
 
-# Statements by the version that they start from; each migration runs in a transaction with its new version.
+# Statements by the version that they migrate from. All migrations and the new version commit together.
 MIGRATIONS: dict[int, tuple[str, ...]] = {
     0: (
         "CREATE TABLE meta (name TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID",
@@ -35,7 +35,7 @@
         "CREATE INDEX ended ON entries (ended_s) WHERE state = 2",
         "INSERT INTO meta VALUES ('token', 0)",
     ),
-    # Version 2: idempotency keys, and totals by tenant in place of a count at each enqueue.
+    # Version 2 adds idempotency keys, and totals by tenant, which replace a count at each enqueue.
     1: (
         "ALTER TABLE entries ADD COLUMN key TEXT",
         "CREATE UNIQUE INDEX by_key ON entries (tenant, key) WHERE key IS NOT NULL",
@@ -65,12 +65,12 @@
 
 
 def connect(path: Path, lock_timeout_s: float) -> sqlite3.Connection:
-    """Open the file, create or migrate it where needed; QueueError if it can't be used.
+    """Open the file and create or migrate it if needed; raises QueueError if it cannot be used.
 
-    A file that is corrupt or of a newer version is not modified: 202s were given for what it holds.
+    A file that is corrupt or of a newer version is not modified, since its entries were answered with 202.
     """
     try:
-        path.touch(mode=0o600)  # requests are private to their clients
+        path.touch(mode=0o600)  # owner only, since it contains requests of clients
         db = sqlite3.connect(path, timeout=lock_timeout_s, isolation_level=None, check_same_thread=False)
     except (sqlite3.Error, OSError) as error:
         raise _unavailable(str(error), path) from error
@@ -86,39 +86,39 @@
 
 
 def queue_error(error: sqlite3.Error, path: Path) -> QueueError:
-    """The error of SQLite as one of the queue, classified by what can be done about it."""
+    """Convert an SQLite error to a QueueError, whose reason depends on the possible remedy."""
     primary_code = getattr(error, "sqlite_errorcode", 0) & 0xFF
     match primary_code:
         case sqlite3.SQLITE_BUSY | sqlite3.SQLITE_LOCKED:
-            return QueueError(QueueRejectionReason.LOCKED, "another process holds it", path)
+            return QueueError(QueueRejectionReason.LOCKED, "locked by another process", path)
         case sqlite3.SQLITE_FULL:
-            return QueueError(QueueRejectionReason.DISK_FULL, "no room on the disk", path)
+            return QueueError(QueueRejectionReason.DISK_FULL, "disk full", path)
         case sqlite3.SQLITE_IOERR:
-            return QueueError(QueueRejectionReason.IO_ERROR, f"the disk failed: {error}", path)
+            return QueueError(QueueRejectionReason.IO_ERROR, f"I/O error: {error}", path)
         case _:
             return _unavailable(str(error), path)
 
 
 def _prepare(db: sqlite3.Connection, path: Path) -> None:
-    """Check that the file is ours and intact, then migrate it."""
+    """Check that the file belongs to this program and is intact, then migrate it if needed."""
     db.execute("PRAGMA synchronous = FULL")
     application_id = _scalar(db, "PRAGMA application_id")
     if application_id not in (0, APPLICATION_ID):
-        raise _unavailable(f"another program's database (application_id {application_id})", path)
+        raise _unavailable(f"belongs to another program (application_id {application_id})", path)
     if _scalar(db, "PRAGMA journal_mode = WAL") != "wal":
-        raise _unavailable("its file system allows no write-ahead log", path)
+        raise _unavailable("file system does not support WAL mode", path)
     finding = _scalar(db, "PRAGMA quick_check(1)")
     if finding != "ok":
-        raise _unavailable(f"spoilt: {finding}", path)
+        raise _unavailable(f"integrity check failed: {finding}", path)
     if _checked_version(db, path) < SCHEMA_VERSION:
         _migrate(db, path)
 
 
 def _migrate(db: sqlite3.Connection, path: Path) -> None:
-    """Run all migrations in one transaction: another process sees the old version or the new one."""
+    """Run all migrations in one transaction, so that other processes see the old version or the new one."""
     db.execute("BEGIN IMMEDIATE")
     try:
-        # The version is read again under the lock: another process may have migrated the file meanwhile.
+        # Read the version again under the lock, because another process may have migrated the file.
         for version in range(_checked_version(db, path), SCHEMA_VERSION):
             for statement in MIGRATIONS[version]:
                 db.execute(statement)
@@ -132,13 +132,13 @@
 
 
 def _checked_version(db: sqlite3.Connection, path: Path) -> int:
-    """The version of the file's schema; QueueError for a newer one and for a database without one."""
+    """Return the schema version; raises QueueError if it is too new, or missing in an existing database."""
     version: int = _scalar(db, "PRAGMA user_version")
     if version > SCHEMA_VERSION:
-        message = f"of version {version}, this program knows {SCHEMA_VERSION} at most; it is left as it is"
+        message = f"schema version {version} is above {SCHEMA_VERSION}, the latest supported; not modified"
         raise _unavailable(message, path)
     if version == 0 and _scalar(db, "SELECT count(*) FROM sqlite_schema"):
-        raise _unavailable("a database without a version: not one of this program's", path)
+        raise _unavailable("database without a schema version, not created by this program", path)
     return version
 
 
@@ -147,5 +147,5 @@
 
 
 def _scalar(db: sqlite3.Connection, query: str) -> Any:
-    """The first column of the first row."""
+    """Return the first column of the first row."""
     return db.execute(query).fetchone()[0]
--- a/ringledge/store/seal.py
+++ b/ringledge/store/seal.py
@@ -1,6 +1,7 @@
-"""Mapping of entries to sealed rows: a row whose checksum does not match is reported, never trusted.
+"""Conversion between entries and rows with a checksum, which detects rows that are corrupt on the disk.
 
-SQLite's checksums cover the write-ahead log but not the pages of the file, hence a checksum for each row.
+SQLite's own checksums cover the write-ahead log but not the pages of the file, so each row has a checksum in
+the column `seal`.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
     "name, tenant, kind, safe, question, work, created_s, expires_s, state, token, attempts, ended_s, end, "
     "answer, key"
 )
-CHECKSUM_BYTES = 12  # detects corruption, not forgery: whoever can write the file can also write a seal
+CHECKSUM_BYTES = 12  # detects corruption, not forgery, since the checksum has no key
 
-Row = tuple[Any, ...]  # the values of COLUMNS; "sealed": followed by the seal
+Row = tuple[Any, ...]  # the values of COLUMNS, in some cases followed by the checksum
 
 
 class CorruptRowError(Exception):
-    """A row does not match its seal; the message is the row's name as read."""
+    """A row does not match its checksum; the message is the entry's name as read."""
 
 
 def to_row(entry: Entry) -> Row:
-    """The sealed row of an entry."""
+    """Convert an entry to a row with its checksum."""
     request = entry.request
     row = (
         request.name,
@@ -49,28 +50,29 @@
     return (*row, row_checksum(row))
 
 
-def from_row(sealed_row: Row) -> Entry:
-    """The entry of a sealed row; CorruptRowError if any byte differs from what was written."""
-    *columns, seal = sealed_row
+def from_row(checksummed_row: Row) -> Entry:
+    """Convert a row with its checksum to an entry; raises CorruptRowError if they do not match."""
+    *columns, checksum = checksummed_row
     try:
-        if row_checksum(tuple(columns)) != seal:
+        if row_checksum(tuple(columns)) != checksum:
             raise CorruptRowError(str(columns[0]))
         return _entry(columns)
     except (ValueError, TypeError) as error:
-        raise CorruptRowError(str(sealed_row[0])) from error
+        raise CorruptRowError(str(checksummed_row[0])) from error
 
 
 def row_checksum(row: Row) -> bytes:
-    """The checksum over a row's values.
+    """Return the checksum over the values of a row.
 
-    An absent idempotency key is left out, so that rows of version 1, which had no such column, keep theirs.
+    A missing idempotency key is not included, so that the checksums of rows from version 1, which had no such
+    column, remain valid.
     """
-    sealed_values = row if row[-1] is not None else row[:-1]
-    return blake2b(msgspec.msgpack.encode(sealed_values), digest_size=CHECKSUM_BYTES).digest()
+    values = row if row[-1] is not None else row[:-1]
+    return blake2b(msgspec.msgpack.encode(values), digest_size=CHECKSUM_BYTES).digest()
 
 
 def _entry(columns: Sequence[Any]) -> Entry:
-    """Convert column values; ValueError or TypeError where they are none of an entry."""
+    """Convert column values to an entry; raises ValueError or TypeError if one of them is invalid."""
     name, tenant, request_class, idempotent, body, estimated_tokens, created_s, expires_s, *progress = columns
     state, token, attempts, ended_s, outcome, response, idempotency_key = progress
     request = QueuedRequest(
--- a/ringledge/store/settings.py
+++ b/ringledge/store/settings.py
@@ -1,6 +1,6 @@
 """Settings of the durable queue: the keys of deploy/queue.toml.
 
-A field with `name=` is read from that key.
+A field with `name=` is read from the key of that name.
 """
 
 from __future__ import annotations
@@ -17,44 +17,48 @@
 
 
 class QueueConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The queue of a site, used while the site is partitioned, and its replay afterwards."""
+    """The queue of a site, which is filled while the site is partitioned, and its replay afterwards."""
 
-    path: Annotated[str, Meta(min_length=1)]  # the file: one per site, shared by the site's processes
-    site: str = "here"  # the site's name, as other sites know it
+    path: Annotated[str, Meta(min_length=1)]  # the queue's file, shared by all processes of the site
+    site: str = "here"  # name under which other sites know this one
 
-    # Limits on what is queued.
-    max_entries: Count = msgspec.field(name="entries", default=100_000)  # waiting or begun
+    # Limits on the contents
+    max_entries: Count = msgspec.field(name="entries", default=100_000)  # that wait or have begun
     max_bytes: Annotated[int, Meta(ge=65_536)] = msgspec.field(  # of stored bodies and responses
         name="most_bytes", default=512 * 1024 * 1024
     )
-    tenant_quota: Fraction = msgspec.field(name="tenant_share", default=0.5)  # of both, for one tenant
+    tenant_quota: Fraction = msgspec.field(name="tenant_share", default=0.5)  # of both limits, for one tenant
     max_entry_bytes: Annotated[int, Meta(ge=1_024)] = msgspec.field(  # of one body
         name="entry_bytes", default=262_144
     )
 
-    # Life of an entry.
-    expiry_s: Seconds = msgspec.field(name="expire_s", default=3_600.0)  # from arrival, while it is not sent
-    retention_s: Seconds = msgspec.field(name="keep_s", default=86_400.0)  # of an outcome, for its client
+    # Life cycle of an entry
+    expiry_s: Seconds = msgspec.field(name="expire_s", default=3_600.0)  # after arrival, unless sent
+    retention_s: Seconds = msgspec.field(name="keep_s", default=86_400.0)  # of an ended entry, for its client
     max_attempts: Count = msgspec.field(name="attempts", default=8)  # of an idempotent request
-    lock_timeout_s: Annotated[float, Meta(gt=0, le=60)] = msgspec.field(  # while another process writes
+    lock_timeout_s: Annotated[float, Meta(gt=0, le=60)] = msgspec.field(  # while another process holds it
         name="busy_s", default=2.0
     )
 
-    # Replay.
-    replay_fraction: Fraction = msgspec.field(  # of the capacity that live traffic leaves unused
+    # Replay
+    replay_fraction: Fraction = msgspec.field(  # of the spare capacity
         name="replay_part", default=0.5
     )
-    reserved_fraction: Annotated[float, Meta(ge=0, lt=1)] = msgspec.field(  # of capacity, never for replay
-        name="reserve", default=0.2
+    reserved_fraction: Annotated[float, Meta(ge=0, lt=1)] = (
+        msgspec.field(  # of all capacity, never used for replay
+            name="reserve", default=0.2
+        )
     )
-    max_in_flight: Count = msgspec.field(name="in_flight", default=32)  # replayed entries at a time
-    site_weights: dict[str, Weight] = msgspec.field(  # sites that share the capacity; empty: only this one
-        name="sites", default_factory=dict
+    max_in_flight: Count = msgspec.field(name="in_flight", default=32)  # entries in flight in the replay
+    site_weights: dict[str, Weight] = (
+        msgspec.field(  # of all sites that share capacity; empty if there is one site
+            name="sites", default_factory=dict
+        )
     )
-    tenant_weights: dict[str, Weight] = msgspec.field(  # of tenants whose weight is not 1
+    tenant_weights: dict[str, Weight] = msgspec.field(  # of tenants whose weight differs from 1
         name="tenants", default_factory=dict
     )
 
     def __post_init__(self) -> None:
         if self.site_weights and self.site not in self.site_weights:
-            raise ValueError(f"sites: {self.site!r} (site) has to be among them")
+            raise ValueError(f"sites: {self.site!r}, the value of site, is missing")
--- a/ringledge/store/site_monitor.py
+++ b/ringledge/store/site_monitor.py
@@ -1,4 +1,4 @@
-"""Monitors whether a site is partitioned from its servers, in agreement with the site's other conductors."""
+"""Monitors whether the site is partitioned from its servers, together with the site's other conductors."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class SiteObservations(Protocol):
-    """What this process observes of its servers and of the answers that its clients get."""
+    """Observations of this process about its servers and the responses to its clients."""
 
     def servers(self, now_s: float) -> list[ServerReachability]:
-        """Every server, with times on the clock that reads `now_s`."""
+        """Return the reachability of each server, with times on the clock of `now_s`."""
         ...
 
     def answers(self) -> tuple[float, float]:
-        """Counts since the start: requests answered, and requests rejected or failed."""
+        """Return counts since the start: requests answered, and requests rejected or failed."""
         ...
 
 
 class SiteMonitor:
-    """Feeds the partition detector and publishes this conductor's own view of the site as a record."""
+    """Feeds the partition detector and publishes this conductor's view of the site as a record."""
 
     def __init__(self, site: str, observations: SiteObservations, records: RecordStore | None) -> None:
-        """`records`: shared with other conductors; None where this one is alone."""
+        """`records` are shared with other conductors; None without a cluster."""
         self.state = SiteState.AVAILABLE
         self._site = site
         self._record_key = f"reach/{site}"
@@ -44,7 +44,7 @@
         self._published: SiteState | None = None
 
     def update(self, now_s: float) -> None:
-        """Evaluate new observations and records; sets `state`."""
+        """Evaluate new observations and records, and update `state`."""
         self._feed_answers(now_s)
         self._receive_records(now_s)
         previous = self.state
@@ -67,12 +67,15 @@
         if self._records is None:
             return
         views = decode_records(self._records.values(now_s, self._record_key), SiteReachability)
-        # The store selects by prefix, which other sites' keys may share.
+        # The store selects by prefix, and this key can be a prefix of another site's key.
         own_site = [(writer, view) for (writer, key), view in views.items() if key == self._record_key]
         self._detector.receive(now_s, own_site)
 
     def _publish(self, now_s: float) -> None:
-        """Write our own view when it changes, and at the start: a silent conductor does not count as open."""
+        """Write the own view at the start and when it changes.
+
+        The initial write is needed because a conductor without a record does not count as available.
+        """
         if self._records is None or self._published is self._detector.own_state:
             return
         self._published = self._detector.own_state
--- a/ringledge/store/transitions.py
+++ b/ringledge/store/transitions.py
@@ -1,13 +1,13 @@
-"""The state machine of an entry; each function runs within a transaction that the caller opens and commits.
+"""State machine of an entry; each function runs in a transaction that the caller begins and commits.
 
     (none) -- enqueue --> waiting -- begin_attempt --> begun -- complete --> ended(served, failed, unknown)
                           waiting <- record_failed_attempt - begun
                           waiting -- expire, withdraw --> ended(expired, withdrawn)
                           begun under an older token -- adopt --> waiting, or ended(unknown)
 
-Each transition reads its source state in the same transaction, so an entry ends once. The lease holder's
-calls carry its fencing token: a token other than the highest one in the file is rejected. Expiry and
-withdrawal need no token: they only end entries that are not in flight.
+Each transition reads the source state in the same transaction, so an entry ends only once. Calls of the lease
+holder carry its fencing token, and a token other than the highest one in the file is rejected. Expiry and
+withdrawal need no token, because they only end entries that are not in flight.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from ringledge.store.queries import CORRUPT_ENTRY_MESSAGE, get_entry, highest_token, name_by_idempotency_key
 from ringledge.store.seal import COLUMNS, to_row
 
-BATCH_SIZE = 256  # entries expired or purged in one transaction, which has to stay short
+BATCH_SIZE = 256  # entries expired or purged in one transaction, to keep it short
 
 PREDECESSOR_LOST_MESSAGE = b"its holder died or lost the duty after it was begun; it may have run"
 MAY_HAVE_RUN_MESSAGE = b"it may have run, and is not run again"
@@ -36,10 +36,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AdoptionResult:
-    """What became of the entries that earlier lease holders had begun."""
+    """Results for the entries that earlier lease holders had begun."""
 
-    requeued: int  # idempotent ones, which wait again
-    unknown: tuple[str, ...]  # names of the others, which have ended
+    requeued: int  # number of idempotent entries, which wait again
+    unknown: tuple[str, ...]  # names of the other entries, which have ended as unknown
 
 
 def enqueue(
@@ -49,7 +49,7 @@
     limits: QueueLimits,
     free_disk_bytes: float = inf,
 ) -> Entry:
-    """Insert a request, or return the entry that has its idempotency key; QueueError if over a limit."""
+    """Insert a request, or return the entry with its idempotency key; QueueError if over a limit."""
     if request.idempotency_key is not None:
         name = name_by_idempotency_key(db, request.tenant, request.idempotency_key)
         if name is not None:
@@ -63,13 +63,13 @@
 
 
 def withdraw(db: sqlite3.Connection, name: str, now_s: float) -> Entry:
-    """Cancel a waiting entry for its client; InvalidTransitionError once it has begun or ended."""
+    """Cancel a waiting entry for its client; raises InvalidTransitionError if it has begun or ended."""
     entry = _get_in_state(db, name, EntryState.WAITING)
     return _update(db, _ended(entry, EntryOutcome.WITHDRAWN, b"", now_s))
 
 
 def adopt(db: sqlite3.Connection, token: int, now_s: float) -> AdoptionResult:
-    """Fence off holders of older tokens, and requeue or end the entries that they had begun."""
+    """Fence off holders of older tokens, then requeue or end the entries that they had begun."""
     highest = highest_token(db)
     if token < highest:
         raise _stale_token(token, highest)
@@ -78,12 +78,12 @@
     unknown = list[str]()
     for entry in _in_flight(db):
         if entry.state is EntryState.BEGUN and entry.token >= token:
-            continue  # begun under this same lease
+            continue  # begun under the same token
         if entry.state is EntryState.BEGUN and entry.request.idempotent:
             _update(db, replace(entry, state=EntryState.WAITING, token=token))
             requeued += 1
             continue
-        # Not idempotent, or its row is corrupt and whether it is can't be known.
+        # The entry is not idempotent, or its row is corrupt, so that this is not known.
         message = entry.response or PREDECESSOR_LOST_MESSAGE
         _update(db, _ended(replace(entry, token=token), EntryOutcome.UNKNOWN, message, now_s))
         unknown.append(entry.name)
@@ -91,11 +91,11 @@
 
 
 def begin_attempt(db: sqlite3.Connection, name: str, token: int, now_s: float) -> Entry:
-    """Record that an attempt starts. Send only an entry returned as BEGUN; it may have ended as expired."""
+    """Record the start of an attempt; send the entry only if it is returned as BEGUN, not as ENDED."""
     _check_token(db, token)
     entry = _get_existing(db, name)
     if entry.response is CORRUPT_ENTRY_MESSAGE:
-        # The index may still list the corrupt row among those that wait; the update takes it out.
+        # The index may still contain the corrupt row as waiting; this update removes it.
         return _update(db, replace(entry, ended_s=now_s))
     _check_state(entry, EntryState.WAITING)
     if entry.request.expires_s <= now_s:
@@ -112,10 +112,10 @@
     max_attempts: int,
     now_s: float,
 ) -> Entry:
-    """Requeue an entry whose attempt failed, or end it.
+    """Requeue or end an entry whose attempt has failed.
 
     An entry that may have run is requeued only if it is idempotent and has had fewer than `max_attempts`.
-    An attempt that was rejected before it ran is not counted, else a full fleet would use them all up.
+    An attempt that was rejected before it ran does not count, as overloaded servers would exhaust the limit.
     """
     _check_token(db, token)
     entry = _get_in_state(db, name, EntryState.BEGUN)
@@ -144,7 +144,7 @@
 
 
 def expire(db: sqlite3.Connection, now_s: float) -> tuple[str, ...]:
-    """End a batch of waiting entries that have expired, the oldest first; returns their names."""
+    """End a batch of expired waiting entries in order of expiry; returns their names."""
     expired = "SELECT name FROM entries WHERE state = 0 AND expires_s <= ? ORDER BY expires_s LIMIT ?"
     names = tuple(row[0] for row in db.execute(expired, (now_s, BATCH_SIZE)).fetchall())
     for name in names:
@@ -156,27 +156,27 @@
 
 
 def purge(db: sqlite3.Connection, now_s: float, retention_s: float) -> int:
-    """Delete a batch of entries that ended `retention_s` ago or earlier; returns how many."""
+    """Delete a batch of entries that ended at least `retention_s` ago; returns their number."""
     delete = """DELETE FROM entries WHERE seq IN
         (SELECT seq FROM entries WHERE state = 2 AND ended_s <= ? ORDER BY ended_s LIMIT ?)"""
     return db.execute(delete, (now_s - retention_s, BATCH_SIZE)).rowcount
 
 
 def _check_token(db: sqlite3.Connection, token: int) -> None:
-    """Fencing: only the holder that adopted the queue last may go on."""
+    """Raise StaleTokenError unless the token is the one that last adopted the queue."""
     highest = highest_token(db)
     if token != highest:
         raise _stale_token(token, highest)
 
 
 def _stale_token(token: int, highest: int) -> StaleTokenError:
-    return StaleTokenError(f"token {token}, {highest} was seen")
+    return StaleTokenError(f"token {token} rejected, since {highest} is the highest one")
 
 
 def _get_existing(db: sqlite3.Connection, name: str) -> Entry:
     entry = get_entry(db, name)
     if entry is None:
-        raise InvalidTransitionError(f"{name} is gone")
+        raise InvalidTransitionError(f"{name} does not exist")
     return entry
 
 
@@ -202,14 +202,14 @@
 
 
 def _expired(entry: Entry, now_s: float) -> Entry:
-    """EXPIRED means never sent; an entry that was sent in vain has FAILED."""
+    """End an expired entry: as EXPIRED if it was never sent, and as FAILED after failed attempts."""
     if entry.attempts:
         return _ended(entry, EntryOutcome.FAILED, b"it failed until its time was up", now_s)
     return _ended(entry, EntryOutcome.EXPIRED, b"", now_s)
 
 
 def _update(db: sqlite3.Connection, entry: Entry) -> Entry:
-    """Write all columns of an entry's row with a new seal."""
+    """Write all columns of an entry's row, with a new checksum."""
     assignments = ", ".join(f"{column} = ?" for column in (*COLUMNS.split(", "), "seal"))
     db.execute(f"UPDATE entries SET {assignments} WHERE name = ?", (*to_row(entry), entry.name))
     return entry
--- a/ringledge/store/worker.py
+++ b/ringledge/store/worker.py
@@ -1,7 +1,7 @@
-"""A thread that owns the SQLite connection and commits pending steps in groups.
+"""Thread that owns the SQLite connection and commits pending steps in groups.
 
-The event loop never waits for the disk, and one sync makes all steps durable that arrived while the last
-one ran (group commit).
+The event loop never blocks on the disk. One sync makes all steps durable that have arrived during the
+previous one (group commit).
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 T = TypeVar("T")
 Step = Callable[[sqlite3.Connection], T]
 
-MAX_BATCH = 256  # steps in one transaction: under a tenth of a second, so that other processes get the lock
-REOPEN_INTERVAL_S = 5.0  # between attempts to open an unusable file, which an operator may have repaired
+MAX_BATCH = 256  # steps per transaction; it takes under 0.1 s, so that other processes get the lock
+REOPEN_INTERVAL_S = 5.0  # between attempts to open an unusable file, which an operator may repair
 CORRUPTION_CODES = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
 
 
@@ -42,7 +42,7 @@
     result: Future[Any] = field(default_factory=Future)
 
     def resolve(self, result: Any) -> None:
-        """Hand the step's result to its caller; an exception is raised there."""
+        """Pass the result of the step to its caller, where an exception is raised."""
         if isinstance(result, Exception):
             self.result.set_exception(result)
         else:
@@ -50,25 +50,25 @@
 
 
 class DatabaseWorker:
-    """Runs steps on one file, in transactions, in a thread of its own."""
+    """Runs steps on one file in transactions, in a separate thread."""
 
     def __init__(
         self, path: Path, lock_timeout_s: float, on_open: Callable[[sqlite3.Connection], None]
     ) -> None:
-        """`lock_timeout_s`: how long to wait while another process holds the file's lock.
+        """`lock_timeout_s` limits the wait while another process holds the file's lock.
 
-        `on_open`: called with each connection that is opened, before any step; it may raise sqlite3.Error.
+        `on_open` is called with each new connection before any step; it may raise sqlite3.Error.
         """
         self._on_open = on_open
         self._path = path
         self._lock_timeout_s = lock_timeout_s
-        self._jobs = SimpleQueue[_Job | None]()  # None: stop
+        self._jobs = SimpleQueue[_Job | None]()  # None stops the thread
         self._db: sqlite3.Connection | None = None
-        self._open_error: QueueError | None = None  # why the file can't be used at present
-        self._reopen_s = 0.0  # when to try to open it again, on the monotonic clock
-        self._stopped = False  # no more jobs are accepted
+        self._open_error: QueueError | None = None  # why the file cannot be used at present
+        self._reopen_s = 0.0  # earliest time of the next attempt to open it, on the monotonic clock
+        self._stopped = False  # no further jobs are accepted
         self._drained = False  # the thread has received the last job
-        self.commits = 0  # transactions with a step that writes
+        self.commits = 0  # committed transactions with at least one writing step
         self._thread = threading.Thread(target=self._run_jobs, name="queue", daemon=True)
 
     def start(self) -> None:
@@ -84,11 +84,13 @@
     async def run(self, step: Step[T], writes: bool = True) -> T:
         """Run a step in a transaction; returns its result once the transaction is durable.
 
-        Raises QueueError, StaleTokenError or InvalidTransitionError; then none of the step's changes are
-        made. The step may be run more than once; only its last run takes effect.
+        Raises QueueError, StaleTokenError or InvalidTransitionError, in which case the step has changed
+        nothing. The step may be run more than once, but only its last run takes effect.
         """
         if self._stopped:
-            raise QueueError(QueueRejectionReason.UNAVAILABLE, "closed, the process ends", self._path)
+            raise QueueError(
+                QueueRejectionReason.UNAVAILABLE, "closed, because the process is shutting down", self._path
+            )
         job = _Job(step, writes)
         self._jobs.put(job)
         result: T = await asyncio.wrap_future(job.result)
@@ -102,7 +104,7 @@
             self._db.close()
 
     def _next_batch(self) -> list[_Job]:
-        """Wait for a job; returns it with those that are pending behind it."""
+        """Wait for a job; returns it together with the jobs pending after it."""
         batch = list[_Job]()
         job = self._jobs.get()
         while job is not None:
@@ -117,7 +119,7 @@
         return batch
 
     def _run_batch(self, batch: list[_Job]) -> None:
-        """Run a batch in one transaction; if SQLite rejects that as a whole, in one transaction each."""
+        """Run a batch in one transaction, or in one per job if that transaction fails as a whole."""
         if not batch:
             return
         try:
@@ -134,7 +136,7 @@
             job.resolve(result)
 
     def _transaction(self, batch: list[_Job]) -> list[Any]:
-        """Results of the steps in their order; a step that was rejected has its exception there."""
+        """Return the results of the steps in order; that of a rejected step is its exception."""
         db = self._connection()
         writes = any(job.writes for job in batch)
         db.execute("BEGIN IMMEDIATE" if writes else "BEGIN")
@@ -142,14 +144,14 @@
             results = [self._run_step(db, job.step) for job in batch]
             db.execute("COMMIT")
         except BaseException:
-            if db.in_transaction:  # after some errors SQLite has rolled back by itself
+            if db.in_transaction:  # after some errors SQLite has already rolled back
                 db.execute("ROLLBACK")
             raise
         self.commits += writes
         return results
 
     def _run_step(self, db: sqlite3.Connection, step: Step[Any]) -> Any:
-        """The step's result, or the exception that rejects it alone, with its changes rolled back."""
+        """Run one step; returns its result, or the exception after rolling back only this step's changes."""
         db.execute("SAVEPOINT step")
         try:
             return step(db)
@@ -158,7 +160,7 @@
             return error
         except sqlite3.Error:
             raise
-        except Exception as error:  # a defect of the program fails this step, not the thread
+        except Exception as error:  # a defect must fail only this step and not the thread
             db.execute("ROLLBACK TO step")
             log.exception("queue_step_crashed", error)
             return error
@@ -167,7 +169,7 @@
                 db.execute("RELEASE step")
 
     def _connection(self) -> sqlite3.Connection:
-        """The open connection; QueueError while the file can't be used."""
+        """Return the open connection; raises QueueError while the file cannot be used."""
         if self._db is not None:
             return self._db
         if self._open_error is not None and time.monotonic() < self._reopen_s:
@@ -184,18 +186,18 @@
         db = schema.connect(self._path, self._lock_timeout_s)
         try:
             self._on_open(db)
-        except sqlite3.Error as error:  # what is stored stays readable, whatever the disk refuses
+        except sqlite3.Error as error:  # entries stay readable even if the clock's offset cannot be written
             log.warning("queue_clock_not_stored", error=str(error))
         return db
 
     def _classify(self, error: sqlite3.Error) -> QueueError:
-        """The error as one of the queue; closes a connection that can't be trusted any more."""
+        """Convert the error to a QueueError; closes a connection that cannot be trusted any longer."""
         queue_error = schema.queue_error(error, self._path)
         if getattr(error, "sqlite_errorcode", 0) & 0xFF in CORRUPTION_CODES:
             self._close_connection()
             self._mark_unusable(queue_error)
         elif queue_error.reason is QueueRejectionReason.IO_ERROR:
-            self._close_connection()  # its cache may differ from the file, which is read again
+            self._close_connection()  # its cache may differ from the file
         return queue_error
 
     def _close_connection(self) -> None:
@@ -205,7 +207,7 @@
             self._db = None
 
     def _mark_unusable(self, error: QueueError) -> None:
-        """Fail calls with this error until the file is opened again; logged once for the same error."""
+        """Fail calls with this error until the file is opened again; repetitions of it are not logged."""
         if self._open_error is None or str(self._open_error) != str(error):
             log.error("queue_closed", why=error.reason.value, error=str(error))
         self._open_error = error
