--- a/tests/members/test_codec.py
+++ b/tests/members/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec decodes what it encoded, and rejects invalid datagrams with the reason; the replay window."""
+"""Codec and replay window: messages survive a round trip, and invalid or repeated datagrams are rejected."""
 
 import itertools
 
@@ -39,25 +39,27 @@
 
 names = st.text(st.characters(codec="ascii", categories=["L", "N"]), min_size=1, max_size=MAX_NAME_BYTES)
 starts = st.integers(0, MAX_START_NUMBER)
-words = st.integers(0, (1 << 32) - 1)
-news = st.builds(MembershipUpdate, names, starts, words, st.sampled_from(MemberStatus), names, names)
-few = st.lists(news, max_size=1).map(tuple)
-sums = st.lists(words, min_size=BUCKET_COUNT, max_size=BUCKET_COUNT).map(tuple)
-rows = st.lists(st.builds(WriterVersion, names, starts, words), max_size=3).map(tuple)
+uint32s = st.integers(0, (1 << 32) - 1)
+updates = st.builds(MembershipUpdate, names, starts, uint32s, st.sampled_from(MemberStatus), names, names)
+update_lists = st.lists(updates, max_size=1).map(tuple)
+digest_lists = st.lists(uint32s, min_size=BUCKET_COUNT, max_size=BUCKET_COUNT).map(tuple)
+version_lists = st.lists(st.builds(WriterVersion, names, starts, uint32s), max_size=3).map(tuple)
 messages = st.one_of(
-    st.builds(Ping, starts, starts, words, words, few),
-    st.builds(Ack, starts, starts, words, words, few),
-    st.builds(IndirectPingRequest, starts, starts, words, names),
-    st.builds(Join, starts, news),
-    st.builds(MemberList, starts, starts, few),
+    st.builds(Ping, starts, starts, uint32s, uint32s, update_lists),
+    st.builds(Ack, starts, starts, uint32s, uint32s, update_lists),
+    st.builds(IndirectPingRequest, starts, starts, uint32s, names),
+    st.builds(Join, starts, updates),
+    st.builds(MemberList, starts, starts, update_lists),
     st.just(MemberListQuery()),
-    st.builds(ViewDigests, starts, starts, sums),
-    st.builds(VersionDigests, sums),
-    st.builds(VersionVector, rows, words),
-    st.builds(RecordRequest, rows),
+    st.builds(ViewDigests, starts, starts, digest_lists),
+    st.builds(VersionDigests, digest_lists),
+    st.builds(VersionVector, version_lists, uint32s),
+    st.builds(RecordRequest, version_lists),
     st.builds(
         RecordBatch,
-        st.tuples(st.builds(Record, names, starts, words, words, names, st.none() | st.binary(max_size=70))),
+        st.tuples(
+            st.builds(Record, names, starts, uint32s, uint32s, names, st.none() | st.binary(max_size=70))
+        ),
         st.booleans(),
     ),
 )
@@ -96,16 +98,16 @@
 @given(messages, st.data())
 def test_changed_or_truncated_datagram_is_rejected(message: msgspec.Struct, data: st.DataObject) -> None:
     datagram = codec().encode(message, 5, 6)
-    at = data.draw(st.integers(0, len(datagram) - 1))
+    position = data.draw(st.integers(0, len(datagram) - 1))
     bit = data.draw(st.integers(0, 7))
-    changed = datagram[:at] + bytes((datagram[at] ^ 1 << bit,)) + datagram[at + 1 :]
-    assert drop_reason(changed) is not None and drop_reason(datagram[:at]) is not None
+    changed = datagram[:position] + bytes((datagram[position] ^ 1 << bit,)) + datagram[position + 1 :]
+    assert drop_reason(changed) is not None and drop_reason(datagram[:position]) is not None
 
 
 @settings(max_examples=500, deadline=None)
 @given(st.binary(max_size=300))
-def test_random_bytes_are_rejected(noise: bytes) -> None:
-    assert drop_reason(noise) is not None
+def test_random_bytes_are_rejected(datagram: bytes) -> None:
+    assert drop_reason(datagram) is not None
 
 
 @settings(max_examples=500, deadline=None)
@@ -113,8 +115,8 @@
 def test_authenticated_body_is_validated(kind: int, body: bytes) -> None:
     sender = codec()
     datagram = sender.encode(IndirectPingRequest(1, 1, 1, "x"), 1, 1)
-    head = datagram[:1] + bytes((kind,)) + datagram[2 : FIXED_HEADER_BYTES - 12 + 1]
-    reason = drop_reason(head + sender._tag(head, body) + body)
+    header = datagram[:1] + bytes((kind,)) + datagram[2 : FIXED_HEADER_BYTES - 12 + 1]
+    reason = drop_reason(header + sender._tag(header, body) + body)
     if kind not in sender._decoders:
         assert reason is DropReason.KIND
     else:
@@ -138,7 +140,7 @@
         )
         is DropReason.KIND
     )
-    long_name = "é" * 30  # a name that is too long for any member
+    long_name = "é" * 30  # longer than any member's name may be
     sender._name = long_name.encode()
     assert drop_reason(sender.encode(IndirectPingRequest(1, 1, 1, "x"), 1, 1)) is DropReason.BODY
 
@@ -151,9 +153,9 @@
 
 
 def test_kinds_of_deciders_do_not_overlap() -> None:
-    firsts = sorted(FIRST_KIND.values())
-    assert all(after - before >= KINDS_PER_DECIDER for before, after in itertools.pairwise(firsts))
-    assert firsts[-1] + KINDS_PER_DECIDER <= 256
+    first_kinds = sorted(FIRST_KIND.values())
+    assert all(after - before >= KINDS_PER_DECIDER for before, after in itertools.pairwise(first_kinds))
+    assert first_kinds[-1] + KINDS_PER_DECIDER <= 256
 
 
 @settings(max_examples=200, deadline=None)
--- a/tests/members/test_component.py
+++ b/tests/members/test_component.py
@@ -1,4 +1,4 @@
-"""Members on real loopback sockets: joining, replication, leaving, and the query of the member table."""
+"""Members on loopback sockets: joining, record replication, leaving, and queries of the member table."""
 
 import random
 import time
@@ -20,7 +20,7 @@
 from ringledge.members.settings import MembersConfig
 
 FAST_PROBES = ProbeConfig(interval_s=0.1, ack_timeout_s=0.04)
-TIMEOUT_S = 30.0  # limit for a busy machine; no test waits for it to elapse
+TIMEOUT_S = 30.0  # generous, for busy machines; passing tests do not wait for it
 
 
 def component(folder: Path, name: str, peers: dict[str, str], key: str = "0f" * 16) -> MembersComponent:
@@ -42,9 +42,9 @@
     )
 
 
-async def wait_until(holds: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     with anyio.fail_after(TIMEOUT_S):
-        while not holds():
+        while not condition():
             await anyio.sleep(0.005)
 
 
@@ -108,7 +108,7 @@
 
 
 class Greeter:
-    """A decider of another subsystem."""
+    """A decider of another component, which sends greetings and records those it receives."""
 
     def __init__(self, recipient: str) -> None:
         self.recipient = recipient
@@ -134,32 +134,35 @@
 def test_further_decider_receives_messages_of_active_members_only(tmp_path: Path) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            one = component(tmp_path, "n0", {})
+            receiver = component(tmp_path, "n0", {})
             acquired: list[object] = []
-            listener, talker = Greeter(""), Greeter("n0")
-            one.add_decider("duties", listener, (Greet,))
-            one.hooks.on_lease_event.append(acquired.append)
-            one.start(tasks)
-            two = component(tmp_path, "n1", {"n0": await one.wait_bound()})
-            two.add_decider("duties", talker, (Greet,))
-            two.start(tasks)
-            # n0 does not know n1 when the first message arrives; once it does, the next one is accepted.
+            receiving_greeter, sending_greeter = Greeter(""), Greeter("n0")
+            receiver.add_decider("duties", receiving_greeter, (Greet,))
+            receiver.hooks.on_lease_event.append(acquired.append)
+            receiver.start(tasks)
+            sender = component(tmp_path, "n1", {"n0": await receiver.wait_bound()})
+            sender.add_decider("duties", sending_greeter, (Greet,))
+            sender.start(tasks)
+            # The first message arrives before n0 knows n1 and is dropped; a later one is accepted.
             await wait_until(
-                lambda: dropped_count(one, "sender_unknown") + dropped_count(one, "other_start") > 0
+                lambda: dropped_count(receiver, "sender_unknown") + dropped_count(receiver, "other_start") > 0
             )
-            assert not listener.received
-            await wait_until(lambda: all(len(each.membership.active_members()) == 2 for each in (one, two)))
-            assert two.service is not None
-            two.service.execute_actions(talker.tick(0.0))
-            await wait_until(lambda: listener.received == [("n1", "hello")])
+            assert not receiving_greeter.received
+            await wait_until(
+                lambda: all(len(each.membership.active_members()) == 2 for each in (receiver, sender))
+            )
+            assert sender.service is not None
+            sender.service.execute_actions(sending_greeter.tick(0.0))
+            await wait_until(lambda: receiving_greeter.received == [("n1", "hello")])
             assert isinstance(acquired[0], LeaseAcquired)
-            one.membership.stopped = True  # as if superseded: none of its deciders receives or sends any more
-            two.service.execute_actions(talker.tick(0.0))
-            await wait_until(lambda: dropped_count(one, "silent") > 0)
-            assert len(listener.received) == 1
-            assert dropped_count(two, "too_long") >= 2 and dropped_count(two, "no_address") >= 2
-            one.stop()
-            two.stop()
+            # As if superseded: its deciders neither receive nor send any longer.
+            receiver.membership.stopped = True
+            sender.service.execute_actions(sending_greeter.tick(0.0))
+            await wait_until(lambda: dropped_count(receiver, "silent") > 0)
+            assert len(receiving_greeter.received) == 1
+            assert dropped_count(sender, "too_long") >= 2 and dropped_count(sender, "no_address") >= 2
+            receiver.stop()
+            sender.stop()
 
     anyio.run(run)
 
@@ -181,7 +184,7 @@
             assert [line.split()[:2] for line in result.output.splitlines()] == [
                 [f"n{number}", "alive"] for number in range(3)
             ]
-            assert len(members[0].membership.statuses()) == 3  # the querying process is no member
+            assert len(members[0].membership.statuses()) == 3  # the querying process has not become a member
             for member in members:
                 member.stop()
             await wait_until(lambda: not any_running(members))
--- a/tests/members/test_duty_runner.py
+++ b/tests/members/test_duty_runner.py
@@ -1,4 +1,4 @@
-"""Duties run a step at a time, on a clock that the test advances."""
+"""Start, steps and stop of duties with their leases, on a clock that the test advances."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeLeaseTokens:
-    """Stands for the leases: one token until a time."""
+    """Lease tokens of a single lease that expires at `until_s`."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -38,7 +38,7 @@
 
 
 class RecordingDuty:
-    """A duty that records its calls; `in_step` is called in the middle of each step."""
+    """A duty that records its calls; `in_step` is called in the middle of each step, before the effect."""
 
     def __init__(self, in_step: Callable[[], Any] = lambda: None) -> None:
         self.events: list[str] = []
@@ -71,7 +71,7 @@
 
 
 class FakeClock:
-    """Advances only by sleeps."""
+    """Clock that advances only when `sleep` is called."""
 
     def __init__(self, leases: FakeLeaseTokens) -> None:
         self.leases = leases
@@ -92,7 +92,7 @@
         runner.apply(LeaseAcquired("planner", 7, 3.0))
         await duty.wait_for("begin 7", "step 7", "effect 7")
         assert runner.running() == {"planner": 7}
-        runner.apply(LeaseEnded("planner", 6, "expired"))  # late, of an earlier holding
+        runner.apply(LeaseEnded("planner", 6, "expired"))  # delayed report about an earlier holding
         assert runner.running() == {"planner": 7}
         runner.apply(LeaseEnded("planner", 7, "given_up"))
         await runner.stop_all()
@@ -120,7 +120,7 @@
         runner = DutyRunner({"planner": duty}, leases, group, clock=lambda: leases.now_s, sleep=clock.sleep)
         runner.apply(LeaseAcquired("planner", 7, 3.0))
         await anyio.wait_all_tasks_blocked()
-        assert duty.events.count("step 7") == 1  # 60 s later the lease is over
+        assert duty.events.count("step 7") == 1  # the next step is due in 60 s, when the lease has expired
         await runner.stop_all()
     assert duty.events[-1] == "stop"
 
@@ -189,7 +189,7 @@
         child.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, child.pid, os.WSTOPPED)
         stopped_s = time.monotonic()
-        while time.monotonic() < stopped_s + 0.2:  # what is measured is that time passes
+        while time.monotonic() < stopped_s + 0.2:  # so that the child is stopped for at least 0.2 s
             time.sleep(0.01)
         child.send_signal(signal.SIGCONT)
         assert reading() - before >= 0.2
--- a/tests/members/test_duty_settings.py
+++ b/tests/members/test_duty_settings.py
@@ -1,4 +1,4 @@
-"""deploy/duties.toml is validated when it is read."""
+"""Validation of the settings in deploy/duties.toml."""
 
 from __future__ import annotations
 
--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings of deploy/members.toml."""
+"""Validation of the settings in deploy/members.toml, and their overrides by RELAY_CONFIG."""
 
 import subprocess
 import sys
@@ -27,7 +27,7 @@
     assert settings_files.read_settings(MembersConfig, path) is None
     plain = MembersConfig("ringledge", "members.key")
     enabled = path.read_text().replace("enabled = false", "enabled = true")
-    assert read_text(enabled) == plain  # the file states the defaults
+    assert read_text(enabled) == plain  # the shipped file contains the default values
 
 
 def test_members_are_not_imported_while_disabled() -> None:
--- a/tests/store/helpers.py
+++ b/tests/store/helpers.py
@@ -1,4 +1,4 @@
-"""Fixtures and builders that the tests of the queue share."""
+"""Fixtures and builders shared by the tests of the queue."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     idempotency_key: str | None = None,
     size: int = 10,
 ) -> QueuedRequest:
-    """A request made at NOW_S with a body of `size` bytes."""
+    """Return a request created at NOW_S with a body of `size` bytes."""
     return QueuedRequest(
         name=name,
         tenant=tenant,
@@ -41,7 +41,7 @@
 
 
 def in_transaction(db: sqlite3.Connection, step: Callable[[sqlite3.Connection], T]) -> T:
-    """Run a step in a transaction of its own, as the worker does."""
+    """Run a step in its own transaction, as the database worker does."""
     db.execute("BEGIN IMMEDIATE")
     try:
         result = step(db)
--- a/tests/store/test_command.py
+++ b/tests/store/test_command.py
@@ -1,4 +1,4 @@
-"""The commands `ringledge queue`: what they report of a file."""
+"""Reports of the `ringledge queue` commands about a queue's file."""
 
 from __future__ import annotations
 
@@ -68,10 +68,10 @@
     )
     loaded = process.stdout
     assert "ringledge.wire.clients.chat" in loaded
-    for off in (
+    for module in (
         "sqlite3",
         "ringledge.store.queue",
         "ringledge.decide.replay.scheduler",
         "ringledge.members.replayer",
     ):
-        assert off not in loaded
+        assert module not in loaded
--- a/tests/store/test_component.py
+++ b/tests/store/test_component.py
@@ -1,4 +1,4 @@
-"""The queue's component: from a partitioned site to the replay of its queue, with fakes for the servers."""
+"""The queue component from a partition of the site to the replay, with fakes in place of servers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FakeObservations:
-    """One prefill and one decode server, both reachable or neither."""
+    """Observations of a prefill and a decode server that are both reachable or both not."""
 
     def __init__(self, reachable: bool) -> None:
         self.reachable = reachable
@@ -42,7 +42,7 @@
 
 
 class FakeRecordStore:
-    """The records of one member, and those that it has received from others."""
+    """Records of the local member, and those received from other members."""
 
     def __init__(self) -> None:
         self.own: dict[str, bytes] = {}
@@ -55,7 +55,7 @@
         self.own.pop(key, None)
 
     def values(self, now_s: float, prefix: str) -> dict[tuple[str, str], bytes]:
-        return {place: value for place, value in self.others.items() if place[1].startswith(prefix)}
+        return {key: value for key, value in self.others.items() if key[1].startswith(prefix)}
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
@@ -101,14 +101,14 @@
                 for number in range(3):
                     await component.queue.enqueue(request(f"{number}"))
                 await wait_until(lambda: "backlog/north" in records.own)
-                await wait_until(lambda: bool(rejected))  # one entry alone probes the servers
+                await wait_until(lambda: bool(rejected))  # only one entry is sent as a probe
                 assert len(rejected) == 1
                 observations.reachable = True
                 for number in range(3):
                     while (await component.queue.get(f"{number}")).outcome is not EntryOutcome.SERVED:  # type: ignore[union-attr]
                         await anyio.sleep(0.01)
-                row: QueueBacklog = msgspec.msgpack.decode(records.own["backlog/north"], type=QueueBacklog)
-                assert row.token == 1 and row.weight == 1.0
+                record: QueueBacklog = msgspec.msgpack.decode(records.own["backlog/north"], type=QueueBacklog)
+                assert record.token == 1 and record.weight == 1.0
                 await component.stop()
                 component.queue.stop()
                 tasks.cancel_scope.cancel()
@@ -155,9 +155,11 @@
 def test_the_shipped_settings_are_disabled_and_valid_once_enabled(tmp_path: Path) -> None:
     shipped = ROOT / "deploy/queue.toml"
     assert settings_files.read_settings(QueueConfig, shipped) is None
-    on = tmp_path / "queue.toml"
-    on.write_text(shipped.read_text().replace("enabled = false", "enabled = true"))
-    assert settings_files.read_settings(QueueConfig, on) == QueueConfig(path="/var/lib/ringledge/queue.db")
-    on.write_text('enabled = true\npath = "q"\nsite = "a"\n[sites]\nb = 1.0\n')
+    enabled = tmp_path / "queue.toml"
+    enabled.write_text(shipped.read_text().replace("enabled = false", "enabled = true"))
+    assert settings_files.read_settings(QueueConfig, enabled) == QueueConfig(
+        path="/var/lib/ringledge/queue.db"
+    )
+    enabled.write_text('enabled = true\npath = "q"\nsite = "a"\n[sites]\nb = 1.0\n')
     with pytest.raises(settings_files.SettingsError, match="sites"):
-        settings_files.read_settings(QueueConfig, on)
+        settings_files.read_settings(QueueConfig, enabled)
--- a/tests/store/test_file.py
+++ b/tests/store/test_file.py
@@ -1,4 +1,4 @@
-"""The queue's file when it is corrupt, of another version, on a full disk, or locked by another process."""
+"""The queue's file when it is corrupt, of another schema version, or on a full disk."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def run_scenario(path: Path, scenario: Scenario, **options: Any) -> None:
-    """Run a scenario on a queue with a fixed clock."""
+    """Run a scenario on a queue whose clock is fixed at NOW_S."""
 
     async def run() -> None:
         queue = Queue(QueueConfig(path=str(path), **options), lambda: NOW_S)
@@ -46,7 +46,7 @@
 
 
 def connection_error(path: Path) -> QueueError:
-    """The error that opening the file raises."""
+    """Return the error that is raised when the file is opened."""
     with pytest.raises(QueueError) as raised:
         schema.connect(path, 0.1).close()
     return raised.value
@@ -69,7 +69,7 @@
                 limits=LIMITS,
             ),
         )
-    db.execute("UPDATE entries SET question = x'00' WHERE name = 'a'")  # as a byte on the disk might
+    db.execute("UPDATE entries SET question = x'00' WHERE name = 'a'")  # simulates corruption on the disk
     in_transaction(db, lambda db: transitions.adopt(db, 1, NOW_S))
     entry = queries.get_entry(db, "a")
     assert (
@@ -100,8 +100,10 @@
     path = tmp_path / "queue.db"
     connection = schema.connect(path, 1.0)
     for number in range(50):
-        new = queued_request(f"{number}", f"t{number}", size=900)
-        in_transaction(connection, partial(transitions.enqueue, request=new, now_s=NOW_S, limits=LIMITS))
+        new_request = queued_request(f"{number}", f"t{number}", size=900)
+        in_transaction(
+            connection, partial(transitions.enqueue, request=new_request, now_s=NOW_S, limits=LIMITS)
+        )
     connection.close()
     corrupt = bytearray(path.read_bytes())
     corrupt[4096 * 2 : 4096 * 12] = b"\xff" * (4096 * 10)
@@ -149,8 +151,8 @@
     entry = Entry(queued_request("a", idempotent=False), EntryState.BEGUN, 3, 1)
     row = to_row(entry)
     columns = COLUMNS.removesuffix(", key")
-    marks = ", ".join("?" * 15)
-    older.execute(f"INSERT INTO entries ({columns}, seal) VALUES ({marks})", (*row[:14], row[15]))
+    placeholders = ", ".join("?" * 15)
+    older.execute(f"INSERT INTO entries ({columns}, seal) VALUES ({placeholders})", (*row[:14], row[15]))
     older.close()
     db = schema.connect(path, 1.0)
     assert queries.get_entry(db, "a") == entry
@@ -163,7 +165,7 @@
     async def scenario(queue: Queue) -> None:
         await queue.enqueue(queued_request("first", idempotent=False))
         await queue.adopt(1)
-        await limit_pages(queue, 1_060)  # a reserve of 1,024 is left to what is in already
+        await limit_pages(queue, 1_060)  # leaves the reserve of 1,024 pages for existing entries
         accepted = ["first"]
         reason = None
         for number in range(200):
@@ -173,15 +175,15 @@
                 reason = error.reason
                 break
         assert reason is QueueRejectionReason.DISK_FULL and len(accepted) > 3
-        for name in accepted:  # each 202 stands, and can still be begun, ended and taken back
+        for name in accepted:  # every accepted entry can still be begun
             assert (await queue.begin_attempt(name, 1)).state is EntryState.BEGUN
         assert (await queue.complete("first", 1, EntryOutcome.SERVED, b"{}")).outcome is EntryOutcome.SERVED
-        await limit_pages(queue, 1)  # no page more, whatever was reserved
+        await limit_pages(queue, 1)  # no further page, not even for existing entries
         with pytest.raises(QueueError) as raised:
             await queue.complete("0", 1, EntryOutcome.SERVED, b"?" * 100_000)
         assert raised.value.reason is QueueRejectionReason.DISK_FULL
         entry = await queue.get("0")
-        assert entry is not None and entry.state is EntryState.BEGUN  # nothing half done
+        assert entry is not None and entry.state is EntryState.BEGUN  # nothing was changed
         await limit_pages(queue, 2_000)
         assert (
             await queue.complete("0", 1, EntryOutcome.SERVED, b"?" * 100_000)
--- a/tests/store/test_file_sharing.py
+++ b/tests/store/test_file_sharing.py
@@ -1,4 +1,4 @@
-"""The queue file shared by steps, processes and a slow disk."""
+"""Concurrent use of the queue's file: group commits, several processes, and a slow disk."""
 
 from __future__ import annotations
 
@@ -82,10 +82,10 @@
         gate = threading.Event()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(queue.worker.run, lambda db: gate.wait(20))
-            turns = 0
-            while turns < 100:  # the loop goes round while the thread stands still
+            iterations = 0
+            while iterations < 100:  # the event loop runs while the thread is blocked
                 await anyio.lowlevel.checkpoint()
-                turns += 1
+                iterations += 1
             gate.set()
 
     run_scenario(tmp_path / "queue.db", scenario)
--- a/tests/store/test_kills.py
+++ b/tests/store/test_kills.py
@@ -1,4 +1,4 @@
-"""Crash tests of the queue: a process is killed at random, and right after each event observable outside."""
+"""Crash tests of the queue: a process is killed at random, or right after an externally visible event."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 
 def kill_after(path: Path, event: str, late: bool = False) -> tuple[Observed, list[str]]:
-    """Kill a process right after an event of a booking and let another one finish; returns violations too."""
+    """Kill a process right after an event of a booking, and let another process complete the rest.
+
+    Returns what was observed of the processes, and the violations.
+    """
     observed = Observed()
 
     def is_event_of_booking(line: str) -> bool:
@@ -53,7 +56,7 @@
 
 
 def test_an_attempt_recorded_after_it_was_sent_is_detected(tmp_path: Path) -> None:
-    """The mutant's process is killed while the booking is in flight and not recorded on the disk."""
+    """The mutant is killed while a booking is in flight, before the start of the attempt is recorded."""
     _, violated = kill_after(tmp_path / "queue.db", "sent", late=True)
 
     assert any(violation.startswith("twice: ") for violation in violated)
@@ -62,7 +65,7 @@
 @pytest.mark.parametrize(
     ("corruption", "violation"),
     [
-        ("DELETE FROM entries WHERE name = ?", "lost: "),  # an outcome deleted before its client had it
+        ("DELETE FROM entries WHERE name = ?", "lost: "),  # an outcome deleted before its client has read it
         ("UPDATE entries SET state = 1 WHERE name = ?", "no end: "),
     ],
 )
@@ -75,7 +78,7 @@
     name = next(iter(observed.accepted))
     db = connect(path, 1.0)
     db.execute(corruption, (name,))
-    if "state" in corruption:  # sealed, as a faulty transition would leave it
+    if "state" in corruption:  # with a valid checksum, as after a faulty transition
         row = db.execute(f"SELECT {COLUMNS} FROM entries WHERE name = ?", (name,)).fetchone()
         db.execute("UPDATE entries SET seal = ? WHERE name = ?", (row_checksum(tuple(row)), name))
     db.close()
--- a/tests/store/test_queue_clock.py
+++ b/tests/store/test_queue_clock.py
@@ -1,4 +1,4 @@
-"""Times of the queue are real time, whatever becomes of the system's clock."""
+"""The queue's clock is not affected by steps of the system clock, and continues after a reboot."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass
 class Machine:
-    """A machine whose two clocks the test sets."""
+    """A machine whose system clock and time since boot are set by the test."""
 
     unix_s: float = 1_800_000_000.0
     boot_s: float = 5_000.0
@@ -33,11 +33,12 @@
         self.boot_s += duration_s
 
     def reboot(self, off_s: float) -> None:
+        """Reboot the machine; `off_s` is the change of the system clock meanwhile."""
         self.unix_s += off_s
         self.boot_s, self.boot = 1.0, self.boot + 1
 
     def process(self, path: Path) -> tuple[QueueClock, sqlite3.Connection]:
-        """The clock of a process that opens the file now."""
+        """Return the clock and the connection of a new process that opens the file."""
         clock = QueueClock(lambda: self.unix_s, lambda: self.boot_s, lambda: self.boot)
         connection = schema.connect(path, 1.0)
         clock.synchronize(connection)
@@ -61,10 +62,10 @@
 
 @pytest.mark.parametrize("step_s", [HOUR_S, -HOUR_S])
 @pytest.mark.parametrize("restarts", [False, True])
-def test_step_of_the_system_clock_moves_no_expiry(
+def test_step_of_the_system_clock_does_not_move_the_expiry(
     tmp_path: Path, machine: Machine, step_s: float, restarts: bool
 ) -> None:
-    """Guards against 202s that are ended unsent, or kept an hour longer."""
+    """Guards against accepted entries that expire early or wait an hour longer after a clock step."""
     clock, connection = machine.process(tmp_path / "queue.db")
     enqueue(clock, connection)
     machine.unix_s += step_s
@@ -76,15 +77,17 @@
     assert expired(clock, connection) == ("a",)
 
 
-def test_processes_of_one_boot_agree(tmp_path: Path, machine: Machine) -> None:
+def test_clocks_of_processes_agree_within_one_boot(tmp_path: Path, machine: Machine) -> None:
     first, _ = machine.process(tmp_path / "queue.db")
     machine.unix_s -= HOUR_S
     second, _ = machine.process(tmp_path / "queue.db")
     assert second.now_s() == pytest.approx(first.now_s(), abs=1e-3)
 
 
-@pytest.mark.parametrize(("off_s", "waited_s"), [(100.0, 100.0), (-HOUR_S, 0.0)], ids=["well", "set back"])
-def test_time_that_the_machine_is_off_counts_as_its_clock_says(
+@pytest.mark.parametrize(
+    ("off_s", "waited_s"), [(100.0, 100.0), (-HOUR_S, 0.0)], ids=["correct clock", "clock set back"]
+)
+def test_time_while_the_machine_is_off_is_taken_from_the_system_clock(
     tmp_path: Path, machine: Machine, off_s: float, waited_s: float
 ) -> None:
     clock, connection = machine.process(tmp_path / "queue.db")
@@ -97,7 +100,7 @@
     assert expired(clock, connection) == ("a",)
 
 
-def test_entries_stay_readable_where_the_offset_can_not_be_stored(tmp_path: Path) -> None:
+def test_entries_stay_readable_if_the_offset_cannot_be_stored(tmp_path: Path) -> None:
     path = tmp_path / "queue.db"
     connection = schema.connect(path, 1.0)
     connection.execute("CREATE TRIGGER full BEFORE INSERT ON meta BEGIN SELECT raise(ABORT, 'full'); END")
--- a/tests/store/test_replayer.py
+++ b/tests/store/test_replayer.py
@@ -1,4 +1,4 @@
-"""The replay at its hard moments: holders that die, stall or are cut off, disks that take nothing."""
+"""Replay under faults: lease holders that die, are suspended or are partitioned, and a full disk."""
 
 from __future__ import annotations
 
@@ -22,216 +22,229 @@
 from tests.store.helpers import NOW_S, queued_request
 
 
-class StandIn:
-    """The servers: every send waits until a test ends it."""
+class EntrySenderStandIn:
+    """Sender whose attempts stay in flight until the test completes them."""
 
     def __init__(self) -> None:
         self.sent: list[str] = []
-        self.out: dict[str, Callable[[SendResult], None]] = {}
+        self.in_flight: dict[str, Callable[[SendResult], None]] = {}
         self.cancelled: list[str] = []
 
     def __call__(self, entry: Entry, on_result: Callable[[SendResult], None]) -> SendHandle | None:
         self.sent.append(entry.name)
-        self.out[entry.name] = on_result
-        outer = self
+        self.in_flight[entry.name] = on_result
+        stand_in = self
 
-        class Out:
+        class Handle:
             def cancel(self) -> bool:
-                outer.cancelled.append(entry.name)
+                stand_in.cancelled.append(entry.name)
                 return entry.request.idempotent
 
-        return Out()
+        return Handle()
 
-    def end(self, name: str, verdict: SendOutcome = SendOutcome.SERVED, ran: bool = True) -> None:
-        self.out.pop(name)(SendResult(verdict, ran, b"{}" if verdict is SendOutcome.SERVED else b""))
+    def complete(
+        self, name: str, outcome: SendOutcome = SendOutcome.SERVED, may_have_run: bool = True
+    ) -> None:
+        self.in_flight.pop(name)(
+            SendResult(outcome, may_have_run, b"{}" if outcome is SendOutcome.SERVED else b"")
+        )
 
 
 class Site:
-    """Holders at one file, on a clock that a test moves."""
+    """Lease holders that share a queue's file, on a clock that the test advances."""
 
     def __init__(self, path: Path, tasks: anyio.abc.TaskGroup) -> None:
         self.path, self.tasks, self.now_s = path, tasks, 0.0
-        self.state, self.servers = SiteState.AVAILABLE, StandIn()
-        self.queue = self.process()
+        self.state, self.sender = SiteState.AVAILABLE, EntrySenderStandIn()
+        self.queue = self.open_queue()
 
-    def process(self) -> Queue:
+    def open_queue(self) -> Queue:
         queue = Queue(QueueConfig(path=str(self.path), lock_timeout_s=5.0), lambda: NOW_S + self.now_s)
         queue.start()
         return queue
 
-    def holder(self, token: int, queue: Queue | None = None) -> tuple[Replayer, QueueMetrics]:
-        def decider(now_s: float, token: int) -> ReplayScheduler:
-            pace = RateController(random.Random(1), jitter_s=0.0)
-            pace.set_ceiling(now_s, 1e9)
-            return ReplayScheduler(pace, 8)
-
-        figures = QueueMetrics(CollectorRegistry())
-        at, site = queue or self.queue, self
-        made = Replayer(at, self.servers, decider, lambda: site.state, lambda: site.now_s, figures)
-        made.tasks = self.tasks
-        made.begin(token)
-        return made, figures
-
-    async def steps(self, replayer: Replayer, token: int, still: Callable[[], bool] = lambda: True) -> None:
-        """Some steps, a tenth of a second apart."""
+    def begin_replay(self, token: int, queue: Queue | None = None) -> tuple[Replayer, QueueMetrics]:
+        def make_scheduler(now_s: float, token: int) -> ReplayScheduler:
+            rate_controller = RateController(random.Random(1), jitter_s=0.0)
+            rate_controller.set_ceiling(now_s, 1e9)
+            return ReplayScheduler(rate_controller, 8)
+
+        metrics = QueueMetrics(CollectorRegistry())
+        replayed_queue, site = queue or self.queue, self
+        replayer = Replayer(
+            replayed_queue, self.sender, make_scheduler, lambda: site.state, lambda: site.now_s, metrics
+        )
+        replayer.tasks = self.tasks
+        replayer.begin(token)
+        return replayer, metrics
+
+    async def run_steps(
+        self, replayer: Replayer, token: int, is_held: Callable[[], bool] = lambda: True
+    ) -> None:
+        """Run 12 steps at intervals of 0.1 s, and wait until the results of each are written."""
         for _ in range(12):
-            await replayer.step(token, still)
+            await replayer.step(token, is_held)
             while replayer.unsettled_count and not replayer._unsettled_results:
                 await anyio.sleep(0)
             self.now_s += 0.1
 
     async def entry(self, name: str) -> Entry:
-        told = await self.queue.get(name)
-        assert told is not None
-        return told
+        found = await self.queue.get(name)
+        assert found is not None
+        return found
 
 
-def play(path: Path, game: Callable[[Site], Coroutine[Any, Any, None]]) -> None:
+def run_scenario(path: Path, scenario: Callable[[Site], Coroutine[Any, Any, None]]) -> None:
+    """Run a scenario with two entries: `book`, which is not idempotent, and `ask`, which is."""
+
     async def run() -> None:
         with anyio.fail_after(30):
             async with anyio.create_task_group() as tasks:
                 site = Site(path / "queue.db", tasks)
                 await site.queue.enqueue(queued_request("book", idempotent=False))
                 await site.queue.enqueue(queued_request("ask"))
-                await game(site)
+                await scenario(site)
                 tasks.cancel_scope.cancel()
             site.queue.stop()
 
     anyio.run(run)
 
 
-def test_a_holder_that_dies_after_the_send_and_before_the_end_is_written(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        first, _ = site.holder(1)
-        await site.steps(first, 1)
-        assert sorted(site.servers.sent) == ["ask", "book"]  # and now nothing more is heard of it
-        second, figures = site.holder(2, site.process())
-        await site.steps(second, 2)
-        assert site.servers.sent.count("book") == 1 and site.servers.sent.count("ask") == 2
+def test_entries_of_a_dead_holder_end_as_unknown_or_are_sent_again(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        first, _ = site.begin_replay(1)
+        await site.run_steps(first, 1)
+        assert sorted(site.sender.sent) == ["ask", "book"]  # the first holder dies here
+        second, metrics = site.begin_replay(2, site.open_queue())
+        await site.run_steps(second, 2)
+        assert site.sender.sent.count("book") == 1 and site.sender.sent.count("ask") == 2
         assert (await site.entry("book")).outcome is EntryOutcome.UNKNOWN
-        site.servers.end("ask")
-        await site.steps(second, 2)
+        site.sender.complete("ask")
+        await site.run_steps(second, 2)
         assert (await site.entry("ask")).outcome is EntryOutcome.SERVED
-        assert figures.outcomes.labels("unknown")._value.get() == 1
-
-    play(tmp_path, game)
-
-
-def test_a_holder_that_stood_still_is_refused_what_it_still_does(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        first, figures = site.holder(1)
-        await site.steps(first, 1)
-        ends = dict(site.servers.out)
-        second, _ = site.holder(2, site.process())
-        await site.steps(second, 2)
-        for name in ("book", "ask"):  # it goes on where it stood: its answers come, its lease is gone
-            ends[name](SendResult(SendOutcome.SERVED, True, b"{}"))
-        await site.steps(first, 1)
-        assert figures.stale_effects._value.get() >= 2
+        assert metrics.outcomes.labels("unknown")._value.get() == 1
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_results_of_a_suspended_holder_are_rejected_after_a_takeover(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        first, metrics = site.begin_replay(1)
+        await site.run_steps(first, 1)
+        callbacks = dict(site.sender.in_flight)
+        second, _ = site.begin_replay(2, site.open_queue())
+        await site.run_steps(second, 2)
+        for name in ("book", "ask"):  # the first holder resumes and gets its responses
+            callbacks[name](SendResult(SendOutcome.SERVED, True, b"{}"))
+        await site.run_steps(first, 1)
+        assert metrics.stale_effects._value.get() >= 2
         assert (await site.entry("book")).outcome is EntryOutcome.UNKNOWN
-        assert (await site.entry("ask")).state is EntryState.BEGUN  # the second holder's
-        assert site.servers.sent.count("book") == 1
+        assert (await site.entry("ask")).state is EntryState.BEGUN  # begun by the second holder
+        assert site.sender.sent.count("book") == 1
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_lease_that_ends_while_the_start_is_written_sends_nothing(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
-        looks = iter([True, False])  # before the sync it runs, after it no more
-        await site.steps(replayer, 1, lambda: next(looks, False))
-        assert not site.servers.sent
+def test_nothing_is_sent_if_the_lease_ends_while_the_start_is_written(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.begin_replay(1)
+        lease_checks = iter([True, False])  # held before the sync but not after it
+        await site.run_steps(replayer, 1, lambda: next(lease_checks, False))
+        assert not site.sender.sent
         for name in ("book", "ask"):
             entry = await site.entry(name)
             assert entry.state is EntryState.WAITING and entry.attempts == 0
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_site_that_is_cut_off_while_it_replays(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
-        await site.steps(replayer, 1)
+def test_partitioned_site_sends_only_probes_until_the_partition_ends(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.begin_replay(1)
+        await site.run_steps(replayer, 1)
         site.state = SiteState.PARTITIONED
-        site.servers.end("book", SendOutcome.FAILED, ran=True)  # it was written, and nothing came back
-        site.servers.end("ask", SendOutcome.FAILED, ran=True)
+        site.sender.complete("book", SendOutcome.FAILED, may_have_run=True)  # sent without a response
+        site.sender.complete("ask", SendOutcome.FAILED, may_have_run=True)
         for number in range(20):
             await site.queue.enqueue(queued_request(f"{number}", idempotent=number % 2 == 0))
-        sent, from_s = len(site.servers.sent), site.now_s
+        sent, start_s = len(site.sender.sent), site.now_s
         for _ in range(5):
-            await site.steps(replayer, 1)
-            for name in list(site.servers.out):
-                site.servers.end(name, SendOutcome.REJECTED, ran=False)
-        tries = len(site.servers.sent) - sent
-        assert 1 <= tries <= (site.now_s - from_s) / PROBE_INTERVAL_S + 1
-        assert "book" not in site.servers.sent[sent:]
+            await site.run_steps(replayer, 1)
+            for name in list(site.sender.in_flight):
+                site.sender.complete(name, SendOutcome.REJECTED, may_have_run=False)
+        probes = len(site.sender.sent) - sent
+        assert 1 <= probes <= (site.now_s - start_s) / PROBE_INTERVAL_S + 1
+        assert "book" not in site.sender.sent[sent:]
         assert (await site.entry("book")).outcome is EntryOutcome.UNKNOWN
         site.state = SiteState.AVAILABLE
         for _ in range(40):
-            await site.steps(replayer, 1)
-            for name in list(site.servers.out):
-                site.servers.end(name)
+            await site.run_steps(replayer, 1)
+            for name in list(site.sender.in_flight):
+                site.sender.complete(name)
         assert not await site.queue.backlog_by_tenant()
-        sends = [name for name in site.servers.sent if name.isdecimal() and int(name) % 2]
-        assert len(sends) == len(set(sends)) == 10  # each booking once
+        booking_sends = [name for name in site.sender.sent if name.isdecimal() and int(name) % 2]
+        assert len(booking_sends) == len(set(booking_sends)) == 10  # each booking is sent once
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_link_that_is_there_for_three_seconds_at_a_time(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
+def test_intermittent_connection_sends_no_booking_twice(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.begin_replay(1)
         for number in range(40):
             await site.queue.enqueue(queued_request(f"{number}", f"t{number % 4}", idempotent=False))
         for _ in range(12):
             site.state = SiteState.AVAILABLE
-            from_s = site.now_s
-            while site.now_s - from_s < 3.0:
-                await site.steps(replayer, 1)
-                for name in list(site.servers.out):
-                    site.servers.end(name)
-            await site.steps(replayer, 1)
+            start_s = site.now_s
+            while site.now_s - start_s < 3.0:
+                await site.run_steps(replayer, 1)
+                for name in list(site.sender.in_flight):
+                    site.sender.complete(name)
+            await site.run_steps(replayer, 1)
             site.state = SiteState.PARTITIONED
-            for name in list(site.servers.out):  # what was under way breaks
-                site.servers.end(name, SendOutcome.FAILED, ran=True)
-            await site.steps(replayer, 1)
-        names = [name for name in site.servers.sent if name != "ask"]
+            for name in list(site.sender.in_flight):  # entries in flight fail
+                site.sender.complete(name, SendOutcome.FAILED, may_have_run=True)
+            await site.run_steps(replayer, 1)
+        names = [name for name in site.sender.sent if name != "ask"]
         assert len(names) == len(set(names)) == 41
-        ends = [(await site.entry(name)).outcome for name in names]
+        outcomes = [(await site.entry(name)).outcome for name in names]
         assert (
-            set(ends) <= {EntryOutcome.SERVED, EntryOutcome.UNKNOWN} and ends.count(EntryOutcome.SERVED) > 10
+            set(outcomes) <= {EntryOutcome.SERVED, EntryOutcome.UNKNOWN}
+            and outcomes.count(EntryOutcome.SERVED) > 10
         )
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_end_that_the_disk_does_not_take_is_written_later(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
-        await site.steps(replayer, 1)
-        most = "PRAGMA max_page_count = {}"
-        await site.queue.worker.run(lambda db: db.execute(most.format(1)).fetchone(), writes=False)
-        site.servers.out.pop("book")(SendResult(SendOutcome.SERVED, True, b"?" * 200_000))
-        await site.steps(replayer, 1)
+def test_result_that_does_not_fit_on_the_disk_is_written_later(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.begin_replay(1)
+        await site.run_steps(replayer, 1)
+        page_limit_sql = "PRAGMA max_page_count = {}"
+        await site.queue.worker.run(lambda db: db.execute(page_limit_sql.format(1)).fetchone(), writes=False)
+        site.sender.in_flight.pop("book")(SendResult(SendOutcome.SERVED, True, b"?" * 200_000))
+        await site.run_steps(replayer, 1)
         assert replayer.unsettled_count == 1 and (await site.entry("book")).state is EntryState.BEGUN
-        await site.queue.worker.run(lambda db: db.execute(most.format(9_999)).fetchone(), writes=False)
-        await site.steps(replayer, 1)
+        await site.queue.worker.run(
+            lambda db: db.execute(page_limit_sql.format(9_999)).fetchone(), writes=False
+        )
+        await site.run_steps(replayer, 1)
         assert replayer.unsettled_count == 0 and (await site.entry("book")).outcome is EntryOutcome.SERVED
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_duty_given_up_lets_what_may_repeat_go_and_sends_nothing_more(tmp_path: Path) -> None:
-    async def game(site: Site) -> None:
-        replayer, _ = site.holder(1)
-        await site.steps(replayer, 1)
+def test_stopped_replay_cancels_idempotent_entries_and_sends_nothing_more(tmp_path: Path) -> None:
+    async def scenario(site: Site) -> None:
+        replayer, _ = site.begin_replay(1)
+        await site.run_steps(replayer, 1)
         await site.queue.enqueue(queued_request("late"))
         replayer.stop()
-        await site.steps(replayer, 1)
-        assert "late" not in site.servers.sent and "ask" in site.servers.cancelled
-        assert replayer.in_flight_count == 1  # the booking runs on
-        site.servers.end("book")  # nobody has taken over yet: its end is taken
-        await site.steps(replayer, 1)
+        await site.run_steps(replayer, 1)
+        assert "late" not in site.sender.sent and "ask" in site.sender.cancelled
+        assert replayer.in_flight_count == 1  # the booking is not cancelled
+        site.sender.complete("book")  # there is no newer holder, so its result is accepted
+        await site.run_steps(replayer, 1)
         assert (await site.entry("book")).outcome is EntryOutcome.SERVED
 
-    play(tmp_path, game)
+    run_scenario(tmp_path, scenario)
--- a/tests/store/test_transition_model.py
+++ b/tests/store/test_transition_model.py
@@ -1,4 +1,4 @@
-"""Any order of transitions: each entry ends once, and tokens never decrease."""
+"""Model test: in any order of transitions each entry ends once, and tokens never decrease."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 class TransitionModel:
-    """Runs actions on a file and checks the invariants of the queue after each."""
+    """Runs actions on a queue's file and checks its invariants after each of them."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self._db = db
         self._highest_token = 0
         self._outcomes: dict[str, EntryOutcome] = {}
-        self._begun: dict[str, int] = {}  # attempts of each entry that may have run
+        self._begun: dict[str, int] = {}  # number of attempts that may have run, by entry
 
     def run(self, action: Action, now_s: float) -> None:
         kind, number, idempotent, token = action
@@ -67,7 +67,7 @@
             assert entry.token == queries.highest_token(self._db)
             self._begun[name] = self._begun.get(name, 0) + 1
         elif kind == "refused":
-            self._begun[name] = 0  # it did not run
+            self._begun[name] = 0  # the attempt did not run
 
     def _check_token(self) -> None:
         highest = queries.highest_token(self._db)
@@ -89,12 +89,14 @@
 
 
 def _step(kind: str, name: str, token: int, now_s: float) -> Step:
-    """The transition of an action."""
-    attempt = partial(transitions.record_failed_attempt, name=name, token=token, max_attempts=3, now_s=now_s)
+    """Return the transition for an action."""
+    failed_attempt = partial(
+        transitions.record_failed_attempt, name=name, token=token, max_attempts=3, now_s=now_s
+    )
     steps: dict[str, Step] = {
         "begin": partial(transitions.begin_attempt, name=name, token=token, now_s=now_s),
-        "refused": partial(attempt, may_have_run=False),
-        "failed": partial(attempt, may_have_run=True),
+        "refused": partial(failed_attempt, may_have_run=False),
+        "failed": partial(failed_attempt, may_have_run=True),
         "served": partial(
             transitions.complete,
             name=name,
--- a/tests/store/test_transitions.py
+++ b/tests/store/test_transitions.py
@@ -1,4 +1,4 @@
-"""Transitions of an entry's state machine: by scenario, and in random orders against a model."""
+"""Scenarios of the state machine of an entry."""
 
 from __future__ import annotations
 
