--- a/ringledge/members/replay_window.py
+++ b/ringledge/members/replay_window.py
@@ -40,8 +40,8 @@
         return False
     if behind < 0:
         ahead = -behind
-        moved = window.accepted << ahead if ahead < WINDOW_SIZE else 0
-        window.accepted = (moved | 1) & (1 << WINDOW_SIZE) - 1
+        shifted = window.accepted << ahead if ahead < WINDOW_SIZE else 0
+        window.accepted = (shifted | 1) & (1 << WINDOW_SIZE) - 1
         window.highest = sequence
         return True
     is_new = not window.accepted >> behind & 1
--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -31,12 +31,12 @@
 
 
 def test_members_are_not_imported_while_disabled() -> None:
-    parts = (
+    modules = (
         "ringledge.members",
         "ringledge.decide.membership.swim",
         "ringledge.decide.records.replicated_records",
     )
-    code = f"import sys, ringledge.cli; print([name for name in sys.modules if name.startswith({parts})])"
+    code = f"import sys, ringledge.cli; print([name for name in sys.modules if name.startswith({modules})])"
     result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert result.stdout.strip() == "[]"
 
