--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -94,7 +94,7 @@
         """Write unsettled results, then send the entries that are due; returns s until the next step.
 
         Shielded from cancellation: between the write of a start and the send it would end an entry that is
-        not idempotent as unknown, although never sent. A step takes a few syncs of the disk.
+        not idempotent as unknown, although never sent. It lasts a few disk syncs; `is_held` is rechecked.
         """
         with anyio.CancelScope(shield=True):
             await self._step(token, is_held)
--- a/ringledge/store/schema.py
+++ b/ringledge/store/schema.py
@@ -3,7 +3,7 @@
     meta     name-value pairs; 'token' is the highest fencing token of the replay lease
     entries  one row per entry; `seq` is the order of arrival, `seal` a checksum over all other columns
     totals   one row per tenant with its number of entries that have not ended, and the bytes of all its
-             entries; maintained by triggers, so that limits are checked without a scan of the entries
+             entries; maintained by triggers, so that limits are checked without a scan and match the rows
 
 The file is in WAL mode with full sync: a commit returns once the log is durable, and the checksums of the log
 detect a torn write at its end. Pages of the file have no checksum; the column `seal` detects corrupt rows.
--- a/ringledge/store/transitions.py
+++ b/ringledge/store/transitions.py
@@ -91,7 +91,7 @@
 
 
 def begin_attempt(db: sqlite3.Connection, name: str, token: int, now_s: float) -> Entry:
-    """Record the start of an attempt; send the entry only if it is returned as BEGUN, not as ENDED."""
+    """Record the start of an attempt; send the entry only if returned as BEGUN, as it may have expired."""
     _check_token(db, token)
     entry = _get_existing(db, name)
     if entry.response is CORRUPT_ENTRY_MESSAGE:
--- a/ringledge/store/worker.py
+++ b/ringledge/store/worker.py
@@ -197,7 +197,7 @@
             self._close_connection()
             self._mark_unusable(queue_error)
         elif queue_error.reason is QueueRejectionReason.IO_ERROR:
-            self._close_connection()  # its cache may differ from the file
+            self._close_connection()  # its cache may differ from the file, which is read again
         return queue_error
 
     def _close_connection(self) -> None:
--- a/tests/store/test_file.py
+++ b/tests/store/test_file.py
@@ -175,7 +175,7 @@
                 reason = error.reason
                 break
         assert reason is QueueRejectionReason.DISK_FULL and len(accepted) > 3
-        for name in accepted:  # every accepted entry can still be begun
+        for name in accepted:  # every accepted entry can still be begun and ended
             assert (await queue.begin_attempt(name, 1)).state is EntryState.BEGUN
         assert (await queue.complete("first", 1, EntryOutcome.SERVED, b"{}")).outcome is EntryOutcome.SERVED
         await limit_pages(queue, 1)  # no further page, not even for existing entries
