--- a/tests/members/test_settings.py
+++ b/tests/members/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings of deploy/members.toml."""
+"""Validation of the settings in deploy/members.toml, and their overrides by RELAY_CONFIG."""
 
 import subprocess
 import sys
@@ -27,16 +27,16 @@
     assert settings_files.read_settings(MembersConfig, path) is None
     plain = MembersConfig("ringledge", "members.key")
     enabled = path.read_text().replace("enabled = false", "enabled = true")
-    assert read_text(enabled) == plain  # the file states the defaults
+    assert read_text(enabled) == plain  # the shipped file contains the default values
 
 
 def test_members_are_not_imported_while_disabled() -> None:
-    parts = (
+    modules = (
         "ringledge.members",
         "ringledge.decide.membership.swim",
         "ringledge.decide.records.replicated_records",
     )
-    code = f"import sys, ringledge.cli; print([name for name in sys.modules if name.startswith({parts})])"
+    code = f"import sys, ringledge.cli; print([name for name in sys.modules if name.startswith({modules})])"
     result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert result.stdout.strip() == "[]"
 
@@ -52,8 +52,8 @@
     [
         ('sight = "a"\n', "sight: no such key"),
         ('site = "' + "s" * 25 + '"\n', "site"),
-        ('everyone = "host:1"\n', "everyone: IP:PORT is allowed"),
-        ('[peers]\nn1 = "127.0.0.1"\n', "peers.n1: IP:PORT is allowed"),
+        ('everyone = "host:1"\n', "everyone: expected IP:PORT"),
+        ('[peers]\nn1 = "127.0.0.1"\n', "peers.n1: expected IP:PORT"),
         ('[peers]\n"' + "n" * 25 + '" = "127.0.0.1:1"\n', "1 to 24 bytes"),
         ("[probe]\nanswer_s = 0.4\n", "answer_s: half of interval_s at most"),
         ("[facts]\nfan_out = 0\n", "facts.fan_out"),
