--- a/ringledge/cli/members.py
+++ b/ringledge/cli/members.py
@@ -22,12 +22,12 @@
 def members(address: str, wait_s: float, as_json: bool) -> None:
     """Ask a running member, with the cluster's key, who is there. Exits 1 without an answer."""
     from ringledge.lifecycle import settings_files
-    from ringledge.lifecycle.config import DEPLOY
+    from ringledge.lifecycle.config import DEFAULT_DEPLOY_FOLDER
     from ringledge.members.settings import MembersConfig, with_platform_config
     from ringledge.members.snapshot_query import query_members
 
     try:
-        path = Path(os.environ.get("RINGLEDGE_DEPLOY", DEPLOY)) / "members.toml"
+        path = Path(os.environ.get("RINGLEDGE_DEPLOY", DEFAULT_DEPLOY_FOLDER)) / "members.toml"
         settings = settings_files.read_settings(MembersConfig, path)
         if settings is None:
             raise ValueError(f"{path}: absent or not enabled")
--- a/ringledge/lifecycle/components/lease_holder_duties.py
+++ b/ringledge/lifecycle/components/lease_holder_duties.py
@@ -22,18 +22,20 @@
 ACCEPTOR_POLL_INTERVAL_S = 0.05  # how often it is checked whether a restarted acceptor votes again
 
 
-def create(context: ProgramContext, fleet: ClusterMember) -> Component:
+def create(context: ProgramContext, cluster_member: ClusterMember) -> Component:
     """Vote on leases, and acquire those of all duties that are registered when the program is ready."""
-    duties = LeaseHolderDuties(fleet, context.config.settings_of(DutiesConfig), context.tasks)
+    duties = LeaseHolderDuties(cluster_member, context.config.settings_of(DutiesConfig), context.tasks)
     return Component(start=duties.start, on_ready=duties.acquire_all, stop=duties.stop)
 
 
 class LeaseHolderDuties:
     """Connects the leases to the cluster's membership and to the duties that the lease holder performs."""
 
-    def __init__(self, fleet: ClusterMember, settings: DutiesConfig, tasks: anyio.abc.TaskGroup) -> None:
-        self._fleet, self._members, self._tasks = fleet, fleet.members, tasks
-        local_member = fleet.members.membership.local_member
+    def __init__(
+        self, cluster_member: ClusterMember, settings: DutiesConfig, tasks: anyio.abc.TaskGroup
+    ) -> None:
+        self._cluster_member, self._members, self._tasks = cluster_member, cluster_member.members, tasks
+        local_member = cluster_member.members.membership.local_member
         self._leases = LeaseManager(
             boottime_s(),
             local_member.name,
@@ -42,9 +44,9 @@
             random.Random(),
             settings.acquisition_delays(),
         )
-        self._duties = DutyRunner(fleet.duties, self._leases, tasks, self._give_up, boottime_s)
-        fleet.release_duty = self._give_up
-        members = fleet.members
+        self._duties = DutyRunner(cluster_member.duties, self._leases, tasks, self._release_lease, boottime_s)
+        cluster_member.release_duty = self._release_lease
+        members = cluster_member.members
         members.add_decider("leases", ClockAdapter(self._leases, boottime_s, time.monotonic), MESSAGES)
         members.hooks.on_lease_event.append(self._duties.apply)
         members.hooks.on_membership_change.append(self._on_membership_change)
@@ -60,7 +62,7 @@
 
     def acquire_all(self) -> None:
         """Begin to acquire the lease of each registered duty."""
-        for duty in self._fleet.duties:
+        for duty in self._cluster_member.duties:
             self._leases.start_seeking(boottime_s(), duty)
         if self._members.service is not None:
             self._members.service.wake()
@@ -74,7 +76,7 @@
         if self._members.service is not None:
             self._members.service.act(self._leases.stop(boottime_s()))
 
-    def _give_up(self, duty: str) -> None:
+    def _release_lease(self, duty: str) -> None:
         """Release the lease of a duty that this member cannot perform."""
         if self._members.service is not None:
             self._members.service.act(self._leases.release(boottime_s(), duty))
--- a/ringledge/lifecycle/components/members.py
+++ b/ringledge/lifecycle/components/members.py
@@ -12,7 +12,7 @@
 from ringledge.members.settings import MembersConfig
 
 
-def create_fleet(context: ProgramContext) -> ClusterMember:
+def create_member(context: ProgramContext) -> ClusterMember:
     """Create this member, to which later components add protocols and duties.
 
     ConfigError where the settings are unusable.
@@ -27,9 +27,9 @@
     return ClusterMember(members)
 
 
-def create(context: ProgramContext, fleet: ClusterMember) -> Component:
+def create(context: ProgramContext, cluster_member: ClusterMember) -> Component:
     """A component that leaves the cluster after all components behind it have stopped."""
-    members = fleet.members
+    members = cluster_member.members
 
     async def stop() -> None:
         members.stop()
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -28,7 +28,7 @@
     chat: QueuedChat
 
 
-def create(context: ProgramContext, fleet: ClusterMember | None) -> QueuedRequests:
+def create(context: ProgramContext, cluster_member: ClusterMember | None) -> QueuedRequests:
     """Create the queue; its file is opened at the start, and the replay begins when the program is ready.
 
     Where duties are enabled, only the holder of the replay's lease replays.
@@ -41,12 +41,12 @@
     chat_settings, settings, names = config.settings_of(ChatConfig), config.settings, config.names
     observation = ServerObserver(context.conductor, context.upstream.reachability, context.metrics)
     is_leased = "duties" in config.deploy_settings
-    records = None if fleet is None else fleet.members.records
+    records = None if cluster_member is None else cluster_member.members.records
     queue = QueueComponent(
         queue_settings, observation, context.metrics.registry, Random(), records, is_leased
     )
-    if fleet is not None and is_leased:
-        fleet.duties[queue.duty_name] = queue.replayer
+    if cluster_member is not None and is_leased:
+        cluster_member.duties[queue.duty_name] = queue.replayer
     queue.sender = ReplaySender(chat_settings, settings, names, context.conductor)
     options = QueuedChatOptions(names.classes, settings, chat_settings.tenant, queue_settings.expiry_s)
     chat = QueuedChat(queue.queue, queue.site_state, queue.metrics, options)
--- a/ringledge/lifecycle/components/role_planning.py
+++ b/ringledge/lifecycle/components/role_planning.py
@@ -14,21 +14,21 @@
 from ringledge.members.role_keeper import RoleFollower
 
 
-def create(context: ProgramContext, fleet: ClusterMember) -> Component:
+def create(context: ProgramContext, cluster_member: ClusterMember) -> Component:
     """Register the planner's duty, and follow the plan of the member that holds its lease.
 
     ConfigError where this member's site is none of the zones.
     """
-    config, members = context.config, fleet.members
+    config, members = context.config, cluster_member.members
     settings, zones = config.settings_of(RatioConfig), config.names.zones
     if members.membership.local_member.site not in zones:
         raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
     role_registry = RoleRegistry(settings)
-    role_keeper = RoleFollower(
+    role_follower = RoleFollower(
         settings, members.records, members.membership, context.conductor, config.names, role_registry
     )
-    fleet.duties[LEASE_NAME] = RolePlannerService(
-        settings, members.records, role_keeper, role_registry, time.monotonic
+    cluster_member.duties[LEASE_NAME] = RolePlannerService(
+        settings, members.records, role_follower, role_registry, time.monotonic
     )
-    context.conductor.context.observer = role_keeper
-    return Component(on_ready=lambda: context.tasks.start_soon(role_keeper.run))
+    context.conductor.context.observer = role_follower
+    return Component(on_ready=lambda: context.tasks.start_soon(role_follower.run))
--- a/ringledge/lifecycle/composition.py
+++ b/ringledge/lifecycle/composition.py
@@ -33,7 +33,7 @@
     components: list[Component] = field(default_factory=list)  # in the order in which they are started
     overload: OverloadControl | None = None
     platform: Platform | None = None
-    fleet: ClusterMember | None = None
+    cluster_member: ClusterMember | None = None
     queued_chat: QueuedChat | None = None
 
 
@@ -99,14 +99,14 @@
 def _create_members(composition: Composition) -> Component:
     from ringledge.lifecycle.components import members
 
-    composition.fleet = members.create_fleet(composition.context)
-    return members.create(composition.context, composition.fleet)
+    composition.cluster_member = members.create_member(composition.context)
+    return members.create(composition.context, composition.cluster_member)
 
 
 def _create_queue(composition: Composition) -> Component:
     from ringledge.lifecycle.components import queue
 
-    queued_requests = queue.create(composition.context, composition.fleet)
+    queued_requests = queue.create(composition.context, composition.cluster_member)
     composition.queued_chat = queued_requests.chat
     return queued_requests.component
 
@@ -132,17 +132,17 @@
 def _create_role_planning(composition: Composition) -> Component:
     from ringledge.lifecycle.components import role_planning
 
-    if composition.fleet is None or "duties" not in composition.context.config.deploy_settings:
+    if composition.cluster_member is None or "duties" not in composition.context.config.deploy_settings:
         raise ConfigError("ratio.toml: members.toml and duties.toml have to be enabled, too")
-    return role_planning.create(composition.context, composition.fleet)
+    return role_planning.create(composition.context, composition.cluster_member)
 
 
 def _create_lease_holder_duties(composition: Composition) -> Component:
     from ringledge.lifecycle.components import lease_holder_duties
 
-    if composition.fleet is None:
+    if composition.cluster_member is None:
         raise ConfigError("duties.toml: members.toml has to be enabled, too")
-    return lease_holder_duties.create(composition.context, composition.fleet)
+    return lease_holder_duties.create(composition.context, composition.cluster_member)
 
 
 def _required(name: str, create: Callable[[Composition], Component]) -> ComponentSpec:
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -20,7 +20,7 @@
 from ringledge.routing.interface import RouterSettings
 from ringledge.routing.simulator_decoder import router_settings
 
-DEPLOY = "deploy"  # the folder of the settings files; RINGLEDGE_DEPLOY names another
+DEFAULT_DEPLOY_FOLDER = "deploy"  # the folder of the settings files; RINGLEDGE_DEPLOY names another
 MAX_PORT = 65535
 
 S = TypeVar("S", bound=msgspec.Struct)
@@ -193,7 +193,7 @@
 
     `check_disabled`: files that are disabled are checked, too.
     """
-    folder = Path(environ.get("RINGLEDGE_DEPLOY", DEPLOY))
+    folder = Path(environ.get("RINGLEDGE_DEPLOY", DEFAULT_DEPLOY_FOLDER))
     settings_by_name: dict[str, msgspec.Struct] = {}
     try:
         for name, file in SETTINGS_FILES.items():
--- a/ringledge/wire/exporters/remote_write.py
+++ b/ringledge/wire/exporters/remote_write.py
@@ -36,7 +36,7 @@
 }
 
 
-def _messages() -> dict[str, Any]:
+def _build_message_classes() -> dict[str, Any]:
     """The messages' classes, built from their published fields."""
     file = descriptor_pb2.FileDescriptorProto(name="remote.proto", package="prometheus", syntax="proto3")
     for name, fields in FIELDS.items():
@@ -53,7 +53,7 @@
     return {name: message_factory.GetMessageClass(each) for name, each in found.items()}
 
 
-MESSAGES = _messages()
+MESSAGE_CLASSES = _build_message_classes()
 
 
 class Scrape:
@@ -95,7 +95,7 @@
 
     def _encode(self, at_ms: int) -> bytes:
         """All samples as one snappy-compressed WriteRequest; labels in order, as the format demands."""
-        request = MESSAGES["WriteRequest"]()
+        request = MESSAGE_CLASSES["WriteRequest"]()
         for metric in self._metrics.registry.collect():
             for sample in metric.samples:
                 series = request.timeseries.add()
--- a/tests/fleet/child.py
+++ b/tests/fleet/child.py
@@ -61,9 +61,9 @@
 
 def create(made: Composition) -> Component:
     told = json.loads((FOLDER / "rig.json").read_text())
-    assert made.fleet is not None
+    assert made.cluster_member is not None
     for name in told["duties"]:
-        made.fleet.duties[name] = Effects(name, told, made.context.config.name)
+        made.cluster_member.duties[name] = Effects(name, told, made.context.config.name)
     mutant = told.get("mutant")
     if mutant == "never_expires":  # a holder goes on by what it knew, whatever its clock says
         seeker: Any = LeaseProposer
--- a/tests/test_prometheus.py
+++ b/tests/test_prometheus.py
@@ -8,7 +8,7 @@
 import pytest
 import yaml
 
-from ringledge.wire.exporters.remote_write import MESSAGES
+from ringledge.wire.exporters.remote_write import MESSAGE_CLASSES
 from tests.loopback import ROOT, Call, Node, StandIn, take
 
 PROMETHEUS = 'enabled = true\nlisten = "127.0.0.1:0"\ninterval_s = 0.05\nqueue = 2\n'
@@ -50,7 +50,7 @@
     assert call.headers["Content-Encoding"] == "snappy"
     assert call.headers["Content-Type"] == "application/x-protobuf"
     assert call.headers["X-Prometheus-Remote-Write-Version"] == "0.1.0"
-    request: Any = MESSAGES["WriteRequest"].FromString(bytes(cramjam.snappy.decompress_raw(call.body)))
+    request: Any = MESSAGE_CLASSES["WriteRequest"].FromString(bytes(cramjam.snappy.decompress_raw(call.body)))
     found = {}
     for each in request.timeseries:
         names = [label.name for label in each.labels]
