--- a/ringledge/__init__.py
+++ b/ringledge/__init__.py
@@ -1,3 +1,3 @@
-"""ringledge: a conductor on real sockets around the decisions of `ringledge.routing`."""
+"""ringledge: a router for language-model requests that applies the policy in `ringledge.routing`."""
 
 __version__ = "0.4.0"
--- a/ringledge/__main__.py
+++ b/ringledge/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m ringledge``: the command line, where ``serve`` is the default."""
+"""Entry point of ``python -m ringledge``; without a command it runs ``serve``."""
 
 from ringledge.cli import main
 
--- a/ringledge/lifecycle/__init__.py
+++ b/ringledge/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, logging, signals, serving."""
+"""The lifecycle of a router process: configuration, start, reload, hand-over and shutdown."""
--- a/ringledge/lifecycle/component.py
+++ b/ringledge/lifecycle/component.py
@@ -1,4 +1,4 @@
-"""A component of the program: one subsystem, described by its lifecycle hooks."""
+"""The lifecycle hooks of a component, which is one subsystem of the program."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Component:
-    """The lifecycle hooks of one subsystem; a hook that is not given does nothing.
+    """The lifecycle hooks of one subsystem; each defaults to doing nothing.
 
-    Components are started in the order of `composition.COMPONENTS` and stopped in the reverse order.
+    Components start in the order of `composition.COMPONENTS` and stop in the reverse order.
     """
 
-    # Called once at the start, before the endpoint list is known.
+    # Called once at startup, before the endpoint list is known.
     start: Callable[[], object] = _do_nothing
-    # Called once when the endpoint list is known, or its timeout has passed: the program begins to serve.
+    # Called once when the program begins to serve: the endpoint list is known, or its timeout has passed.
     on_ready: Callable[[], object] = _do_nothing
-    # Shuts down gracefully. Components are stopped one at a time while requests drain, and also when a
-    # successor process serves.
+    # Stops the component gracefully. Components stop one at a time, either while requests drain in a
+    # shutdown or as soon as a successor process serves.
     stop: Callable[[], Awaitable[None]] = _stop_immediately
-    # Called with the number of processes of this conductor among which limits are divided, on each change.
+    # Called when the number of processes of this router changes; the processes divide its limits equally.
     on_process_count: Callable[[int], None] = _ignore_process_count
--- a/ringledge/lifecycle/components/__init__.py
+++ b/ringledge/lifecycle/components/__init__.py
@@ -1,1 +1,1 @@
-"""The components of the program, a module each; `lifecycle.composition` imports those that are enabled."""
+"""The components of the program, one per module; `lifecycle.composition` imports the enabled ones."""
--- a/ringledge/lifecycle/components/chat.py
+++ b/ringledge/lifecycle/components/chat.py
@@ -1,4 +1,4 @@
-"""The chat front."""
+"""The component of the chat front."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     from ringledge.lifecycle.components.overload import OverloadControl
     from ringledge.wire.clients.chat.queued import QueuedChat
 
-RETAINED_RESPONSES_DIVISOR = 8  # of the memory, for responses that are retained
+RETAINED_RESPONSES_DIVISOR = 8  # of the memory limit, for retained responses
 
 
 def create(
     context: ProgramContext, overload: OverloadControl | None, queued_chat: QueuedChat | None
 ) -> Component:
-    """Open the front; expired chats are deleted from the start on."""
+    """Open the front; expired chats are deleted periodically once the component starts."""
     config = context.config
     settings = config.settings_of(ChatConfig)
     max_retained_bytes = config.memory_bytes / RETAINED_RESPONSES_DIVISOR
--- a/ringledge/lifecycle/components/connection_admission.py
+++ b/ringledge/lifecycle/components/connection_admission.py
@@ -1,4 +1,4 @@
-"""Connection admission: how long client connections may be idle, and how many each network may open."""
+"""The component of connection admission, which limits client connections by idle time and by network."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from ringledge.lifecycle.context import ProgramContext
 from ringledge.observe.logging import log
 
-SILENT_NETWORKS_INTERVAL_S = 60.0  # how often networks whose connections send no request are logged
-MAX_SILENT_NETWORKS = 5  # that are logged at a time
+SILENT_NETWORKS_INTERVAL_S = 60.0  # between two reports of networks that send no requests
+MAX_SILENT_NETWORKS = 5  # in one report
 
 
 def create_admission(config: Config) -> ConnectionAdmission:
-    """The policy that the fronts apply to each new connection."""
+    """Create the policy that the fronts apply to each new connection."""
     return ConnectionAdmission(config.settings_of(AdmissionSettings), random.Random(config.seed))
 
 
 def create(context: ProgramContext, admission: ConnectionAdmission) -> Component:
-    """A component that logs what the policy has observed."""
+    """Create the component that logs the policy's observations."""
     return Component(start=lambda: context.tasks.start_soon(_log_silent_networks, admission))
 
 
 async def _log_silent_networks(admission: ConnectionAdmission) -> None:
-    """Log the client networks that open connections and send no request, at regular intervals."""
+    """Periodically log the client networks that open connections but send no requests."""
     while True:
         await anyio.sleep(SILENT_NETWORKS_INTERVAL_S)
         if networks := admission.top_networks_without_request(MAX_SILENT_NETWORKS):
--- a/ringledge/lifecycle/components/lease_holder_duties.py
+++ b/ringledge/lifecycle/components/lease_holder_duties.py
@@ -1,4 +1,4 @@
-"""Duties that one member of the cluster performs at a time: the holder of the duty's lease."""
+"""The component of the duties that one cluster member at a time performs: the holder of the duty's lease."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from ringledge.members.duty_settings import DutiesConfig
 from ringledge.observe.logging import log
 
-ACCEPTOR_POLL_INTERVAL_S = 0.05  # how often it is checked whether a restarted acceptor votes again
+ACCEPTOR_POLL_INTERVAL_S = 0.05  # between two checks whether a restarted acceptor votes again
 
 
 def create(context: ProgramContext, cluster_member: ClusterMember) -> Component:
-    """Vote on leases, and acquire those of all duties that are registered when the program is ready."""
+    """Create the component that votes on leases, and acquires those of all registered duties once ready."""
     duties = LeaseHolderDuties(cluster_member, context.config.settings_of(DutiesConfig), context.tasks)
     return Component(start=duties.start, on_ready=duties.acquire_all, stop=duties.stop)
 
 
 class LeaseHolderDuties:
-    """Connects the leases to the cluster's membership and to the duties that the lease holder performs."""
+    """Connects the lease manager to the membership and to the duties that the lease holder performs."""
 
     def __init__(
         self, cluster_member: ClusterMember, settings: DutiesConfig, tasks: anyio.abc.TaskGroup
@@ -53,7 +53,7 @@
         members.hooks.on_bound.append(self._on_address_bound)
 
     def start(self) -> None:
-        """Log when this member's acceptor votes."""
+        """Start to wait for this member's acceptor to vote, and log when it does."""
         self._log_once_voting()
 
     def _log_once_voting(self) -> None:
@@ -61,14 +61,14 @@
             self._tasks.start_soon(_log_acceptor_active, self._leases.acceptor.recovery)
 
     def acquire_all(self) -> None:
-        """Begin to acquire the lease of each registered duty."""
+        """Start to acquire the lease of each registered duty."""
         for duty in self._cluster_member.duties:
             self._leases.start_seeking(boottime_s(), duty)
         if self._members.service is not None:
             self._members.service.wake()
 
     async def stop(self) -> None:
-        """Release the leases, and return once the duties have stopped."""
+        """Release all leases; return once the duties have stopped."""
         self._stop_leases()
         await self._duties.stop_all()
 
@@ -84,7 +84,7 @@
     def _on_membership_change(self, change: MembershipChange) -> None:
         self._leases.set_live_members(each.name for each in self._members.membership.active_members())
         if isinstance(change, LocalStartRaised):
-            # The wall clock had stepped back: with so low a start time no vote may be given, no lease held.
+            # The wall clock had been set back, so the start number was too low to vote or to hold leases.
             self._restart_leases(change.member.start)
 
     def _restart_leases(self, start_number: int) -> None:
@@ -93,14 +93,14 @@
             self._log_once_voting()
 
     def _on_address_bound(self) -> None:
-        # A predecessor hands over its votes until it releases the address; the leases that it voted for
-        # have to expire first.
+        # The predecessor votes until it releases the address. This acceptor has to stay silent until the leases
+        # that the predecessor voted for have expired.
         if self._leases.acceptor is not None:
             self._leases.acceptor.recovery.restart_silence(boottime_s())
 
 
 async def _log_acceptor_active(recovery: AcceptorRecovery) -> None:
-    """Log once that this acceptor votes: until then no other one should be restarted."""
+    """Log once that this acceptor votes; operators should restart no other acceptor before."""
     started_s = time.monotonic()
     while not recovery.active:
         await anyio.sleep(ACCEPTOR_POLL_INTERVAL_S)
--- a/ringledge/lifecycle/components/members.py
+++ b/ringledge/lifecycle/components/members.py
@@ -1,4 +1,4 @@
-"""Membership: this process as one member of the cluster of conductors."""
+"""The component of membership: this process as a member of the cluster of routers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def create_member(context: ProgramContext) -> ClusterMember:
-    """Create this member, to which later components add protocols and duties.
+    """Create this process's member, to which later components add protocols and duties.
 
-    ConfigError where the settings are unusable.
+    Raises ConfigError if the settings are invalid.
     """
     config = context.config
-    rng = random.Random()  # unlike those of its peers and its predecessor: no seed is shared
+    rng = random.Random()  # unseeded, so that it differs from those of peers and predecessor
     try:
         settings = config.settings_of(MembersConfig)
         members = MembersComponent(settings, config.name, config.peers, context.metrics.registry, rng)
@@ -28,7 +28,7 @@
 
 
 def create(context: ProgramContext, cluster_member: ClusterMember) -> Component:
-    """A component that leaves the cluster after all components behind it have stopped."""
+    """Create the component; it leaves the cluster once all components that were started later have stopped."""
     members = cluster_member.members
 
     async def stop() -> None:
--- a/ringledge/lifecycle/components/operator.py
+++ b/ringledge/lifecycle/components/operator.py
@@ -1,4 +1,4 @@
-"""The operators' front."""
+"""The component of the operators' front."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def create(context: ProgramContext, can_serve: Callable[[], bool]) -> Component:
-    """Open the front; it accepts from the start, so that readiness can be queried before the rest serves."""
+    """Open the front, which accepts before the others do, so that readiness can be queried during the start."""
     classes, fronts = context.config.names.classes, context.fronts
     operator = Operator(classes, context.metrics, context.servers, context.operator_overrides, can_serve)
     fronts.open_operator(context.config.operator, operator.handle, error_body)
--- a/ringledge/lifecycle/components/overload.py
+++ b/ringledge/lifecycle/components/overload.py
@@ -1,4 +1,4 @@
-"""Overload control, which sheds requests before the process runs out of CPU time, memory or sockets."""
+"""The component of overload control, which sheds requests before CPU time, memory or sockets run out."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class OverloadControl:
-    """What the fronts use of overload control."""
+    """The parts of overload control that the fronts use."""
 
     component: Component
     gate: AdmissionGate
@@ -23,7 +23,7 @@
 
 
 def create(context: ProgramContext) -> OverloadControl:
-    """Create the gate; it sheds nothing before the program is ready."""
+    """Create the admission gate; it sheds no requests before the program is ready."""
     config, conductor = context.config, context.conductor
     statistics = ProcessStatistics(context.metrics, conductor.take_max_timer_lag_ms)
     buffered_bytes = BufferedBytes()
--- a/ringledge/lifecycle/components/platform.py
+++ b/ringledge/lifecycle/components/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front."""
+"""The component of the platform's front."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def create_platform(context: ProgramContext, overload: OverloadControl | None) -> Platform:
-    """The handler of the platform's requests, with overload control where that is enabled."""
+    """Create the handler of the platform's requests; without `overload` it sheds none."""
     config, conductor = context.config, context.conductor
     if overload is None:
         return Platform(config.names, conductor)
@@ -26,7 +26,7 @@
 
 
 def create(context: ProgramContext, platform: Platform) -> Component:
-    """Open the front; `/ready` reports ready from `on_ready` on, unless a shutdown was requested before."""
+    """Open the front; `/ready` reports ready after `on_ready`, unless a shutdown was requested before."""
     is_gated = "overload" in context.config.deploy_settings
     context.fronts.open(
         Service(
--- a/ringledge/lifecycle/components/prometheus.py
+++ b/ringledge/lifecycle/components/prometheus.py
@@ -1,4 +1,4 @@
-"""Metrics for Prometheus: scraped, sent by remote write, or both."""
+"""The component that exports metrics to Prometheus, by scrape, by remote write, or both."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def create(context: ProgramContext) -> Component:
-    """Open the front to scrape, and start remote write, each where its address is configured."""
+    """Open the front for scrapes and create remote write, each if its address is configured."""
     config = context.config
     settings = config.settings_of(PrometheusConfig)
     if settings.listen:
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -1,4 +1,4 @@
-"""The queue of a site that is cut off: chat requests are stored, and replayed through the conductor."""
+"""The component of a site's queue, which stores chat requests during a partition and replays them later."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class QueuedRequests:
-    """The queue's component, and the chat requests' way into the queue."""
+    """The queue's component, and the object through which the chat front uses the queue."""
 
     component: Component
     chat: QueuedChat
 
 
 def create(context: ProgramContext, cluster_member: ClusterMember | None) -> QueuedRequests:
-    """Create the queue; its file is opened at the start, and the replay begins when the program is ready.
+    """Create the queue; its file is opened at the start, and replay begins when the program is ready.
 
-    Where duties are enabled, only the holder of the replay's lease replays.
-    ConfigError without the chat front.
+    If duties are enabled, only the holder of the replay lease replays. Raises ConfigError if the chat front is
+    disabled.
     """
     config = context.config
     queue_settings = config.settings_of(QueueConfig)
     if "chat" not in config.deploy_settings:
-        raise ConfigError("queue.toml: chat.toml has to be enabled, too; its clients are queued")
+        raise ConfigError("queue.toml: requires chat.toml to be enabled, whose requests are queued")
     chat_settings, settings, names = config.settings_of(ChatConfig), config.settings, config.names
     observation = ServerObserver(context.conductor, context.upstream.reachability, context.metrics)
     is_leased = "duties" in config.deploy_settings
--- a/ringledge/lifecycle/components/role_planning.py
+++ b/ringledge/lifecycle/components/role_planning.py
@@ -1,4 +1,4 @@
-"""Roles of mixed servers: which prefill and which decode, by a plan that one conductor makes for all."""
+"""The component that assigns prefill and decode to mixed servers by a plan that one router makes for all."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def create(context: ProgramContext, cluster_member: ClusterMember) -> Component:
-    """Register the planner's duty, and follow the plan of the member that holds its lease.
+    """Register the planner as a duty, and follow the plan of the member that holds its lease.
 
-    ConfigError where this member's site is none of the zones.
+    Raises ConfigError if this member's site is not one of the zones.
     """
     config, members = context.config, cluster_member.members
     settings, zones = config.settings_of(RatioConfig), config.names.zones
     if members.membership.local_member.site not in zones:
-        raise ConfigError(f"members.toml: site: for ratio.toml one of {', '.join(zones)}")
+        raise ConfigError(f"members.toml: site: ratio.toml requires one of {', '.join(zones)}")
     role_registry = RoleRegistry(settings)
     role_follower = RoleFollower(
         settings, members.records, members.membership, context.conductor, config.names, role_registry
--- a/ringledge/lifecycle/components/servers.py
+++ b/ringledge/lifecycle/components/servers.py
@@ -1,4 +1,4 @@
-"""Tasks towards the servers: timers, the endpoint list, pooled connections and operator overrides."""
+"""The component of the conductor's tasks: timers, endpoint list, pooled connections, operator overrides."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def create(context: ProgramContext) -> Component:
-    """The conductor's own tasks, which run until the program ends."""
+    """Create the component; its tasks run until the program ends."""
     tasks, upstream, discovery = context.tasks, context.upstream, context.discovery
 
     def start() -> None:
--- a/ringledge/lifecycle/components/xds.py
+++ b/ringledge/lifecycle/components/xds.py
@@ -1,4 +1,4 @@
-"""The xDS front, which other proxies poll."""
+"""The component of the xDS front, which other proxies poll."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def create(context: ProgramContext) -> Component:
-    """Open the front."""
+    """Open the front; the component needs no hooks."""
     settings = context.config.settings_of(XdsConfig)
     xds = Xds(settings, context.config.names, context.conductor, context.metrics)
     context.fronts.open(
--- a/ringledge/lifecycle/composition.py
+++ b/ringledge/lifecycle/composition.py
@@ -1,7 +1,7 @@
-"""The composition root: which components the configuration enables, and what each one is given.
+"""The composition root: creates the components that the configuration enables and connects them.
 
-A new subsystem adds a function that creates its component, an entry to `COMPONENTS`, and its settings file
-to `lifecycle.config.SETTINGS_FILES`.
+To add a subsystem, write a function here that creates its component, add an entry to `COMPONENTS`, and add
+its settings file to `lifecycle.config.SETTINGS_FILES`.
 """
 
 from __future__ import annotations
@@ -23,14 +23,15 @@
 
 @dataclass(slots=True, eq=False)
 class Composition:
-    """The components created so far, and what later ones need of them; None where that is not enabled.
+    """The components created so far, and the objects that later components need from them.
 
-    Only the functions in `COMPONENTS` write it; a component's factory gets what it needs as arguments.
+    An object is None if its component is disabled. Only the functions in `COMPONENTS` modify a composition;
+    the factories in `components/` receive what they need as arguments.
     """
 
     context: ProgramContext
     can_serve: Callable[[], bool]
-    components: list[Component] = field(default_factory=list)  # in the order in which they are started
+    components: list[Component] = field(default_factory=list)  # in start order
     overload: OverloadControl | None = None
     platform: Platform | None = None
     cluster_member: ClusterMember | None = None
@@ -39,17 +40,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ComponentSpec:
-    """One entry of the table of components."""
+    """A row of `COMPONENTS`."""
 
-    name: str  # of the settings file that enables it, where there is one
+    name: str  # that of the settings file that enables it, if any
     is_enabled: Callable[[Config], bool]
-    create: Callable[[Composition], Component]  # imports the component's module: memory is scarce
+    # Imports the component's module, so that the modules of disabled components take no memory.
+    create: Callable[[Composition], Component]
 
 
 def compose(context: ProgramContext, can_serve: Callable[[], bool]) -> Composition:
-    """Create the components that the configuration enables; ConfigError where they don't fit together.
+    """Create the enabled components; raises ConfigError if one requires another that is disabled.
 
-    `can_serve`: whether the program is ready, as the operators' front reports it.
+    `can_serve` tells whether the program is ready; the operators' front reports it.
     """
     composition = Composition(context, can_serve)
     for spec in COMPONENTS:
@@ -133,7 +135,7 @@
     from ringledge.lifecycle.components import role_planning
 
     if composition.cluster_member is None or "duties" not in composition.context.config.deploy_settings:
-        raise ConfigError("ratio.toml: members.toml and duties.toml have to be enabled, too")
+        raise ConfigError("ratio.toml: requires members.toml and duties.toml to be enabled")
     return role_planning.create(composition.context, composition.cluster_member)
 
 
@@ -141,21 +143,21 @@
     from ringledge.lifecycle.components import lease_holder_duties
 
     if composition.cluster_member is None:
-        raise ConfigError("duties.toml: members.toml has to be enabled, too")
+        raise ConfigError("duties.toml: requires members.toml to be enabled")
     return lease_holder_duties.create(composition.context, composition.cluster_member)
 
 
 def _required(name: str, create: Callable[[Composition], Component]) -> ComponentSpec:
-    """A component that every program has."""
+    """The entry of a component that is always enabled."""
     return ComponentSpec(name, lambda config: True, create)
 
 
 def _optional(name: str, create: Callable[[Composition], Component]) -> ComponentSpec:
-    """A component that is enabled by the settings file of its name."""
+    """The entry of a component that is enabled by the settings file of the same name."""
     return ComponentSpec(name, lambda config: name in config.deploy_settings, create)
 
 
-# Created and started in this order: a component stands behind those whose results it is given.
+# In order of creation and start: each component comes after those whose objects it needs.
 COMPONENTS: tuple[ComponentSpec, ...] = (
     _required("servers", _create_servers),
     _optional("overload", _create_overload),
@@ -168,5 +170,5 @@
     _optional("xds", _create_xds),
     _optional("prometheus", _create_prometheus),
     _optional("ratio", _create_role_planning),
-    _optional("duties", _create_lease_holder_duties),  # after all components that register duties
+    _optional("duties", _create_lease_holder_duties),  # last, so that all duties are registered
 )
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a conductor: RELAY_CONFIG, the RELAY_* variables, and the files under deploy/."""
+"""The router's configuration, read from RELAY_CONFIG, the RELAY_* variables and the files under deploy/."""
 
 from __future__ import annotations
 
@@ -20,31 +20,32 @@
 from ringledge.routing.interface import RouterSettings
 from ringledge.routing.simulator_decoder import router_settings
 
-DEFAULT_DEPLOY_FOLDER = "deploy"  # the folder of the settings files; RINGLEDGE_DEPLOY names another
+DEFAULT_DEPLOY_FOLDER = "deploy"  # of the settings files; RINGLEDGE_DEPLOY overrides it
 MAX_PORT = 65535
 
 S = TypeVar("S", bound=msgspec.Struct)
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the message says why."""
+    """The configuration is unusable; the message states the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsFile:
-    """Where the type of a settings file's contents is defined; it is imported when the file is read."""
+    """The location of the type that a settings file is decoded to; imported only when the file is read."""
 
     module: str
     type_name: str
 
     def import_type(self) -> type[msgspec.Struct]:
-        """The type of the file's contents."""
+        """Import the type that the file is decoded to."""
         settings_type: type[msgspec.Struct] = getattr(import_module(self.module), self.type_name)
         return settings_type
 
 
-# The files under deploy/ by name without `.toml`, each disabled unless it says `enabled = true`. What is
-# disabled is not imported. A new subsystem adds its line here and its component to lifecycle/composition.py.
+# The settings files under deploy/, by name without `.toml`. A file is disabled unless it sets
+# `enabled = true`, and the modules of a disabled subsystem are not imported. To add a subsystem, add a row
+# here and a component in lifecycle/composition.py.
 SETTINGS_FILES = {
     "chat": SettingsFile("ringledge.wire.clients.chat_settings", "ChatConfig"),
     "xds": SettingsFile("ringledge.wire.exporters.xds_settings", "XdsConfig"),
@@ -59,7 +60,7 @@
 
 
 class PeerSettings(TypedDict, total=False):
-    """The keys of RELAY_CONFIG about other conductors, as read; `members.settings` checks their values."""
+    """The unvalidated keys of RELAY_CONFIG about other routers; `members.settings` validates them."""
 
     peer_listen: object
     peers: object
@@ -68,22 +69,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """The configuration of a conductor.
+    """The configuration of a router.
 
-    A reload logs changed fields by name, in this order: a new name is one that operators see.
+    A reload logs the names of changed fields in this order, so field names are visible to operators.
     """
 
     name: str
     listen: str
-    operator: str  # the operators' address; empty: none
+    operator: str  # address of the operators' front; empty to disable it
     discovery: str
-    configured_discovery: str  # the file's own address, which RELAY_DISCOVERY may override
+    configured_discovery: str  # discovery's address in the file, which RELAY_DISCOVERY may override
     seed: int
     sockets: int
     memory_mb: float
     cores: float
-    folder: Path  # $TMPDIR: a successor on this machine finds what its predecessor left there
-    known_endpoints: EndpointListing  # the endpoint list as it was last known
+    folder: Path  # $TMPDIR, where a successor process finds its predecessor's files
+    known_endpoints: EndpointListing  # the last known endpoint list, from the file
     settings: RouterSettings
     names: Names
     deploy_settings: dict[str, msgspec.Struct]  # of the enabled files, by name without `.toml`
@@ -91,16 +92,16 @@
 
     @property
     def fingerprint(self) -> str:
-        """Identifies the settings, for what is handed over or stored."""
+        """The fingerprint of the settings, which marks handed-over and stored data."""
         return fingerprint(self.settings, self.names)
 
     @property
     def memory_bytes(self) -> float:
-        """Memory that the process may use."""
+        """The process's memory limit in bytes."""
         return self.memory_mb * 1024 * 1024
 
     def settings_of(self, settings_type: type[S]) -> S:
-        """The settings of an enabled file by their type; LookupError where it is disabled."""
+        """The settings of the given type; raises LookupError if their file is disabled."""
         for settings in self.deploy_settings.values():
             if isinstance(settings, settings_type):
                 return settings
@@ -108,10 +109,10 @@
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration; ConfigError names the file and what is wrong."""
+    """Read the configuration; raises ConfigError that names the file and the fault."""
     path = environ.get("RELAY_CONFIG")
     if not path:
-        raise ConfigError("RELAY_CONFIG names no file")
+        raise ConfigError("RELAY_CONFIG is not set")
     try:
         return _read_config(orjson.loads(Path(path).read_bytes()), environ)
     except OSError as error:
@@ -123,7 +124,7 @@
 
 
 def _read_config(document: Any, environ: Mapping[str, str]) -> Config:
-    """Convert the contents of RELAY_CONFIG; KeyError, ValueError and others where they are invalid."""
+    """Convert the contents of RELAY_CONFIG; invalid contents raise KeyError, ValueError and others."""
     flat_settings = dict(flatten_settings(document["settings"]))
     names = _read_names(document["settings"])
     operator = environ.get("RELAY_OPERATOR") or document.get("operator")
@@ -179,19 +180,19 @@
 
 
 def _checked_address(text: str) -> str:
-    """The address if it is a host and port; ValueError otherwise, rather than a failure when it is used."""
+    """Return the address, or raise ValueError at load time if it is not a host and a port."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdecimal() and int(port) <= MAX_PORT):
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"expected HOST:PORT, got {text!r}")
     return text
 
 
 def load_deploy_settings(
     environ: Mapping[str, str] = os.environ, check_disabled: bool = False
 ) -> dict[str, msgspec.Struct]:
-    """The settings of the enabled files under deploy/, by file name; ConfigError where one is wrong.
+    """Read the settings of the enabled files under deploy/, by name; raises ConfigError if one is invalid.
 
-    `check_disabled`: files that are disabled are checked, too.
+    With `check_disabled`, disabled files are validated as well.
     """
     folder = Path(environ.get("RINGLEDGE_DEPLOY", DEFAULT_DEPLOY_FOLDER))
     settings_by_name: dict[str, msgspec.Struct] = {}
@@ -208,7 +209,7 @@
 
 
 def flatten_settings(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the paths of the simulator's format, which `simulator_decoder` reads."""
+    """Flatten nested JSON to the dotted paths of the simulator's format, which `simulator_decoder` reads."""
     if isinstance(value, dict):
         for key, each in value.items():
             yield from flatten_settings(each, f"{path}.{key}" if path else key)
--- a/ringledge/lifecycle/context.py
+++ b/ringledge/lifecycle/context.py
@@ -1,4 +1,4 @@
-"""What every component of the program may use; complete before the first component is created."""
+"""The objects that all components share, created before the first component."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ProgramContext:
-    """The conductor with its servers, fronts, metrics and configuration."""
+    """The conductor, and the servers, fronts, metrics and configuration that it works with."""
 
     config: Config
     tasks: anyio.abc.TaskGroup  # runs until the program ends
@@ -39,9 +39,9 @@
 
 
 def create_context(config: Config, tasks: anyio.abc.TaskGroup, predecessor: Predecessor) -> ProgramContext:
-    """Create the conductor and what it works with; nothing is started yet.
+    """Create the conductor and the objects that it works with, without starting anything.
 
-    Listening sockets and the clock's offset are inherited from the predecessor, where there is one.
+    Listening sockets and the clock's offset are inherited from the predecessor, if there is one.
     """
     settings, names = config.settings, config.names
     metrics = Metrics()
--- a/ringledge/lifecycle/descriptors.py
+++ b/ringledge/lifecycle/descriptors.py
@@ -1,4 +1,4 @@
-"""How many file descriptors the process may open: the lower of the configured and the system's limit."""
+"""The limit on open file descriptors: the lower of the configured and the system's limit."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def max_descriptors(configured: int) -> int:
-    """The configured limit, or the system's limit of this process where that is lower.
+    """The configured limit, or the system's limit for this process if that is lower.
 
-    Descriptors for discovery and servers are reserved by counting, so the count has to begin with the limit
-    that holds: past the system's own one a connection to discovery would fail while idle clients hold all.
+    Descriptors for discovery and servers are reserved by counting against this limit. If it exceeded the
+    system's limit, idle clients could hold all descriptors and a connection to discovery would fail.
     """
     system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if system_limit == resource.RLIM_INFINITY or system_limit >= configured:
--- a/ringledge/lifecycle/drain.py
+++ b/ringledge/lifecycle/drain.py
@@ -6,21 +6,22 @@
 
 from ringledge.lifecycle.context import ProgramContext
 
-# After SIGTERM clients may still open connections, and send on open ones, for so long.
+# Period after SIGTERM in which clients may still open connections and send requests on open ones.
 ACCEPT_AFTER_SHUTDOWN_S = 0.6
-# SIGKILL comes after the longest deadline, MAX_DEADLINE_S at most, and this grace period.
+# SIGKILL follows SIGTERM after the longest deadline, capped at MAX_DEADLINE_S, plus this grace period.
 KILL_GRACE_S = 0.7
 MAX_DEADLINE_S = 3.0
-# So long before SIGKILL what has not begun is abandoned: its client is answered, and its state released.
+# How long before SIGKILL requests that do not stream yet are ended: their clients get a response, and the
+# state that servers hold for them is released.
 ABANDON_BEFORE_KILL_S = 0.5
-POLL_INTERVAL_S = 0.02  # how often it is checked whether everything is answered
+POLL_INTERVAL_S = 0.02  # between two checks whether everything is answered
 
 
 async def drain(context: ProgramContext, accepts_new: bool) -> None:
-    """Return once everything that was accepted is answered.
+    """Return once every accepted request is answered.
 
-    `accepts_new`: what still arrives right after the request for shutdown is served, too.
-    Times run from that request: a start that was still waiting for the endpoint list may have used up some.
+    With `accepts_new`, requests that arrive within ACCEPT_AFTER_SHUTDOWN_S are served as well. Times count
+    from the shutdown request, which may have come long before this call, during the start.
     """
     fronts, conductor = context.fronts, context.conductor
     requested_s = context.shutdown.requested_s
@@ -29,7 +30,7 @@
         await anyio.sleep_until(requested_s + ACCEPT_AFTER_SHUTDOWN_S)
     else:
         fronts.drain()
-        await anyio.sleep(POLL_INTERVAL_S)  # the fronts accept what waits in the backlog
+        await anyio.sleep(POLL_INTERVAL_S)  # lets the fronts accept the connections in the backlog
     while (
         fronts.open_connection_count() or conductor.registry.records or context.upstream.unanswered_releases
     ):
@@ -40,7 +41,7 @@
 
 
 def _max_deadline_s(context: ProgramContext) -> float:
-    """The longest deadline of any class that delays SIGKILL."""
+    """The longest deadline of any request class, as far as it delays SIGKILL."""
     classes = context.config.settings.classes
     longest_s = max((each.deadline_ms / 1000 for each in classes), default=MAX_DEADLINE_S)
     return min(MAX_DEADLINE_S, longest_s)
--- a/ringledge/lifecycle/fingerprint.py
+++ b/ringledge/lifecycle/fingerprint.py
@@ -1,7 +1,8 @@
-"""A fingerprint of settings: a digest of the lists whose indices and names are handed over and stored.
+"""The fingerprint of settings: a digest of the lists that handed-over and stored data refer to by index.
 
-The processes of a conductor hand over and store indices of the settings' lists and names of servers. With
-other lists the same index is another class or tenant, so a process only uses what has its own fingerprint.
+The processes of a router hand over and store names of servers and indices into lists of the settings. With
+different lists an index denotes another class or tenant, so a process uses only data that has its own
+fingerprint.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 from ringledge.memory.names import Names
 from ringledge.routing.interface import RouterSettings
 
-SCHEMA = 1  # version of what is handed over and stored; to be increased when its meaning changes
+SCHEMA = 1  # version of handed-over and stored data; increase it when their meaning changes
 DIGEST_BYTES = 8
 
 
 def fingerprint(settings: RouterSettings, names: Names) -> str:
-    """The digest in hex digits; equal for equal names of zones, kinds, classes and tenants in equal order."""
+    """The digest in hex; it depends on the names of zones, kinds, classes and tenants and on their order."""
     roles = [kind.role.value for kind in settings.kinds]
     idempotency = [each.idempotency.value for each in settings.classes]
     fields = [SCHEMA, names.zones, names.kinds, roles, names.classes, idempotency, names.tenants]
--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -1,4 +1,4 @@
-"""The program's fronts with their listening sockets, and their limits of sockets and memory."""
+"""The fronts of the program, with their listening sockets and their limits on sockets and memory."""
 
 from __future__ import annotations
 
@@ -23,32 +23,32 @@
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import ConnectionAdmission
 
-BODY_MEMORY_DIVISOR = 5  # of the memory: a body is held about twice, the rest is the program's
-RESERVED_SOCKETS = 64  # for discovery, listeners, logs and the interpreter
-PROGRAM_FRONT_MAX_CONNECTIONS = RESERVED_SOCKETS // 4  # of a front that a few known programs call
+BODY_MEMORY_DIVISOR = 5  # of the memory limit; bodies take about twice their size
+RESERVED_SOCKETS = 64  # descriptors for discovery, listeners, logs and the interpreter
+PROGRAM_FRONT_MAX_CONNECTIONS = RESERVED_SOCKETS // 4  # for a front with few known clients
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Service:
-    """What a front serves to clients, and at which address."""
+    """The address, handlers and limits of a front for clients."""
 
     name: str
     address: str
     handler: Handler
     error_body: ErrorBody
-    max_connections: int | None = None  # None: an equal share of the sockets for clients
-    on_rejected: OnRejected | None = None  # called for each request that the front itself rejects
-    # Whether a request is served although its connection is past the limit.
+    max_connections: int | None = None  # None: an equal share of the client sockets
+    on_rejected: OnRejected | None = None  # called when the front itself rejects a request
+    # Whether to serve a request on a connection beyond `max_connections`.
     is_served_past_limit: Callable[[h11.Request], bool] | None = None
-    # Rejects a request before it is parsed, if it has to; the bytes of its body that are still to come.
+    # May reject a request before it is parsed; returns the number of bytes of its body not yet received.
     reject_unparsed: Callable[[Connection], int | None] | None = None
-    # It answers in time while the start still waits for the endpoint list.
+    # Whether the front accepts requests while the start still waits for the endpoint list.
     serves_during_start: bool = False
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ListeningFront:
-    """A front with the listening socket that it accepts from."""
+    """A front and its listening socket."""
 
     front: Front
     listener: socket.socket
@@ -56,28 +56,27 @@
 
 
 class Fronts:
-    """The fronts that serve clients, and the operators' own."""
+    """The fronts for clients and the operators' front."""
 
     def __init__(self, config: Config, metrics: Metrics, inherited: dict[str, socket.socket]) -> None:
-        """`inherited`: a predecessor's listening sockets by address; those that are used are removed."""
+        """`inherited` holds the predecessor's listening sockets by address; used ones are removed."""
         self._metrics, self._inherited = metrics, inherited
-        # Half for servers, half for clients; each front accepts an eighth more, only to reject them.
+        # Servers and clients get half each; each front accepts an eighth more connections, to reject them.
         reserved = RESERVED_SOCKETS + (operator.CONNECTIONS if config.operator else 0)
         self.max_upstream_sockets = max(8, (max_descriptors(config.sockets) - reserved) // 2)
         self._body_memory = config.memory_bytes / BODY_MEMORY_DIVISOR
         self._budget = BodyMemory(self._body_memory)
-        self._public_front_count = 1 + ("chat" in config.deploy_settings)  # fronts that any client may call
-        self.listeners: dict[str, socket.socket] = {}  # by address, as it is configured
-        self.clients: list[ListeningFront] = []  # drained at a shutdown
+        self._public_front_count = 1 + ("chat" in config.deploy_settings)  # fronts open to any client
+        self.listeners: dict[str, socket.socket] = {}  # by configured address
+        self.clients: list[ListeningFront] = []  # drained in a shutdown
         self.operators: list[ListeningFront] = []  # serve until the program ends
         self._public_fronts: list[Front] = []
-        self.connection_admission: ConnectionAdmission | None = (
-            None  # applied to each new connection of fronts opened later
-        )
-        self.on_unread_time: Callable[[float], None] | None = None  # gets how long each request lay unread
+        # Both apply only to fronts that are opened afterwards.
+        self.connection_admission: ConnectionAdmission | None = None  # admits or denies new connections
+        self.on_unread_time: Callable[[float], None] | None = None  # called with each request's unread time
 
     def open(self, service: Service) -> None:
-        """Open a front for clients, which accepts from `serve` on."""
+        """Create a front for clients; it accepts connections once `serve` is called."""
         max_connections = service.max_connections
         is_public = max_connections is None
         limit = self._max_public_connections(1) if max_connections is None else max_connections
@@ -102,70 +101,71 @@
         self.clients.append(ListeningFront(front, listener, service.serves_during_start))
 
     def open_operator(self, address: str, handler: Handler, error_body: ErrorBody) -> None:
-        """Open the operators' front, whose limits no client can use up."""
-        # One is read before the next is accepted: incomplete calls are known, and are evicted first.
+        """Create the operators' front, whose limits are separate from those of clients."""
+        # Each connection is read before the next is accepted, so that those with an incomplete request are
+        # known and can be evicted first.
         options = FrontOptions("operator", operator.CONNECTIONS, accepts_per_turn=1)
         handling = RequestHandling(handler, error_body, request_timeout_s=operator.CALL_S)
         front = Front(options, handling, BodyMemory(operator.MEMORY), self._metrics)
-        front.connections.end_with_answers(True)  # one call to a connection
+        front.connections.end_with_answers(True)  # one request per connection
         self.operators.append(ListeningFront(front, self._listen(address)))
 
     def _listen(self, address: str) -> socket.socket:
-        """A predecessor's listening socket, or else a new one."""
+        """The predecessor's listening socket for the address, or else a new one."""
         inherited = self._inherited
         listener = inherited.pop(address) if address in inherited else listen(address)
         self.listeners[address] = listener
         return listener
 
     def _max_public_connections(self, processes: int) -> int:
-        """The limit of each public front, while so many processes share the sockets."""
+        """The limit of each public front while this many processes share the sockets."""
         return self.max_upstream_sockets * 8 // 9 // self._public_front_count // processes
 
     @staticmethod
     def serve(fronts: list[ListeningFront], tasks: anyio.abc.TaskGroup) -> None:
-        """Have these fronts accept from now on."""
+        """Start to accept connections on these fronts."""
         for each in fronts:
             tasks.start_soon(each.front.serve, each.listener, tasks)
 
     def is_accepting(self) -> bool:
-        """Whether each front for clients accepts connections."""
+        """Whether all fronts for clients accept connections."""
         return all(each.front.serving for each in self.clients)
 
     def open_connection_count(self) -> int:
-        """How many connections of clients are open."""
+        """Number of open client connections."""
         return sum(each.front.open for each in self.clients)
 
     def drain(self) -> None:
-        """Accept no more, close idle connections, and read no further request after a response."""
+        """Stop accepting, close idle connections, and close the others after their current response."""
         for each in self.clients:
             each.front.drain()
             for address in self._addresses_of(each.listener):
-                del self.listeners[address]  # a successor that asks from here on binds its own
+                del self.listeners[address]  # from now on a successor binds its own
 
     def _addresses_of(self, listener: socket.socket) -> list[str]:
         return [address for address, each in self.listeners.items() if each is listener]
 
     def listening(self) -> dict[str, str]:
-        """The address that each front listens at, by the front's name."""
+        """The listening addresses by name of the front."""
         return {
             each.front.name: "%s:%d" % each.listener.getsockname() for each in self.clients + self.operators
         }
 
     def set_process_count(self, processes: int) -> None:
-        """Divide the limits among so many processes of this conductor."""
+        """Divide the limits among this many processes of the router."""
         self._budget.limit_bytes = self._body_memory / processes
         for front in self._public_fronts:
             front.connections.lower_limit(self._max_public_connections(processes))
 
     def yield_to_successor(self, addresses: set[str]) -> None:
-        """Stop accepting at these addresses: a successor serves there."""
+        """Stop accepting at these addresses, where a successor now serves."""
         yielded = [listener for address, listener in self.listeners.items() if address in addresses]
         for each in self.clients:
             if each.listener in yielded:
                 each.front.yield_to_successor()
 
     def reopen(self) -> None:
-        """Accept again: the successor has ended."""
+        """Accept again after the successor has ended."""
         for each in self.clients:
             each.front.reopen()
 
--- a/ringledge/lifecycle/handover.py
+++ b/ringledge/lifecycle/handover.py
@@ -1,6 +1,6 @@
-"""Handover between two processes of one conductor: the old one passes its listening sockets to its successor.
+"""Hand-over between two processes of one router: a process passes its listening sockets to its successor.
 
-While they overlap, each notifies the other over their channel which requests it has open.
+While both run, each notifies the other over their channel of the requests that it has open.
 """
 
 from __future__ import annotations
@@ -26,26 +26,26 @@
 from ringledge.lifecycle.peer_process import PeerProcess
 from ringledge.observe.logging import log
 
-RETRY_INTERVAL_S = 2.0  # between two attempts to listen for successors
+RETRY_INTERVAL_S = 2.0  # before listening for successors again after an error
 
 
 class HandoverObserver(Protocol):
-    """What is notified of the conductor's other processes."""
+    """Receives notifications about the router's other processes."""
 
     def on_process_count(self, processes: int) -> None:
-        """So many processes of this conductor share its limits now."""
+        """Called when the number of processes that share the router's limits changes."""
 
     def on_successor_serving(self) -> None:
-        """A successor serves in place of this process."""
+        """Called when a successor serves in place of this process."""
 
 
 class Handover:
-    """Takes over from the predecessor, and hands over to successors."""
+    """Takes over from a predecessor, and hands over to successors."""
 
     def __init__(
         self, path: Path, fingerprint: str, fronts: Fronts, conductor: Conductor, observer: HandoverObserver
     ) -> None:
-        """`fingerprint`: of our settings; nothing is handed to a process under others."""
+        """`fingerprint` identifies this process's settings; a process with others receives nothing."""
         self.successor_serves = False
         self._path = path
         self._fingerprint = fingerprint
@@ -57,7 +57,7 @@
 
     @contextmanager
     def _sharing_limits(self) -> Iterator[None]:
-        """One process more shares the limits meanwhile."""
+        """Count one more process that shares the limits, within the context."""
         self._add_processes(1)
         try:
             yield
@@ -69,7 +69,7 @@
         self._observer.on_process_count(self._processes)
 
     async def follow_predecessor(self, sock: socket.socket, is_serving: anyio.Event) -> None:
-        """Load the predecessor's snapshot, notify it once this process serves; return when it has ended."""
+        """Load the predecessor's snapshot, and notify it once this process serves, until it has ended."""
         peer = PeerProcess(sock, self._conductor.registry)
 
         async def notify_serving() -> None:
@@ -90,12 +90,12 @@
         while True:
             try:
                 listener = channel.listen(self._path)
-            except OSError as error:  # this process goes on; one that starts meanwhile has to bind anew
+            except OSError as error:  # a process that starts meanwhile has to bind its own sockets
                 await self._wait_to_retry(error)
                 continue
             try:
                 has_served = False
-                while not has_served:  # a successor that serves has replaced the path
+                while not has_served:  # a successor that serves has replaced the socket at the path
                     has_served = await self._serve_successor(await channel.accept(listener))
             except OSError as error:
                 await self._wait_to_retry(error)
@@ -108,7 +108,7 @@
         await anyio.sleep(RETRY_INTERVAL_S)
 
     async def _serve_successor(self, sock: socket.socket) -> bool:
-        """Hand over to one successor, and return when it has ended; whether it served."""
+        """Hand over to one successor until it has ended; returns whether it served."""
         try:
             with anyio.fail_after(channel.RESPONSE_TIMEOUT_S):
                 await self._hand_over(sock)
@@ -128,18 +128,19 @@
         return has_served
 
     async def _hand_over(self, sock: socket.socket) -> None:
-        """Answer a successor's request; OSError where it serves under other settings or has ended."""
+        """Answer a successor's request; raises OSError if it has other settings or has ended."""
         received = await channel.receive(sock)
         if received is None:
-            raise OSError("it ended the channel")
+            raise OSError("the successor closed the channel")
         if settings_fingerprint(received.message) != self._fingerprint:
-            raise OSError("it serves under other settings")
+            raise OSError("the successor has other settings")
         response = ListenersResponse(
             list(self._listeners), self._fingerprint, self._conductor.clock.offset_ms
         )
         descriptors = [listener.fileno() for listener in self._listeners.values()]
         await channel.send(sock, response.encode(), descriptors)
-        parts = list(self._conductor.dump_snapshot())  # at one moment: the policy goes on learning
+        # Dumped as a whole before the first send, since the policy's state changes meanwhile.
+        parts = list(self._conductor.dump_snapshot())
         for part in parts:
             await channel.send(sock, encode_snapshot_part(part))
 
@@ -151,6 +152,6 @@
             log.info("successor_started_serving")
 
     def close(self) -> None:
-        """Delete the socket's path that no process listens at now; a successor's own may be there already."""
+        """Delete the socket's path, unless the other process may already listen there."""
         if self._processes == 1:
             self._path.unlink(missing_ok=True)
--- a/ringledge/lifecycle/handover_channel.py
+++ b/ringledge/lifecycle/handover_channel.py
@@ -1,7 +1,7 @@
-"""The channel between two processes of one conductor: JSON messages over a Unix socket, with descriptors.
+"""The channel between two processes of one router: JSON messages and descriptors over a Unix socket.
 
-Both processes share $TMPDIR, where the one that serves listens at a path. The end of the channel means that
-the other process has ended.
+The serving process listens at a path in $TMPDIR, which both processes share. When the channel is closed, the
+other process has ended.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 from ringledge.observe.logging import log
 from ringledge.structures.transient_errors import RETRY_INTERVAL_S, is_transient, retry_while_transient
 
-RESPONSE_TIMEOUT_S = 1.0  # a predecessor silent for so long hangs: its addresses are bound anew
+RESPONSE_TIMEOUT_S = 1.0  # a slower predecessor is treated as hung, and its addresses are bound again
 MAX_MESSAGE_BYTES = 64 * 1024
 MAX_LISTENERS = 8
-BACKLOG = 4  # successors that may wait to be accepted
-CHANNEL_ERRORS = (OSError, ValueError, anyio.ClosedResourceError)  # how the end of a channel may show
+BACKLOG = 4  # of successors that wait to be accepted
+CHANNEL_ERRORS = (OSError, ValueError, anyio.ClosedResourceError)  # possible at the end of a channel
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A message, and the descriptors that came with it."""
+    """A message and the descriptors that came with it."""
 
     message: dict[str, Any]
     descriptors: list[int]
 
 
 async def receive(sock: socket.socket) -> Received | None:
-    """The next message; None at the channel's end."""
+    """Receive the next message; returns None at the channel's end."""
     while True:
         try:
             data, descriptors, _, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, MAX_LISTENERS)
@@ -54,7 +54,7 @@
 
 
 async def send(sock: socket.socket, message: dict[str, Any], descriptors: Iterable[int] = ()) -> None:
-    """Send one message; OSError where the other process has ended."""
+    """Send one message; raises OSError if the other process has ended."""
     while True:
         try:
             socket.send_fds(sock, [orjson.dumps(message)], list(descriptors))
@@ -65,7 +65,7 @@
 
 
 async def accept(listener: socket.socket) -> socket.socket:
-    """The channel to the next process that connects."""
+    """Accept the channel to the next process that connects."""
     while True:
         try:
             channel, _ = listener.accept()
@@ -90,7 +90,7 @@
 
 @contextmanager
 def _short_path(path: Path) -> Iterator[str]:
-    """The path by its folder's descriptor: the address of a Unix socket has 107 bytes at most."""
+    """A short form of the path, since the address of a Unix socket is limited to 107 bytes."""
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -99,23 +99,23 @@
 
 
 def path_for(folder: Path, name: str) -> Path:
-    """Where the processes of the conductor of that name meet."""
+    """The path of the socket at which the processes of the router of that name connect."""
     return folder / f"ringledge-{quote(name, safe='')}.sock"
 
 
 @dataclass(frozen=True, slots=True)
 class Predecessor:
-    """What a process inherits from the one that served before; empty where there is none."""
+    """The state that a process inherits from its predecessor; empty if there is none."""
 
     channel: socket.socket | None = None
     listeners: dict[str, socket.socket] = field(default_factory=dict)  # by address
-    clock_offset_ms: float | None = None  # Unix time less the monotonic clock, as the predecessor has it
+    clock_offset_ms: float | None = None  # the predecessor's Unix time minus its monotonic clock
 
 
 async def request_listeners(path: Path, fingerprint: str) -> Predecessor:
     """Connect to the predecessor that listens at the path, and receive its listening sockets.
 
-    `fingerprint`: of our settings; a process under other settings does not count as a predecessor.
+    `fingerprint` identifies this process's settings; a process with others is not a predecessor.
     """
     if not path.exists():
         return Predecessor()
@@ -127,21 +127,21 @@
             await send(channel, encode_listeners_request(fingerprint))
             received = await receive(channel)
         if received is None:
-            raise OSError("it ended the channel")
+            raise OSError("the predecessor closed the channel")
         return _inherit(channel, received, fingerprint)
-    except (*CHANNEL_ERRORS, KeyError, TypeError) as error:  # a stale file, or a process that hangs
+    except (*CHANNEL_ERRORS, KeyError, TypeError) as error:  # the path is stale, or the process hangs
         log.warning("predecessor_unavailable", error=repr(error))
         close(channel)
         return Predecessor()
 
 
 def _inherit(channel: socket.socket, received: Received, fingerprint: str) -> Predecessor:
-    """Take over the sockets of a response; OSError where the predecessor serves under other settings."""
+    """Take over the sockets of a response; raises OSError if the predecessor has other settings."""
     listeners = [socket.socket(fileno=each) for each in received.descriptors]
     if settings_fingerprint(received.message) != fingerprint:
         for listener in listeners:
             listener.close()
-        raise OSError("it serves under other settings")
+        raise OSError("the predecessor has other settings")
     for listener in listeners:
         listener.setblocking(False)
     response = ListenersResponse.decode(received.message)
@@ -150,7 +150,7 @@
 
 
 def listen(path: Path) -> socket.socket:
-    """Listen at the path in place of the process that did before; OSError where that is not possible."""
+    """Listen at the path in place of any earlier process; raises OSError on failure."""
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         listener.setblocking(False)
--- a/ringledge/lifecycle/handover_messages.py
+++ b/ringledge/lifecycle/handover_messages.py
@@ -1,7 +1,7 @@
-"""Messages between two processes of one conductor, as JSON objects.
+"""The messages between two processes of one router, as JSON objects.
 
-Either process may be of another version: keys that it adds are ignored, and those that it lacks have defaults
-unless stated otherwise. Keys and their order on the channel are part of the format.
+The other process may be of another version: unknown keys are ignored, and missing keys have defaults unless
+stated otherwise. Keys and their order on the channel are part of the format.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 
 
 def settings_fingerprint(message: Mapping[str, Any]) -> Any:
-    """The fingerprint of the settings that the sender serves under; None where it sends none."""
+    """The fingerprint of the sender's settings; None if the message has none."""
     return message.get("settings")
 
 
 def encode_listeners_request(fingerprint: str) -> dict[str, Any]:
-    """A successor asks for the listening sockets."""
+    """A successor's request for the listening sockets."""
     return {"want": "listeners", "settings": fingerprint}
 
 
 @dataclass(frozen=True, slots=True)
 class ListenersResponse:
-    """The predecessor's response; the message carries the sockets' descriptors in the addresses' order."""
+    """The predecessor's response; the sockets' descriptors accompany it in the order of the addresses."""
 
-    addresses: list[str]  # that the sockets listen at
-    fingerprint: str  # of the settings that the predecessor serves under
-    clock_offset_ms: float | None  # Unix time less the monotonic clock, as the predecessor has it
+    addresses: list[str]  # at which the sockets listen
+    fingerprint: str  # of the predecessor's settings
+    clock_offset_ms: float | None  # the predecessor's Unix time minus its monotonic clock
 
     def encode(self) -> dict[str, Any]:
-        """The JSON object."""
+        """Convert to a JSON object."""
         return {
             "listeners": self.addresses,
             "settings": self.fingerprint,
@@ -39,7 +39,7 @@
 
     @classmethod
     def decode(cls, message: Mapping[str, Any]) -> ListenersResponse:
-        """Read the JSON object; KeyError where it names no listeners."""
+        """Convert from a JSON object; raises KeyError if it has no listeners or no fingerprint."""
         offset_ms = message.get("clock_offset_ms")
         return cls(
             addresses=message["listeners"],
@@ -49,32 +49,32 @@
 
 
 def encode_snapshot_part(part: dict[str, Any]) -> dict[str, Any]:
-    """One part of the snapshot of what the predecessor's policy has learned."""
+    """A part of the snapshot of the predecessor's policy."""
     return {"learned": part}
 
 
 def encode_serving(addresses: list[str]) -> dict[str, Any]:
-    """The successor serves at these addresses."""
+    """A successor's notification that it serves at these addresses."""
     return {"serving": addresses}
 
 
 def encode_request_changes(opened: list[str], ended: list[str]) -> dict[str, Any]:
-    """Ids of requests that the sender has opened, and of those that have ended there."""
+    """Ids of requests that have been opened and that have ended in the sending process."""
     return {"open": opened, "ended": ended}
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of the other process after the listening sockets were handed over."""
+    """A message of the other process after the hand-over of the listening sockets."""
 
     opened: frozenset[str]  # ids of requests
     ended: frozenset[str]
-    snapshot_part: dict[str, Any]  # empty: none
-    serving: frozenset[str]  # addresses at which the successor serves; empty: it does not say so
+    snapshot_part: dict[str, Any]  # empty if the message has none
+    serving: frozenset[str]  # addresses at which the successor serves; empty in other messages
 
     @classmethod
     def decode(cls, message: Mapping[str, Any]) -> PeerMessage:
-        """Read the JSON object."""
+        """Convert from a JSON object."""
         return cls(
             opened=frozenset(message.get("open", ())),
             ended=frozenset(message.get("ended", ())),
--- a/ringledge/lifecycle/peer_process.py
+++ b/ringledge/lifecycle/peer_process.py
@@ -1,4 +1,4 @@
-"""The other process of this conductor while the two overlap: each knows which requests the other has open."""
+"""The other process of this router during a hand-over, and the ids of the requests that it has open."""
 
 from __future__ import annotations
 
@@ -13,35 +13,38 @@
 from ringledge.lifecycle import handover_channel as channel
 from ringledge.lifecycle.handover_messages import PeerMessage, encode_request_changes
 
-MAX_IDS_PER_MESSAGE = 500  # each is 64 characters at most
+MAX_IDS_PER_MESSAGE = 500  # an id has at most 64 characters
 
 
 class PeerProcess:
-    """Exchanges the ids of open requests with the other process over a channel, from its creation on."""
+    """Exchanges the ids of open requests with the other process over a channel.
+
+    Changes are recorded from the creation of the object, and sent while `run` runs.
+    """
 
     def __init__(self, sock: socket.socket, registry: RequestRegistry) -> None:
         self.open_request_ids: set[str] = set()  # in the other process
         self._sock = sock
         self._registry = registry
-        # Whether each request is open, in the order of the changes that are still to be sent.
+        # Changes to be sent, in order: by request id, whether the request is open.
         self._unsent_changes = dict.fromkeys(registry.records, True)
         self._has_changes = anyio.Event()
-        self._send_lock = anyio.Lock()  # two tasks may not wait for the same socket
+        self._send_lock = anyio.Lock()  # only one task at a time may wait for the socket
         registry.peers.append(self)
 
     def on_request_change(self, request_id: str, is_open: bool) -> None:
-        """A request was opened here, or has ended: the other process will be notified."""
+        """Record that a request was opened or has ended in this process, to notify the other."""
         self._unsent_changes[request_id] = is_open
         self._has_changes.set()
 
     async def send(self, message: dict[str, Any]) -> None:
-        """Send a message; where the channel has ended, `run` detects it."""
+        """Send a message; the end of the channel is ignored here, and detected by `run`."""
         with suppress(*channel.CHANNEL_ERRORS):
             async with self._send_lock:
                 await channel.send(self._sock, message)
 
     async def run(self, on_message: Callable[[PeerMessage], None]) -> None:
-        """Send changes and hand on received messages until the channel ends; then it is closed."""
+        """Send changes and pass on received messages until the channel ends, then close it."""
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._send_changes)
--- a/ringledge/lifecycle/reload.py
+++ b/ringledge/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration: discovery's address changes in the running program, all else at a restart."""
+"""Reload of the configuration: discovery's address changes at once, all else needs a restart."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from ringledge.observe.logging import log
 from ringledge.wire.discovery.watcher import DiscoveryClient
 
-RETRY_INTERVAL_S = 0.05  # between two reads of a file that could not be used
-RETRY_TIMEOUT_S = 3.0  # of all retries: discovery's list counts as received 4 s after SIGHUP
-# Fields that need no restart: discovery's address is used at once, seed and known list matter at a start.
+RETRY_INTERVAL_S = 0.05  # between two attempts to read an unusable file
+RETRY_TIMEOUT_S = 3.0  # in total: discovery's new list must be in use 4 s after SIGHUP
+# Fields that need no restart: discovery's address applies at once, the others matter only at a start.
 RELOADABLE_FIELDS = ("discovery", "configured_discovery", "seed", "known_endpoints")
 
 
 class ConfigReloader:
-    """Reads the configuration anew, and applies what may change in the running program."""
+    """Reads the configuration again, and applies the fields that may change while the program runs."""
 
     def __init__(self, config: Config, discovery: DiscoveryClient, tasks: anyio.abc.TaskGroup) -> None:
         self._running_config = config
@@ -29,18 +29,18 @@
         self._retrying = anyio.CancelScope()
 
     def reload(self) -> None:
-        """Reload once; where the file can't be used, it is logged and read again for RETRY_TIMEOUT_S."""
+        """Reload now; if the file is unusable, log that and retry for RETRY_TIMEOUT_S."""
         self._retrying.cancel()
         try:
             config = configuration.load()
-        except ConfigError as error:  # a missing or incomplete file is no reason to stop serving
+        except ConfigError as error:  # serve on with the previous configuration
             log.error("reload_failed", error=str(error))
             self._tasks.start_soon(self._retry)
         else:
             self._apply(config)
 
     async def _retry(self) -> None:
-        """The file may be in the middle of a write, or there may be no descriptor for a moment."""
+        """Retry the load: the file may have been half written, or descriptors may have run out briefly."""
         with anyio.move_on_after(RETRY_TIMEOUT_S) as self._retrying:
             while True:
                 await anyio.sleep(RETRY_INTERVAL_S)
@@ -52,9 +52,9 @@
                 return
 
     def _apply(self, config: Config) -> None:
-        """Use the new address of discovery, and log the names of what is used after a restart only."""
+        """Apply a changed address of discovery, and log the names of changes that need a restart."""
         restart_required = fields_requiring_restart(self._running_config, config)
-        # A changed address in the file is newer than that of RELAY_DISCOVERY.
+        # An address that has changed in the file overrides the older one of RELAY_DISCOVERY.
         if config.configured_discovery != self._latest_config.configured_discovery:
             self._discovery.change_address(config.configured_discovery)
         self._latest_config = config
@@ -62,7 +62,7 @@
 
 
 def fields_requiring_restart(old: Config, new: Config) -> list[str]:
-    """Names of the changed fields, and of the changed files under deploy/, that are used after a restart."""
+    """Names of the changed fields and settings files that take effect only after a restart."""
     names = [each.name for each in fields(Config) if each.name not in (*RELOADABLE_FIELDS, "deploy_settings")]
     changed_fields = [name for name in names if getattr(new, name) != getattr(old, name)]
     changed_files = [
--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -1,4 +1,4 @@
-"""One conductor from its start to its shutdown."""
+"""The router process from its start to its shutdown."""
 
 from __future__ import annotations
 
@@ -23,14 +23,13 @@
 from ringledge.routing.interface import Availability
 from ringledge.wire.discovery.watcher import RESPONSE_TIMEOUT_S
 
-# Where discovery has not responded for so long, the last known list is used. A first call that is accepted
-# but not answered is given up after RESPONSE_TIMEOUT_S; the response to the next has to come before a stale
-# list is used.
+# Time without an endpoint list from discovery after which the last known list is used. It leaves time for a
+# second request to be answered when the first was accepted and timed out after RESPONSE_TIMEOUT_S.
 ENDPOINT_LIST_TIMEOUT_S = RESPONSE_TIMEOUT_S + 0.5
 
 
 class Program:
-    """Runs the components of one conductor."""
+    """Runs the components of one router process."""
 
     def __init__(self, config: Config, tasks: anyio.abc.TaskGroup, predecessor: channel.Predecessor) -> None:
         self._config = config
@@ -58,13 +57,13 @@
             metrics.servers.labels(state.value).set_function(partial(context.servers.count, state))
 
     def can_serve(self) -> bool:
-        """Whether the program is ready: it has an endpoint list, accepts clients, and is not stopping."""
+        """Whether the program has an endpoint list, accepts clients and is not shutting down."""
         context = self._context
         is_accepting = context.fronts.is_accepting() and context.conductor.timers_running()
         return self._has_endpoint_list() and is_accepting and not context.shutdown.is_requested()
 
     def _has_endpoint_list(self) -> bool:
-        """Whether discovery has sent its list, or an older one is used as discovery does not respond."""
+        """Whether discovery has sent its list, or has not responded in time and an older list is used."""
         context = self._context
         if context.discovery.synchronized.is_set():
             return True
@@ -72,7 +71,7 @@
         return is_late and bool(context.servers.entries)
 
     def request_shutdown(self) -> None:
-        """Begin a graceful shutdown; where a successor serves, its `/ready` speaks for both processes."""
+        """Begin a graceful shutdown; `/ready` still reports ready if a successor serves."""
         if self._composition.platform is not None:
             self._composition.platform.ready = self._handover.successor_serves
         self._context.shutdown.request()
@@ -82,19 +81,19 @@
         self._reloader.reload()
 
     def on_successor_serving(self) -> None:
-        """Stop the components: what only one process of a conductor can do is the successor's now."""
+        """Stop the components, since the successor now does what only one process of a router may do."""
         self._tasks.start_soon(self._stop_components)
 
     def on_process_count(self, processes: int) -> None:
-        """Divide the limits among so many processes of this conductor."""
+        """Divide the limits among this many processes of the router."""
         self._context.fronts.set_process_count(processes)
         for component in self._composition.components:
             component.on_process_count(processes)
 
     async def run(self, predecessor: socket.socket | None) -> None:
-        """Serve until a signal requests a shutdown and everything that was accepted is answered.
+        """Serve until a signal requests a shutdown and every accepted request is answered.
 
-        `predecessor`: the channel to the process that served before, where there is one.
+        `predecessor` is the channel to the process that served before, if there is one.
         """
         shutdown, fronts, tasks = self._context.shutdown, self._context.fronts, self._tasks
         is_serving = anyio.Event()
@@ -102,13 +101,13 @@
         for component in self._composition.components:
             component.start()
         gc.collect()
-        gc.freeze()  # what exists now lasts: later collections need not traverse it
+        gc.freeze()  # the objects created so far are permanent; later collections can skip them
         if predecessor is not None:
             tasks.start_soon(self._handover.follow_predecessor, predecessor, is_serving)
         early = [each for each in fronts.clients if each.serves_during_start and predecessor is None]
         fronts.serve(early, tasks)
         await self._wait_for_endpoint_list()
-        accepts_new = not shutdown.is_requested()  # else nothing new is begun: there may be no time for it
+        accepts_new = not shutdown.is_requested()  # after a shutdown during the start, time may be too short
         fronts.serve([each for each in fronts.clients if each not in early], tasks)
         for component in self._composition.components:
             component.on_ready()
@@ -134,8 +133,8 @@
     async def _wait_for_endpoint_list(self) -> None:
         """Return once discovery has sent its list, the timeout has passed, or a shutdown is requested.
 
-        Discovery's list counts as known from the start, and clients that know this address from before
-        connect at once: admitted before the list, they would be sent to servers that drain by now.
+        Clients that already know this address connect at once. If they were admitted before the list arrives,
+        their requests would be sent to servers that may be draining by now.
         """
         context = self._context
         remaining_s = max(0.0, self._started_s + ENDPOINT_LIST_TIMEOUT_S - time.monotonic())
@@ -166,13 +165,13 @@
 
 
 async def _cancel_after(event: anyio.Event | Shutdown, scope: anyio.CancelScope) -> None:
-    """Wait for an event, then cancel the scope."""
+    """Wait for the event, then cancel the scope."""
     await event.wait()
     scope.cancel()
 
 
 async def serve(config: Config) -> None:
-    """Serve until a signal requests a shutdown."""
+    """Run the program, taking over from a predecessor if there is one, until a signal ends it."""
     path = channel.path_for(config.folder, config.name)
     predecessor = await channel.request_listeners(path, config.fingerprint)
     async with anyio.create_task_group() as tasks:
--- a/ringledge/lifecycle/settings_files.py
+++ b/ringledge/lifecycle/settings_files.py
@@ -1,4 +1,4 @@
-"""Settings files under deploy/, read strictly: an error names the file, the key and what is allowed."""
+"""Strict reader of the settings files under deploy/; errors name the file, the key and the allowed values."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class SettingsError(Exception):
-    """A file can't be used; the message says why in one line."""
+    """A settings file is invalid; the message states the reason in one line."""
 
 
 def read_settings(settings_type: type[S], path: Path) -> S | None:
-    """The settings of an enabled file; None where it is absent or disabled.
+    """Read the settings of a file; returns None if it is absent or disabled.
 
-    SettingsError where the file is wrong, whether it is enabled or disabled.
+    Raises SettingsError if the file is invalid, even if it is disabled.
     """
     table = _read_table(path)
     if table is None:
@@ -33,13 +33,13 @@
 
 
 def is_enabled(path: Path) -> bool:
-    """Whether the file exists and enables its subsystem; its other keys are not checked."""
+    """Whether the file exists and enables its subsystem; the other keys are not validated."""
     table = _read_table(path)
     return table is not None and table.get("enabled", False)
 
 
 def _read_table(path: Path) -> dict[str, Any] | None:
-    """The file's keys and values; None where there is no file."""
+    """Parse the file; returns None if it does not exist."""
     if not path.exists():
         return None
     try:
@@ -52,12 +52,12 @@
 
 
 def _explain(settings_type: type[Any], error: str) -> str:
-    """Reorder msgspec's message: the key first, then what is allowed."""
+    """Rewrite msgspec's message so that it begins with the key."""
     if unknown := re.match(r"Object contains unknown field `(.*?)`", error):
         keys = (each.encode_name for each in msgspec.structs.fields(settings_type))
         allowed = ", ".join(("enabled", *keys))
         return f"{unknown[1]}: no such key; allowed are {allowed}"
     if missing := re.match(r"Object missing required field `(.*?)`", error):
-        return f"{missing[1]}: it has to be given"
+        return f"{missing[1]}: required key is missing"
     problem, _, place = error.partition(" - at `$.")
     return f"{place.rstrip('`')}: {problem}" if place else problem
--- a/ringledge/lifecycle/shutdown.py
+++ b/ringledge/lifecycle/shutdown.py
@@ -1,4 +1,4 @@
-"""The request for a graceful shutdown, shared by the components that react to it."""
+"""The flag that a graceful shutdown has been requested, shared by the components that react to it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Shutdown:
-    """Whether, and since when, a graceful shutdown has been requested."""
+    """Whether and when a graceful shutdown was requested."""
 
     def __init__(self) -> None:
         self._requested = anyio.Event()
@@ -14,15 +14,15 @@
 
     @property
     def requested_s(self) -> float:
-        """When the first request came, in seconds on the event loop's clock; 0 before it."""
+        """Time of the first request, in seconds on the event loop's clock; 0 before it."""
         return self._requested_s
 
     def is_requested(self) -> bool:
-        """Whether a shutdown has been requested."""
+        """Whether `request` has been called."""
         return self._requested.is_set()
 
     def request(self) -> None:
-        """Request the shutdown; only the first request sets the time."""
+        """Request the shutdown; repeated requests keep the time of the first."""
         if not self._requested.is_set():
             self._requested_s = anyio.current_time()
         self._requested.set()
--- a/ringledge/lifecycle/signals.py
+++ b/ringledge/lifecycle/signals.py
@@ -1,4 +1,4 @@
-"""SIGTERM and SIGINT request a graceful shutdown, SIGHUP a reload of the configuration."""
+"""Signal handling: SIGTERM and SIGINT request a graceful shutdown, SIGHUP a reload of the configuration."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 class SignalHandler(Protocol):
-    """What signals are dispatched to."""
+    """The receiver of signals."""
 
     def request_shutdown(self) -> None:
-        """SIGTERM or SIGINT was received."""
+        """Called on SIGTERM and SIGINT."""
 
     def reload(self) -> None:
-        """SIGHUP was received."""
+        """Called on SIGHUP."""
 
 
 def block_reload_signals() -> None:
-    """Leave SIGHUP pending: its default action would end the process while no handler is installed."""
+    """Block SIGHUP until a handler is installed, since its default action ends the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, RELOAD_SIGNALS)
 
 
 def block_shutdown_signals() -> None:
-    """Leave SIGTERM and SIGINT pending until a handler is installed: clients may already be connected."""
+    """Block SIGTERM and SIGINT until a handler is installed, since clients may already be connected."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SHUTDOWN_SIGNALS)
 
 
 async def dispatch_signals(handler: SignalHandler) -> None:
-    """Call the handler for each signal, also during a shutdown: the process ends when all is answered."""
+    """Call the handler for each signal until cancelled, also during a shutdown."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, RELOAD_SIGNALS | SHUTDOWN_SIGNALS)
         try:
@@ -45,4 +45,4 @@
                     log.info("stopping", signal=signal.Signals(number).name)
                     handler.request_shutdown()
         finally:
-            block_reload_signals()  # before the receiver closes: the shutdown still has to be completed
+            block_reload_signals()  # a SIGHUP after the receiver closes must not end the shutdown early
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The sub-commands, and error messages for a configuration that can't be used."""
+"""The commands of the command line, and their error messages for an invalid configuration."""
 
 import contextlib
 import http.client
@@ -46,7 +46,7 @@
         ("{", "config.json: "),
         ("[]", "config.json: "),
         ("{}", "missing or unknown 'settings'"),
-        (json.dumps(GOOD | {"operator": "9100"}), "no address: '9100'"),
+        (json.dumps(GOOD | {"operator": "9100"}), "expected HOST:PORT, got '9100'"),
         (json.dumps(GOOD | {"known": {"index": 1}}), "known: Object missing required field `snapshot`"),
         (json.dumps(GOOD | {"known": [1]}), "known: Expected `object`, got `array`"),
         (json.dumps(GOOD | {"seed": "xyz"}), "invalid literal"),
@@ -80,7 +80,7 @@
         ("overload.toml", "target = 1.5", ("target: ", "<= 1.0")),
         ("overload.toml", "memory_from = 0.9\nmemory_to = 0.8", ("memory_to is not below memory_from",)),
         ("overload.toml", 'enabled = "yes"', ("enabled: true or false is allowed",)),
-        ("chat.toml", 'enabled = true\nlisten = "127.0.0.1:0"', ("models: it has to be given",)),
+        ("chat.toml", 'enabled = true\nlisten = "127.0.0.1:0"', ("models: required key is missing",)),
         ("chat.toml", 'listen = "nowhere"\n[models]\na = "b"', ("listen: ", "matching regex")),
         ("xds.toml", 'listen = "127.0.0.1:0"\npoll_s = 0', ("poll_s: ", "> 0")),
         ("prometheus.toml", "queue = 0", ("queue: ", ">= 1")),
@@ -121,7 +121,7 @@
         host, port = line["listening"]["platform"].split(":")
         client = http.client.HTTPConnection(host, int(port), timeout=10)
         headers = {"X-Call-Class": "query", "X-Caller": "farm", "X-Budget-Ms": "4800"}
-        for number in range(1000):  # each is rejected at once, for there are no servers, and logged
+        for number in range(1000):  # without servers each is rejected and logged at once
             client.request("POST", "/v1/chat/completions", b"{}", headers | {"X-Call-Id": f"a{number}"})
             response = client.getresponse()
             assert (response.status, bool(response.read())) == (503, True)
