--- a/ringledge/lifecycle/components/lease_holder_duties.py
+++ b/ringledge/lifecycle/components/lease_holder_duties.py
@@ -93,8 +93,8 @@
             self._log_once_voting()
 
     def _on_address_bound(self) -> None:
-        # The predecessor votes until it releases the address. This acceptor has to stay silent until the leases
-        # that the predecessor voted for have expired.
+        # The predecessor votes until it releases the address. This acceptor has to stay silent until the
+        # leases that the predecessor voted for have expired.
         if self._leases.acceptor is not None:
             self._leases.acceptor.recovery.restart_silence(boottime_s())
 
--- a/ringledge/lifecycle/components/members.py
+++ b/ringledge/lifecycle/components/members.py
@@ -28,7 +28,7 @@
 
 
 def create(context: ProgramContext, cluster_member: ClusterMember) -> Component:
-    """Create the component; it leaves the cluster once all components that were started later have stopped."""
+    """Create the component; it leaves the cluster after all components that started later have stopped."""
     members = cluster_member.members
 
     async def stop() -> None:
--- a/ringledge/lifecycle/components/operator.py
+++ b/ringledge/lifecycle/components/operator.py
@@ -11,7 +11,7 @@
 
 
 def create(context: ProgramContext, can_serve: Callable[[], bool]) -> Component:
-    """Open the front, which accepts before the others do, so that readiness can be queried during the start."""
+    """Open the front, which accepts from the start, so that readiness can be queried at any time."""
     classes, fronts = context.config.names.classes, context.fronts
     operator = Operator(classes, context.metrics, context.servers, context.operator_overrides, can_serve)
     fronts.open_operator(context.config.operator, operator.handle, error_body)
--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -31,8 +31,8 @@
 def create(context: ProgramContext, cluster_member: ClusterMember | None) -> QueuedRequests:
     """Create the queue; its file is opened at the start, and replay begins when the program is ready.
 
-    If duties are enabled, only the holder of the replay lease replays. Raises ConfigError if the chat front is
-    disabled.
+    If duties are enabled, only the holder of the replay lease replays. Raises ConfigError if the chat front
+    is disabled.
     """
     config = context.config
     queue_settings = config.settings_of(QueueConfig)
