--- a/ringledge/wire/discovery/__init__.py
+++ b/ringledge/wire/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the endpoint list is watched and parsed."""
+"""The client of the discovery service, which watches the endpoint list."""
--- a/ringledge/wire/discovery/endpoint_request.py
+++ b/ringledge/wire/discovery/endpoint_request.py
@@ -1,4 +1,4 @@
-"""One request to the discovery service, up to the head of its response."""
+"""Sends a request to the discovery service and receives the head of its response."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 async def open_response(address: str, path: str) -> tuple[Connection, h11.Response]:
-    """Request a path; returns the connection and the head of a 200, which may take any time to come.
+    """Request a path; returns the connection and the head of the 200 response, without a time limit.
 
-    OSError where the connection fails, h11.RemoteProtocolError for any other response.
+    Raises OSError if the connection fails, and h11.RemoteProtocolError for any other response.
     """
     conn = await connect(address, CONNECT_TIMEOUT_S)
     try:
@@ -21,7 +21,7 @@
         await conn.send(request, h11.EndOfMessage())
         head = await conn.next_event()
         if not isinstance(head, h11.Response) or head.status_code != 200:
-            raise h11.RemoteProtocolError(f"discovery answered {head!r}")
+            raise h11.RemoteProtocolError(f"discovery: expected status 200, got {head!r}")
     except BaseException:
         conn.close()
         raise
--- a/ringledge/wire/discovery/hedged_requests.py
+++ b/ringledge/wire/discovery/hedged_requests.py
@@ -1,7 +1,7 @@
-"""Hedged requests to one peer: each goes out beside those still unanswered, and the first response is used.
+"""Hedged requests to one peer: unanswered requests stay open while more are sent; the first response is used.
 
-A request that is given up at its timeout is lost where the peer only answers slowly, and one that is waited
-for without end learns late that the peer has recovered. So a late request stays open while more are sent.
+If requests were cancelled at a timeout, a slow peer would never be heard. If a single request were awaited
+without a timeout, the recovery of the peer would be noticed late.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import PEER_ERRORS
 
-SendRequest = Callable[[], Awaitable[Connection]]  # returns once the response has begun
+SendRequest = Callable[[], Awaitable[Connection]]  # returns when the response begins
 
 
 @dataclass(slots=True, eq=False)
 class _PendingRequest:
-    """One request without a response so far."""
+    """A request that has no response yet."""
 
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-    error: Exception | None = None  # how it failed
+    error: Exception | None = None  # set if the request failed
 
 
 class HedgedRequests:
     """The unanswered requests to one peer."""
 
     def __init__(self, max_pending: int) -> None:
-        """`max_pending`: beyond it the oldest is closed, since a peer that has vanished never answers it."""
+        """Beyond `max_pending` the oldest request is closed: a vanished peer would never answer it."""
         self._max_pending = max_pending
-        self._pending = list[_PendingRequest]()  # the oldest first
-        self._response: Connection | None = None  # that nobody has taken yet
+        self._pending = list[_PendingRequest]()  # oldest first
+        self._response: Connection | None = None  # received, but not returned yet
         self._changed = anyio.Event()
 
     async def first_response(self, tasks: TaskGroup, send: SendRequest, timeout_s: float) -> Connection:
         """Send one more request; return the connection of the first response to any, and close the others.
 
-        `tasks` runs the request. Raises TimeoutError if no response begins in time, and leaves the request
-        pending; raises what `send` does if the new request fails.
+        The request runs in `tasks`. If no response begins in time, raises TimeoutError and leaves the request
+        pending. If the new request fails, raises the error of `send`.
         """
         if self._response is None:
             request = self._start(tasks, send)
@@ -48,19 +48,19 @@
                 while self._response is None and request.error is None:
                     await self._changed.wait()
             if self._response is None:
-                raise request.error or TimeoutError("no answer")
+                raise request.error or TimeoutError("no response to any request in time")
         response, self._response = self._response, None
         self.cancel()
         return response
 
     async def wait_for_response(self, timeout_s: float) -> None:
-        """Wait until a pending request has a response, or so long."""
+        """Wait until a pending request has a response, for at most `timeout_s`."""
         with anyio.move_on_after(timeout_s):
             while self._response is None:
                 await self._changed.wait()
 
     def cancel(self) -> None:
-        """Close all requests, and a response that nobody has taken."""
+        """Close all pending requests, and a response that has not been returned."""
         for request in self._pending:
             request.scope.cancel()
         self._pending.clear()
@@ -87,7 +87,7 @@
             self._pending.remove(request)
             if response is not None and self._response is None:
                 self._response, response = response, None
-        if response is not None:  # another was first, or nobody waits any more
+        if response is not None:  # another response was first, or the request was cancelled
             response.close()
         self._changed.set()
         self._changed = anyio.Event()
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""Client of the discovery service: watches the endpoint list, and hands changes to the conductor."""
+"""The client of the discovery service: watches the endpoint list and passes changes to the conductor."""
 
 from __future__ import annotations
 
@@ -32,31 +32,31 @@
 from ringledge.wire.servers.upstream import Upstream
 
 AVAILABILITY = {"active": Availability.UP, "leaving": Availability.DRAINING, "left": Availability.REMOVED}
-IDLE_TIMEOUT_S = 3.0  # of a watch without a complete line: discovery writes an empty one every 2 s
-MAX_LIST_BYTES = 4 * 1024 * 1024  # of a list, or of one object of changes
-# Bounds of the backoff before a failed watch is requested again, in s for each router of the tier: one
-# discovery of fixed capacity serves them all, takes seconds for a request while it is overloaded, and also
-# serves requests whose callers have given up. So the tier sends twenty requests a second at first, then ever
-# fewer. A watch may also break by itself: changes count as known after 6 s, so the first delay is never long.
+IDLE_TIMEOUT_S = 3.0  # without a complete line; discovery sends an empty line every 2 s
+MAX_LIST_BYTES = 4 * 1024 * 1024  # limit of one JSON object, which holds a list or changes
+# Bounds of the backoff after a failed watch, per router: one discovery service of fixed capacity serves all
+# routers. While overloaded it takes seconds for a request, and also serves those whose clients have given up.
+# All routers together therefore send twenty requests per second at first, and fewer after each failure. The
+# first delay is capped, since a watch may also fail without overload, and changes must be known within 6 s.
 INITIAL_BACKOFF_PER_ROUTER_S = 0.1
 MAX_INITIAL_BACKOFF_S = 2.0
 MAX_BACKOFF_PER_ROUTER_S = 1.0
-# With pushed lists an agent on the router's own machine holds them. It answers at once and at no cost, sends
-# nothing while discovery is down, and what it receives afterwards counts as known at once. A router that
-# waits between watches learns of it late, so a new watch is requested soon.
+# With pushed lists, watches go to an agent on the router's own machine, which answers at once and at no cost.
+# It sends nothing while discovery is down, and the router must know changes as soon as the agent has received
+# them afterwards. The delays between watches are therefore short.
 PUSH_INITIAL_BACKOFF_S = 0.02
 PUSH_MAX_BACKOFF_S = 0.1
 PUSH_IDLE_TIMEOUT_S = 2.5
-PUSH_STALENESS_LIMIT_S = 5.6  # of all watches in a row: a change counts as known after 6 s
-RECONFIGURED_STALENESS_LIMIT_S = 3.6  # after a new configuration: from then on changes count after 4 s
-START_STALENESS_LIMIT_S = 1.0  # at a start, when the agent's list counts at once: the first watch gets half
-# With pushed lists a further request is sent where there is no response within this, connection included.
+PUSH_STALENESS_LIMIT_S = 5.6  # over consecutive watches; a change must be known within 6 s
+RECONFIGURED_STALENESS_LIMIT_S = 3.6  # after a reload, when the limit is 4 s
+START_STALENESS_LIMIT_S = 1.0  # at a start, when the list is needed at once; the first watch gets half
+# With pushed lists, another request is sent if no response begins within this time, including the connect.
 RESPONSE_TIMEOUT_S = 1.0
-PUSH_MAX_PENDING_REQUESTS = 8  # an agent that takes a few seconds for each response is heard
+PUSH_MAX_PENDING_REQUESTS = 8  # lets an agent that takes a few seconds per response be heard
 
 
 class DiscoveryClient:
-    """Keeps one watch open, and hands each change to the conductor as it arrives."""
+    """Keeps one watch open and passes each change to the conductor when it arrives."""
 
     def __init__(self, address: str, names: Names, conductor: Conductor, rng: random.Random) -> None:
         self.address = address
@@ -67,16 +67,17 @@
         self._backoff = _make_backoff(self._is_push, settings.routers, rng)
         self._timeout = _make_timeout(self._is_push)
         self.last_received_s = time.monotonic()
-        self.synchronized = anyio.Event()  # the outstanding updates of a watch have been applied
-        self._watch_scope = anyio.CancelScope()  # of the watch, or of the delay before the next one
-        self._requests = HedgedRequests(PUSH_MAX_PENDING_REQUESTS if self._is_push else 1)  # for a watch
+        self.synchronized = anyio.Event()  # set once a watch has delivered all outstanding updates
+        self._watch_scope = anyio.CancelScope()  # cancels the watch or the delay before the next one
+        self._requests = HedgedRequests(
+            PUSH_MAX_PENDING_REQUESTS if self._is_push else 1
+        )  # requests for a watch
         self._start_times = StartTimes()
-        self._complete_ms: float | None = (
-            None  # when the list was last known to be complete (conductor's clock)
-        )
+        # When the list was last known to be complete, on the conductor's clock.
+        self._complete_ms: float | None = None
 
     def apply(self, listing: EndpointListing, kind: EndpointUpdateKind | None = None) -> None:
-        """Hand one object of the list to the conductor; `kind` overrides the kind that it states itself."""
+        """Pass one received object to the conductor; `kind` overrides the kind that the object states."""
         if kind is None:
             kind = EndpointUpdateKind.FULL if listing.snapshot else EndpointUpdateKind.CHANGES
         now_ms = self._conductor.clock.now_ms()
@@ -95,7 +96,7 @@
         )
 
     def change_address(self, address: str) -> None:
-        """Discovery has another address: the watch continues there at once."""
+        """Continue the watch at another address of discovery at once."""
         self.address = address
         self._backoff.reset()
         self._timeout.address_changed(_complete_s_for(RECONFIGURED_STALENESS_LIMIT_S))
@@ -103,15 +104,15 @@
         self._watch_scope.cancel()
 
     async def watch(self) -> None:
-        """Watch from the last index on, for ever, with backoff between watches that end."""
+        """Watch the list until cancelled, with backoff between watches; each resumes after the last index."""
         async with anyio.create_task_group() as tasks:
             while True:
                 delay_s = await self._watch_until_end(tasks)
-                with anyio.CancelScope() as self._watch_scope:  # a new address needs no delay
+                with anyio.CancelScope() as self._watch_scope:  # cancelled by a change of the address
                     await self._requests.wait_for_response(delay_s)
 
     async def fetch_on_request(self, upstream: Upstream) -> None:
-        """Fetch the whole list whenever the policy requests it, for ever."""
+        """Fetch the whole list whenever the policy requests it, until cancelled."""
         while True:
             await upstream.endpoints_wanted.wait()
             upstream.endpoints_wanted = anyio.Event()
@@ -124,13 +125,13 @@
                 self._conductor.update_endpoints(EndpointUpdate(EndpointUpdateKind.FAILED), {})
 
     def _entry(self, endpoint: Endpoint, started_ms: float) -> ServerEntry:
-        """One server in the terms of the decisions."""
+        """Convert an endpoint to the routing policy's type."""
         return ServerEntry(
             endpoint.name,
             self._names.index(self._names.zones, endpoint.zone),
             self._names.index(self._names.kinds, endpoint.type),
             endpoint.group,
-            # A server in an unknown state gets no new requests, which is always permitted.
+            # A server of unknown status counts as draining: it is always permitted to send no requests.
             AVAILABILITY.get(endpoint.status, Availability.DRAINING),
             endpoint.weight,
             endpoint.since_ms,
@@ -138,7 +139,7 @@
         )
 
     async def _watch_until_end(self, tasks: TaskGroup) -> float:
-        """Run one watch, and log how it ended; returns the delay before the next one."""
+        """Run one watch and log how it ended; returns the delay before the next one."""
         try:
             with anyio.CancelScope() as self._watch_scope:
                 await self._watch_once(tasks)
@@ -151,7 +152,7 @@
         return delay_s
 
     async def _watch_once(self, tasks: TaskGroup) -> None:
-        """Watch until the server ends the response; TimeoutError, ListError or a peer's error otherwise."""
+        """Watch until discovery ends the response; may raise TimeoutError, ListError or PEER_ERRORS."""
         conn = await self._open_watch(tasks)
         try:
             splitter = JsonStreamSplitter(MAX_LIST_BYTES)
@@ -161,14 +162,14 @@
                 self.last_received_s = time.monotonic()
                 if not isinstance(event, h11.Data):
                     if not splitter.is_between_objects:
-                        raise ListError("the watch ended within an object")
+                        raise ListError("watch ended within an object")
                     return
                 self._receive(splitter, bytes(event.data))
         finally:
             conn.close()
 
     async def _open_watch(self, tasks: TaskGroup) -> Connection:
-        """The connection of a watch whose response has begun; TimeoutError if none begins in time."""
+        """Request a watch; returns its connection when the response begins, or raises TimeoutError."""
         path = f"/v1/endpoints?watch=1&after={self._conductor.context.servers.version}"
         now_s = anyio.current_time()
         self._timeout.watch_requested(now_s)
@@ -189,15 +190,15 @@
             conn.close()
 
     async def _next_event(self, conn: Connection) -> h11.Event | type[h11.PAUSED]:
-        """The next event of a watch; TimeoutError at the deadline."""
+        """Receive the next event of a watch; raises TimeoutError at the deadline."""
         with anyio.CancelScope(deadline=self._timeout.deadline_s) as scope:
             return await conn.next_event()
         assert scope.cancelled_caught
         slow = self._timeout.watch_timed_out(anyio.current_time())
-        raise TimeoutError("a line came too slowly" if slow else "no line came")
+        raise TimeoutError("line not completed in time" if slow else "no line received in time")
 
     def _receive(self, splitter: JsonStreamSplitter, piece: bytes) -> None:
-        """Apply the objects that a piece of a watch completes."""
+        """Apply the objects that a piece of the watch's response completes."""
         has_update = False
         for text in splitter.feed(piece):
             self.apply(decode(text))
@@ -217,9 +218,9 @@
 def _make_backoff(is_push: bool, routers: int, rng: random.Random) -> Backoff:
     if is_push:
         return Backoff(PUSH_INITIAL_BACKOFF_S, PUSH_MAX_BACKOFF_S, rng)
-    tier = max(1, routers)
-    initial_s = min(MAX_INITIAL_BACKOFF_S, INITIAL_BACKOFF_PER_ROUTER_S * tier)
-    return Backoff(initial_s, MAX_BACKOFF_PER_ROUTER_S * tier, rng)
+    router_count = max(1, routers)
+    initial_s = min(MAX_INITIAL_BACKOFF_S, INITIAL_BACKOFF_PER_ROUTER_S * router_count)
+    return Backoff(initial_s, MAX_BACKOFF_PER_ROUTER_S * router_count, rng)
 
 
 def _make_timeout(is_push: bool) -> WatchTimeout:
@@ -230,12 +231,12 @@
 
 
 def _complete_s_for(remaining_s: float) -> float:
-    """When the list must have been complete for so much of `PUSH_STALENESS_LIMIT_S` to remain now."""
+    """The last time of a complete list that leaves `remaining_s` of `PUSH_STALENESS_LIMIT_S` from now on."""
     return time.monotonic() - PUSH_STALENESS_LIMIT_S + remaining_s
 
 
 def _log_failure(error: Exception, delay_s: float) -> None:
-    """Log how a watch failed."""
+    """Log the failure of a watch at the level and with the event of its cause."""
     retry_s = round(delay_s, 3)
     match error:
         case TimeoutError():
--- a/tests/wire/discovery/test_hedged_requests.py
+++ b/tests/wire/discovery/test_hedged_requests.py
@@ -1,4 +1,4 @@
-"""Requests beside each other: the first response is used, whichever request it answers."""
+"""Hedged requests: the first response is used, whichever request it answers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ringledge.wire.discovery.hedged_requests import HedgedRequests
 from ringledge.wire.http.connection import Connection
 
-AT_ONCE_S = 0.0  # a request that is sent has no response by then
+NO_WAIT_S = 0.0  # too short for any response
 
 
 class Response:
-    """Stands in for a connection whose response has begun."""
+    """A stand-in for a connection whose response has begun."""
 
     closed = False
 
@@ -25,11 +25,11 @@
 
 
 class Peer:
-    """A peer whose responses the test gives, to any of its requests."""
+    """A stand-in peer; the test decides when and how it answers each request."""
 
     def __init__(self) -> None:
         self.responses: list[Response | OSError | None] = []
-        self.ended: list[bool] = []  # by request: whether it was closed or answered
+        self.ended: list[bool] = []  # by request: whether it was cancelled or answered
         self.answered = anyio.Event()
 
     async def send(self) -> Connection:
@@ -55,12 +55,12 @@
 async def pending(
     count: int, max_pending: int = 8
 ) -> AsyncIterator[tuple[Peer, Callable[[], Awaitable[object]]]]:
-    """A peer that has so many unanswered requests, and what sends one more."""
+    """A peer with `count` unanswered requests, and a function that sends one more."""
     peer, requests = Peer(), HedgedRequests(max_pending)
     async with anyio.create_task_group() as tasks:
         for _ in range(count):
             with pytest.raises(TimeoutError):
-                await requests.first_response(tasks, peer.send, AT_ONCE_S)
+                await requests.first_response(tasks, peer.send, NO_WAIT_S)
             await anyio.wait_all_tasks_blocked()
         yield peer, lambda: requests.first_response(tasks, peer.send, 10.0)
         requests.cancel()
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("number", [0, 1, 2, 3])
 def test_response_to_any_request_is_used_and_the_others_are_closed(number: int) -> None:
-    """Guards against an agent that answers each request, but later than it is waited for."""
+    """Guards against an agent that answers each request, but only after its timeout, so that none is used."""
 
     async def run() -> None:
         response = Response()
@@ -141,14 +141,14 @@
 
 
 def test_response_nobody_has_taken_is_closed_with_the_requests() -> None:
-    """Guards against a list of the former address, which may be stale."""
+    """Guards against the use of a list from the former address, which may be stale."""
 
     async def run() -> None:
         response, peer, requests = Response(), Peer(), HedgedRequests(8)
         async with anyio.create_task_group() as tasks:
             for _ in range(2):
                 with pytest.raises(TimeoutError):
-                    await requests.first_response(tasks, peer.send, AT_ONCE_S)
+                    await requests.first_response(tasks, peer.send, NO_WAIT_S)
                 await anyio.wait_all_tasks_blocked()
             peer.answer(0, response)
             await anyio.wait_all_tasks_blocked()
@@ -164,7 +164,7 @@
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
                 with pytest.raises(TimeoutError):
-                    await requests.first_response(tasks, peer.send, AT_ONCE_S)
+                    await requests.first_response(tasks, peer.send, NO_WAIT_S)
                 await anyio.wait_all_tasks_blocked()
                 peer.answer(0, Response())
                 await requests.wait_for_response(1000.0)
--- a/tests/wire/discovery/test_json_stream.py
+++ b/tests/wire/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Objects in a stream: pieces of any size, white space anywhere, and malformed streams."""
+"""The splitter of JSON streams, with pieces of any size, white space anywhere, and malformed streams."""
 
 import json
 from typing import Any
--- a/tests/wire/discovery/test_list_lines.py
+++ b/tests/wire/discovery/test_list_lines.py
@@ -1,4 +1,4 @@
-"""Malformed lines of the list: logged once with the cause, a new watch begins, the list is retained."""
+"""A malformed line is logged once with its cause; the last list is retained, and a new watch begins."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def line(**changes: Any) -> bytes:
-    """A line of the list with one entry, changed."""
+    """A line of the endpoint list whose one entry has the given changes."""
     return json.dumps(listing(8) | {"endpoints": [ENTRY | changes]}).encode() + b"\n"
 
 
@@ -30,10 +30,10 @@
 
 
 MALFORMED = {
-    "no-json": (b"oops\n", "something stands between objects"),
+    "no-json": (b"oops\n", "unexpected data between objects"),
     "no-value": (b'{"index":}\n', "JSON is malformed"),
     "no-utf8": (line().replace(b"r0", b"\xff"), "UTF-8"),
-    "bracket": (b"}\n", "a bracket closes what was never opened"),
+    "bracket": (b"}\n", "closing bracket without an opening one"),
     "array": (b"[1]\n", "Expected `object`, got `array`"),
     "no-index": (without("index"), "missing required field `index`"),
     "no-endpoints": (without("endpoints"), "missing required field `endpoints`"),
@@ -56,7 +56,7 @@
 
 
 async def play_malformed(agent: StandIn, malformed: bytes, end: bytes = b"") -> int:
-    """A list, malformed data, and on the next watch a newer list; returns how many lists were applied."""
+    """Send a list, malformed data, and a newer list on the next watch; returns how many were applied."""
     async with watching_client(agent, MembershipMode.PUSH) as conductor:
         first = (await next_call(agent)).begin().chunk(json.dumps(listing(8)) + "\n")
         await conductor.wait_for_version(8)
@@ -80,7 +80,7 @@
 
 def test_truncated_line_is_logged_once_and_the_list_retained(agent: StandIn, logged: list[str]) -> None:
     assert anyio.run(play_malformed, agent, line()[:40], b"0\r\n\r\n") == 2
-    assert logged == ["endpoint_list_malformed: the watch ended within an object"]
+    assert logged == ["endpoint_list_malformed: watch ended within an object"]
 
 
 def test_endless_line_is_logged_once_and_the_list_retained(
@@ -88,7 +88,7 @@
 ) -> None:
     monkeypatch.setattr(watching, "MAX_LIST_BYTES", 10_000)
     assert anyio.run(play_malformed, agent, b'{"x":"' + b"y" * 10_000) == 2
-    assert logged == ["endpoint_list_malformed: an object without end"]
+    assert logged == ["endpoint_list_malformed: object longer than the limit"]
 
 
 def test_removed_server_needs_no_address(agent: StandIn, logged: list[str]) -> None:
--- a/tests/wire/discovery/test_slow_discovery.py
+++ b/tests/wire/discovery/test_slow_discovery.py
@@ -1,4 +1,4 @@
-"""An agent that answers every request, but slowly: its list is received in time all the same."""
+"""The list of an agent that answers every request slowly is received in time."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from tests.standins import Call, StandIn
 from tests.wire.discovery.test_watcher import listing, watching_client
 
-SLOW_S = 1.2  # until a response begins, however many requests are in flight
-STALENESS_LIMIT_S = 6.0  # what discovery wait_for_version counts as conductor then
+SLOW_S = 1.2  # delay of each response, independent of the number of requests in flight
+STALENESS_LIMIT_S = 6.0  # time within which the router must know the list
 
 
 def answer_late(call: Call) -> bool:
-    time.sleep(SLOW_S)  # it is slow: that is the test
+    time.sleep(SLOW_S)  # the slowness under test
     call.begin().chunk(json.dumps(listing(9)) + "\n")
     call.done.wait(STALENESS_LIMIT_S)
     return True
--- a/tests/wire/discovery/test_wall_clock.py
+++ b/tests/wire/discovery/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Ages of servers where this machine's wall clock is wrong: they follow discovery's clock."""
+"""The ages of servers follow discovery's clock if this machine's wall clock is wrong."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class WarmupHarness:
-    """A conductor with an error of its wall clock, and its endpoint list."""
+    """A conductor whose wall clock has an error, and its discovery client."""
 
     def __init__(self, clock_error_ms: float) -> None:
         clock, servers = Clock(), ServerList(KINDS)
@@ -61,7 +61,7 @@
 
 
 def discovery_now_ms() -> float:
-    """The time by discovery's clock."""
+    """The current time on discovery's clock, which is correct."""
     return time.time() * 1000
 
 
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("clock_error_ms", [0.0, -HOUR_MS])
 def test_slow_clock_does_not_prolong_the_warm_up(clock_error_ms: float) -> None:
-    """By that clock all of them would start in an hour."""
+    """Guards against start times in the future: by the slow clock all servers start in an hour."""
     young, warm = anyio.run(warmth_after_first_list, clock_error_ms)
     assert young < 0.5 and warm == 1.0
 
--- a/tests/wire/discovery/test_watcher.py
+++ b/tests/wire/discovery/test_watcher.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list, with discovery simulated and a recording conductor."""
+"""The watch of the endpoint list, with a stand-in for discovery and a recording conductor."""
 
 import contextlib
 import json
@@ -36,7 +36,7 @@
 
 
 class RecordingConductor:
-    """A conductor that records the updates of the list."""
+    """A stand-in for the conductor that records the updates of the endpoint list."""
 
     def __init__(self, membership: MembershipMode) -> None:
         settings = SimpleNamespace(membership=membership, routers=ROUTERS)
@@ -76,7 +76,7 @@
 def test_list_is_read_whatever_its_white_space_and_pieces(
     agent: StandIn, size: int, indent: int | None
 ) -> None:
-    """Regression: each line was taken for an object, so that an indented list was never read."""
+    """Regression: each line was parsed as an object, so that an indented list was never read."""
 
     async def run() -> None:
         async with watching_client(agent, MembershipMode.PUSH) as conductor:
@@ -96,7 +96,7 @@
 def test_push_watch_is_requested_again_at_once_while_the_agent_does_not_answer(
     agent: StandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Regression: with a delay between watches a drain was known a second after it counted as known."""
+    """Regression: a long delay between watches made the router learn of a drain one second too late."""
     delays_s = list[float]()
     monkeypatch.setattr(watching, "RESPONSE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(watching, "PUSH_IDLE_TIMEOUT_S", 0.05)
@@ -104,7 +104,7 @@
 
     async def run() -> None:
         async with watching_client(agent, MembershipMode.PUSH) as conductor:
-            unanswered = [await next_call(agent) for _ in range(6)]  # accepted, and never answered
+            unanswered = [await next_call(agent) for _ in range(6)]  # accepted, but not answered
             call = (await next_call(agent)).begin().chunk(json.dumps(listing(8, "leaving")) + "\n")
             await conductor.wait_for_version(8)
             for pending_call in (*unanswered, call):
@@ -115,7 +115,7 @@
 
 
 def test_two_unresponsive_push_watches_end_before_the_staleness_limit() -> None:
-    """The limit counts from the beginning of the first, whatever arrived."""
+    """The limit counts from the beginning of the first watch, even if data arrived."""
     staleness_limit_s = 6.0
     delays_s = 2 * watching.PUSH_MAX_BACKOFF_S
     assert (
@@ -127,7 +127,7 @@
 def test_watch_with_single_bytes_is_replaced_like_one_without_data(
     agent: StandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Regression: each byte extended the deadline, so a drain after an endless line was never known."""
+    """Regression: each byte extended the deadline, so a drain after an endless line was never learned."""
     monkeypatch.setattr(watching, "PUSH_IDLE_TIMEOUT_S", 0.3)
 
     def trickle(call: Call) -> None:
@@ -157,9 +157,9 @@
     monkeypatch.setattr(watching, "PUSH_IDLE_TIMEOUT_S", 0.2)
     calls = list[Call]()
 
-    def play(over: threading.Event) -> None:
+    def send_slowly(finished: threading.Event) -> None:
         pieces = json.dumps(listing(8), indent=1).splitlines(keepends=True)
-        while not over.is_set():
+        while not finished.is_set():
             call = agent.next().begin()
             calls.append(call)
             with contextlib.suppress(OSError):  # the watch timed out
@@ -168,16 +168,16 @@
                     time.sleep(0.8 / len(pieces))
 
     async def run() -> None:
-        over = threading.Event()
+        finished = threading.Event()
         async with (
             watching_client(agent, MembershipMode.PUSH) as conductor,
             anyio.create_task_group() as tasks,
         ):
-            tasks.start_soon(anyio.to_thread.run_sync, play, over)
+            tasks.start_soon(anyio.to_thread.run_sync, send_slowly, finished)
             try:
                 await conductor.wait_for_version(8)
             finally:
-                over.set()
+                finished.set()
 
     anyio.run(run)
     for call in calls:
@@ -188,15 +188,15 @@
 def test_requests_to_an_overloaded_discovery_back_off_until_it_answers(
     agent: StandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Regression: routers that retried at a constant rate kept it overloaded, and none ever got a list."""
+    """Regression: routers that retried at a constant rate kept discovery overloaded, and no list arrived."""
     delays_s = list[float]()
 
-    def record_wait(_: str, again_s: float | None = None, **__: Any) -> None:
+    def record_delay(_: str, again_s: float | None = None, **__: Any) -> None:
         if again_s is not None:
             delays_s.append(again_s)
 
-    monkeypatch.setattr(log, "warning", record_wait)
-    monkeypatch.setattr(log, "info", record_wait)
+    monkeypatch.setattr(log, "warning", record_delay)
+    monkeypatch.setattr(log, "info", record_delay)
 
     async def run() -> None:
         async with watching_client(agent, MembershipMode.POLL) as conductor:
@@ -209,5 +209,5 @@
 
     anyio.run(run)
     assert all(delay_s <= min(1.0, 0.1 * 2**failed) * ROUTERS for failed, delay_s in enumerate(delays_s[:5]))
-    assert max(delays_s) > 0.1 * ROUTERS  # drawn at random
+    assert max(delays_s) > 0.1 * ROUTERS  # delays are drawn at random
     assert delays_s[5] <= 0.1 * ROUTERS  # the first failure after a success
