--- a/ringledge/wire/exporters/__init__.py
+++ b/ringledge/wire/exporters/__init__.py
@@ -1,1 +1,1 @@
-"""What other systems read: xDS, Prometheus metrics and remote write."""
+"""Exporters for other systems: xDS, Prometheus metrics and remote write."""
--- a/ringledge/wire/exporters/remote_write.py
+++ b/ringledge/wire/exporters/remote_write.py
@@ -1,4 +1,4 @@
-"""Prometheus: /metrics to be scraped, and remote write 1.0 to a receiver."""
+"""Export of metrics to Prometheus: /metrics for scrapes, and remote write 1.0 to a receiver."""
 
 from __future__ import annotations
 
@@ -25,10 +25,12 @@
 from ringledge.wire.http.messages import read_body, require_method, respond
 from ringledge.wire.http.sockets import connect
 
-FIRST_BACKOFF_S, MOST_BACKOFF_S = 0.5, 30.0
-OPTIONAL, REPEATED = 1, 3  # the numbers of labels and types in descriptor.proto
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.5, 30.0
+# Numbers of field labels and field types in descriptor.proto.
+OPTIONAL, REPEATED = 1, 3
 STRING, DOUBLE, INT64, MESSAGE = 9, 1, 3, 11
-FIELDS = {  # the remote write 1.0 messages: name, number, kind, and the message that it holds
+# The messages of remote write 1.0; each field has a name, a number, a type, and the message type or "".
+FIELDS = {
     "Label": [("name", 1, STRING, ""), ("value", 2, STRING, "")],
     "Sample": [("value", 1, DOUBLE, ""), ("timestamp", 2, INT64, "")],
     "TimeSeries": [("labels", 1, MESSAGE, "Label"), ("samples", 2, MESSAGE, "Sample")],
@@ -37,33 +39,33 @@
 
 
 def _build_message_classes() -> dict[str, Any]:
-    """The messages' classes, built from their published fields."""
+    """Create the protobuf classes of the messages from FIELDS."""
     file = descriptor_pb2.FileDescriptorProto(name="remote.proto", package="prometheus", syntax="proto3")
     for name, fields in FIELDS.items():
         message = file.message_type.add(name=name)
-        for field, number, kind, holds in fields:
-            label = REPEATED if holds else OPTIONAL
+        for field, number, field_type, nested_type in fields:
+            label = REPEATED if nested_type else OPTIONAL
             message.field.add(
-                name=field, number=number, type=kind, label=label,
-                type_name=f".prometheus.{holds}" if holds else None,
+                name=field, number=number, type=field_type, label=label,
+                type_name=f".prometheus.{nested_type}" if nested_type else None,
             )  # fmt: skip
-    pool: Any = descriptor_pool.DescriptorPool()  # its methods carry no types
+    pool: Any = descriptor_pool.DescriptorPool()  # its methods have no type annotations
     pool.AddSerializedFile(file.SerializeToString())
-    found = {name: pool.FindMessageTypeByName(f"prometheus.{name}") for name in FIELDS}
-    return {name: message_factory.GetMessageClass(each) for name, each in found.items()}
+    descriptors = {name: pool.FindMessageTypeByName(f"prometheus.{name}") for name in FIELDS}
+    return {name: message_factory.GetMessageClass(each) for name, each in descriptors.items()}
 
 
 MESSAGE_CLASSES = _build_message_classes()
 
 
 class Scrape:
-    """The front that /metrics is scraped from."""
+    """Serves /metrics to scrapers."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     async def handle(self, conn: Connection, head: h11.Request) -> None:
-        """Answer one scrape."""
+        """Answer one request."""
         if head.target.partition(b"?")[0] != b"/metrics":
             raise HttpError(404, "only /metrics here", "not_found")
         require_method(head, b"GET")
@@ -73,7 +75,7 @@
 
 
 class RemoteWrite:
-    """Collects every figure now and then, and sends the collections in order."""
+    """Collects all metrics at an interval, and sends the collections in order."""
 
     def __init__(
         self, config: PrometheusConfig, conductor: str, metrics: Metrics, rng: random.Random
@@ -81,20 +83,20 @@
         self._config, self._metrics, self._rng = config, metrics, rng
         self._labels = {"conductor": conductor} | config.labels
         self._queue: deque[bytes] = deque()
-        self._more = anyio.Event()
+        self._queue_changed = anyio.Event()
 
     async def collect(self) -> None:
-        """Queue a collection every interval; a full queue loses its oldest."""
+        """Add a collection to the queue at each interval; a full queue drops its oldest collection."""
         while True:
             await anyio.sleep(self._config.interval_s)
             if len(self._queue) >= self._config.queue:
                 self._queue.popleft()
                 self._metrics.remote_write.labels("overflowed").inc()
             self._queue.append(self._encode(int(time.time() * 1000)))
-            self._more.set()
+            self._queue_changed.set()
 
-    def _encode(self, at_ms: int) -> bytes:
-        """All samples as one snappy-compressed WriteRequest; labels in order, as the format demands."""
+    def _encode(self, timestamp_ms: int) -> bytes:
+        """Encode all samples as a snappy-compressed WriteRequest; the format requires sorted labels."""
         request = MESSAGE_CLASSES["WriteRequest"]()
         for metric in self._metrics.registry.collect():
             for sample in metric.samples:
@@ -102,47 +104,47 @@
                 labels = {"__name__": sample.name} | self._labels | sample.labels
                 for name, value in sorted(labels.items()):
                     series.labels.add(name=name, value=value)
-                series.samples.add(value=sample.value, timestamp=at_ms)
+                series.samples.add(value=sample.value, timestamp=timestamp_ms)
         return bytes(cramjam.snappy.compress_raw(request.SerializeToString()))
 
     async def send(self) -> None:
-        """Send what is queued, oldest first."""
+        """Send the queued collections, oldest first."""
         while True:
             if not self._queue:
-                self._more = anyio.Event()
-                await self._more.wait()
+                self._queue_changed = anyio.Event()
+                await self._queue_changed.wait()
             body = self._queue[0]
-            how = await self._deliver(body)
-            self._metrics.remote_write.labels(how).inc()
-            if self._queue and self._queue[0] is body:  # it may have overflowed meanwhile
+            outcome = await self._deliver(body)
+            self._metrics.remote_write.labels(outcome).inc()
+            if self._queue and self._queue[0] is body:  # unless the full queue has dropped it meanwhile
                 self._queue.popleft()
 
     async def _deliver(self, body: bytes) -> str:
-        """Try until the receiver takes it or says that it never will."""
-        backoff = Backoff(FIRST_BACKOFF_S, MOST_BACKOFF_S, self._rng)
+        """Send until the receiver accepts or permanently rejects the collection; returns the outcome."""
+        backoff = Backoff(INITIAL_BACKOFF_S, MAX_BACKOFF_S, self._rng)
         while True:
             try:
                 with anyio.fail_after(self._config.timeout_s):
-                    status, told = await self._post(body)
+                    status, retry_after_s = await self._post(body)
             except PEER_ERRORS as error:
-                wait_s = backoff.next_delay_s()
-                log.warning("remote_write_failed", error=repr(error), again_s=round(wait_s, 3))
+                delay_s = backoff.next_delay_s()
+                log.warning("remote_write_failed", error=repr(error), again_s=round(delay_s, 3))
             else:
                 if status < 300:
                     return "sent"
                 if status != 429 and status < 500:
                     log.error("remote_write_dropped", status=status)
                     return "dropped"
-                wait_s = backoff.next_delay_s(min_s=told)
-                log.warning("remote_write_failed", status=status, again_s=round(wait_s, 3))
-            await anyio.sleep(wait_s)
+                delay_s = backoff.next_delay_s(min_s=retry_after_s)
+                log.warning("remote_write_failed", status=status, again_s=round(delay_s, 3))
+            await anyio.sleep(delay_s)
 
     async def _post(self, body: bytes) -> tuple[int, float]:
         url = urlsplit(self._config.remote_write)
         address = f"{url.hostname}:{url.port or 80}"
         conn = await connect(address, self._config.timeout_s)
         try:
-            head = h11.Request(
+            request = h11.Request(
                 method="POST",
                 target=(url.path or "/") + (f"?{url.query}" if url.query else ""),
                 headers=[
@@ -155,11 +157,11 @@
                     ("Connection", "close"),
                 ],
             )
-            await conn.send(head, h11.Data(data=body), h11.EndOfMessage())
-            answer = await conn.next_event()
-            if not isinstance(answer, h11.Response):
-                raise h11.RemoteProtocolError("the connection ended before an answer")
-            after = header(answer, b"retry-after") or b""
-            return answer.status_code, float(after) if after.isdigit() else 0.0
+            await conn.send(request, h11.Data(data=body), h11.EndOfMessage())
+            response = await conn.next_event()
+            if not isinstance(response, h11.Response):
+                raise h11.RemoteProtocolError("the connection was closed before a response")
+            retry_after = header(response, b"retry-after") or b""
+            return response.status_code, float(retry_after) if retry_after.isdigit() else 0.0
         finally:
             conn.close()
--- a/ringledge/wire/exporters/xds.py
+++ b/ringledge/wire/exporters/xds.py
@@ -1,7 +1,8 @@
-"""xDS v3 over REST-JSON: other proxies poll here for the servers as the decisions see them now.
+"""xDS v3 over REST-JSON: other proxies poll this front for the servers with the router's view of them.
 
-A poll answers at once when the asker lacks the present version, else when it changes, else with 304 after
-a while. Nothing is decided here: health, warmth and doubt are the decision module's.
+A poll is answered at once if the proxy lacks the current version, otherwise when the version changes, or with
+304 after a timeout. Health, warmth and failure probability come from the routing policy; nothing is decided
+here.
 """
 
 from __future__ import annotations
@@ -30,22 +31,26 @@
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.messages import read_body, require_method, respond
 
-CLUSTERS = {Role.PREFILL: "readers", Role.DECODE: "writers", Role.MIXED: "mixed"}
-TYPE = "type.googleapis.com/envoy.config."
-ENDPOINTS, CLUSTER = TYPE + "endpoint.v3.ClusterLoadAssignment", TYPE + "cluster.v3.Cluster"
-PATHS = {b"/v3/discovery:endpoints": ENDPOINTS, b"/v3/discovery:clusters": CLUSTER}
-LOOK_S = 0.2  # how often a waiting poll looks for a change of weights; a change of the list wakes it at once
+CLUSTER_NAMES = {Role.PREFILL: "readers", Role.DECODE: "writers", Role.MIXED: "mixed"}
+TYPE_PREFIX = "type.googleapis.com/envoy.config."
+ENDPOINT_TYPE, CLUSTER_TYPE = (
+    TYPE_PREFIX + "endpoint.v3.ClusterLoadAssignment",
+    TYPE_PREFIX + "cluster.v3.Cluster",
+)
+TYPES_BY_PATH = {b"/v3/discovery:endpoints": ENDPOINT_TYPE, b"/v3/discovery:clusters": CLUSTER_TYPE}
+# Between two checks of a waiting poll for changed weights. A change of the endpoint list wakes it at once.
+CHECK_INTERVAL_S = 0.2
 
 
-class Version(NamedTuple):
-    """The resources of one type as they are now, and a version that follows from them alone."""
+class VersionedResources(NamedTuple):
+    """The current resources of one type, and their version, which depends on their contents alone."""
 
-    name: str
+    version: str
     resources: list[dict[str, Any]]
 
 
 class Xds:
-    """Answers discovery requests."""
+    """Serves discovery requests for endpoints and clusters."""
 
     def __init__(self, config: XdsConfig, names: Names, conductor: Conductor, metrics: Metrics) -> None:
         self._config, self._names, self._conductor, self._metrics = config, names, conductor, metrics
@@ -53,47 +58,56 @@
 
     async def handle(self, conn: Connection, head: h11.Request) -> None:
         """Answer one poll."""
-        kind = PATHS.get(head.target.partition(b"?")[0])
-        if kind is None:
+        type_url = TYPES_BY_PATH.get(head.target.partition(b"?")[0])
+        if type_url is None:
             raise HttpError(404, "only /v3/discovery:endpoints and /v3/discovery:clusters", "not_found")
         require_method(head, b"POST")
-        asked = _discovery_request(await read_body(conn, head), kind)
-        rejected = asked.get("error_detail")
-        if rejected:
+        request = _decode_request(await read_body(conn, head), type_url)
+        error_detail = request.get("error_detail")
+        if error_detail:
             self._metrics.xds_rejections.inc()
-            log.warning("xds_rejected", type=kind, version=asked.get("version_info"), detail=rejected)
+            log.warning(
+                "xds_rejected", type=type_url, version=request.get("version_info"), detail=error_detail
+            )
+        # A poll only reads, so it may always be refused.
         await write_while_connected(
-            conn, self._answer(conn, kind, asked, bool(rejected)), lambda: True
-        )  # it only reads
-
-    async def _answer(self, conn: Connection, kind: str, asked: dict[str, Any], rejected: bool) -> None:
-        wanted = set(asked.get("resource_names") or ())
-        has = asked.get("version_info")
-        now = self._version(kind, wanted)
-        if rejected:
-            # The version that was refused is not offered again: the nonce that came with it names it.
-            has = str(asked.get("response_nonce", "")).partition("-")[0]
+            conn, self._respond(conn, type_url, request, bool(error_detail)), lambda: True
+        )
+
+    async def _respond(
+        self, conn: Connection, type_url: str, request: dict[str, Any], is_rejected: bool
+    ) -> None:
+        resource_names = set(request.get("resource_names") or ())
+        known_version = request.get("version_info")
+        current = self._current_resources(type_url, resource_names)
+        if is_rejected:
+            # The rejected version, which is the first part of its nonce, is not offered again.
+            known_version = str(request.get("response_nonce", "")).partition("-")[0]
         with anyio.move_on_after(self._config.poll_s):
-            while now.name == has:
-                with anyio.move_on_after(LOOK_S):
+            while current.version == known_version:
+                with anyio.move_on_after(CHECK_INTERVAL_S):
                     await self._conductor.context.servers.changed.wait()
-                now = self._version(kind, wanted)
-        if now.name == has:
+                current = self._current_resources(type_url, resource_names)
+        if current.version == known_version:
             await conn.send(h11.Response(status_code=304, headers=[]), h11.EndOfMessage())
             return
-        told = {
-            "version_info": now.name,
-            "type_url": kind,
-            "resources": now.resources,
-            "nonce": f"{now.name}-{next(self._nonces)}",
+        response = {
+            "version_info": current.version,
+            "type_url": type_url,
+            "resources": current.resources,
+            "nonce": f"{current.version}-{next(self._nonces)}",
         }
-        await respond(conn, 200, orjson.dumps(told))
-
-    def _version(self, kind: str, wanted: set[str]) -> Version:
-        make = self._assignment if kind == ENDPOINTS else self._cluster
-        resources = [make(role) for role, name in CLUSTERS.items() if not wanted or name in wanted]
+        await respond(conn, 200, orjson.dumps(response))
+
+    def _current_resources(self, type_url: str, resource_names: set[str]) -> VersionedResources:
+        build = self._assignment if type_url == ENDPOINT_TYPE else self._cluster
+        resources = [
+            build(role)
+            for role, name in CLUSTER_NAMES.items()
+            if not resource_names or name in resource_names
+        ]
         digest = blake2b(orjson.dumps(resources, option=orjson.OPT_SORT_KEYS), digest_size=8)
-        return Version(digest.hexdigest(), resources)
+        return VersionedResources(digest.hexdigest(), resources)
 
     def _cluster(self, role: Role) -> dict[str, Any]:
         source = {
@@ -104,67 +118,67 @@
             "request_timeout": f"{self._config.poll_s + 5:.3f}s",
         }
         return {
-            "@type": CLUSTER,
-            "name": CLUSTERS[role],
+            "@type": CLUSTER_TYPE,
+            "name": CLUSTER_NAMES[role],
             "type": "EDS",
             "connect_timeout": f"{self._names.connect_timeout_s:.3f}s",
             "eds_cluster_config": {"eds_config": {"resource_api_version": "V3", "api_config_source": source}},
         }
 
     def _assignment(self, role: Role) -> dict[str, Any]:
-        """The servers of a role by hall and rack, with the module's weights."""
-        places: dict[tuple[int, int], list[dict[str, Any]]] = {}
+        """The servers of a role by zone and cell, weighted by the policy's view of them."""
+        endpoints_by_locality: dict[tuple[int, int], list[dict[str, Any]]] = {}
         servers = self._conductor.context.servers
         for view in server_views(self._conductor.policy, self._conductor.clock.now_ms()):
             address = servers.address(view.server)
             if view.role is not role or address is None:
                 continue
             host, _, port = address.rpartition(":")
-            up = view.availability is Availability.UP
-            # Steps of a tenth keep the version from changing with every breath of the evidence.
-            warmth, doubt = round(view.warmth, 1), round(view.failure_probability, 1)
-            weight = round(100 * view.weight * warmth * (1 - doubt))
-            state = {"server": view.server, "warmth": warmth, "doubt": doubt}
+            is_up = view.availability is Availability.UP
+            # Rounded to tenths, so that the version does not change with every observation.
+            warmth, failure_chance = round(view.warmth, 1), round(view.failure_probability, 1)
+            weight = round(100 * view.weight * warmth * (1 - failure_chance))
+            server_state = {"server": view.server, "warmth": warmth, "doubt": failure_chance}
             endpoint = {
                 "endpoint": {"address": {"socket_address": {"address": host, "port_value": int(port)}}},
-                "health_status": "HEALTHY" if up else "DRAINING",
+                "health_status": "HEALTHY" if is_up else "DRAINING",
                 "load_balancing_weight": max(1, weight),
-                "metadata": {"filter_metadata": {"ringledge": state}},
+                "metadata": {"filter_metadata": {"ringledge": server_state}},
             }
-            places.setdefault((view.zone, view.cell), []).append(endpoint)
+            endpoints_by_locality.setdefault((view.zone, view.cell), []).append(endpoint)
         localities = [
             {
-                "locality": {"zone": _name(self._names.zones, zone), "sub_zone": str(cell)},
+                "locality": {"zone": _zone_name(self._names.zones, zone), "sub_zone": str(cell)},
                 "load_balancing_weight": sum(each["load_balancing_weight"] for each in endpoints),
                 "lb_endpoints": endpoints,
             }
-            for (zone, cell), endpoints in sorted(places.items())
+            for (zone, cell), endpoints in sorted(endpoints_by_locality.items())
         ]
-        return {"@type": ENDPOINTS, "cluster_name": CLUSTERS[role], "endpoints": localities}
+        return {"@type": ENDPOINT_TYPE, "cluster_name": CLUSTER_NAMES[role], "endpoints": localities}
 
 
 def error_body(error: HttpError) -> bytes:
-    """An error as google.rpc.Status in JSON."""
+    """Format an error as google.rpc.Status in JSON."""
     return orjson.dumps({"code": 3 if error.status == 400 else 5, "message": error.reason})
 
 
-def _name(names: tuple[str, ...], index: int) -> str:
+def _zone_name(names: tuple[str, ...], index: int) -> str:
     return names[index] if index < len(names) else ""
 
 
-def _discovery_request(body: bytes, kind: str) -> dict[str, Any]:
-    """A DiscoveryRequest; HttpError where it isn't one."""
+def _decode_request(body: bytes, type_url: str) -> dict[str, Any]:
+    """Parse a DiscoveryRequest; raises HttpError if the body is not a valid one."""
     try:
-        told = orjson.loads(body or b"{}")
+        request = orjson.loads(body or b"{}")
     except orjson.JSONDecodeError as error:
         raise HttpError(400, f"the body is no JSON: {error}") from error
-    if not isinstance(told, dict):
+    if not isinstance(request, dict):
         raise HttpError(400, "the body is no DiscoveryRequest")
-    # JSON of protocol buffers spells names either way.
-    told = {re.sub("([A-Z])", r"_\1", name).lower(): each for name, each in told.items()}
-    if told.get("type_url", kind) != kind:
-        raise HttpError(400, f"type_url is not {kind}")
-    names = told.get("resource_names") or []
+    # The JSON format of protocol buffers allows lowerCamelCase and snake_case names.
+    request = {re.sub("([A-Z])", r"_\1", name).lower(): each for name, each in request.items()}
+    if request.get("type_url", type_url) != type_url:
+        raise HttpError(400, f"type_url is not {type_url}")
+    names = request.get("resource_names") or []
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise HttpError(400, "resource_names is a list of names")
-    return told
+    return request
