--- a/ringledge/cli/__init__.py
+++ b/ringledge/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module for each group of commands."""
+"""The command line, with one module per group of commands."""
 
 from ringledge.cli.serve import main
 
--- a/ringledge/cli/lazy.py
+++ b/ringledge/cli/lazy.py
@@ -1,4 +1,4 @@
-"""Commands that are imported when they are called: a process that serves never needs them."""
+"""A command group whose optional commands are imported when called; a serving process does not need them."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 import click
 
-LAZY_COMMANDS = ("lab", "members", "queue")  # each defined in the module of its name in this package
+LAZY_COMMANDS = ("lab", "members", "queue")  # each is defined in this package's module of the same name
 
 
 class LazyGroup(click.Group):
-    """A group of its own commands and LAZY_COMMANDS."""
+    """A group that has LAZY_COMMANDS in addition to its own commands."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all commands."""
+        """List the names of all commands."""
         return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of that name; None where there is none."""
+        """Return the command of that name, or None."""
         if cmd_name in LAZY_COMMANDS:
             command: click.Command = getattr(import_module(f"ringledge.cli.{cmd_name}"), cmd_name)
             return command
--- a/ringledge/cli/members.py
+++ b/ringledge/cli/members.py
@@ -1,4 +1,4 @@
-"""``ringledge members``: who is there, as one member sees it."""
+"""``ringledge members``: lists the cluster's members as one member sees them."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @click.command()
 @click.option("--at", "address", default="", metavar="IP:PORT",
-              help="Who is asked; else peer_listen of RELAY_CONFIG or listen of members.toml.")  # fmt: skip
-@click.option("--wait", "wait_s", default=2.0, show_default=True, help="Seconds to wait for an answer.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a member.")
+              help="Member to query; default: from RELAY_CONFIG (peer_listen) or members.toml (listen).")  # fmt: skip
+@click.option("--wait", "wait_s", default=2.0, show_default=True, help="Seconds to wait for a response.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per member.")
 def members(address: str, wait_s: float, as_json: bool) -> None:
-    """Ask a running member, with the cluster's key, who is there. Exits 1 without an answer."""
+    """Query a running member for the member list, with the cluster's key. Exits with 1 without a response."""
     from ringledge.lifecycle import settings_files
     from ringledge.lifecycle.config import DEFAULT_DEPLOY_FOLDER
     from ringledge.members.settings import MembersConfig, with_platform_config
@@ -30,7 +30,7 @@
         path = Path(os.environ.get("RINGLEDGE_DEPLOY", DEFAULT_DEPLOY_FOLDER)) / "members.toml"
         settings = settings_files.read_settings(MembersConfig, path)
         if settings is None:
-            raise ValueError(f"{path}: absent or not enabled")
+            raise ValueError(f"{path}: file is absent or disabled")
         if not address:
             config_path = os.environ.get("RELAY_CONFIG")
             config = orjson.loads(Path(config_path).read_bytes()) if config_path else {}
--- a/ringledge/cli/queue.py
+++ b/ringledge/cli/queue.py
@@ -1,4 +1,4 @@
-"""Commands that inspect a site's queue; none of them changes an entry."""
+"""``ringledge queue``: read-only commands that inspect a site's queue."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import click
 import orjson
 
-# The store and sqlite3 are imported in the commands: a serving process without a queue needs neither.
+# The commands import the store and sqlite3 themselves, since a process without a queue needs neither.
 if TYPE_CHECKING:
     import sqlite3
 
@@ -23,10 +23,12 @@
 
 
 @click.group()
-@click.option("--path", type=click.Path(path_type=Path), help="The file; else what deploy/queue.toml says.")
+@click.option(
+    "--path", type=click.Path(path_type=Path), help="Database file; default: path in deploy/queue.toml."
+)
 @click.pass_context
 def queue(context: click.Context, path: Path | None) -> None:
-    """Look at the queue of a site that is, or was, cut off."""
+    """Inspect the queue in which a site stores requests during a partition."""
     context.obj = path
 
 
@@ -35,7 +37,7 @@
 @click.option("--most", "max_entries", default=50)
 @click.pass_obj
 def list_(path: Path | None, state: str | None, max_entries: int) -> None:
-    """Entries by age, a line of JSON each; questions and answers are left out."""
+    """List entries in order of arrival, as one JSON line each, without prompts and responses."""
     from ringledge.store.entry import EntryState
 
     db = _connect_read_only(path)
@@ -46,15 +48,15 @@
 
 @queue.command()
 @click.argument("name")
-@click.option("--with-text", is_flag=True, help="Also the question and the answer.")
+@click.option("--with-text", is_flag=True, help="Include the prompt and the response.")
 @click.pass_obj
 def show(path: Path | None, name: str, with_text: bool) -> None:
-    """One entry."""
+    """Show one entry."""
     from ringledge.store.queries import get_entry
 
     entry = get_entry(_connect_read_only(path), name)
     if entry is None:
-        raise click.ClickException(f"{name}: no such entry, or its end was kept for long enough")
+        raise click.ClickException(f"{name}: no such entry, or its retention period has passed")
     request = entry.request
     output = {
         "entry": name,
@@ -78,7 +80,7 @@
 @queue.command()
 @click.pass_obj
 def verify(path: Path | None) -> None:
-    """Check the file and each row of it; ends with 1 where something is spoilt."""
+    """Check the file and each row; exits with 1 if any is corrupt."""
     from ringledge.store.queries import highest_token
 
     db = _connect_read_only(path)
@@ -98,14 +100,14 @@
 
 @dataclass(slots=True, frozen=True)
 class _RowCheck:
-    """The finding on one row of the file."""
+    """The result of checking one row."""
 
-    status: str  # an entry's outcome or state; "spoilt" for a corrupt row, "unread" for the rest of the file
+    status: str  # an entry's outcome or state; "spoilt" if the row is corrupt, "unread" if the scan failed
     fault: str | None = None
 
 
 def _connect_read_only(path: Path | None) -> sqlite3.Connection:
-    """Open an existing file without creating or migrating it; ClickException if it is none of ours."""
+    """Open an existing file without creating or migrating it; raises ClickException if it is not a queue."""
     import sqlite3
 
     path = path or _configured_path()
@@ -121,7 +123,7 @@
 
 
 def _configured_path() -> Path:
-    """The path that the deployment's settings name."""
+    """The path in deploy/queue.toml."""
     from ringledge.lifecycle import settings_files
     from ringledge.store.settings import QueueConfig
 
@@ -131,14 +133,14 @@
     except settings_files.SettingsError as error:
         raise click.ClickException(str(error)) from error
     if config is None:
-        raise click.ClickException(f"{file} is absent or not enabled; --path names a file")
+        raise click.ClickException(f"{file} is absent or disabled; use --path to name a file")
     return Path(config.path)
 
 
 def _summaries(
     db: sqlite3.Connection, states: list[EntryState], max_entries: int
 ) -> Iterator[dict[str, object]]:
-    """The lines of `list`, in the order of arrival."""
+    """Yield the summaries that `list` prints, in order of arrival."""
     from ringledge.store.entry import EntryState
     from ringledge.store.queue_clock import QueueClock
 
@@ -163,7 +165,7 @@
 
 
 def _check_rows(db: sqlite3.Connection) -> Iterator[_RowCheck]:
-    """Check the seal of each row; the last check tells of an error that ends the scan."""
+    """Check the seal of each row; if the scan fails, the last result describes the error."""
     import sqlite3
 
     from ringledge.store.seal import COLUMNS, CorruptRowError, from_row
@@ -173,7 +175,7 @@
             try:
                 entry = from_row(row)
             except CorruptRowError:
-                yield _RowCheck("spoilt", f"{row[0]}: its bytes do not fit their seal")
+                yield _RowCheck("spoilt", f"{row[0]}: contents do not match the seal")
                 continue
             yield _RowCheck(entry.outcome.value if entry.outcome else entry.state.name.lower())
     except sqlite3.DatabaseError as error:
--- a/ringledge/cli/serve.py
+++ b/ringledge/cli/serve.py
@@ -1,4 +1,4 @@
-"""The commands of a server process: serve, check its configuration, print the version."""
+"""The main command group: serve, check the configuration, print the version."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 @click.group(cls=LazyGroup, invoke_without_command=True)
 @click.pass_context
 def main(context: click.Context) -> None:
-    """A conductor between clients and the readers and writers of a language model."""
+    """Route clients' requests to the prefill and decode servers of a language model."""
     if context.invoked_subcommand is None:
         context.invoke(serve)
 
@@ -29,8 +29,8 @@
 @main.command()
 @click.option("--log-level", type=click.Choice(LEVELS), default="info", envvar="RINGLEDGE_LOG_LEVEL")
 def serve(log_level: str = "info") -> None:
-    """Serve (the default), by RELAY_CONFIG and the files under deploy/."""
-    signals.block_reload_signals()  # until the program handles them
+    """Serve (the default), as configured by RELAY_CONFIG and the files under deploy/."""
+    signals.block_reload_signals()  # until the program installs its handlers
     config = _load_config()
     log.configure(log_level, config.name)
     anyio.run(program.serve, config, backend_options={"loop_factory": _make_loop})
@@ -38,7 +38,7 @@
 
 @main.command()
 def check_config() -> None:
-    """Read the configuration, say what it holds, and exit."""
+    """Validate the configuration, disabled files included, and print a summary."""
     config = _load_config()
     try:
         configuration.load_deploy_settings(check_disabled=True)
@@ -46,9 +46,9 @@
         _exit_unusable(error)
     known = len(config.known_endpoints.endpoints)
     click.echo(f"{config.name}: listens at {config.listen}, discovery at {config.discovery}")
-    click.echo(f"operators call at {config.operator or 'no address'}")
+    click.echo(f"operators' front at {config.operator or 'no address'}")
     click.echo(f"classes {', '.join(config.names.classes)}; {known} servers known")
-    click.echo(f"beside it: {', '.join(config.deploy_settings) or 'nothing'}")
+    click.echo(f"enabled settings files: {', '.join(config.deploy_settings) or 'none'}")
 
 
 @main.command()
@@ -58,12 +58,12 @@
 
 
 def _make_loop() -> asyncio.AbstractEventLoop:
-    """The event loop; it needs descriptors, of which there may be none for a moment."""
+    """Create the event loop, with retries in case descriptors have run out briefly."""
     return retry_while_transient(asyncio.new_event_loop)
 
 
 def _load_config() -> configuration.Config:
-    """The configuration, read again after transient errors; exits where it can't be used."""
+    """Read the configuration, with retries after transient errors; exits if it is unusable."""
     try:
         return retry_while_transient(_load_once)
     except (configuration.ConfigError, OSError) as error:
@@ -71,7 +71,7 @@
 
 
 def _load_once() -> configuration.Config:
-    """Read the configuration once; OSError where a retry may succeed."""
+    """Read the configuration once; raises OSError if a retry may succeed."""
     try:
         return configuration.load()
     except configuration.ConfigError as error:
@@ -81,6 +81,6 @@
 
 
 def _exit_unusable(error: Exception) -> NoReturn:
-    """Report that the configuration can't be used, and exit with status 2."""
+    """Print the reason why the configuration is unusable, and exit with status 2."""
     click.echo(f"configuration: {error}", err=True)
     sys.exit(2)
