--- a/tests/lifecycle/test_components.py
+++ b/tests/lifecycle/test_components.py
@@ -1,4 +1,4 @@
-"""The composition: a component that its file doesn't enable is neither imported nor started."""
+"""The composition imports and starts only the components that their settings files enable."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.loopback import SETTINGS, Node
 
 LISTEN = 'listen = "127.0.0.1:0"\n'
-FILES = {  # by file: what enables it, and a module that it alone needs
+FILES = {  # by file: its required settings, and a module that only its component imports
     "chat": (LISTEN + '[models]\nask = "query"\n', "ringledge.wire.clients.chat"),
     "xds": (LISTEN, "ringledge.wire.exporters.xds"),
     "prometheus": (LISTEN, "ringledge.wire.exporters.remote_write"),
@@ -31,7 +31,7 @@
 
 
 def imported_modules(folder: Path, files: dict[str, str]) -> set[str]:
-    """The modules that a process has imported when it is ready."""
+    """The modules that a process with these files has imported when it is ready."""
     files = {name: text.replace("{folder}", str(folder)) for name, text in files.items()}
     files["members.key"] = "5c" * 16
     with Node(folder, files=files, flags=("-X", "importtime")) as node:
@@ -39,7 +39,7 @@
     return {text.rsplit("|", 1)[1].strip() for text in texts if "|" in text}
 
 
-def test_disabled_components_are_not_imported_modules(tmp_path: Path) -> None:
+def test_modules_of_disabled_components_are_not_imported(tmp_path: Path) -> None:
     files = {f"{name}.toml": "enabled = false\n" + text for name, (text, _) in FILES.items()}
     found = imported_modules(tmp_path, files)
     assert "ringledge.wire.clients.platform" in found and "psutil" not in found
@@ -50,13 +50,13 @@
     }
 
 
-def test_enabled_components_are_imported_modules(tmp_path: Path) -> None:
+def test_modules_of_enabled_components_are_imported(tmp_path: Path) -> None:
     files = {f"{name}.toml": "enabled = true\n" + text for name, (text, _) in FILES.items()}
     found = imported_modules(tmp_path, files)
     assert {module for _, module in FILES.values()} <= found
 
 
-def test_each_settings_file_has_a_component_and_a_case_here() -> None:
+def test_each_settings_file_has_a_component_and_a_case_in_this_file() -> None:
     assert configuration.SETTINGS_FILES.keys() == FILES.keys() <= {spec.name for spec in COMPONENTS}
 
 
--- a/tests/lifecycle/test_failing_calls.py
+++ b/tests/lifecycle/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""Transient errors of system calls: the start succeeds, and the process goes on."""
+"""The program starts and continues to serve in spite of transient errors of system calls."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def failing_once(call: Callable[..., Any], number: int) -> Callable[..., Any]:
-    """That call, but the first time it fails with the error number."""
+    """Wrap a call so that its first invocation fails with the error number."""
     errors = [OSError(number, os.strerror(number))]
 
     def failing(*args: Any, **named: Any) -> Any:
@@ -45,7 +45,7 @@
 def test_a_successor_is_accepted_after_a_transient_error(
     number: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is a task of the main group: an error that it raises ends the process."""
+    """The accept runs in the main task group, so that an error it raises would end the process."""
 
     async def run() -> None:
         listener = channel.listen(tmp_path / "handover.sock")
@@ -73,7 +73,7 @@
     "number", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS], ids=errno.errorcode.get
 )
 def test_connect_succeeds_after_a_transient_local_error(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It says nothing of the server, and a request would use up its attempts within a millisecond."""
+    """A local error says nothing about the server, but would use up a request's attempts within 1 ms."""
 
     async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -102,10 +102,10 @@
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE], ids=errno.errorcode.get)
-def test_a_client_that_has_pipelined_is_connected_while_no_descriptor_is_left(
+def test_a_client_that_has_pipelined_counts_as_connected_without_free_descriptors(
     number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Treated as disconnected, it would wait for its response in vain."""
+    """If the client were treated as disconnected, it would never get its response."""
 
     def no_descriptor(*_: object) -> None:
         raise OSError(number, os.strerror(number))
@@ -124,7 +124,7 @@
 def test_the_backlog_is_accepted_at_a_shutdown_after_a_transient_error(
     number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With the listening socket it would be reset, its requests unanswered."""
+    """Otherwise the connections are reset when the listening socket closes, and their requests are lost."""
 
     async def echo(conn: Connection, head: h11.Request) -> None:
         await respond(conn, 200, b"answered")
@@ -154,7 +154,7 @@
 def test_requests_that_arrive_as_an_accept_fails_are_served(
     number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against the loss of the next request of a connection that is evicted for its descriptor."""
+    """Guards against the loss of a request on a connection that is evicted to free its descriptor."""
     request = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
     accept = socket.socket.accept
 
@@ -164,17 +164,17 @@
     async def run() -> None:
         listener = sockets.listen("127.0.0.1:0")
         clients = [socket.create_connection(listener.getsockname(), 10) for _ in range(5)]
-        silent, newcomer = clients[-1], socket.socket()
+        idle_client, new_client = clients[-1], socket.socket()
         failures = [OSError(number, os.strerror(number))]
 
         def failing(sock: socket.socket) -> Any:
-            if newcomer_comes and failures:
+            if is_new_client_connecting and failures:
                 for client in clients[:-1]:
-                    client.sendall(request)  # on loopback it lies in the other socket at once
+                    client.sendall(request)  # on loopback it is in the receive buffer at once
                 raise failures.pop()
             return accept(sock)
 
-        newcomer_comes = False
+        is_new_client_connecting = False
         monkeypatch.setattr(socket.socket, "accept", failing)
         front = Front(
             FrontOptions("platform", 8), RequestHandling(echo, lambda error: b""), BodyMemory(1e6), Metrics()
@@ -183,15 +183,15 @@
             tasks.start_soon(front.serve, listener, tasks)
             while front.open < len(clients):
                 await anyio.sleep(0)
-            newcomer_comes = True
-            newcomer.connect(listener.getsockname())
-            newcomer.sendall(request)
-            for client in (*clients[:-1], newcomer):
+            is_new_client_connecting = True
+            new_client.connect(listener.getsockname())
+            new_client.sendall(request)
+            for client in (*clients[:-1], new_client):
                 answer = await anyio.to_thread.run_sync(client.recv, 65536)
                 assert answer.startswith(b"HTTP/1.1 200")
-            assert await anyio.to_thread.run_sync(silent.recv, 65536) == b""  # an orderly end, no reset
+            assert await anyio.to_thread.run_sync(idle_client.recv, 65536) == b""  # closed without a reset
             tasks.cancel_scope.cancel()
-        for sock in (*clients, newcomer, listener):
+        for sock in (*clients, new_client, listener):
             sock.close()
 
     anyio.run(run)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Replacing the process: the listening sockets are handed over, and both processes act as one conductor."""
+"""Replacement of the process: listening sockets are handed over, and both processes act as one router."""
 
 import contextlib
 import http.client
@@ -25,14 +25,14 @@
 
 
 def start_successor(node: Node) -> Process:
-    """Start a successor, and wait until its predecessor is notified that it serves."""
+    """Start a successor, and wait until it has notified its predecessor that it serves."""
     new = node.successor()
     node.logged("successor_started_serving")
     return new
 
 
 def serve_request(node: Node, name: str) -> int:
-    """Send one request on a new connection and serve it; its status."""
+    """Send one request on a new connection and serve it; returns the status."""
     client = node.post(name)
     node.reader[0].next().read()
     node.writer[0].next().serve("x")
@@ -40,13 +40,13 @@
 
 
 def send_request(client: http.client.HTTPConnection, name: str) -> None:
-    """Send a request on an open connection."""
+    """Send one request on the given connection."""
     headers = {"X-Call-Id": name, "X-Call-Class": "query", "X-Caller": "farm", "X-Budget-Ms": "4800"}
     client.request("POST", "/v1/chat/completions", BODY, headers)
 
 
 def test_the_successor_accepts_connections_and_the_predecessor_completes_its_requests(node: Node) -> None:
-    running = node.post("a1", X_Call_Class="booking", X_Budget_Ms="60000")  # it waits at its decode server
+    running = node.post("a1", X_Call_Class="booking", X_Budget_Ms="60000")  # waits for its decode server
     node.reader[0].next().read()
     call = node.writer[0].next()
     new = start_successor(node)
@@ -74,7 +74,7 @@
 
 
 def test_connections_in_the_backlog_are_accepted_by_the_successor(node: Node) -> None:
-    """The predecessor is stopped by SIGSTOP with connections in its backlog."""
+    """The predecessor is stopped by SIGSTOP while connections arrive in the shared backlog."""
     new = node.successor()
     node.process.send_signal(signal.SIGSTOP)
     clients = [node.post(f"a{number}") for number in range(3)]
@@ -93,7 +93,7 @@
     start_successor(node)
     if at == "old":
         send_request(persistent, "a1")
-        call = node.reader[0].next()  # it was accepted, and the other process notified
+        call = node.reader[0].next()  # the request was accepted, and the other process notified
         first, second = persistent, node.post("a1")
     else:
         first, second = node.post("a1"), persistent
@@ -146,19 +146,21 @@
     with contextlib.ExitStack() as stack:
         clients = [stack.enter_context(socket.create_connection(new.address())) for _ in range(90)]
         end = time.monotonic() + WAIT_S
-        while closed < len(clients) - 45 and time.monotonic() < end:  # of 256 descriptors 37 a process
+        while (
+            closed < len(clients) - 45 and time.monotonic() < end
+        ):  # of 256 descriptors each process gets 37 for clients
             closed = len(select.select(clients, [], [], 0)[0])
             max_opened = max(max_opened, len(os.listdir(descriptors)) - before)
     assert 20 < max_opened < 45
 
 
 def test_an_ended_watch_does_not_delay_the_successor(node: Node) -> None:
-    """It accepts once the list is received or timed out; until then its predecessor does."""
-    begun = time.monotonic()
+    """A successor accepts once the list is received or timed out; until then its predecessor does."""
+    started_s = time.monotonic()
     new = node.successor()
-    assert new.figures()["relay.cluster_size"] == "2|g" and time.monotonic() - begun < WAIT_S
-    node.told = lambda node: json.dumps(node.listing(8))  # to each watch that begins from here on
-    while not node.watches.empty():  # one without an event may have been given up for the next
+    assert new.figures()["relay.cluster_size"] == "2|g" and time.monotonic() - started_s < WAIT_S
+    node.told = lambda node: json.dumps(node.listing(8))  # sent to each watch that begins from now on
+    while not node.watches.empty():  # a watch without events may have been closed for the next one
         with contextlib.suppress(OSError):
             node.watches.get().chunk(json.dumps(node.listing(8)) + "\n")
     assert new.logged("endpoint_list_received")["form"] == "full"
@@ -166,7 +168,7 @@
 
 def test_the_successor_loads_the_snapshot_of_its_predecessor(node: Node) -> None:
     clients = [node.post(name, X_Budget_Ms="60000") for name in ("a1", "a2")]
-    for _ in range(4):  # a request is attempted twice at one server
+    for _ in range(4):  # each request is attempted twice at the server
         node.reader[0].next().drop()
     assert [take(client).status for client in clients] == [503, 503]
     assert node.figures()["relay.cluster_unhealthy"] == "1|g"
--- a/tests/test_handover_clock.py
+++ b/tests/test_handover_clock.py
@@ -1,4 +1,4 @@
-"""A successor uses its predecessor's clock offset, also where the wall clock was stepped meanwhile."""
+"""A successor uses its predecessor's clock offset, even if the wall clock was stepped meanwhile."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def test_a_handed_over_snapshot_is_valid_after_a_step_of_the_wall_clock(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_s: float
 ) -> None:
-    """Learned times in the future once made tiny delays 10^300 ms, and every request was rejected."""
+    """Regression: snapshot times in the future turned tiny delays into 10^300 ms; no request was accepted."""
     step = {"kind": "wall_step", "target": "n1", "at_s": 0.0, "until_s": 0.0, "detail": {"step_s": step_s}}
     faults = tmp_path / "faults.json"
     faults.write_text(
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' address: what it answers, and that no client can crowd it."""
+"""The operators' front: its responses, and that clients cannot use up its connections."""
 
 import contextlib
 import fcntl
@@ -20,20 +20,20 @@
         yield node
 
 
-def until(what: Callable[[], bool]) -> None:
-    """Wait until that holds."""
-    end = time.monotonic() + WAIT_S
-    while not what():
-        assert time.monotonic() < end
+def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until the condition holds."""
+    deadline_s = time.monotonic() + WAIT_S
+    while not condition():
+        assert time.monotonic() < deadline_s
 
 
-def test_healthcheck_says_yes_once_the_list_is_heard_and_no_after_a_stop(node: Node) -> None:
+def test_healthcheck_succeeds_once_the_list_is_received_and_fails_after_sigterm(node: Node) -> None:
     node.watches.get(timeout=WAIT_S).chunk("\n")
-    until(lambda: node.call("GET", "/healthcheck").status == 200)
-    client = node.post("a1")  # keeps it from ending
+    wait_until(lambda: node.call("GET", "/healthcheck").status == 200)
+    client = node.post("a1")  # delays the end of the shutdown
     node.reader[0].next()
     node.process.send_signal(signal.SIGTERM)
-    until(lambda: node.call("GET", "/healthcheck").status == 503)
+    wait_until(lambda: node.call("GET", "/healthcheck").status == 503)
     client.close()
 
 
@@ -41,33 +41,33 @@
     ("method", "path", "status"),
     [("POST", "/healthcheck", 405), ("POST", "/stats", 405), ("GET", "/", 404), ("GET", "/ready", 404)],
 )
-def test_what_is_no_call_is_a_no(node: Node, method: str, path: str, status: int) -> None:
+def test_an_unknown_path_or_method_is_rejected(node: Node, method: str, path: str, status: int) -> None:
     assert node.call(method, path).status == status
 
 
-def test_a_call_ends_its_connection(node: Node) -> None:
+def test_the_connection_closes_after_one_request(node: Node) -> None:
     assert node.call("GET", "/stats").headers["connection"] == "close"
 
 
-def test_figures_count_where_each_thing_ends(node: Node) -> None:
-    zero = {"relay.sends": "0|c", "relay.current": "0|g", "relay.cluster_size": "2|g"}
-    zero |= {"relay.cluster_unhealthy": "0|g"}
+def test_stats_count_requests_by_outcome(node: Node) -> None:
+    expected = {"relay.sends": "0|c", "relay.current": "0|g", "relay.cluster_size": "2|g"}
+    expected |= {"relay.cluster_unhealthy": "0|g"}
     for how in ("answered", "deferred", "errored"):
-        zero |= {f"relay.{how}.query": "0|c", f"relay.{how}.booking": "0|c"}
-    assert node.figures() == zero
+        expected |= {f"relay.{how}.query": "0|c", f"relay.{how}.booking": "0|c"}
+    assert node.figures() == expected
     client = node.post("a1")
     reader = node.reader[0].next()
-    assert node.figures() == zero | {"relay.sends": "1|c", "relay.current": "1|g"}
+    assert node.figures() == expected | {"relay.sends": "1|c", "relay.current": "1|g"}
     reader.read()
     node.writer[0].next().serve("x")
     take(client)
-    one = zero | {"relay.sends": "2|c", "relay.answered.query": "1|c"}
-    assert node.figures() == one
+    after_one = expected | {"relay.sends": "2|c", "relay.answered.query": "1|c"}
+    assert node.figures() == after_one
     client = node.post("a2", X_Call_Class="booking")
     node.reader[0].next().read()
     node.writer[0].next().answer(500)
     assert take(client).status == 500
-    assert node.figures() == one | {"relay.sends": "4|c", "relay.errored.booking": "1|c"}
+    assert node.figures() == after_one | {"relay.sends": "4|c", "relay.errored.booking": "1|c"}
     client = node.post("a3", X_Budget_Ms="300")
     node.reader[0].next()
     assert take(client).status == 503
@@ -75,41 +75,44 @@
     assert figures["relay.deferred.query"] == "1|c" and figures["relay.current"] == "0|g"
 
 
-def test_who_is_turned_away_at_the_door_counts_as_refused(tmp_path: Path) -> None:
-    with Node(tmp_path, operator=True, sockets=104) as node, contextlib.ExitStack() as stack:  # 7 clients
-        busy = [stack.enter_context(contextlib.closing(node.post(f"a{n}"))) for n in range(7)]
-        for _ in busy:
+def test_a_request_rejected_for_too_many_connections_counts_as_deferred(tmp_path: Path) -> None:
+    # 104 sockets leave room for 7 clients.
+    with Node(tmp_path, operator=True, sockets=104) as node, contextlib.ExitStack() as stack:
+        open_requests = [stack.enter_context(contextlib.closing(node.post(f"a{n}"))) for n in range(7)]
+        for _ in open_requests:
             node.reader[0].next()
         answer = take(node.post("b1", X_Call_Class="booking"))
         assert answer.status == 503 and b"too many connections" in answer.body
         assert node.figures()["relay.deferred.booking"] == "1|c"
 
 
-def test_no_client_takes_the_operators_connections(node: Node) -> None:
+def test_clients_cannot_use_up_the_operators_connections(node: Node) -> None:
     with contextlib.ExitStack() as stack:
-        for _ in range(300):  # past all that the limit on descriptors lets in
+        for _ in range(300):  # more than the limit on descriptors allows
             client = stack.enter_context(socket.create_connection(node.address()))
             with contextlib.suppress(OSError):
                 client.sendall(b"POST /v1/chat")
         assert node.call("GET", "/stats").status == 200
 
 
-def test_calls_are_answered_beside_half_ones(node: Node) -> None:
+def test_requests_are_answered_beside_incomplete_ones(node: Node) -> None:
     with contextlib.ExitStack() as stack:
-        halves = [stack.enter_context(socket.create_connection(node.address("operator"))) for _ in range(60)]
-        for half in halves:
-            half.sendall(b"GET /stats HT")
-        begun = time.monotonic()
+        incomplete = [
+            stack.enter_context(socket.create_connection(node.address("operator"))) for _ in range(60)
+        ]
+        for connection in incomplete:
+            connection.sendall(b"GET /stats HT")
+        started_s = time.monotonic()
         assert node.call("GET", "/stats").status == 200
-        assert time.monotonic() - begun < 1
-        halves[-1].settimeout(WAIT_S)
-        assert halves[-1].recv(100).startswith(b"HTTP/1.1 408")  # it has a time of its own
-        assert time.monotonic() - begun < 2
+        assert time.monotonic() - started_s < 1
+        incomplete[-1].settimeout(WAIT_S)
+        assert incomplete[-1].recv(100).startswith(b"HTTP/1.1 408")  # each connection has its own timeout
+        assert time.monotonic() - started_s < 2
 
 
-def test_an_instance_out_by_hand_gets_nothing_whatever_the_list_says(tmp_path: Path) -> None:
+def test_a_server_in_maintenance_gets_no_requests_even_after_a_new_list(tmp_path: Path) -> None:
     with Node(tmp_path, operator=True, writers=2) as node:
-        for _ in range(2):  # twice is the same as once
+        for _ in range(2):  # repeating the override changes nothing
             assert node.call("POST", "/instances/w0/maint").status == 200
         assert node.figures()["relay.cluster_unhealthy"] == "1|g"
         node.watches.get(timeout=WAIT_S).chunk(json.dumps(node.listing(8)) + "\n")
@@ -123,11 +126,11 @@
         assert node.figures()["relay.cluster_unhealthy"] == "0|g"
         client = node.post("b1")
         node.reader[0].next().read()
-        node.writer[0].next().serve("x")  # called back, it is used at once
+        node.writer[0].next().serve("x")  # used at once after the override is removed
         assert take(client).status == 200
 
 
-def test_an_instance_stays_out_across_a_restart(tmp_path: Path) -> None:
+def test_a_server_stays_in_maintenance_across_a_restart(tmp_path: Path) -> None:
     with Node(tmp_path, operator=True) as node:
         assert node.call("POST", "/instances/r0/maint").status == 200
         node.process.kill()
@@ -141,14 +144,14 @@
 
 
 @pytest.mark.parametrize("name", ["nobody", "r0%2Fx", "r0/x"])
-@pytest.mark.parametrize("what", ["maint", "ready"])
-def test_an_instance_that_nobody_has_is_a_no(node: Node, name: str, what: str) -> None:
-    assert node.call("POST", f"/instances/{name}/{what}").status == 404
+@pytest.mark.parametrize("action", ["maint", "ready"])
+def test_an_override_of_an_unknown_server_is_rejected(node: Node, name: str, action: str) -> None:
+    assert node.call("POST", f"/instances/{name}/{action}").status == 404
 
 
-def test_a_call_that_can_not_be_written_down_is_a_no(node: Node) -> None:
+def test_an_override_that_cannot_be_stored_fails(node: Node) -> None:
     lock = next(iter(node.folder.glob("*.lock")), node.folder / "ringledge-n1.out.lock")
-    with lock.open("ab") as file:  # another process never lets go
+    with lock.open("ab") as file:  # held by another process
         fcntl.flock(file, fcntl.LOCK_EX)
         assert node.call("POST", "/instances/r0/maint").status == 503
     assert node.call("POST", "/instances/r0/maint").status == 200
--- a/tests/test_prometheus.py
+++ b/tests/test_prometheus.py
@@ -1,4 +1,4 @@
-"""/metrics, remote write to a stand-in receiver, and the alert rules."""
+"""Scrapes of /metrics, remote write to a stand-in receiver, and the metrics that the alert rules use."""
 
 import re
 from pathlib import Path
@@ -46,19 +46,19 @@
 
 
 def metric_values(call: Call) -> dict[str, float]:
-    """Check the format of a remote write; its values by metric name."""
+    """Check the format of a remote write request; returns its values by metric name."""
     assert call.headers["Content-Encoding"] == "snappy"
     assert call.headers["Content-Type"] == "application/x-protobuf"
     assert call.headers["X-Prometheus-Remote-Write-Version"] == "0.1.0"
     request: Any = MESSAGE_CLASSES["WriteRequest"].FromString(bytes(cramjam.snappy.decompress_raw(call.body)))
-    found = {}
+    values = {}
     for each in request.timeseries:
         names = [label.name for label in each.labels]
         assert names == sorted(names) and each.samples[0].timestamp > 1_600_000_000_000
         labels = {label.name: label.value for label in each.labels}
         assert labels["conductor"] == "n1"
-        found[labels["__name__"]] = each.samples[0].value
-    return found
+        values[labels["__name__"]] = each.samples[0].value
+    return values
 
 
 @pytest.mark.parametrize(("status", "is_retried"), [(500, True), (429, True), (400, False), (404, False)])
@@ -88,7 +88,7 @@
     with Node(tmp_path, files={"prometheus.toml": settings}) as node:
         unanswered = receiver.next()
         while 'ringledge_remote_write_total{how="overflowed"}' not in scrape(node):
-            pass  # collections go on while the receiver is silent
+            pass  # metrics are collected while the receiver does not answer
         unanswered.answer(204)
         receiver.next().answer(204)
     receiver.close()
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -1,4 +1,4 @@
-"""Requests that cross the decision to stop, on connections that rest, are new, half read or at work."""
+"""Requests that arrive during a shutdown, on idle, new, partly read and busy connections."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from tests.test_client_pace import END, request, serve, until
 
 
-def stopping(node: Node) -> None:
-    """SIGTERM, and the process has heard it."""
+def send_sigterm(node: Node) -> None:
+    """Send SIGTERM, and wait until the process has received it."""
     node.process.send_signal(signal.SIGTERM)
     node.logged("stopping")
 
 
-def drained(node: Node) -> None:
-    """The drain has begun: nobody listens any more."""
+def wait_for_drain(node: Node) -> None:
+    """Wait until the drain has begun and the process no longer listens."""
     while True:
         try:
             node.connect().close()
@@ -26,29 +26,29 @@
             return
 
 
-@pytest.mark.parametrize("how", ["resting", "new", "half read"])
-def test_a_request_just_after_sigterm_is_served(node: Node, how: str) -> None:
+@pytest.mark.parametrize("connection", ["idle", "new", "partly read"])
+def test_a_request_just_after_sigterm_is_served(node: Node, connection: str) -> None:
     text = request("a2")
     with node.connect() as client:
-        if how == "resting":
+        if connection == "idle":
             client.sendall(request("a1"))
             serve(node, "a1")
             until(client, END)
-        elif how == "half read":
+        elif connection == "partly read":
             client.sendall(text[:40])
-        stopping(node)
-        client.sendall(text[40:] if how == "half read" else text)
+        send_sigterm(node)
+        client.sendall(text[40:] if connection == "partly read" else text)
         serve(node, "a2")
         assert until(client, END).startswith(b"HTTP/1.1 200")
     assert node.process.wait(WAIT_S) == 0
 
 
-def test_one_whose_last_byte_comes_in_the_drain_is_refused_not_dropped(node: Node) -> None:
+def test_a_request_completed_during_the_drain_is_rejected_with_a_response(node: Node) -> None:
     text = request("a1")
     with node.connect() as client:
         client.sendall(text[:40])
-        stopping(node)
-        drained(node)
+        send_sigterm(node)
+        wait_for_drain(node)
         client.sendall(text[40:])
         assert until(client, b"nothing has run").startswith(b"HTTP/1.1 503")
         assert client.recv(1) == b""
@@ -56,31 +56,31 @@
     assert not node.reader[0].seen
 
 
-def test_one_that_was_read_behind_a_stream_is_answered_in_the_drain(node: Node) -> None:
-    """It was read ahead, and its connection was closed behind the stream without a word."""
+def test_a_request_pipelined_behind_a_stream_is_answered_during_the_drain(node: Node) -> None:
+    """Regression: the request was read ahead, and the connection closed after the stream without a response."""
     with node.connect() as client:
         client.sendall(request("a1"))
         node.reader[0].next().read()
         call = node.writer[0].next().begin().token("x")
         until(client, b"x")
         client.sendall(request("a2"))
-        stopping(node)
-        drained(node)
+        send_sigterm(node)
+        wait_for_drain(node)
         call.end()
-        got = until(client, b"nothing has run")
-        assert END in got and got.index(END) < got.index(b"HTTP/1.1 503")
+        received = until(client, b"nothing has run")
+        assert END in received and received.index(END) < received.index(b"HTTP/1.1 503")
     assert node.process.wait(WAIT_S) == 0
     assert [each.id for each in node.reader[0].seen] == ["a1"]
 
 
-def test_a_connection_that_ends_in_the_drain_ends_in_order(node: Node) -> None:
-    """What crosses the end of an idle one takes nothing with it: its client sees an end, never a reset."""
+def test_a_connection_closed_by_the_drain_is_not_reset(node: Node) -> None:
+    """A request that crosses the close of an idle connection must not cause a reset, only an orderly end."""
     with node.connect() as client:
         client.sendall(request("a1"))
         serve(node, "a1")
         until(client, END)
-        stopping(node)
-        assert client.recv(1) == b""  # our side is shut
+        send_sigterm(node)
+        assert client.recv(1) == b""  # the process has shut down its sending side
         client.sendall(request("a2"))
         client.shutdown(socket.SHUT_WR)
         assert client.recv(1) == b""
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -1,4 +1,4 @@
-"""xDS over REST-JSON, asked as a proxy would ask."""
+"""xDS over REST-JSON, polled as a proxy does."""
 
 import http.client
 import json
@@ -19,62 +19,64 @@
         yield node
 
 
-def ask(node: Node, what: str = "endpoints", **told: Any) -> http.client.HTTPConnection:
+def poll(node: Node, resource: str = "endpoints", **fields: Any) -> http.client.HTTPConnection:
     client = node.client("xds")
-    client.request("POST", f"/v3/discovery:{what}", json.dumps({"node": {"id": "envoy-1"}} | told))
+    client.request("POST", f"/v3/discovery:{resource}", json.dumps({"node": {"id": "envoy-1"}} | fields))
     return client
 
 
 def endpoints(answer: Answer, cluster: str) -> list[Any]:
-    for resource in answer.json()["resources"]:
-        if resource["cluster_name"] == cluster:
-            return [each for place in resource["endpoints"] for each in place["lb_endpoints"]]
+    for assignment in answer.json()["resources"]:
+        if assignment["cluster_name"] == cluster:
+            return [each for locality in assignment["endpoints"] for each in locality["lb_endpoints"]]
     raise AssertionError(cluster)
 
 
-def test_clusters_and_endpoints_are_told(node: Node) -> None:
-    answer = take(ask(node, "clusters")).json()
+def test_a_poll_returns_the_clusters_and_their_endpoints(node: Node) -> None:
+    answer = take(poll(node, "clusters")).json()
     assert [each["name"] for each in answer["resources"]] == ["readers", "writers", "mixed"]
     assert answer["type_url"].endswith("cluster.v3.Cluster") and answer["nonce"]
-    told = take(ask(node, resource_names=["writers"]))
-    writers = endpoints(told, "writers")
+    response = take(poll(node, resource_names=["writers"]))
+    writers = endpoints(response, "writers")
     ports = {each["endpoint"]["address"]["socket_address"]["port_value"] for each in writers}
     assert ports == {int(each.address.split(":")[1]) for each in node.writer}
-    place = told.json()["resources"][0]["endpoints"][0]
-    assert place["locality"] == {"zone": "east", "sub_zone": "1"} and place["load_balancing_weight"] == 200
-    assert len(told.json()["resources"]) == 1
+    locality = response.json()["resources"][0]["endpoints"][0]
+    assert (
+        locality["locality"] == {"zone": "east", "sub_zone": "1"} and locality["load_balancing_weight"] == 200
+    )
+    assert len(response.json()["resources"]) == 1
 
 
 def test_an_acknowledged_version_is_not_sent_again(node: Node) -> None:
-    first = take(ask(node)).json()
+    first = take(poll(node)).json()
     known = {"version_info": first["version_info"], "response_nonce": first["nonce"]}
-    assert take(ask(node, **known)).status == 304
-    assert take(ask(node, versionInfo=first["version_info"])).status == 304
+    assert take(poll(node, **known)).status == 304
+    assert take(poll(node, versionInfo=first["version_info"])).status == 304
 
 
 def test_a_drain_wakes_a_waiting_poll(tmp_path: Path) -> None:
     with Node(tmp_path, writers=2, files={"xds.toml": XDS.replace("0.3", "9")}) as node:
-        first = take(ask(node)).json()
-        client = ask(node, version_info=first["version_info"], response_nonce=first["nonce"])
+        first = take(poll(node)).json()
+        client = poll(node, version_info=first["version_info"], response_nonce=first["nonce"])
         node.watches.get(timeout=10).chunk(json.dumps(node.listing(8, w0="leaving")) + "\n")
-        told = take(client)
-        health = {each["health_status"] for each in endpoints(told, "writers")}
-        assert health == {"HEALTHY", "DRAINING"} and told.json()["version_info"] != first["version_info"]
+        response = take(client)
+        health = {each["health_status"] for each in endpoints(response, "writers")}
+        assert health == {"HEALTHY", "DRAINING"} and response.json()["version_info"] != first["version_info"]
 
 
-def test_a_cold_server_weighs_less(node: Node) -> None:
+def test_a_cold_server_has_a_lower_weight(node: Node) -> None:
     listing = node.listing(8)
-    listing["endpoints"][1]["since_ms"] = 4_000_000_000_000  # starts now, as far as a clock can tell
+    listing["endpoints"][1]["since_ms"] = 4_000_000_000_000  # in the future: counts as started now
     node.watches.get(timeout=10).chunk(json.dumps(listing) + "\n")
     while node.logged("endpoint_list_received")["index"] != 8:
         pass
-    weights = sorted(each["load_balancing_weight"] for each in endpoints(take(ask(node)), "writers"))
+    weights = sorted(each["load_balancing_weight"] for each in endpoints(take(poll(node)), "writers"))
     assert weights[0] < weights[1] == 100
 
 
 def test_a_rejected_version_is_logged_and_not_offered_again(node: Node) -> None:
-    first = take(ask(node)).json()
-    client = ask(node, version_info="", response_nonce=first["nonce"], error_detail={"message": "no"})
+    first = take(poll(node)).json()
+    client = poll(node, version_info="", response_nonce=first["nonce"], error_detail={"message": "no"})
     assert take(client).status == 304
     assert node.logged("xds_rejected")["detail"] == {"message": "no"}
 
@@ -89,7 +91,7 @@
         ("/v3/discovery:endpoints", '{"resource_names":[1]}', 400),
     ],
 )
-def test_bad_polls_are_told(node: Node, path: str, body: str, status: int) -> None:
+def test_invalid_polls_are_rejected(node: Node, path: str, body: str, status: int) -> None:
     client = node.client("xds")
     client.request("POST", path, body)
     assert take(client).status == status
