--- a/ringledge/cli/members.py
+++ b/ringledge/cli/members.py
@@ -16,7 +16,7 @@
 
 @click.command()
 @click.option("--at", "address", default="", metavar="IP:PORT",
-              help="Member to query; default: from RELAY_CONFIG (peer_listen) or members.toml (listen).")  # fmt: skip
+              help="Member to query; default: local member of RELAY_CONFIG or members.toml.")  # fmt: skip
 @click.option("--wait", "wait_s", default=2.0, show_default=True, help="Seconds to wait for a response.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object per member.")
 def members(address: str, wait_s: float, as_json: bool) -> None:
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -11,11 +11,11 @@
 
 def change_discovery(node: Node) -> StandIn:
     """Reload the configuration with a new stand-in for discovery, which the test controls."""
-    discovery = StandIn()
-    node.configure(discovery=discovery.address)
+    stand_in = StandIn()
+    node.configure(discovery=stand_in.address)
     node.process.send_signal(signal.SIGHUP)
     node.logged("reloaded")
-    return discovery
+    return stand_in
 
 
 def send_drain(node: Node, watch: Call) -> None:
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -57,7 +57,7 @@
 
 
 def test_a_request_pipelined_behind_a_stream_is_answered_during_the_drain(node: Node) -> None:
-    """Regression: the request was read ahead, and the connection closed after the stream without a response."""
+    """Regression: the request was read ahead, but the connection closed after the stream with no response."""
     with node.connect() as client:
         client.sendall(request("a1"))
         node.reader[0].next().read()
