--- a/ringledge/cli/members.py
+++ b/ringledge/cli/members.py
@@ -30,7 +30,7 @@
         path = Path(os.environ.get("RINGLEDGE_DEPLOY", DEFAULT_DEPLOY_FOLDER)) / "members.toml"
         settings = settings_files.read_settings(MembersConfig, path)
         if settings is None:
-            raise ValueError(f"{path}: file is absent or disabled")
+            raise ValueError(f"{path}: absent or not enabled")
         if not address:
             config_path = os.environ.get("RELAY_CONFIG")
             config = orjson.loads(Path(config_path).read_bytes()) if config_path else {}
--- a/ringledge/cli/queue.py
+++ b/ringledge/cli/queue.py
@@ -133,7 +133,7 @@
     except settings_files.SettingsError as error:
         raise click.ClickException(str(error)) from error
     if config is None:
-        raise click.ClickException(f"{file} is absent or disabled; use --path to name a file")
+        raise click.ClickException(f"{file} is absent or not enabled; use --path to name a file")
     return Path(config.path)
 
 
@@ -175,7 +175,7 @@
             try:
                 entry = from_row(row)
             except CorruptRowError:
-                yield _RowCheck("spoilt", f"{row[0]}: contents do not match the seal")
+                yield _RowCheck("spoilt", f"{row[0]}: its bytes do not match the seal")
                 continue
             yield _RowCheck(entry.outcome.value if entry.outcome else entry.state.name.lower())
     except sqlite3.DatabaseError as error:
--- a/ringledge/cli/serve.py
+++ b/ringledge/cli/serve.py
@@ -46,7 +46,7 @@
         _exit_unusable(error)
     known = len(config.known_endpoints.endpoints)
     click.echo(f"{config.name}: listens at {config.listen}, discovery at {config.discovery}")
-    click.echo(f"operators' front at {config.operator or 'no address'}")
+    click.echo(f"operators' front: {config.operator or 'none'}")
     click.echo(f"classes {', '.join(config.names.classes)}; {known} servers known")
     click.echo(f"enabled settings files: {', '.join(config.deploy_settings) or 'none'}")
 
--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -23,7 +23,8 @@
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import ConnectionAdmission
 
-BODY_MEMORY_DIVISOR = 5  # of the memory limit; bodies take about twice their size
+# Of the memory limit: a body takes about twice its size, and the rest is needed by the program.
+BODY_MEMORY_DIVISOR = 5
 RESERVED_SOCKETS = 64  # descriptors for discovery, listeners, logs and the interpreter
 PROGRAM_FRONT_MAX_CONNECTIONS = RESERVED_SOCKETS // 4  # for a front with few known clients
 
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -36,7 +36,7 @@
     path.write_text(json.dumps(GOOD))
     result = run("check-config", config=path, RELAY_NAME="n7", RELAY_OPERATOR="127.0.0.1:9100")
     assert result.returncode == 0 and result.stdout.startswith("n7: listens at 127.0.0.1:0")
-    assert "operators' front at 127.0.0.1:9100" in result.stdout
+    assert "operators' front: 127.0.0.1:9100" in result.stdout
     assert "classes query, booking" in result.stdout
 
 
