--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -133,8 +133,9 @@
     async def _wait_for_endpoint_list(self) -> None:
         """Return once discovery has sent its list, the timeout has passed, or a shutdown is requested.
 
-        Clients that already know this address connect at once. If they were admitted before the list arrives,
-        their requests would be sent to servers that may be draining by now.
+        The router must apply discovery's list from the start, and clients that already know this address
+        connect at once. If they were admitted before the list arrives, their requests would be sent to
+        servers that may be draining by now.
         """
         context = self._context
         remaining_s = max(0.0, self._started_s + ENDPOINT_LIST_TIMEOUT_S - time.monotonic())
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -32,7 +32,7 @@
 from ringledge.wire.servers.upstream import Upstream
 
 AVAILABILITY = {"active": Availability.UP, "leaving": Availability.DRAINING, "left": Availability.REMOVED}
-IDLE_TIMEOUT_S = 3.0  # without a complete line; discovery sends an empty line every 2 s
+IDLE_TIMEOUT_S = 3.0  # of a watch without a complete line; discovery sends an empty line every 2 s
 MAX_LIST_BYTES = 4 * 1024 * 1024  # limit of one JSON object, which holds a list or changes
 # Bounds of the backoff after a failed watch, per router: one discovery service of fixed capacity serves all
 # routers. While overloaded it takes seconds for a request, and also serves those whose clients have given up.
@@ -48,7 +48,7 @@
 PUSH_MAX_BACKOFF_S = 0.1
 PUSH_IDLE_TIMEOUT_S = 2.5
 PUSH_STALENESS_LIMIT_S = 5.6  # over consecutive watches; a change must be known within 6 s
-RECONFIGURED_STALENESS_LIMIT_S = 3.6  # after a reload, when the limit is 4 s
+RECONFIGURED_STALENESS_LIMIT_S = 3.6  # after a reload, when a change must be known within 4 s
 START_STALENESS_LIMIT_S = 1.0  # at a start, when the list is needed at once; the first watch gets half
 # With pushed lists, another request is sent if no response begins within this time, including the connect.
 RESPONSE_TIMEOUT_S = 1.0
@@ -69,9 +69,7 @@
         self.last_received_s = time.monotonic()
         self.synchronized = anyio.Event()  # set once a watch has delivered all outstanding updates
         self._watch_scope = anyio.CancelScope()  # cancels the watch or the delay before the next one
-        self._requests = HedgedRequests(
-            PUSH_MAX_PENDING_REQUESTS if self._is_push else 1
-        )  # requests for a watch
+        self._requests = HedgedRequests(PUSH_MAX_PENDING_REQUESTS if self._is_push else 1)  # of watches
         self._start_times = StartTimes()
         # When the list was last known to be complete, on the conductor's clock.
         self._complete_ms: float | None = None
--- a/tests/test_start_failures.py
+++ b/tests/test_start_failures.py
@@ -21,10 +21,10 @@
         node.kill()
         fault = {"kind": "call_fails", "target": "n1", "at_s": 0.0, "until_s": OUTAGE_S}
         fault |= {"detail": {"call": "descriptors", "errno": "ENFILE", "chance": 1.0}}
-        plan = {"plan": {"troubles": [fault], "seed": 1}, "start_s": time.monotonic()}
-        plan |= {"host": "127.0.0.1", "hung_port": 9, "ports": {}}
+        fault_plan = {"plan": {"troubles": [fault], "seed": 1}, "start_s": time.monotonic()}
+        fault_plan |= {"host": "127.0.0.1", "hung_port": 9, "ports": {}}
         faults = tmp_path / "faults.json"
-        faults.write_text(json.dumps(plan))
+        faults.write_text(json.dumps(fault_plan))
         monkeypatch.setenv("SOAK_FAULTS", str(faults))
         monkeypatch.setenv("SOAK_CONDUCTOR", "n1")
         process = Process()
