--- a/ringledge/wire/discovery/hedged_requests.py
+++ b/ringledge/wire/discovery/hedged_requests.py
@@ -1,6 +1,6 @@
 """Hedged requests to one peer: unanswered requests stay open while more are sent; the first response is used.
 
-If requests were cancelled at a timeout, a slow peer would never be heard. If a single request were awaited
+If requests were cancelled at a timeout, the responses of a slow peer would be lost. If a single request were awaited
 without a timeout, the recovery of the peer would be noticed late.
 """
 
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -52,7 +52,7 @@
 START_STALENESS_LIMIT_S = 1.0  # at a start, when the list is needed at once; the first watch gets half
 # With pushed lists, another request is sent if no response begins within this time, including the connect.
 RESPONSE_TIMEOUT_S = 1.0
-PUSH_MAX_PENDING_REQUESTS = 8  # lets an agent that takes a few seconds per response be heard
+PUSH_MAX_PENDING_REQUESTS = 8  # enough for an agent that takes a few seconds per response
 
 
 class DiscoveryClient:
