--- a/ringledge/wire/discovery/hedged_requests.py
+++ b/ringledge/wire/discovery/hedged_requests.py
@@ -1,7 +1,7 @@
 """Hedged requests to one peer: unanswered requests stay open while more are sent; the first response is used.
 
-If requests were cancelled at a timeout, the responses of a slow peer would be lost. If a single request were awaited
-without a timeout, the recovery of the peer would be noticed late.
+If requests were cancelled at a timeout, the responses of a slow peer would be lost. If a single request were
+awaited without a timeout, the recovery of the peer would be noticed late.
 """
 
 from __future__ import annotations
