--- a/ringledge/lifecycle/components/queue.py
+++ b/ringledge/lifecycle/components/queue.py
@@ -1,4 +1,4 @@
-"""The queue of a site that is cut off: chat requests are stored, and replayed through the conductor."""
+"""The component of a site's queue, which stores chat requests during a partition and replays them later."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class QueuedRequests:
-    """The queue's component, and the chat requests' way into the queue."""
+    """The queue's component, and the object through which the chat front uses the queue."""
 
     component: Component
     chat: QueuedChat
 
 
-def create(context: ProgramContext, fleet: ClusterMember | None) -> QueuedRequests:
-    """Create the queue; its file is opened at the start, and the replay begins when the program is ready.
+def create(context: ProgramContext, cluster_member: ClusterMember | None) -> QueuedRequests:
+    """Create the queue; its file is opened at the start, and replay begins when the program is ready.
 
-    Where duties are enabled, only the holder of the replay's lease replays.
-    ConfigError without the chat front.
+    If duties are enabled, only the holder of the replay lease replays. Raises ConfigError if the chat front
+    is disabled.
     """
     config = context.config
     queue_settings = config.settings_of(QueueConfig)
     if "chat" not in config.deploy_settings:
-        raise ConfigError("queue.toml: chat.toml has to be enabled, too; its clients are queued")
+        raise ConfigError("queue.toml: requires chat.toml to be enabled, whose requests are queued")
     chat_settings, settings, names = config.settings_of(ChatConfig), config.settings, config.names
     observation = ServerObserver(context.conductor, context.upstream.reachability, context.metrics)
     is_leased = "duties" in config.deploy_settings
-    records = None if fleet is None else fleet.members.records
+    records = None if cluster_member is None else cluster_member.members.records
     queue = QueueComponent(
         queue_settings, observation, context.metrics.registry, Random(), records, is_leased
     )
-    if fleet is not None and is_leased:
-        fleet.duties[queue.duty_name] = queue.replayer
+    if cluster_member is not None and is_leased:
+        cluster_member.duties[queue.duty_name] = queue.replayer
     queue.sender = ReplaySender(chat_settings, settings, names, context.conductor)
     options = QueuedChatOptions(names.classes, settings, chat_settings.tenant, queue_settings.expiry_s)
     chat = QueuedChat(queue.queue, queue.site_state, queue.metrics, options)
