--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -23,7 +23,7 @@
 
 from ringledge.lab import load
 from ringledge.lab.load_plan import LoadPlan, parse_shares
-from ringledge.lab.stage import start_stage
+from ringledge.lab.stage import start_lab
 
 DOORS = "enabled = true\nkeep_alive_s = 3600.0\njitter = 0.1\n"
 PROMETHEUS = 'enabled = true\nlisten = "127.0.0.1:0"\n'
@@ -58,7 +58,7 @@
 def measure(count: int, tree: Path | None, core: int, rate: float, seconds: float) -> dict[str, Any]:
     """One count of connections on a fresh conductor."""
     servers = ("--sockets", "400000", "--memory-mb", "192")
-    with start_stage(servers, {"doors.toml": DOORS, "prometheus.toml": PROMETHEUS}, tree, core) as on:
+    with start_lab(servers, {"doors.toml": DOORS, "prometheus.toml": PROMETHEUS}, tree, core) as on:
         limit = descriptors(on.pid, count + 2000)
         process = psutil.Process(on.pid)
         rss = process.memory_info().rss
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -21,14 +21,14 @@
 
 from ringledge.lab import load
 from ringledge.lab.load_plan import LoadPlan, parse_shares
-from ringledge.lab.stage import Stage, start_stage
+from ringledge.lab.stage import LabProcesses, start_lab
 
 PROMETHEUS = 'enabled = true\nlisten = "127.0.0.1:0"\n'
 OVERLOAD = "enabled = true\n"
 MIN_IN_TIME_SHARE = 0.97  # of the requests served in time, from which on the core keeps up
 
 
-def plan(on: Stage, rate: float, seconds: float, kb: float, seed: int) -> LoadPlan:
+def plan(on: LabProcesses, rate: float, seconds: float, kb: float, seed: int) -> LoadPlan:
     """The issue's load: 19% bookings, by the tenants' shares."""
     to, watch = on.listening["platform"], on.listening["operator"]
     return LoadPlan(to, rate, seconds, 0.19, kb, 0.0, parse_shares(""), (), 0, watch, seed)
@@ -48,7 +48,7 @@
     """One run on a fresh conductor, with overload control if `sheds`."""
     deploy = {"prometheus.toml": PROMETHEUS} | ({"overload.toml": OVERLOAD} if sheds else {})
     servers = ("--sockets", "4096", "--readers", "4", "--writers", "4")
-    with start_stage(servers, deploy, options.tree, options.core) as staged:
+    with start_lab(servers, deploy, options.tree, options.core) as staged:
         process = psutil.Process(staged.pid)
         before = sum(process.cpu_times()[:2])
         report: dict[str, Any] = orjson.loads(load.run(plan(staged, rate, options.seconds, options.kb, seed)))
--- a/ringledge/cli/lab.py
+++ b/ringledge/cli/lab.py
@@ -74,7 +74,7 @@
         prompt_sigma=prompt_sigma,
         tenant_shares=tenant_shares,
         bursts=parsed_bursts,
-        unread_clients=unread,
+        non_reading_clients=unread,
         health_address=watch,
         seed=seed,
     )
--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -129,7 +129,7 @@
         reason = send_guard.send_rejection_reason(self.context, self.policy, attempt)
         if reason is None:
             return True
-        self.context.metrics.not_begun.labels(reason.value).inc()
+        self.context.metrics.attempts_not_begun.labels(reason.value).inc()
         request_id = attempt.record.request_id
         log.info("attempt_prevented", request=request_id, server=attempt.server, why=reason.value)
         if reason is send_guard.SendRejectionReason.CLIENT_DISCONNECTED:
--- a/ringledge/core/gate.py
+++ b/ringledge/core/gate.py
@@ -24,7 +24,7 @@
 from ringledge.memory.buffered_bytes import BufferedBytes
 from ringledge.memory.process_statistics import ProcessReading, ProcessStatistics
 from ringledge.observe.logging import log
-from ringledge.observe.metrics import BODY_KB, Metrics
+from ringledge.observe.metrics import BODY_SIZE_BOUNDS_KB, Metrics
 from ringledge.routing.interface import RouterSettings
 
 DEFAULT_RETRY_AFTER_MS = 1000.0  # mean Retry-After where the deployment sets no maximum
@@ -84,10 +84,10 @@
     def _export_metrics(self) -> None:
         for index, name in enumerate(self._class_names):
             for over_quota, label in ((False, "within"), (True, "over")):
-                gauge = self._metrics.admitted.labels(name, label)
+                gauge = self._metrics.admitted_share.labels(name, label)
                 gauge.set_function(partial(self._admitted_fraction, index, over_quota))
-        self._metrics.resident.set_function(lambda: self._process_statistics.rss_bytes)
-        self._metrics.held.set_function(lambda: self._buffered_bytes.total_bytes)
+        self._metrics.resident_bytes.set_function(lambda: self._process_statistics.rss_bytes)
+        self._metrics.held_bytes.set_function(lambda: self._buffered_bytes.total_bytes)
 
     def start(self) -> None:
         """Start receiving readings of the process statistics."""
@@ -126,8 +126,8 @@
 
     def record_body_check(self, body_bytes: int, seconds: float) -> None:
         """Record how long validating a body of that size took."""
-        kb = BODY_KB[bisect_left(BODY_KB[:-1], body_bytes / 1024)]
-        self._metrics.body.labels(str(kb)).observe(seconds)
+        kb = BODY_SIZE_BOUNDS_KB[bisect_left(BODY_SIZE_BOUNDS_KB[:-1], body_bytes / 1024)]
+        self._metrics.body_seconds.labels(str(kb)).observe(seconds)
 
     def reject(self, class_index: int, reason: RejectionReason) -> Rejection:
         """Reject a request whose class was assumed because it is not known yet."""
--- a/ringledge/core/stages/record_outcome.py
+++ b/ringledge/core/stages/record_outcome.py
@@ -34,7 +34,7 @@
     if status == AttemptStatus.OK or attempt.streaming:
         _finish_response(context, record, status)
     _update_cache_locations(context, attempt, status, note, now_ms)
-    context.metrics.outcomes.labels(status.value).inc()
+    context.metrics.attempt_outcomes.labels(status.value).inc()
     attempt.duration_ms = now_ms - attempt.sent_ms
     if context.observer is not None:
         context.observer.on_attempt_ended(attempt, status, note)
--- a/ringledge/core/stages/relay.py
+++ b/ringledge/core/stages/relay.py
@@ -17,7 +17,7 @@
     record.cache.record_first_token()
     attempt.first_token_ms = context.clock.now_ms() - attempt.sent_ms
     record.first_token_ms = context.clock.now_ms() - record.arrived_ms
-    context.metrics.first_token.observe(record.first_token_ms / 1000)
+    context.metrics.first_token_seconds.observe(record.first_token_ms / 1000)
     context.dispatch(FirstToken(record.request_id, attempt.number, attempt.server, attempt.first_token_ms))
     return True
 
--- a/ringledge/core/stages/route.py
+++ b/ringledge/core/stages/route.py
@@ -32,7 +32,7 @@
     if may_be_sent and context.servers.address(action.server) is not None:
         return attempt
     attempt.outcome = AttemptStatus.NOT_SENT
-    context.metrics.outcomes.labels(AttemptStatus.NOT_SENT.value).inc()
+    context.metrics.attempt_outcomes.labels(AttemptStatus.NOT_SENT.value).inc()
     context.dispatch(
         AttemptOutcome(
             record.request_id, attempt.number, action.server, AttemptStatus.NOT_SENT, 0.0, record.closed
--- a/ringledge/core/timer_queue.py
+++ b/ringledge/core/timer_queue.py
@@ -44,7 +44,7 @@
             return None
         timer = heapq.heappop(self._heap)
         lag_ms = now_ms - timer.due_ms
-        self._metrics.lag.set(lag_ms / 1000)
+        self._metrics.loop_lag_seconds.set(lag_ms / 1000)
         self._max_lag_ms = max(self._max_lag_ms, lag_ms)
         return timer.token
 
--- a/ringledge/lab/demo.py
+++ b/ringledge/lab/demo.py
@@ -6,7 +6,7 @@
 
 from ringledge.lab import load
 from ringledge.lab.load_plan import LoadPlan, parse_shares
-from ringledge.lab.stage import start_stage
+from ringledge.lab.stage import start_lab
 
 DURATION_S = 3.0
 REQUESTS_PER_S = 30.0
@@ -14,7 +14,7 @@
 
 def run() -> int:
     """Run it; the exit status is 0 if every request was served once."""
-    with start_stage() as stage:
+    with start_lab() as stage:
         print(f"stand-in servers are up, discovery at {stage.discovery}")
         print(f"the conductor listens at {stage.listening}")
         plan = LoadPlan(
--- a/ringledge/lab/load.py
+++ b/ringledge/lab/load.py
@@ -125,10 +125,10 @@
             self.outcomes_by_tenant[arrival.tenant]["asked"] += 1
             self.send(arrival)
 
-    def open_unread_clients(self) -> list[socket.socket]:
+    def open_non_reading_clients(self) -> list[socket.socket]:
         """Connections of clients that send a request and read nothing of the response."""
         sockets = []
-        for number in range(self.plan.unread_clients):
+        for number in range(self.plan.non_reading_clients):
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, *SMALL_RECEIVE_BUFFER)
             sock.connect(self.target)
@@ -145,7 +145,7 @@
 
     async def run(self) -> dict[str, Any]:
         """Send all requests, wait until those that are open have ended, and report."""
-        unread_clients = self.open_unread_clients()
+        non_reading_clients = self.open_non_reading_clients()
         self.started_s = monotonic()
         monitor = self.health_monitor
         monitoring = asyncio.ensure_future(monitor.run(self.started_s)) if monitor else None
@@ -155,7 +155,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         if monitoring is not None:
             monitoring.cancel()
-        for sock in unread_clients:
+        for sock in non_reading_clients:
             sock.close()
         return self._report()
 
--- a/ringledge/lab/load_plan.py
+++ b/ringledge/lab/load_plan.py
@@ -51,7 +51,7 @@
     prompt_sigma: float  # their sigma
     tenant_shares: dict[str, float]  # of the requests, by tenant; they need not sum to 1
     bursts: tuple[Burst, ...] = ()
-    unread_clients: int = 0  # clients that read nothing of their responses
+    non_reading_clients: int = 0  # clients that read nothing of their responses
     health_address: str = ""  # whose /healthcheck is called; empty: none
     seed: int = 1
 
--- a/ringledge/lab/stage.py
+++ b/ringledge/lab/stage.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Stage:
+class LabProcesses:
     """The running processes: their addresses, and the conductor's process id."""
 
     discovery: str  # address
@@ -62,12 +62,12 @@
 
 
 @contextmanager
-def start_stage(
+def start_lab(
     servers: tuple[str, ...] = (),
     deploy: dict[str, str] | None = None,
     tree: Path | None = None,
     core: int | None = None,
-) -> Iterator[Stage]:
+) -> Iterator[LabProcesses]:
     """Start stand-in servers and a conductor; both are stopped when the context ends.
 
     `servers`: options of `ringledge lab servers`. `deploy`: settings files by name. `tree`: the checkout that
@@ -93,7 +93,7 @@
                 os.sched_setaffinity(processes[1].pid, {core})
             assert processes[1].stderr
             listening = _read_event(processes[1].stderr, "ready")["listening"]
-            yield Stage(discovery, listening, processes[1].pid)
+            yield LabProcesses(discovery, listening, processes[1].pid)
         finally:
             for process in reversed(processes):
                 process.terminate()
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -16,7 +16,7 @@
 from ringledge.lifecycle import settings_files
 from ringledge.lifecycle.fingerprint import fingerprint
 from ringledge.memory.endpoint_list import EndpointListing, ListError, convert
-from ringledge.memory.names import Names as Names
+from ringledge.memory.names import WireNames as WireNames
 from ringledge.routing.interface import RouterSettings
 from ringledge.routing.simulator_decoder import router_settings
 
@@ -85,7 +85,7 @@
     folder: Path  # $TMPDIR: a successor on this machine finds what its predecessor left there
     known_endpoints: EndpointListing  # the endpoint list as it was last known
     settings: RouterSettings
-    names: Names
+    names: WireNames
     deploy_settings: dict[str, msgspec.Struct]  # of the enabled files, by name without `.toml`
     peers: PeerSettings
 
@@ -146,9 +146,9 @@
     )
 
 
-def _read_names(settings: dict[str, Any]) -> Names:
+def _read_names(settings: dict[str, Any]) -> WireNames:
     caps = settings.get("caps", {})
-    return Names(
+    return WireNames(
         zones=tuple(settings.get("azs", ())),
         kinds=tuple(settings.get("shapes", ())),
         classes=tuple(each["name"] for each in settings.get("classes", ())),
--- a/ringledge/lifecycle/fingerprint.py
+++ b/ringledge/lifecycle/fingerprint.py
@@ -10,14 +10,14 @@
 
 import orjson
 
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.routing.interface import RouterSettings
 
 SCHEMA = 1  # version of what is handed over and stored; to be increased when its meaning changes
 DIGEST_BYTES = 8
 
 
-def fingerprint(settings: RouterSettings, names: Names) -> str:
+def fingerprint(settings: RouterSettings, names: WireNames) -> str:
     """The digest in hex digits; equal for equal names of zones, kinds, classes and tenants in equal order."""
     roles = [kind.role.value for kind in settings.kinds]
     idempotency = [each.idempotency.value for each in settings.classes]
--- a/ringledge/lifecycle/serve.py
+++ b/ringledge/lifecycle/serve.py
@@ -51,9 +51,9 @@
     def _register_gauges(self) -> None:
         context = self._context
         metrics, discovery = context.metrics, context.discovery
-        metrics.list_age.set_function(lambda: time.monotonic() - discovery.last_received_s)
+        metrics.list_silence_seconds.set_function(lambda: time.monotonic() - discovery.last_received_s)
         metrics.open_requests.set_function(context.conductor.registry.unanswered_count)
-        metrics.avoided.set_function(context.conductor.avoided_server_count)
+        metrics.servers_avoided.set_function(context.conductor.avoided_server_count)
         for state in (Availability.UP, Availability.DRAINING):
             metrics.servers.labels(state.value).set_function(partial(context.servers.count, state))
 
--- a/ringledge/members/role_keeper.py
+++ b/ringledge/members/role_keeper.py
@@ -25,7 +25,7 @@
 from ringledge.decide.ratio.role_records import KEY_PREFIX, ServerRole, decode_assignments
 from ringledge.decide.ratio.role_registry import RoleRegistry
 from ringledge.decide.ratio.settings import RatioConfig
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.observe.logging import log
 from ringledge.routing.interface import (
     AttemptStatus,
@@ -61,7 +61,7 @@
         records: RecordStore,
         membership: Membership,
         conductor: Conductor,
-        names: Names,
+        names: WireNames,
         registry: RoleRegistry,
     ) -> None:
         self._settings = settings
--- a/ringledge/memory/connection_pool.py
+++ b/ringledge/memory/connection_pool.py
@@ -19,7 +19,7 @@
 class PooledConnection(Protocol):
     """What the pool needs of a connection."""
 
-    idle_since: float  # monotonic seconds; set by the pool
+    idle_since_s: float  # monotonic seconds; set by the pool
     reused: bool  # it has carried a request before, or was idle; set by the pool
     streamed: bool  # its last response was a stream
 
@@ -52,12 +52,12 @@
         idle = self._idle.get(address, [])
         for position in reversed(range(len(idle))):
             conn = idle[position]
-            if (at_most_once or conn.streamed) and now_s - conn.idle_since < MIN_SAFE_IDLE_S:
+            if (at_most_once or conn.streamed) and now_s - conn.idle_since_s < MIN_SAFE_IDLE_S:
                 continue
             del idle[position]
             # One that the server may close under the request would end as a reset, which may have run.
-            if now_s - conn.idle_since < self.max_idle_s and not conn.readable():
-                conn.reused = conn.reused or now_s - conn.idle_since >= MIN_SAFE_IDLE_S
+            if now_s - conn.idle_since_s < self.max_idle_s and not conn.readable():
+                conn.reused = conn.reused or now_s - conn.idle_since_s >= MIN_SAFE_IDLE_S
                 return conn
             self.discard(conn)
         return None
@@ -67,7 +67,7 @@
 
         One that has only carried a call without a request counts as new until it has been idle for a while.
         """
-        conn.idle_since = time.monotonic()
+        conn.idle_since_s = time.monotonic()
         conn.reused = conn.reused or carried_request
         self._idle[address].append(conn)
 
@@ -99,11 +99,11 @@
         if min_idle_s is None:
             min_idle_s = self.max_idle_s
         longest_first = sorted(
-            ((conn.idle_since, address, conn) for address, idle in self._idle.items() for conn in idle),
+            ((conn.idle_since_s, address, conn) for address, idle in self._idle.items() for conn in idle),
             key=lambda entry: entry[0],
         )
-        for idle_since, address, conn in longest_first[:max_count]:
-            if time.monotonic() - idle_since >= min_idle_s:
+        for idle_since_s, address, conn in longest_first[:max_count]:
+            if time.monotonic() - idle_since_s >= min_idle_s:
                 self._idle[address].remove(conn)
                 self.discard(conn)
         self._forget_unused_addresses()
@@ -117,7 +117,7 @@
         """How many addresses it has entries for."""
         return len(self._idle)
 
-    def on_reused_broken(self, address: str) -> None:
+    def on_reused_connection_broken(self, address: str) -> None:
         """A reused connection broke under its next request: close the others to that address as well."""
         self.distrusted_until_s = time.monotonic() + DISTRUST_PERIOD_S
         for conn in self._idle.pop(address, []):
--- a/ringledge/memory/names.py
+++ b/ringledge/memory/names.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
+class WireNames:
     """The names behind the policy's indices, each at its index, and the wire's own settings."""
 
     zones: tuple[str, ...]
--- a/ringledge/memory/process_statistics.py
+++ b/ringledge/memory/process_statistics.py
@@ -77,7 +77,7 @@
 
     def _on_heartbeat(self) -> None:
         lag_s = max(0.0, time.monotonic() - self._due_s)
-        self._metrics.loop_delay.observe(lag_s)
+        self._metrics.loop_delay_seconds.observe(lag_s)
         self._max_lag_ms = max(self._max_lag_ms, lag_s * 1000)
         assert self._loop is not None and self._on_reading is not None
         if time.monotonic() - self._read_at_s >= READING_INTERVAL_S:
--- a/ringledge/observe/metrics.py
+++ b/ringledge/observe/metrics.py
@@ -15,7 +15,7 @@
 )  # fmt: skip
 RELEASE_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 1, 2.5)
 BODY_BUCKETS_S = (0.00003, 0.0001, 0.0003, 0.001, 0.003, 0.01)
-BODY_KB = (4, 16, 64, 256)  # upper bounds of the body sizes that label `ringledge_body_seconds`
+BODY_SIZE_BOUNDS_KB = (4, 16, 64, 256)  # upper bounds of the body sizes that label `ringledge_body_seconds`
 
 M = TypeVar("M", bound=MetricWrapperBase)
 
@@ -54,18 +54,18 @@
         "answers", "Requests ended: served, refused, failed, broken, gone; by class index", "how", "class"
     )
     sends = _counter("sends", "Attempts written whole to servers")
-    not_begun = _counter("attempts_not_begun", "Attempts that were not begun, by reason", "why")
+    attempts_not_begun = _counter("attempts_not_begun", "Attempts that were not begun, by reason", "why")
     given_up = _counter("given_up", "Requests refused or failed by the decisions, by reason", "how", "why")
     refusals_withheld = _counter(
         "refusals_withheld", "Refusals that were answered as failures, for the request may have run"
     )
-    violations = _counter(
+    invariant_violations = _counter(
         "invariant_violations", "What must never happen and did, by invariant; has to stay 0", "invariant"
     )
-    outcomes = _counter("attempt_outcomes", "Attempts ended, by outcome", "status")
+    attempt_outcomes = _counter("attempt_outcomes", "Attempts ended, by outcome", "status")
     entry_releases = _counter("entry_releases", "Releases for open requests, by reason", "why")
     releases = _counter("releases", "Releases of held state: asked (calls), done, gone, lost", "how")
-    release_ms = _histogram(
+    release_seconds = _histogram(
         "release_seconds",
         "Time from the end of a request's last attempt until its release was heard",
         RELEASE_BUCKETS_S,
@@ -77,30 +77,30 @@
     xds_rejections = _counter("xds_rejections", "Versions of the endpoints that a proxy refused")
     shed = _counter("shed", "Requests turned away by the gate", "class", "reason")
     overload_changes = _counter("overload_changes", "Times that the gate was closed or opened")
-    first_token = _histogram(
+    first_token_seconds = _histogram(
         "first_token_seconds", "Time from a request's arrival to its first token", FIRST_TOKEN_BUCKETS_S
     )
-    loop_delay = _histogram(
+    loop_delay_seconds = _histogram(
         "loop_delay_seconds", "How late heartbeats of the event loop were", LOOP_DELAY_BUCKETS_S
     )
-    body = _histogram("body_seconds", "Time spent on checking a request's body", BODY_BUCKETS_S, "kb")
-    admitted = _gauge(
+    body_seconds = _histogram("body_seconds", "Time spent on checking a request's body", BODY_BUCKETS_S, "kb")
+    admitted_share = _gauge(
         "admitted_share", "Requests let in over the last second; by class and share", "class", "share"
     )
-    resident = _gauge("resident_bytes", "Resident memory of the process")
-    held = _gauge("held_bytes", "Bytes that answers hold for slow clients or for a return")
+    resident_bytes = _gauge("resident_bytes", "Resident memory of the process")
+    held_bytes = _gauge("held_bytes", "Bytes that answers hold for slow clients or for a return")
     open_requests = _gauge("open_requests", "Requests open now")
     client_sockets = _gauge("client_sockets", "Accepted connections open now", "front")
     connections = _gauge("connections", "Clients' connections, by state", "front", "state")
     woken = _gauge("woken", "Connections at rest that were woken, since the start", "front")
-    wheel_lag = _gauge("wheel_lag_seconds", "How late keep-alive times are looked at", "front")
+    wheel_lag_seconds = _gauge("wheel_lag_seconds", "How late keep-alive times are looked at", "front")
     closed = _counter("closed", "Connections closed here: idle, other", "front", "how")
     doors = _counter("doors", "Connections not let in, by why", "front", "why")
     server_sockets = _gauge("server_sockets", "Connections to servers open now")
     servers = _gauge("servers", "Servers in the list, by state", "state")
-    avoided = _gauge("servers_avoided", "Servers in the list that get nothing new, or hardly")
-    list_age = _gauge("list_silence_seconds", "Time since discovery last wrote anything")
-    lag = _gauge("loop_lag_seconds", "How late the event loop last ran a timer")
+    servers_avoided = _gauge("servers_avoided", "Servers in the list that get nothing new, or hardly")
+    list_silence_seconds = _gauge("list_silence_seconds", "Time since discovery last wrote anything")
+    loop_lag_seconds = _gauge("loop_lag_seconds", "How late the event loop last ran a timer")
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -17,7 +17,7 @@
 
 from ringledge.core.conductor import Conductor
 from ringledge.core.port import Payload
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.observe.logging import log
 from ringledge.routing.interface import (
     Idempotency,
@@ -51,7 +51,7 @@
 
     config: ChatConfig
     settings: RouterSettings
-    names: Names
+    names: WireNames
     max_retained_bytes: float
 
 
--- a/ringledge/wire/clients/chat/question.py
+++ b/ringledge/wire/clients/chat/question.py
@@ -10,7 +10,7 @@
 import h11
 import orjson
 
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.routing.interface import (
     Request,
     RouterSettings,
@@ -54,7 +54,11 @@
 
 
 def to_request(
-    config: ChatConfig, names: Names, settings: RouterSettings, head: h11.Request, question: dict[str, Any]
+    config: ChatConfig,
+    names: WireNames,
+    settings: RouterSettings,
+    head: h11.Request,
+    question: dict[str, Any],
 ) -> tuple[int, Request]:
     """The core's request; HttpError names the field that is wrong."""
     told, caller = told_header(head, b"x-call-class"), told_header(head, b"x-caller")
@@ -80,7 +84,7 @@
 
 def class_and_request(
     config: ChatConfig,
-    names: Names,
+    names: WireNames,
     settings: RouterSettings,
     question: dict[str, Any],
     origin: ChatOrigin,
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -13,7 +13,7 @@
 from ringledge.core.stages.accept import DuplicateRequestError
 from ringledge.decide.replay.scheduler import SendOutcome
 from ringledge.members.replay_sender import SendHandle, SendResult
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.routing.interface import (
     Idempotency,
     Request,
@@ -85,7 +85,7 @@
     """Sends queued entries through the conductor."""
 
     def __init__(
-        self, config: ChatConfig, settings: RouterSettings, names: Names, conductor: Conductor
+        self, config: ChatConfig, settings: RouterSettings, names: WireNames, conductor: Conductor
     ) -> None:
         self._config = config
         self._settings = settings
--- a/ringledge/wire/clients/chat/replies.py
+++ b/ringledge/wire/clients/chat/replies.py
@@ -9,7 +9,7 @@
 import orjson
 
 from ringledge.core.conductor import Conductor
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
 from ringledge.wire.clients.platform import retry_after
 from ringledge.wire.clients.response import STREAM_HEAD
@@ -26,7 +26,7 @@
     def __init__(
         self,
         conductor: Conductor,
-        names: Names,
+        names: WireNames,
         safe: Callable[[int], bool],
         go_on: Callable[[StreamSession], None],
     ) -> None:
--- a/ringledge/wire/clients/operator.py
+++ b/ringledge/wire/clients/operator.py
@@ -81,7 +81,7 @@
     gauges = {
         "current": metrics.open_requests,
         "cluster_size": metrics.servers,
-        "cluster_unhealthy": metrics.avoided,
+        "cluster_unhealthy": metrics.servers_avoided,
     }
     lines = [f"{PREFIX}.{name}:{value:.0f}|c" for name, value in counts.items()]
     lines += [f"{PREFIX}.{name}:{sum(metrics.read(each).values()):.0f}|g" for name, each in gauges.items()]
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -14,7 +14,7 @@
 from ringledge.core.conductor import Conductor
 from ringledge.core.port import Payload
 from ringledge.core.stages.accept import DuplicateRequestError
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.wire.clients.platform_request import read_request
 from ringledge.wire.clients.response import STREAM_HEAD, PlatformResponse, write_while_connected
 from ringledge.wire.clients.start_gate import StartGate
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        names: Names,
+        names: WireNames,
         conductor: Conductor,
         gate: AdmissionGate | None = None,
         turns: Turns | None = None,
@@ -197,7 +197,7 @@
     return ShedError(503, "overloaded, nothing has run", "overloaded", headers=headers)
 
 
-def retry_after(come_back_ms: float | None, names: Names) -> Headers:
+def retry_after(come_back_ms: float | None, names: WireNames) -> Headers:
     """When to come back, in decimal seconds: as the policy says, else the longest wait clients follow."""
     return [(b"Retry-After", b"%.3f" % ((come_back_ms or names.max_retry_after_ms or 1000.0) / 1000))]
 
--- a/ringledge/wire/clients/platform_request.py
+++ b/ringledge/wire/clients/platform_request.py
@@ -7,7 +7,7 @@
 import h11
 import orjson
 
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.routing.interface import Request
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.headers import headers_by_name
@@ -15,7 +15,7 @@
 MOST_HINT_MS = 3_600_000.0  # an estimate of over an hour of work is no estimate
 
 
-def read_request(names: Names, head: h11.Request, body: bytes) -> Request:
+def read_request(names: WireNames, head: h11.Request, body: bytes) -> Request:
     """Translate the headers; HttpError 400 names what is wrong."""
     told = headers_by_name(head)
     info = dict(part.partition("=")[::2] for part in _text(told, b"x-call-info", "").split(",") if part)
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -14,7 +14,7 @@
 from ringledge.decide.discovery.start_times import StartTimes
 from ringledge.decide.discovery.watch_timeout import WatchTimeout
 from ringledge.memory.endpoint_list import Endpoint, EndpointListing, ListError, decode
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.observe.logging import log
 from ringledge.routing.interface import (
     Availability,
@@ -58,7 +58,7 @@
 class DiscoveryClient:
     """Keeps one watch open, and hands each change to the conductor as it arrives."""
 
-    def __init__(self, address: str, names: Names, conductor: Conductor, rng: random.Random) -> None:
+    def __init__(self, address: str, names: WireNames, conductor: Conductor, rng: random.Random) -> None:
         self.address = address
         self._names = names
         self._conductor = conductor
--- a/ringledge/wire/exporters/xds.py
+++ b/ringledge/wire/exporters/xds.py
@@ -16,7 +16,7 @@
 import orjson
 
 from ringledge.core.conductor import Conductor
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -47,7 +47,7 @@
 class Xds:
     """Answers discovery requests."""
 
-    def __init__(self, config: XdsConfig, names: Names, conductor: Conductor, metrics: Metrics) -> None:
+    def __init__(self, config: XdsConfig, names: WireNames, conductor: Conductor, metrics: Metrics) -> None:
         self._config, self._names, self._conductor, self._metrics = config, names, conductor, metrics
         self._nonces = count(1)
 
--- a/ringledge/wire/http/connection.py
+++ b/ringledge/wire/http/connection.py
@@ -31,7 +31,7 @@
         self.read_deadline_s = math.inf  # by which the message that the peer is sending must be complete
 
         # Set by the connection pool, for connections to servers.
-        self.idle_since = 0.0  # monotonic seconds
+        self.idle_since_s = 0.0  # monotonic seconds
         self.reused = False  # it has carried a request before, or was idle
         self.streamed = False  # its last response was a stream
 
--- a/ringledge/wire/servers/context.py
+++ b/ringledge/wire/servers/context.py
@@ -7,7 +7,7 @@
 import anyio.abc
 
 from ringledge.core.clock import Clock
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 
@@ -20,7 +20,7 @@
 
     tasks: anyio.abc.TaskGroup
     servers: ServerList
-    names: Names
+    names: WireNames
     max_connections: int
     configured_hold_limit_ms: float  # 0 if not configured
     zone: int  # of this process
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -166,7 +166,7 @@
     def _note_broken(self, conn: Connection, address: str) -> int:
         """The note for a broken connection: 1 if it was reused, which says little about the server."""
         if conn.reused:
-            self.connections.pool.on_reused_broken(address)
+            self.connections.pool.on_reused_connection_broken(address)
         return int(conn.reused)
 
     def _send_timeout_s(self, attempt: Attempt) -> float:
--- a/ringledge/wire/servers/releases.py
+++ b/ringledge/wire/servers/releases.py
@@ -118,7 +118,7 @@
     def _report(self, result: ReleaseResult) -> None:
         """Count and log a finished release."""
         self._metrics.releases.labels(result.outcome.value).inc()
-        self._metrics.release_ms.observe(result.duration_ms / 1000)
+        self._metrics.release_seconds.observe(result.duration_ms / 1000)
         write_log = log.warning if result.outcome is ReleaseOutcome.TIMED_OUT else log.info
         write_log(
             "release_ended",
--- a/tests/core/test_gate.py
+++ b/tests/core/test_gate.py
@@ -16,7 +16,7 @@
 
 from ringledge.lab import load
 from ringledge.lab.load_plan import Burst, LoadPlan, parse_shares
-from ringledge.lab.stage import start_stage
+from ringledge.lab.stage import start_lab
 from tests.loopback import WAIT_S, Node, take
 
 # With these settings memory use rejects all queries from the start, on any machine, and no bookings.
@@ -159,7 +159,7 @@
 
 
 def test_tenant_over_its_quota_gets_429_and_one_within_it_is_served() -> None:
-    with start_stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": REJECT_QUERIES}) as stage:
+    with start_lab(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": REJECT_QUERIES}) as stage:
         callers = {"memuro-bean-growers": 0.95, "tokachi-farm-coop": 0.05}
         plan = LoadPlan(stage.listening["platform"], 60.0, 2.0, 0.2, 2.0, 0.0, callers, seed=2)
         tenants = json.loads(load.run(plan))["tenants"]
@@ -169,7 +169,7 @@
 
 
 def test_process_stopped_for_a_second_sheds_only_briefly() -> None:
-    with start_stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": "enabled = true\n"}) as stage:
+    with start_lab(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": "enabled = true\n"}) as stage:
         plan = LoadPlan(stage.listening["platform"], 30.0, 2.0, 0.2, 2.0, 0.0, parse_shares(""), seed=4)
 
         def stop() -> None:
@@ -190,11 +190,11 @@
     settings = "enabled = true\nheld_part = 0.05\nmemory_from = 0.25\nmemory_to = 1.0\n"
     servers = ("--stream-ms", "200", "--events", "50", "--event-bytes", "16384", "--read-ms", "1")
     files = {"overload.toml": settings, "prometheus.toml": METRICS}
-    with start_stage((*servers, "--memory-mb", "256"), files) as stage:
+    with start_lab((*servers, "--memory-mb", "256"), files) as stage:
         address, shares = stage.listening["platform"], parse_shares("")
         unread_connections = load.LoadGenerator(
-            LoadPlan(address, 1, 1, 0, 2, 0, shares, unread_clients=90)
-        ).open_unread_clients()
+            LoadPlan(address, 1, 1, 0, 2, 0, shares, non_reading_clients=90)
+        ).open_non_reading_clients()
         wait_until(lambda: read_metric(stage.metrics_text(), "held_bytes") > 0.25 * 0.05 * 256 * 2**20)
         plan = LoadPlan(address, 20.0, 1.0, 0.5, 2.0, 0.0, shares, seed=5)
         query, booking = json.loads(load.run(plan))["classes"].values()
@@ -215,7 +215,7 @@
 
 def test_burst_of_large_prompts_gets_one_answer_per_request_and_prefers_bookings() -> None:
     settings = "enabled = true\ntarget = 0.05\n"  # a CPU target that any machine exceeds
-    with start_stage(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": settings}) as stage:
+    with start_lab(("--read-ms", "1", "--stream-ms", "5"), {"overload.toml": settings}) as stage:
         bursts = (Burst(0.5, 1.5, 5.0, 200.0),)
         plan = LoadPlan(
             stage.listening["platform"], 40.0, 3.0, 0.2, 2.0, 0.0, parse_shares(""), bursts, seed=6
--- a/tests/memory/test_connection_pool.py
+++ b/tests/memory/test_connection_pool.py
@@ -17,7 +17,7 @@
 class FakeConnection:
     """A connection as the pool sees it."""
 
-    idle_since: float = 0.0
+    idle_since_s: float = 0.0
     reused: bool = False
     streamed: bool = False
     closed: bool = False
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -5,7 +5,7 @@
 
 from ringledge.lab import load
 from ringledge.lab.load_plan import MAX_BODY_BYTES, Burst, LoadPlan, draw_arrivals, parse_burst, parse_shares
-from ringledge.lab.stage import start_stage
+from ringledge.lab.stage import start_lab
 
 BURSTS, TENANTS = (Burst(10, 5, 4, 200),), {"a": 3.0, "b": 1.0}
 PLAN = LoadPlan("127.0.0.1:1", 200.0, 50.0, 0.19, 2.0, 0.5, TENANTS, BURSTS)
@@ -31,7 +31,7 @@
 
 
 def test_a_conductor_serves_each_request_of_the_load_once() -> None:
-    with start_stage(("--read-ms", "1", "--stream-ms", "5")) as stage:
+    with start_lab(("--read-ms", "1", "--stream-ms", "5")) as stage:
         plan = LoadPlan(stage.listening["platform"], 40.0, 1.0, 0.3, 2.0, 0.0, parse_shares(""), seed=3)
         report, audit = orjson.loads(load.run(plan)), stage.audit()
     asked = sum(each["asked"] for each in report["classes"].values())
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -44,7 +44,7 @@
 
 
 class Idle:
-    idle_since = 0.0
+    idle_since_s = 0.0
     reused = streamed = False
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
     conns[2].stale = True
     assert pool.acquire("a") is conns[1] and conns[2].closed
     pool.release("a", conns[1])
-    pool.on_reused_broken("b")
+    pool.on_reused_connection_broken("b")
     assert pool.acquire("a", at_most_once=True) is None and pool.acquire("a") is conns[1] and conns[1].reused
     pool.release("a", conns[1])
     now[0] += 15
--- a/tests/wire/clients/chat/queued.py
+++ b/tests/wire/clients/chat/queued.py
@@ -18,7 +18,7 @@
 from ringledge.core.records import Attempt
 from ringledge.decide.replay.partition_detection import SiteState
 from ringledge.members.replay_sender import SendResult
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -53,7 +53,7 @@
     max_attempts=3,
     may_cancel=True,
 )
-NAMES = Names((), ("prefill", "decode"), ("query", "booking"), ("farm", "yard"), 30.0, 0.25, 1000.0)
+NAMES = WireNames((), ("prefill", "decode"), ("query", "booking"), ("farm", "yard"), 30.0, 0.25, 1000.0)
 CONFIG = ChatConfig("127.0.0.1:0", {"ask": "query", "book": "booking"}, "farm")
 ASYNC = {"Prefer": "respond-async"}
 UP = Availability.UP
--- a/tests/wire/clients/test_platform_request.py
+++ b/tests/wire/clients/test_platform_request.py
@@ -5,10 +5,10 @@
 import h11
 import pytest
 
-from ringledge.lifecycle.config import Names
+from ringledge.lifecycle.config import WireNames
 from ringledge.wire.clients.platform_request import MOST_HINT_MS, read_request
 
-NAMES = Names(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
+NAMES = WireNames(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
 
 
 def hint_of(told: bytes | None) -> float | None:
--- a/tests/wire/discovery/test_wall_clock.py
+++ b/tests/wire/discovery/test_wall_clock.py
@@ -14,7 +14,7 @@
 from ringledge.core.clock import Clock
 from ringledge.core.conductor import Conductor
 from ringledge.memory.endpoint_list import decode
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -29,7 +29,7 @@
 HOUR_MS = 3_600_000.0
 WARM_MS = 13_000.0
 KINDS = (ServerKind(Role.DECODE),)
-NAMES = Names(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
+NAMES = WireNames(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
 SETTINGS = RouterSettings(
     (RequestClass(1200, 5000, Idempotency.IDEMPOTENT),), KINDS, cold_capacity=0.28, warm_after_ms=WARM_MS
 )
--- a/tests/wire/discovery/test_watcher.py
+++ b/tests/wire/discovery/test_watcher.py
@@ -15,7 +15,7 @@
 import pytest
 
 from ringledge.core.clock import Clock
-from ringledge.lifecycle.config import Names
+from ringledge.lifecycle.config import WireNames
 from ringledge.observe.logging import log
 from ringledge.routing.interface import (
     Availability,
@@ -26,7 +26,7 @@
 from ringledge.wire.discovery.watcher import DiscoveryClient
 from tests.loopback import Call, StandIn
 
-NAMES = Names(("east",), ("prefill",), (), (), 30.0, 0.25, 0.0)
+NAMES = WireNames(("east",), ("prefill",), (), (), 30.0, 0.25, 0.0)
 ROUTERS = 2
 
 
--- a/tests/wire/servers/test_abandoned_attempts.py
+++ b/tests/wire/servers/test_abandoned_attempts.py
@@ -21,7 +21,7 @@
 from ringledge.core.invariants import InvariantChecker
 from ringledge.core.port import Payload
 from ringledge.core.records import Attempt, RequestRecord
-from ringledge.lifecycle.config import Names
+from ringledge.lifecycle.config import WireNames
 from ringledge.memory.connection_pool import MIN_SAFE_IDLE_S
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
@@ -46,7 +46,7 @@
 
 SERVER, ADDRESS = "w0", "127.0.0.1:9"
 DECODE_KIND = ServerKind(Role.DECODE)
-NAMES = Names(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
+NAMES = WireNames(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
 
 
 class UpstreamHarness:
@@ -100,7 +100,7 @@
         """Put the connection into the pool, idle for long enough to be trusted."""
         self.upstream.pool.reserve()
         self.upstream.pool.release(ADDRESS, self.conn)
-        self.conn.idle_since -= 2 * MIN_SAFE_IDLE_S
+        self.conn.idle_since_s -= 2 * MIN_SAFE_IDLE_S
 
     def attempt(self) -> Attempt:
         now_ms = self.clock.now_ms()
