--- a/ringledge/memory/__init__.py
+++ b/ringledge/memory/__init__.py
@@ -1,1 +1,1 @@
-"""The state that the program holds in memory while it runs."""
+"""State of the running process that is kept in memory."""
--- a/ringledge/memory/buffered_bytes.py
+++ b/ringledge/memory/buffered_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of responses that are buffered in memory: for slow clients, and retained for clients that return."""
+"""Counts the response bytes in memory: those waiting for slow clients, and those retained for replay."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 
 
 class ResponseCache(Protocol):
-    """A store of retained responses that can be evicted."""
+    """A store of responses that are retained for replay and can be evicted."""
 
     def size_bytes(self) -> int:
-        """How many bytes it retains."""
+        """The size of the retained responses."""
 
     def evict(self, size_bytes: int) -> int:
-        """Evict responses, oldest first, until so many bytes are free; returns how many were freed."""
+        """Evict the oldest responses until at least `size_bytes` are freed; returns the bytes freed."""
 
 
 class BufferedBytes:
-    """One count for all listeners; what is retained can be evicted when memory runs short."""
+    """The count for all listeners of the process; retained responses can be evicted when memory is short."""
 
     def __init__(self) -> None:
-        self.stream_bytes = 0  # waiting for slow clients
+        self.stream_bytes = 0  # response bytes that slow clients have not received yet
         self._caches: list[ResponseCache] = []
 
     def register(self, cache: ResponseCache) -> None:
-        """Add a store of responses to the count."""
+        """Include the responses of a store in the count."""
         self._caches.append(cache)
 
     @property
     def total_bytes(self) -> int:
-        """All that is buffered."""
+        """Bytes waiting for slow clients and bytes retained for replay."""
         return self.stream_bytes + sum(cache.size_bytes() for cache in self._caches)
 
     def evict(self, size_bytes: int) -> int:
-        """Evict retained responses until so many bytes are free; returns how many were freed."""
+        """Evict retained responses until at least `size_bytes` are freed; returns the bytes freed."""
         evicted = 0
         for cache in self._caches:
             if evicted < size_bytes:
--- a/ringledge/memory/connection_pool.py
+++ b/ringledge/memory/connection_pool.py
@@ -8,54 +8,60 @@
 
 from ringledge.observe.metrics import Metrics
 
-# A duplicate response to the last request may arrive some milliseconds late. Taken for the next request's, it
-# would be relayed to that one's client, or "prove" that a request that must not run twice never ran. Such
-# responses come after streams, so a connection that carried one is reused only after so long an idle time; a
-# request that must not run twice gets no other connection at all.
+# Minimum idle time before a connection is reused after a stream, or for a request that must not run twice.
+# A server may send a duplicate of its last response some milliseconds late. If it were taken for the response
+# to the next request, it would be relayed to the wrong client, or a duplicate rejection would count as proof
+# that a request never ran, which would then be sent to a second server. Duplicates follow streams, so other
+# requests reuse connections without a stream at once.
 MIN_SAFE_IDLE_S = 0.05
-DISTRUST_PERIOD_S = 30.0  # after a reused connection broke; what must not run twice gets new ones meanwhile
+# After a reused connection broke, requests that must not run twice get only new connections for this time.
+REUSE_PAUSE_S = 30.0
 
 
 class PooledConnection(Protocol):
-    """What the pool needs of a connection."""
+    """The part of a connection's interface that the pool uses."""
 
-    idle_since_s: float  # monotonic seconds; set by the pool
-    reused: bool  # it has carried a request before, or was idle; set by the pool
-    streamed: bool  # its last response was a stream
+    idle_since_s: float  # monotonic time of the last release; set by the pool
+    reused: bool  # it has carried a request or been idle for MIN_SAFE_IDLE_S; set by the pool
+    streamed: bool  # whether its last response was a stream
 
     def readable(self) -> bool:
-        """Whether the peer has closed it or sent data without a request."""
+        """Whether the peer has closed the connection, or has sent data without a request."""
 
     def close(self) -> None:
-        """Close it now."""
+        """Close the connection immediately."""
 
 
 C = TypeVar("C", bound=PooledConnection)
 
 
 class ConnectionPool(Generic[C]):
-    """Idle connections by address, last used first; all open connections count against one limit."""
+    """Idle connections by address, most recently used first, under one limit on all open connections."""
 
     def __init__(self, limit: int, max_idle_s: float, metrics: Metrics) -> None:
         self.limit = limit
         self.max_idle_s = max_idle_s
         self.metrics = metrics
-        self.open_count = 0  # idle, in use and reserved
-        self.distrusted_until_s = 0.0  # monotonic; until then servers may break reused connections
+        self.open_count = 0  # includes idle connections and reservations
+        self.reuse_paused_until_s = 0.0  # monotonic time; see REUSE_PAUSE_S
         self._idle: defaultdict[str, list[C]] = defaultdict(list)
 
     def acquire(self, address: str, at_most_once: bool = False) -> C | None:
-        """Take an idle connection that is safe to reuse; `at_most_once`: the request must not run twice."""
+        """Take an idle connection that is safe to reuse; None if there is none.
+
+        `at_most_once`: the connection is for a request that must not run twice.
+        """
         now_s = time.monotonic()
-        if at_most_once and now_s < self.distrusted_until_s:
+        if at_most_once and now_s < self.reuse_paused_until_s:
             return None
         idle = self._idle.get(address, [])
-        for position in reversed(range(len(idle))):
-            conn = idle[position]
+        for index in reversed(range(len(idle))):
+            conn = idle[index]
             if (at_most_once or conn.streamed) and now_s - conn.idle_since_s < MIN_SAFE_IDLE_S:
                 continue
-            del idle[position]
-            # One that the server may close under the request would end as a reset, which may have run.
+            del idle[index]
+            # A connection that the server closes while a request is on its way ends the attempt with a reset,
+            # and the request may have run. So expired and readable connections are discarded.
             if now_s - conn.idle_since_s < self.max_idle_s and not conn.readable():
                 conn.reused = conn.reused or now_s - conn.idle_since_s >= MIN_SAFE_IDLE_S
                 return conn
@@ -63,21 +69,25 @@
         return None
 
     def release(self, address: str, conn: C, carried_request: bool = True) -> None:
-        """Return a connection whose exchange is complete.
+        """Return a connection to the pool after a complete exchange.
 
-        One that has only carried a call without a request counts as new until it has been idle for a while.
+        A connection that has carried no request yet (`carried_request` False), only a call such as a health
+        check, counts as new until it has been idle for MIN_SAFE_IDLE_S.
         """
         conn.idle_since_s = time.monotonic()
         conn.reused = conn.reused or carried_request
         self._idle[address].append(conn)
 
     def set_limit(self, limit: int) -> None:
-        """Change the limit; the longest idle connections above it are closed."""
+        """Change the limit, and close the longest idle connections in excess of it."""
         self.limit = limit
         self.close_idle(0.0, max_count=max(0, self.open_count - limit))
 
     def reserve(self) -> bool:
-        """Count a new connection, closing the longest idle one if need be; False at the limit."""
+        """Count a new connection before it is opened; False if the limit is reached.
+
+        At the limit the longest idle connection is closed first.
+        """
         if self.open_count >= self.limit:
             self.close_idle(0.0, max_count=1)
         if self.open_count >= self.limit:
@@ -86,40 +96,43 @@
         return True
 
     def cancel_reservation(self) -> None:
-        """Undo a `reserve` whose connection failed."""
+        """Undo a `reserve` after the connection could not be opened."""
         self._add_to_open_count(-1)
 
     def discard(self, conn: C) -> None:
-        """Close a connection for good."""
+        """Close a connection and stop counting it."""
         conn.close()
         self._add_to_open_count(-1)
 
     def close_idle(self, min_idle_s: float | None = None, max_count: int | None = None) -> None:
-        """Close at most `max_count` connections idle for `min_idle_s` (None: `max_idle_s`), longest first."""
+        """Close connections that have been idle for `min_idle_s` (None: `max_idle_s`), longest idle first.
+
+        `max_count`: at most so many; None: no limit.
+        """
         if min_idle_s is None:
             min_idle_s = self.max_idle_s
-        longest_first = sorted(
+        by_idle_time = sorted(
             ((conn.idle_since_s, address, conn) for address, idle in self._idle.items() for conn in idle),
-            key=lambda entry: entry[0],
+            key=lambda item: item[0],
         )
-        for idle_since_s, address, conn in longest_first[:max_count]:
+        for idle_since_s, address, conn in by_idle_time[:max_count]:
             if time.monotonic() - idle_since_s >= min_idle_s:
                 self._idle[address].remove(conn)
                 self.discard(conn)
-        self._forget_unused_addresses()
+        self._delete_unused_addresses()
 
-    def _forget_unused_addresses(self) -> None:
-        """Servers are replaced by others at new addresses all the time."""
+    def _delete_unused_addresses(self) -> None:
+        """Delete empty entries, which would accumulate as servers are replaced by others at new addresses."""
         for address in [address for address, idle in self._idle.items() if not idle]:
             del self._idle[address]
 
     def __len__(self) -> int:
-        """How many addresses it has entries for."""
+        """The number of addresses with an entry."""
         return len(self._idle)
 
     def on_reused_connection_broken(self, address: str) -> None:
-        """A reused connection broke under its next request: close the others to that address as well."""
-        self.distrusted_until_s = time.monotonic() + DISTRUST_PERIOD_S
+        """Close all idle connections to an address after a reused connection broke during a request."""
+        self.reuse_paused_until_s = time.monotonic() + REUSE_PAUSE_S
         for conn in self._idle.pop(address, []):
             self.discard(conn)
 
--- a/ringledge/memory/endpoint_list.py
+++ b/ringledge/memory/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of servers in discovery's format: typed, and validated before any of it is used."""
+"""The endpoint list in discovery's JSON format; a list is validated as a whole before any of it is used."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 import msgspec
 
-REMOVED_STATUS = "left"  # of a server that was removed; only in updates, and without an address
+REMOVED_STATUS = "left"  # a removed server; occurs only in updates, and without an address
 MAX_PORT = 65535
 
 
 class ListError(ValueError):
-    """Discovery's list is invalid; the message says where and why."""
+    """The endpoint list is invalid; the message says where and why."""
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """One server of the list."""
+    """One server in the endpoint list."""
 
     name: str
     zone: str
@@ -28,7 +28,7 @@
 
 
 class EndpointListing(msgspec.Struct, frozen=True):
-    """The complete list (`snapshot`), or the changes to it."""
+    """The complete endpoint list (`snapshot`), or changes to it."""
 
     index: int
     snapshot: bool
@@ -36,7 +36,7 @@
 
 
 def decode(text: bytes) -> EndpointListing:
-    """Parse one JSON object of the list; raises ListError if it is invalid."""
+    """Parse an endpoint list from JSON; raises ListError if it is invalid."""
     try:
         return _validated(msgspec.json.decode(text, type=EndpointListing))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -44,7 +44,7 @@
 
 
 def convert(content: Any) -> EndpointListing:
-    """Read a list that was parsed as part of a larger document; raises ListError if it is invalid."""
+    """Convert an endpoint list from an already parsed document; raises ListError if it is invalid."""
     try:
         return _validated(msgspec.convert(content, EndpointListing))
     except msgspec.ValidationError as error:
--- a/ringledge/memory/names.py
+++ b/ringledge/memory/names.py
@@ -1,4 +1,4 @@
-"""The names that the wire protocols use for the indices of the policy's settings."""
+"""Names on the wire for the indices that the routing policy uses."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 @dataclass(slots=True, frozen=True)
 class WireNames:
-    """The names behind the policy's indices, each at its index, and the wire's own settings."""
+    """Names of zones, kinds of server, request classes and tenants, each at its index in the routing policy.
+
+    Also holds the settings that only the wire protocols need.
+    """
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -15,9 +18,9 @@
     tenants: tuple[str, ...]
     keepalive_s: float
     connect_timeout_s: float
-    max_retry_after_ms: float  # 0: not set
+    max_retry_after_ms: float  # the longest Retry-After; 0: not set
 
     @staticmethod
     def index(names: tuple[str, ...], name: str) -> int:
-        """The index of a name; one past the last index for an unknown name."""
+        """The index of a name; for an unknown name `len(names)`, which is no valid index."""
         return names.index(name) if name in names else len(names)
--- a/ringledge/memory/server_list.py
+++ b/ringledge/memory/server_list.py
@@ -1,4 +1,4 @@
-"""The current list of servers, with the addresses that the policy does not need."""
+"""The current list of servers, with their addresses, which the routing policy does not know."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     ServerKind,
 )
 
-MAX_LOGGED_SERVERS = 20  # in one log line
+MAX_LOGGED_SERVERS = 20  # per log line
 
 
 class ServerList:
-    """Entries and addresses by the server's name."""
+    """Entries and addresses of the listed servers, by name."""
 
     def __init__(self, kinds: tuple[ServerKind, ...]) -> None:
         self._kinds = kinds
@@ -28,12 +28,12 @@
         self.entries: dict[str, ServerEntry] = {}
         self._addresses: dict[str, str] = {}
         self._up_by_server: dict[str, bool] = {}
-        self.changed = anyio.Event()  # set, and replaced, with each update
+        self.changed = anyio.Event()  # each update sets this event and replaces it by a new one
 
     def apply(self, update: EndpointUpdate, addresses: dict[str, str]) -> dict[str, str]:
-        """Apply an update; a complete list replaces all entries.
+        """Apply changes, or a complete list, which replaces all entries.
 
-        Returns the servers whose availability has changed, each with its new one.
+        Returns the new availability of each server whose availability has changed.
         """
         before = {name: entry.availability for name, entry in self.entries.items()}
         self.version = update.version
@@ -57,28 +57,28 @@
         return changed | {name: Availability.REMOVED.value for name in before.keys() - after.keys()}
 
     def address(self, server: str) -> str | None:
-        """The server's host:port; None if it is not listed."""
+        """The server's host:port; None if the server is not listed."""
         return self._addresses.get(server)
 
     def started_ms(self, server: str) -> float:
-        """When the server's process was last started (Unix ms); 0: long ago, or not known."""
+        """When the server's process was last started, in Unix ms; 0 if that was long ago or is unknown."""
         entry = self.entries.get(server)
         return entry.started_ms if entry is not None else 0.0
 
     def up_by_server(self) -> Mapping[str, bool]:
-        """All listed servers, and whether each is up."""
+        """Whether each listed server is up, by name."""
         return self._up_by_server
 
     def count(self, availability: Availability) -> int:
-        """How many servers have that availability."""
+        """The number of servers with an availability."""
         return sum(entry.availability == availability for entry in self.entries.values())
 
     def role(self, server: str) -> Role | None:
-        """The server's role; None if it is not listed or its kind is unknown."""
+        """The server's role; None if the server is not listed or its kind is unknown."""
         entry = self.entries.get(server)
         return self._kinds[entry.kind].role if entry and entry.kind < len(self._kinds) else None
 
 
 def summarize_changes(changed: Mapping[str, str]) -> dict[str, object]:
-    """How many servers have changed, and the first `MAX_LOGGED_SERVERS` of them, for a log line."""
+    """Fields for a log line: the number of changed servers, and the first `MAX_LOGGED_SERVERS` of them."""
     return {"count": len(changed), "changed": dict(islice(changed.items(), MAX_LOGGED_SERVERS))}
