--- a/ringledge/observe/metrics.py
+++ b/ringledge/observe/metrics.py
@@ -1,4 +1,4 @@
-"""The program's metrics, in a Prometheus registry of their own."""
+"""The metrics that the program exports, in a separate Prometheus registry."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 )  # fmt: skip
 RELEASE_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 1, 2.5)
 BODY_BUCKETS_S = (0.00003, 0.0001, 0.0003, 0.001, 0.003, 0.01)
-BODY_SIZE_BOUNDS_KB = (4, 16, 64, 256)  # upper bounds of the body sizes that label `ringledge_body_seconds`
+BODY_SIZE_BOUNDS_KB = (4, 16, 64, 256)  # upper bounds of body sizes: label `kb` of `ringledge_body_seconds`
 
 M = TypeVar("M", bound=MetricWrapperBase)
 
 
 class MetricSpec(Generic[M]):
-    """Declares a metric as a class attribute; each instance of the class has its own metric of that name."""
+    """Declares a metric as a class attribute; each instance of the class gets a metric of its own."""
 
     def __init__(self, create: Callable[[CollectorRegistry], M]) -> None:
-        """`create` makes the metric and registers it."""
+        """`create` makes a metric in the given registry."""
         self.create = create
 
     def __get__(self, instance: object, owner: type) -> M:
-        """Only reached where the instance has not set the attribute, which `Metrics.__init__` does."""
-        raise AttributeError(f"{owner.__name__} has to be instantiated first")
+        """Raise AttributeError: only instances have metrics, which `Metrics.__init__` sets on them."""
+        raise AttributeError(f"{owner.__name__} has to be instantiated before its metrics are used")
 
 
 def _counter(name: str, text: str, *labels: str) -> MetricSpec[Counter]:
@@ -47,7 +47,10 @@
 
 
 class Metrics:
-    """Every metric that is exported, registered in the order of the declarations."""
+    """All exported metrics, registered in the order of their declarations.
+
+    An attribute is named like its metric, without the prefix and `_total`.
+    """
 
     requests = _counter("requests", "Requests taken in, by class index", "class")
     answers = _counter(
@@ -110,6 +113,6 @@
 
     @staticmethod
     def read(metric: MetricWrapperBase) -> dict[tuple[str, ...], float]:
-        """The current values of a counter or gauge, by the values of its labels."""
+        """The current values of a counter or gauge, by label values."""
         samples = [sample for family in metric.collect() for sample in family.samples]
         return {tuple(s.labels.values()): s.value for s in samples if not s.name.endswith("_created")}
--- a/ringledge/observe/stalls.py
+++ b/ringledge/observe/stalls.py
@@ -1,7 +1,7 @@
-"""Detects stalls of the event loop, and logs what the time went to: one line for each stall.
+"""Detects stalls of the event loop, and logs one line for each stall with an attribution of its time.
 
-It needs no thread, no signal and no timer of its own: a task that runs every `HEARTBEAT_INTERVAL_S` anyway
-records the heartbeats. A heartbeat costs two system calls, some microseconds.
+The detector needs no thread, signal or timer: a task that runs every `HEARTBEAT_INTERVAL_S` for other reasons
+records the heartbeats. A heartbeat costs two system calls, which take some microseconds.
 """
 
 from __future__ import annotations
@@ -15,49 +15,52 @@
 from ringledge.observe.logging import log
 from ringledge.structures.stall_attribution import ProcessCounters, attribute_stall
 
-HEARTBEAT_INTERVAL_S = 0.1  # a logged duration may be up to so much shorter than the stall
-STALL_THRESHOLD_S = 0.2  # a heartbeat that is later is logged: clients notice, and a busy turn is far shorter
-# Of the main thread, which runs the loop: ns running, ns runnable but not scheduled, number of time slices.
+HEARTBEAT_INTERVAL_S = 0.1  # a logged duration may be shorter than the stall by up to this
+# A heartbeat that is later than this is logged: clients notice such a delay, and a busy turn of the loop is
+# far shorter.
+STALL_THRESHOLD_S = 0.2
+# Scheduling statistics of the main thread, which runs the loop: ns running, ns runnable but not scheduled,
+# number of time slices.
 SCHEDSTAT = "/proc/self/schedstat"
-SCHEDSTAT_BYTES = 96  # three numbers of 64 bits in decimal, with separators
+SCHEDSTAT_BYTES = 96  # enough for three 64-bit numbers in decimal, with separators
 
 
 class StallDetector:
-    """Compares each heartbeat with the one before."""
+    """Compares the time of each heartbeat with the time it was due."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        """`clock`: monotonic, in seconds."""
+        """`clock` returns monotonic time in seconds."""
         self._clock = clock
-        self.longest_event_s = 0.0  # of the routing events handled since the last heartbeat
-        self.longest_event = ""  # its type
-        self._due_s: float | None = None  # when the next heartbeat is due; None before the first
+        self.longest_event_s = 0.0  # handling time of the longest routing event since the last heartbeat
+        self.longest_event = ""  # the type of that event
+        self._heartbeat_due_s: float | None = None  # None before the first heartbeat
         self._counters = ProcessCounters()  # as of the last heartbeat
         self._gc_s = 0.0
         self._gc_started_s = 0.0
-        self._schedstat: int | None = None
+        self._schedstat_descriptor: int | None = None  # file descriptor; None if not available
 
     def record_heartbeat(self) -> None:
-        """Log a stall if this heartbeat is late.
+        """Record a heartbeat, and log a stall if it is late.
 
         To be called from the loop every `HEARTBEAT_INTERVAL_S`, and once as the loop starts.
         """
         now_s = self._clock()
-        if self._due_s is None:
+        if self._heartbeat_due_s is None:
             self._start()
         counters = self._read_counters()
-        if self._due_s is not None and now_s - self._due_s > STALL_THRESHOLD_S:
-            self._log_stall(now_s - self._due_s, counters)
+        if self._heartbeat_due_s is not None and now_s - self._heartbeat_due_s > STALL_THRESHOLD_S:
+            self._log_stall(now_s - self._heartbeat_due_s, counters)
         self._counters = counters
-        self._due_s = now_s + HEARTBEAT_INTERVAL_S
+        self._heartbeat_due_s = now_s + HEARTBEAT_INTERVAL_S
         self.longest_event_s = 0.0
         self.longest_event = ""
 
     def _start(self) -> None:
         gc.callbacks.append(self._on_gc)
         try:
-            self._schedstat = os.open(SCHEDSTAT, os.O_RDONLY)
+            self._schedstat_descriptor = os.open(SCHEDSTAT, os.O_RDONLY)
         except OSError:
-            self._schedstat = None  # not every system has it
+            self._schedstat_descriptor = None  # the kernel does not provide it
 
     def _on_gc(self, phase: str, _: dict[str, int]) -> None:
         if phase == "start":
@@ -79,10 +82,10 @@
         )
 
     def _read_not_scheduled_s(self) -> float | None:
-        if self._schedstat is None:
+        if self._schedstat_descriptor is None:
             return None
-        running_ns, not_scheduled_ns = os.pread(self._schedstat, SCHEDSTAT_BYTES, 0).split()[:2]
-        return int(not_scheduled_ns) / 1e9 if int(running_ns) else None  # zeros: the kernel does not count
+        running_ns, not_scheduled_ns = os.pread(self._schedstat_descriptor, SCHEDSTAT_BYTES, 0).split()[:2]
+        return int(not_scheduled_ns) / 1e9 if int(running_ns) else None  # zeros: the kernel keeps no counts
 
     def _log_stall(self, duration_s: float, counters: ProcessCounters) -> None:
         stall = attribute_stall(duration_s, self._counters, counters)
--- a/ringledge/structures/setting_types.py
+++ b/ringledge/structures/setting_types.py
@@ -1,4 +1,4 @@
-"""Types of values that settings of several subsystems share."""
+"""Value types that the settings of several subsystems share."""
 
 from __future__ import annotations
 
--- a/ringledge/structures/stall_attribution.py
+++ b/ringledge/structures/stall_attribution.py
@@ -1,4 +1,4 @@
-"""Attribution of a stall: where a process's time went between two readings of its counters."""
+"""Attributes the time of a stall to causes, from two readings of the process's counters."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class StallCause(StrEnum):
-    """What took the largest share of a stall."""
+    """The cause that took the largest share of a stall."""
 
     CPU = "cpu"
-    NOT_SCHEDULED = "withheld"  # runnable, but another process had the processor
-    BLOCKED = "waited"  # neither running nor runnable: a system call, a page fault, SIGSTOP
+    NOT_SCHEDULED = "withheld"  # runnable, but the CPU ran another process
+    BLOCKED = "waited"  # neither running nor runnable, as in a system call, a page fault or after SIGSTOP
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessCounters:
-    """Sums since the process began: times in seconds, the rest are counts."""
+    """Counters since the start of the process: times in seconds, and numbers of events."""
 
     user_s: float = 0.0
     system_s: float = 0.0
-    not_scheduled_s: float | None = None  # runnable and not running; None where the system doesn't count it
+    not_scheduled_s: float | None = None  # runnable but not running; None if the system does not count it
     involuntary_switches: int = 0
     minor_faults: int = 0
     major_faults: int = 0
@@ -31,20 +31,20 @@
 
 @dataclass(slots=True, frozen=True)
 class StallAttribution:
-    """Times in seconds; `deltas` is what the counters gained since the last heartbeat."""
+    """The attribution of one stall; `deltas`: increments of the counters since the last heartbeat."""
 
     duration_s: float
     deltas: ProcessCounters
-    blocked_s: float  # includes the time not scheduled where the system doesn't count that
+    blocked_s: float  # includes the time not scheduled if the system does not count that
     cause: StallCause
 
 
 def attribute_stall(duration_s: float, before: ProcessCounters, after: ProcessCounters) -> StallAttribution:
-    """Attribute the time of a stall to what took the largest share of it.
+    """Attribute a stall to the cause that took the largest share of its time.
 
-    The readings enclose the stall, and may enclose some idle time before it. So the time that no counter
-    explains is computed from the duration of the stall alone: idle time never counts as blocked. A tie goes
-    to the cause that is measured best: CPU first, blocked last.
+    The two readings enclose the stall, and possibly some idle time before it. So the blocked time, which no
+    counter measures, is derived from the duration of the stall alone, and never includes idle time. A tie
+    goes to the cause that is measured best: CPU first, blocked last.
     """
     deltas = ProcessCounters(
         **{each.name: _delta(each.name, before, after) for each in fields(ProcessCounters)}
--- a/ringledge/structures/token_bucket.py
+++ b/ringledge/structures/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket that may go into debt; the caller gives the time."""
+"""A token bucket whose balance may become negative; the caller passes the time."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that are refilled at a rate up to a burst size; consuming may leave them below zero."""
+    """Tokens that are refilled at a rate up to a burst size."""
 
     tokens: float
     updated_ms: float = 0.0  # when the tokens were last refilled
 
     def refill(self, now_ms: float, rate_per_ms: float, burst: float) -> float:
-        """Refill up to the given time, and return the tokens; a clock that went back refills nothing."""
-        gained = rate_per_ms * max(0.0, now_ms - self.updated_ms)
-        self.tokens = min(burst, self.tokens + gained)
+        """Refill up to the given time, and return the balance; no refill if the clock went back."""
+        refilled = rate_per_ms * max(0.0, now_ms - self.updated_ms)
+        self.tokens = min(burst, self.tokens + refilled)
         self.updated_ms = max(now_ms, self.updated_ms)
         return self.tokens
 
     def consume(self, amount: float) -> None:
-        """Consume tokens, whether or not there are as many."""
+        """Consume tokens; the balance may become negative."""
         self.tokens -= amount
