--- a/ringledge/core/invariants.py
+++ b/ringledge/core/invariants.py
@@ -53,12 +53,11 @@
         if settings.release_within_ms:
             self._max_cache_hold_ms = settings.release_within_ms + CACHE_HOLD_SLACK_MS
         for invariant in Invariant:
-            # Creates the series, exported as 0 from the start.
-            metrics.invariant_violations.labels(invariant.value)
+            metrics.violations.labels(invariant.value)  # creates the series, exported as 0 from the start
 
     def record_violation(self, invariant: Invariant, request: str = "", **fields: object) -> None:
         """Log and count one violation."""
-        self._metrics.invariant_violations.labels(invariant.value).inc()
+        self._metrics.violations.labels(invariant.value).inc()
         log.error("invariant_violated", invariant=invariant.value, request=request, **fields)
 
     def check_send(self, attempt: Attempt, timeout_ms: float) -> None:
--- a/ringledge/decide/overload/cost_model.py
+++ b/ringledge/decide/overload/cost_model.py
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         initial = (INITIAL_REQUEST_MS, INITIAL_KB_MS * SIZE_UNIT_KB)
-        self._model = LinearModel(initial, min_factor=0.1, max_factor=20.0, step_size=0.2)
+        self._model = LinearModel(initial, min_factor=0.1, max_factor=20.0, step=0.2)
         self._inputs = [0.0, 0.0]  # requests since the last update, and their size in units of SIZE_UNIT_KB
         self._rejections = 0
 
--- a/ringledge/lab/__init__.py
+++ b/ringledge/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in servers and load on loopback; nothing in the program imports it."""
+"""Stand-in servers and a load generator on loopback; the router itself does not import this package."""
--- a/ringledge/lab/audit.py
+++ b/ringledge/lab/audit.py
@@ -1,4 +1,4 @@
-"""What all stand-in servers together have counted."""
+"""Counts of requests over all stand-in servers."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @dataclass(slots=True)
 class Audit:
-    """Counts over all stand-in servers, and the requests that they work on."""
+    """Counts over all stand-in servers, and the requests in flight at them."""
 
     prefills: int = 0
-    completed_streams: int = 0  # written to their end
-    cancelled_streams: int = 0  # whose client closed the connection
+    completed_streams: int = 0  # streams that were sent completely
+    cancelled_streams: int = 0  # streams whose connection was closed before the end
     releases: int = 0
-    repeated_decodes: int = 0  # requests that decode servers began more than once
-    concurrent_attempts: int = 0  # attempts that came while another one of their request was in flight
+    repeated_decodes: int = 0  # requests that decode servers started more than once
+    concurrent_attempts: int = 0  # attempts that arrived during another attempt of the same request
     decode_starts: Counter[str] = field(default_factory=Counter)  # by request id
     in_flight: set[str] = field(default_factory=set)  # request ids
 
     def as_json(self) -> bytes:
-        """The counts as JSON; its keys are part of the lab's interface."""
+        """The counts as JSON; the keys are part of the lab's interface."""
         return orjson.dumps(
             {
                 "reads": self.prefills,
--- a/ringledge/lab/demo.py
+++ b/ringledge/lab/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: stand-in servers, a conductor and a few requests, with a summary."""
+"""A demonstration: starts stand-in servers and a conductor, sends some requests and prints a summary."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def run() -> int:
-    """Run it; the exit status is 0 if every request was served once."""
-    with start_lab() as stage:
-        print(f"stand-in servers are up, discovery at {stage.discovery}")
-        print(f"the conductor listens at {stage.listening}")
+    """Run the demonstration; the exit status is 0 if every request was served exactly once."""
+    with start_lab() as lab:
+        print(f"stand-in servers running, discovery at {lab.discovery}")
+        print(f"conductor listening at {lab.listening}")
         plan = LoadPlan(
-            target=stage.listening["platform"],
+            target=lab.listening["platform"],
             requests_per_s=REQUESTS_PER_S,
             duration_s=DURATION_S,
             booking_share=0.19,
@@ -27,10 +27,16 @@
             tenant_shares=parse_shares(""),
         )
         report = orjson.loads(load.run(plan))
-        for name, each in report["classes"].items():
-            first_ms = each["first_token_ms"]["p50"]
-            print(f"{name}: {each['asked']} asked, {each['ends']}, first token {first_ms:.0f} ms (median)")
-        audit = stage.audit()
-        print(f"the servers saw {audit}")
-    served = all(each["ends"] == {"served": each["asked"]} for each in report["classes"].values())
+        for class_name, class_report in report["classes"].items():
+            first_ms = class_report["first_token_ms"]["p50"]
+            print(
+                f"{class_name}: {class_report['asked']} requests, outcomes {class_report['ends']}, "
+                f"median time to first token {first_ms:.0f} ms"
+            )
+        audit = lab.audit()
+        print(f"counts of the stand-in servers: {audit}")
+    served = all(
+        class_report["ends"] == {"served": class_report["asked"]}
+        for class_report in report["classes"].values()
+    )
     return 0 if served and not audit["twice"] and not audit["together"] else 1
--- a/ringledge/lab/deployment.py
+++ b/ringledge/lab/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that the lab plays: classes, tenants and limits, in the words of the platform's settings."""
+"""The deployment that the lab simulates: request classes, tenants and limits in the platform's format."""
 
 from __future__ import annotations
 
--- a/ringledge/lab/health_watch.py
+++ b/ringledge/lab/health_watch.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' /healthcheck during a load, at intended times."""
+"""Calls /healthcheck of the operators' front at fixed intervals during a load."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HealthMonitor:
-    """Counts failures and records latencies, which count from the intended times."""
+    """Counts failed calls and records latencies, which are measured from the scheduled times."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -21,16 +21,16 @@
         self.failures = 0
 
     async def run(self, started_s: float) -> None:
-        """Call until cancelled; a slow response delays no other call."""
-        pending: set[asyncio.Task[None]] = set()
+        """Call at fixed intervals until cancelled; a slow response does not delay later calls."""
+        open_calls: set[asyncio.Task[None]] = set()
         number = 0
         while True:
             due_s = started_s + number * INTERVAL_S
             number += 1
             await asyncio.sleep(max(0.0, due_s - monotonic()))
             task = asyncio.ensure_future(self._call(due_s))
-            pending.add(task)
-            task.add_done_callback(pending.discard)
+            open_calls.add(task)
+            task.add_done_callback(open_calls.discard)
 
     async def _call(self, due_s: float) -> None:
         try:
--- a/ringledge/lab/http_peer.py
+++ b/ringledge/lab/http_peer.py
@@ -1,4 +1,4 @@
-"""A stand-in server's side of an HTTP connection, and the responses that it writes."""
+"""The server side of an HTTP/1.1 connection, for stand-in servers."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 def response(status: int, body: bytes = b"", headers: bytes = b"") -> bytes:
-    """A complete response; `headers`: further header lines, each with its CRLF."""
+    """Encode a complete response; `headers`: additional header lines, each ending in CRLF."""
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s" % (status, len(body), headers, body)
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """A chunk of a body in chunked transfer coding."""
+    """Encode one chunk of a body in chunked transfer coding."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection: requests are parsed one after another, and each is passed to `handle`."""
+    """One connection; its requests are parsed one after another and passed to `handle`."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
--- a/ringledge/lab/instances.py
+++ b/ringledge/lab/instances.py
@@ -1,4 +1,4 @@
-"""Stand-in prefill and decode servers: their side of the platform's protocol."""
+"""Stand-in prefill and decode servers, which implement the server side of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @dataclass(slots=True, frozen=True)
 class StandInPlan:
-    """How many stand-in servers there are, and how long each step takes them."""
+    """The number of stand-in servers, and the duration and size of their responses."""
 
     prefill_servers: int
     decode_servers: int
     prefill_ms: float
     stream_ms: float
-    events: int  # of a stream
+    events: int  # per stream
     event_bytes: int
 
     def as_json(self) -> dict[str, int | float]:
-        """As JSON; its keys are part of the lab's interface."""
+        """The plan for JSON; the keys are part of the lab's interface."""
         return {
             "readers": self.prefill_servers,
             "writers": self.decode_servers,
@@ -44,14 +44,14 @@
 class ServerConnection(HttpConnection):
     """A connection to a prefill or a decode server."""
 
-    def __init__(self, audit: Audit, plan: StandInPlan, prefills: bool) -> None:
+    def __init__(self, audit: Audit, plan: StandInPlan, is_prefill: bool) -> None:
         super().__init__()
-        self.audit, self.plan, self.prefills = audit, plan, prefills
+        self.audit, self.plan, self.is_prefill = audit, plan, is_prefill
         self.request_id = ""
         self.timer: asyncio.TimerHandle | None = None
 
     def handle(self, method: bytes, target: bytes) -> None:
-        """Respond as a server does."""
+        """Respond to a release, a health check or load query, or an attempt."""
         if target.startswith(b"/internal/reservations/"):
             self.audit.releases += method == b"DELETE"
             self.transport.write(response(204 if method == b"DELETE" else 404))
@@ -69,7 +69,7 @@
         audit, loop = self.audit, asyncio.get_running_loop()
         audit.concurrent_attempts += self.request_id in audit.in_flight
         audit.in_flight.add(self.request_id)
-        if self.prefills:
+        if self.is_prefill:
             self.timer = loop.call_later(self.plan.prefill_ms / 1000, self._complete_prefill)
         else:
             audit.decode_starts[self.request_id] += 1
@@ -104,8 +104,8 @@
         self.audit.in_flight.discard(self.request_id)
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Called by asyncio: work stops when its request is cancelled."""
+        """Stop working on a request that was cancelled by closing the connection; called by asyncio."""
         if self.timer is not None:
             self.timer.cancel()
             self._finish()
-            self.audit.cancelled_streams += not self.prefills
+            self.audit.cancelled_streams += not self.is_prefill
--- a/ringledge/lab/load.py
+++ b/ringledge/lab/load.py
@@ -1,7 +1,8 @@
-"""Open-loop load: arrivals are drawn ahead and wait for no response; latency counts from the intended time.
+"""An open-loop load generator: requests are sent at times that do not depend on responses.
 
-A request that its client could only send late (for lack of a socket, say) is late by that much too, so the
-delays that a closed loop hides show here (coordinated omission). The generator's own delay is in its report.
+Latency is measured from the scheduled time of a request. If its client can only send it late, for example for
+lack of a socket, this delay is part of the latency, which a closed loop would hide (coordinated omission).
+The delay of the generator itself is part of the report.
 """
 
 from __future__ import annotations
@@ -21,15 +22,18 @@
 from ringledge.lab.load_report import ClassReport, latency_histogram_us, quantiles_ms
 
 CLASSES = SETTINGS["classes"]
-UNREAD_CLIENT_INTERVAL_S = 0.02  # between two clients that read nothing: they are to use memory, not CPU time
-MAX_SEND_DELAY_S = 0.05  # with a higher 99th percentile the report says that the generator did not keep up
-SMALL_RECEIVE_BUFFER = socket.SO_RCVBUF, 4096  # of a client that reads nothing: the system's minimum
+# Non-reading clients are started one after another at this interval: they are to use memory, not CPU time.
+NON_READING_CLIENT_INTERVAL_S = 0.02
+MAX_SEND_DELAY_S = (
+    0.05  # with a higher 99th percentile the generator did not keep up, according to the report
+)
+SMALL_RECEIVE_BUFFER = socket.SO_RCVBUF, 4096  # of non-reading clients: the system's minimum
 POLL_INTERVAL_S = 0.02
-GRACE_S = 5.0  # after the longest deadline
+RESPONSE_GRACE_S = 5.0  # how long after the longest deadline open requests are awaited
 
 
 class LoadGenerator:
-    """One run of a plan."""
+    """Runs a load plan once."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self.plan = plan
@@ -47,7 +51,7 @@
         self.target = (host, int(port))
 
     def on_finished(self, arrival: Arrival, outcome: str, first_token_s: float) -> None:
-        """A request has ended; `first_token_s`: when its first token came, 0 for never."""
+        """Record the end of a request; `first_token_s`: monotonic time of its first token, 0 if none."""
         self.open_requests -= 1
         report = self.class_reports[arrival.class_index]
         report.outcomes[outcome] += 1
@@ -60,16 +64,16 @@
             report.rejected_us.record_value(max(1, int(latency_s * 1e6)))
 
     def on_idle(self, client: ClientConnection) -> None:
-        """An idle connection may carry the next request."""
+        """Keep an idle connection for the next request."""
         self.idle_connections.append(client)
 
     def on_connection_lost(self, client: ClientConnection) -> None:
-        """A connection is closed."""
+        """Forget a connection that was closed."""
         if client in self.idle_connections:
             self.idle_connections.remove(client)
 
     def send(self, arrival: Arrival, on_new_connection: bool = False) -> None:
-        """Send a request on an idle connection, or on a new one."""
+        """Send a request on an idle connection, or on a new one if there is none."""
         deadline_s = CLASSES[arrival.class_index]["deadline_ms"] / 1000
         remaining_s = deadline_s - (monotonic() - self.started_s - arrival.at_s)
         if remaining_s <= 0:
@@ -126,7 +130,7 @@
             self.send(arrival)
 
     def open_non_reading_clients(self) -> list[socket.socket]:
-        """Connections of clients that send a request and read nothing of the response."""
+        """Open connections that each send a request and never read the response."""
         sockets = []
         for number in range(self.plan.non_reading_clients):
             sock = socket.socket()
@@ -140,17 +144,17 @@
                 % (self.plan.seed, number, class_name, next(iter(self.plan.tenant_shares)).encode())
             )
             sockets.append(sock)
-            sleep(UNREAD_CLIENT_INTERVAL_S)
+            sleep(NON_READING_CLIENT_INTERVAL_S)
         return sockets
 
     async def run(self) -> dict[str, Any]:
-        """Send all requests, wait until those that are open have ended, and report."""
+        """Send all requests, wait for the open ones to end, and return the report."""
         non_reading_clients = self.open_non_reading_clients()
         self.started_s = monotonic()
         monitor = self.health_monitor
         monitoring = asyncio.ensure_future(monitor.run(self.started_s)) if monitor else None
         await self._send_arrivals()
-        wait_until_s = monotonic() + max(each["deadline_ms"] for each in CLASSES) / 1000 + GRACE_S
+        wait_until_s = monotonic() + max(each["deadline_ms"] for each in CLASSES) / 1000 + RESPONSE_GRACE_S
         while self.open_requests and monotonic() < wait_until_s:
             await asyncio.sleep(POLL_INTERVAL_S)
         if monitoring is not None:
@@ -160,14 +164,14 @@
         return self._report()
 
     def _report(self) -> dict[str, Any]:
-        """The report; its keys are part of the lab's interface."""
+        """The report for JSON; the keys are part of the lab's interface."""
         send_delays_ms = quantiles_ms(self.send_delays_us)
         by_class = list(zip(CLASSES, self.class_reports, strict=True))
-        worth = sum(report.within_objective * each["worth"] for each, report in by_class)
+        worth = sum(report.within_objective * request_class["worth"] for request_class, report in by_class)
         within_objective = sum(report.within_objective for report in self.class_reports)
         monitor = self.health_monitor
         return {
-            "classes": {each["name"]: report.as_json() for each, report in by_class},
+            "classes": {request_class["name"]: report.as_json() for request_class, report in by_class},
             "goodput_per_s": round(within_objective / self.plan.duration_s, 1),
             "worth_per_s": round(worth / self.plan.duration_s, 1),
             "tenants": {name: dict(counts) for name, counts in sorted(self.outcomes_by_tenant.items())},
@@ -181,7 +185,7 @@
 
 
 def _latency_objective_ms(arrival: Arrival) -> float:
-    """The latency objective of the first token; a token of the prompt is four bytes."""
+    """The latency objective for the first token; a prompt token is taken as four bytes."""
     us_per_1000_tokens = SETTINGS["specifics"]["aim_us_per_1000_prompt_tokens"][arrival.class_index]
     objective_ms: float = (
         CLASSES[arrival.class_index]["goal_time_ms"] + us_per_1000_tokens * arrival.body_bytes / 4e6
@@ -190,7 +194,7 @@
 
 
 def run(plan: LoadPlan) -> str:
-    """Run a plan; its report as JSON."""
+    """Run a plan, and return its report as JSON."""
 
     async def generate() -> dict[str, Any]:
         return await LoadGenerator(plan).run()
--- a/ringledge/lab/load_client.py
+++ b/ringledge/lab/load_client.py
@@ -1,4 +1,4 @@
-"""A connection of the load's clients."""
+"""A client connection of the load generator."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ClientListener(Protocol):
-    """What a connection notifies of its requests: the load generator that it belongs to."""
+    """The load generator, which a connection notifies of the events of its requests."""
 
     def on_finished(self, arrival: Arrival, outcome: str, first_token_s: float) -> None:
-        """A request has ended; `first_token_s`: when its first token came, 0 for never."""
+        """A request has ended; `first_token_s`: monotonic time of its first token, 0 if there was none."""
 
     def send(self, arrival: Arrival, on_new_connection: bool = False) -> None:
         """Send a request, on a new connection if `on_new_connection`."""
@@ -28,7 +28,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One persistent connection of the load's clients; it carries one request at a time."""
+    """A persistent client connection, which carries one request at a time."""
 
     def __init__(self, listener: ClientListener) -> None:
         self.listener = listener
@@ -36,39 +36,39 @@
         self.transport: asyncio.Transport | None = None
         self.arrival: Arrival | None = None
         self.first_token_s = 0.0
-        self.closes_after_response = False  # the response has `Connection: close`
-        self.is_unused = True  # no response has been received yet
+        self.closes_after_response = False  # whether the response has `Connection: close`
+        self.is_unused = True  # whether no response has been received yet
         self.deadline: asyncio.TimerHandle | None = None
-        self.unsent = b""  # the request, until the connection is established
+        self.unsent_data = b""  # the request, until the connection is established
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by asyncio."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        if self.unsent:
-            transport.write(self.unsent)
-            self.unsent = b""
+        if self.unsent_data:
+            transport.write(self.unsent_data)
+            self.unsent_data = b""
 
     def send(self, arrival: Arrival, data: bytes, remaining_s: float) -> None:
-        """Send a request; it is abandoned after `remaining_s` without a first token."""
+        """Send a request, which is abandoned if it has no first token after `remaining_s`."""
         self.arrival = arrival
         self.first_token_s = 0.0
         self.closes_after_response = False
         self.deadline = asyncio.get_running_loop().call_later(remaining_s, self.time_out)
         if self.transport is None:
-            self.unsent = data
+            self.unsent_data = data
         else:
             self.transport.write(data)
 
     def time_out(self) -> None:
-        """The deadline has passed: abandon the request unless its first token came."""
+        """Abandon the request at its deadline unless its first token has been received."""
         if not self.first_token_s:
             self.finish("no answer" if self.transport else "not connected")
             if self.transport is not None:
                 self.transport.abort()
 
     def finish(self, outcome: str) -> None:
-        """The request, if there is one, has ended."""
+        """End the current request, if there is one, with an outcome."""
         if self.arrival is not None:
             arrival = self.arrival
             self.arrival = None
@@ -107,7 +107,7 @@
         arrival = self.arrival
         self.transport = None
         if arrival is not None and not self.first_token_s and not self.is_unused:
-            # The server closed the idle connection while this request was on its way: it may be retried.
+            # The server closed the idle connection while the request was on its way, so it is sent again.
             if self.deadline is not None:
                 self.deadline.cancel()
             self.arrival = None
--- a/ringledge/lab/load_plan.py
+++ b/ringledge/lab/load_plan.py
@@ -1,4 +1,4 @@
-"""What the load sends: a plan, and the arrivals that are drawn from it."""
+"""The plan of a load, and the request arrivals that are drawn from it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ringledge.lab.deployment import SETTINGS
 
 MIN_BODY_BYTES = 100
-MAX_BODY_BYTES = 250_000  # of a request: the protocol's limit is 256 KiB
+MAX_BODY_BYTES = 250_000  # the protocol's limit for a request is 256 KiB
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
 
 
 def parse_burst(text: str) -> Burst:
-    """Read AT,FOR,TIMES[,KB]; ValueError where the text is of another form."""
+    """Parse AT,FOR,TIMES[,KB]: start and duration in s, rate factor, prompt size; ValueError if malformed."""
     at_s, duration_s, rate_factor, *prompt_kb = map(float, text.split(","))
     if len(prompt_kb) > 1:
         raise ValueError(f"a burst is AT,FOR,TIMES[,KB], not {text}")
@@ -33,7 +33,7 @@
 
 
 def parse_shares(text: str) -> dict[str, float]:
-    """Read NAME=SHARE,...; an empty text means all tenants with the fractions of the settings."""
+    """Parse NAME=SHARE,...; for an empty text, all tenants with their fractions from the settings."""
     if not text:
         return {each["name"]: each["fraction"] for each in SETTINGS["tenants"]}
     return {name: float(share) for name, share in (each.split("=") for each in text.split(","))}
@@ -41,33 +41,33 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadPlan:
-    """What is sent."""
+    """The parameters of a load."""
 
     target: str  # the address of the conductor's platform front
     requests_per_s: float
     duration_s: float
-    booking_share: float  # of the requests
-    prompt_kb: float  # the median of the body sizes, which are lognormal
-    prompt_sigma: float  # their sigma
-    tenant_shares: dict[str, float]  # of the requests, by tenant; they need not sum to 1
+    booking_share: float  # share of the booking class in all requests
+    prompt_kb: float  # median of the body sizes, which have a lognormal distribution
+    prompt_sigma: float  # sigma of that distribution
+    tenant_shares: dict[str, float]  # share of each tenant in all requests; need not sum to 1
     bursts: tuple[Burst, ...] = ()
     non_reading_clients: int = 0  # clients that read nothing of their responses
-    health_address: str = ""  # whose /healthcheck is called; empty: none
+    health_address: str = ""  # the address whose /healthcheck is called; empty: none
     seed: int = 1
 
 
 @dataclass(slots=True)
 class Arrival:
-    """One request as it was drawn."""
+    """One request drawn from the plan."""
 
-    at_s: float  # the intended time, from the start of the load
+    at_s: float  # scheduled time, from the start of the load
     class_index: int
     tenant: str
     body_bytes: int
 
 
 def draw_arrivals(plan: LoadPlan) -> Iterator[Arrival]:
-    """Draw a Poisson process whose rate the bursts raise; the same for the same seed."""
+    """Draw arrivals of a Poisson process with a higher rate during bursts; reproducible by seed."""
     rng = numpy.random.default_rng(plan.seed)
     tenants = list(plan.tenant_shares)
     shares = numpy.array(list(plan.tenant_shares.values()))
--- a/ringledge/lab/servers.py
+++ b/ringledge/lab/servers.py
@@ -1,7 +1,7 @@
-"""Stand-in servers and discovery on loopback, as one process.
+"""Runs stand-in servers and a stand-in discovery on loopback in one process.
 
-The attempts of each request are counted: a booking that was decoded twice, or two attempts that were in
-flight at once, show in the audit whatever the conductor reports.
+The servers count the attempts of each request. So the audit shows a booking that was decoded twice, or two
+concurrent attempts of a request, independently of what the conductor reports.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from ringledge.lab.instances import ServerConnection, StandInPlan
 
 HOST = "127.0.0.1"
-KEEP_ALIVE_INTERVAL_S = 2.0  # between the empty lines of a watch
+KEEP_ALIVE_INTERVAL_S = 2.0  # between the empty lines that keep a watch alive
 
 
 class DiscoveryConnection(HttpConnection):
-    """A connection to discovery: the endpoint list, a watch without changes, and the audit."""
+    """A connection to discovery, which serves the endpoint list, a watch without changes, and the audit."""
 
     def __init__(self, audit: Audit, endpoint_list: bytes) -> None:
         super().__init__()
@@ -33,7 +33,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def handle(self, method: bytes, target: bytes) -> None:
-        """Respond as discovery does."""
+        """Respond with the audit, a watch or the endpoint list."""
         if target == b"/audit":
             self.transport.write(response(200, self.audit.as_json()))
         elif b"watch=1" in target:
@@ -55,18 +55,18 @@
 
 
 async def _start_servers(plan: StandInPlan, audit: Audit) -> list[dict[str, Any]]:
-    """Start the prefill and decode servers; their entries of the endpoint list."""
+    """Start the prefill and decode servers, and return their entries in the endpoint list."""
     loop = asyncio.get_running_loop()
     entries = []
     for number in range(plan.prefill_servers + plan.decode_servers):
-        prefills = number < plan.prefill_servers
+        is_prefill = number < plan.prefill_servers
         server = await loop.create_server(
-            partial(ServerConnection, audit, plan, prefills), HOST, 0, backlog=1024
+            partial(ServerConnection, audit, plan, is_prefill), HOST, 0, backlog=1024
         )
         entries.append({
-            "name": f"{'r' if prefills else 'w'}{number}", "zone": "hall-east", "group": 1, "weight": 1.0,
+            "name": f"{'r' if is_prefill else 'w'}{number}", "zone": "hall-east", "group": 1, "weight": 1.0,
             "address": f"{HOST}:{server.sockets[0].getsockname()[1]}", "status": "active", "since_ms": 0,
-            "type": "prefill" if prefills else "decode",
+            "type": "prefill" if is_prefill else "decode",
         })  # fmt: skip
     return entries
 
@@ -85,16 +85,16 @@
     ready = {"event": "ready", "discovery": address, "plan": plan.as_json()}
     print(orjson.dumps(ready).decode(), flush=True)
     stop_requested = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     await stop_requested.wait()
     print(audit.as_json().decode(), flush=True)
 
 
 def run(plan: StandInPlan, folder: Path, limits: dict[str, float], operator: str) -> None:
-    """Write a conductor's config.json to the folder, and serve until a signal.
+    """Write a conductor's config.json to the folder, and serve until SIGTERM or SIGINT.
 
-    `limits`: of config.json. `operator`: the operators' address in it.
+    `limits`, `operator`: values for config.json; `operator` is the address of the operators' front.
     """
     folder.mkdir(parents=True, exist_ok=True)
     asyncio.run(_serve(plan, folder, limits, operator))
--- a/ringledge/lab/stage.py
+++ b/ringledge/lab/stage.py
@@ -1,4 +1,4 @@
-"""Stand-in servers and one conductor as processes, for demonstrations and measurements."""
+"""Starts stand-in servers and one conductor as processes, for demonstrations and measurements."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 @dataclass(slots=True)
 class LabProcesses:
-    """The running processes: their addresses, and the conductor's process id."""
+    """Addresses of the running processes, and the conductor's process id."""
 
-    discovery: str  # address
-    listening: dict[str, str]  # addresses by the conductor's fronts
+    discovery: str  # address of the stand-in discovery
+    listening: dict[str, str]  # addresses of the conductor's fronts, by name
     pid: int
 
     def audit(self) -> dict[str, int]:
-        """The counts of the stand-in servers."""
+        """Fetch the counts of the stand-in servers."""
         counts: dict[str, int] = orjson.loads(_get(self.discovery, "/audit"))
         return counts
 
     def metrics_text(self) -> str:
-        """The conductor's /metrics; empty where it serves none."""
+        """Fetch the conductor's /metrics; empty if it does not serve them."""
         address = self.listening.get("prometheus")
         return _get(address, "/metrics").decode() if address else ""
 
@@ -45,17 +45,17 @@
 
 
 def _read_event(stream: IO[bytes], event: str) -> dict[str, Any]:
-    """The next JSON line of that event; the lines after it are read and discarded."""
+    """Read the next JSON line with an event; later lines are read in a thread and discarded."""
     for line in stream:
         fields: dict[str, Any] = orjson.loads(line)
         if fields.get("event") == event:
             threading.Thread(target=stream.read, daemon=True).start()
             return fields
-    raise RuntimeError(f"it ended without a line {event}")
+    raise RuntimeError(f"process ended without logging the event {event}")
 
 
 def _conductor_environment(folder: str) -> dict[str, str]:
-    """The environment of this process with the conductor's variables set to the folder."""
+    """The environment for the conductor: that of this process, with the conductor's paths in the folder."""
     inherited = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "RINGLEDGE_"))}
     variables = {"RELAY_CONFIG": f"{folder}/config.json", "RINGLEDGE_DEPLOY": folder, "TMPDIR": folder}
     return inherited | variables
@@ -68,10 +68,10 @@
     tree: Path | None = None,
     core: int | None = None,
 ) -> Iterator[LabProcesses]:
-    """Start stand-in servers and a conductor; both are stopped when the context ends.
+    """Start stand-in servers and a conductor, and stop them when the context ends.
 
-    `servers`: options of `ringledge lab servers`. `deploy`: settings files by name. `tree`: the checkout that
-    the conductor runs from. `core`: the one CPU that the conductor runs on; the servers get the others.
+    `servers`: options of `ringledge lab servers`. `deploy`: settings files by name. `tree`: the checkout from
+    which the conductor runs. `core`: the only CPU for the conductor; the servers run on the others.
     """
     processes = list[subprocess.Popen[bytes]]()
     other_cores = os.sched_getaffinity(0) - ({core} if core is not None else set())
--- a/ringledge/observe/logging.py
+++ b/ringledge/observe/logging.py
@@ -39,7 +39,7 @@
     """Writes events at or above a minimum level."""
 
     def __init__(self) -> None:
-        self.min_level = LEVELS.index("info")
+        self.level = LEVELS.index("info")
         self.name = ""
         self.write_time_s = 0.0  # total time spent in writes
         self._dropped_lines = 0  # since the last written line, as standard error was not writable
@@ -48,11 +48,11 @@
 
     def configure(self, level: str, name: str) -> None:
         """Set the minimum level and the conductor's name."""
-        self.min_level, self.name = LEVELS.index(level), name
+        self.level, self.name = LEVELS.index(level), name
 
     def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
         """Write a line at or above the minimum level; it is dropped if standard error is not writable."""
-        if LEVELS.index(level) < self.min_level:
+        if LEVELS.index(level) < self.level:
             return
         line = {
             "at": round(time.time(), 3),
--- a/ringledge/observe/metrics.py
+++ b/ringledge/observe/metrics.py
@@ -47,10 +47,7 @@
 
 
 class Metrics:
-    """All exported metrics, registered in the order of their declarations.
-
-    An attribute is named like its metric, without the prefix and `_total`.
-    """
+    """All exported metrics, registered in the order of their declarations."""
 
     requests = _counter("requests", "Requests taken in, by class index", "class")
     answers = _counter(
@@ -62,7 +59,7 @@
     refusals_withheld = _counter(
         "refusals_withheld", "Refusals that were answered as failures, for the request may have run"
     )
-    invariant_violations = _counter(
+    violations = _counter(
         "invariant_violations", "What must never happen and did, by invariant; has to stay 0", "invariant"
     )
     attempt_outcomes = _counter("attempt_outcomes", "Attempts ended, by outcome", "status")
--- a/ringledge/structures/linear_model.py
+++ b/ringledge/structures/linear_model.py
@@ -10,18 +10,16 @@
 
     __slots__ = ("_lower_bounds", "_upper_bounds", "step_size", "weights")
 
-    def __init__(
-        self, weights: Sequence[float], min_factor: float, max_factor: float, step_size: float
-    ) -> None:
+    def __init__(self, weights: Sequence[float], min_factor: float, max_factor: float, step: float) -> None:
         """Start from estimates of the weights.
 
-        `min_factor`, `max_factor`: bounds of each weight, as multiples of its estimate. `step_size`, 0 to 1:
-        how far one sample moves the weights towards those that would explain it.
+        `min_factor`, `max_factor`: bounds of each weight, as multiples of its estimate. `step`: the step size
+        from 0 to 1, that is how far one sample moves the weights towards those that would explain it.
         """
         self.weights = list(weights)
         self._lower_bounds = [weight * min_factor for weight in weights]
         self._upper_bounds = [weight * max_factor for weight in weights]
-        self.step_size = step_size
+        self.step_size = step
 
     def predict(self, inputs: Sequence[float]) -> float:
         """The model's output for the given inputs."""
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -55,7 +55,7 @@
         self.idle: IdleConnections = IdleConnections(on_readable, self._close_expired)
         self.lingering = LingeringCloses()
         self._closed = {reason: metrics.closed.labels(name, reason.value) for reason in CloseReason}
-        self._violations = metrics.invariant_violations.labels(Invariant.CLOSED_UNANSWERED.value)
+        self._violations = metrics.violations.labels(Invariant.CLOSED_UNANSWERED.value)
         self._gauge = metrics.client_sockets.labels(name)
         self.active: set[Connection] = set()
         self.between_requests: dict[Connection, float] = {}  # and since when, longest first
--- a/tests/core/test_admit.py
+++ b/tests/core/test_admit.py
@@ -59,4 +59,4 @@
     context.registry.add(record)
     admit.reject(context, RejectRequest("a"))
     assert answers == [answer]
-    assert not sum(Metrics.read(metrics.invariant_violations).values())
+    assert not sum(Metrics.read(metrics.violations).values())
--- a/tests/core/test_contained_faults.py
+++ b/tests/core/test_contained_faults.py
@@ -71,7 +71,7 @@
         self.conductor.accept(request, Payload(b"/", b""), sink)
 
     def violation_count(self, invariant: Invariant) -> float:
-        return Metrics.read(self.metrics.invariant_violations)[invariant.value,]
+        return Metrics.read(self.metrics.violations)[invariant.value,]
 
 
 def test_exception_in_policy_is_counted_and_later_events_are_handled() -> None:
--- a/tests/core/test_invariants.py
+++ b/tests/core/test_invariants.py
@@ -78,7 +78,7 @@
         return self.violations()
 
     def violations(self) -> set[str]:
-        return {name for (name,), count in Metrics.read(self.metrics.invariant_violations).items() if count}
+        return {name for (name,), count in Metrics.read(self.metrics.violations).items() if count}
 
 
 def close_request(fixture: InvariantFixture) -> None:
@@ -170,7 +170,7 @@
     fixture.now_ms += 1.0
     for _ in range(3):
         fixture.checker.check_open_requests([fixture.record])
-    assert Metrics.read(fixture.metrics.invariant_violations)[Invariant.RESPONSE_OVERDUE.value,] == 1
+    assert Metrics.read(fixture.metrics.violations)[Invariant.RESPONSE_OVERDUE.value,] == 1
 
 
 def test_entry_left_unobserved_is_reported_while_the_next_attempt_has_not_arrived() -> None:
