--- a/tests/memory/test_connection_pool.py
+++ b/tests/memory/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which idle connections the pool lets a request reuse."""
+"""Which idle connections of the pool a request may reuse."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ringledge.memory import connection_pool as pooling
+from ringledge.memory import connection_pool
 from ringledge.memory.connection_pool import MIN_SAFE_IDLE_S, ConnectionPool
 from ringledge.observe.metrics import Metrics
 
@@ -15,7 +15,7 @@
 
 @dataclass(eq=False)
 class FakeConnection:
-    """A connection as the pool sees it."""
+    """A connection with the interface that the pool uses."""
 
     idle_since_s: float = 0.0
     reused: bool = False
@@ -30,7 +30,7 @@
 
 
 class Clock:
-    """Stands in for the module's monotonic clock."""
+    """Replaces the `time` module of the pool with a simulated clock."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -42,12 +42,15 @@
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
-    monkeypatch.setattr(pooling, "time", clock)
+    monkeypatch.setattr(connection_pool, "time", clock)
     return clock
 
 
 def test_at_most_once_request_gets_no_connection_with_a_duplicate_response_pending(clock: Clock) -> None:
-    """A duplicate rejection used to be read as a booking's, which was then sent to another server as well."""
+    """Guards against a late duplicate rejection that is taken for the response to a booking.
+
+    The booking would then be sent to a second server although the first one may run it.
+    """
     pool, conn = ConnectionPool[FakeConnection](8, 30.0, Metrics()), FakeConnection()
     pool.release(ADDRESS, conn)
     clock.now_s += MIN_SAFE_IDLE_S / 2
@@ -59,7 +62,7 @@
     assert pool.acquire(ADDRESS) is None
 
 
-def test_acquire_prefers_the_last_used_safe_connection(clock: Clock) -> None:
+def test_acquire_prefers_the_most_recently_used_safe_connection(clock: Clock) -> None:
     pool = ConnectionPool[FakeConnection](8, 30.0, Metrics())
     first, second, third = FakeConnection(), FakeConnection(), FakeConnection()
     for conn in (first, second, third):
@@ -71,7 +74,7 @@
 
 
 def test_connection_that_carried_a_stream_is_reused_only_after_a_safe_idle_time(clock: Clock) -> None:
-    """A duplicate response after a stream used to be relayed to the next query's client."""
+    """Guards against a late duplicate response after a stream that is relayed to the next query's client."""
     pool, conn = ConnectionPool[FakeConnection](8, 30.0, Metrics()), FakeConnection(streamed=True)
     pool.release(ADDRESS, conn)
     clock.now_s += MIN_SAFE_IDLE_S / 2
--- a/tests/memory/test_operator_overrides.py
+++ b/tests/memory/test_operator_overrides.py
@@ -1,4 +1,4 @@
-"""Excluded servers are known at a start, and calls are answered as they take effect, also on a bad disk."""
+"""Excluded servers are read at start-up, and a change is reported as it takes effect despite disk errors."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from ringledge.observe.logging import log
 
 
-@pytest.mark.parametrize("number", [errno.EIO, errno.ENFILE, errno.EMFILE], ids=errno.errorcode.get)
+@pytest.mark.parametrize("error_number", [errno.EIO, errno.ENFILE, errno.EMFILE], ids=errno.errorcode.get)
 def test_load_retries_a_file_that_fails_once(
-    number: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    error_number: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / "ringledge-n1.out.json").write_text('{"settings":"ours","out":["w0"]}')
     changes = list[tuple[str, bool]]()
-    pending_errors = [OSError(number, os.strerror(number))]
+    pending_errors = [OSError(error_number, os.strerror(error_number))]
     read_bytes = Path.read_bytes
 
     def failing_once(path: Path) -> bytes:
@@ -36,8 +36,8 @@
     assert changes == [("w0", True)]
 
 
-class Disk:
-    """The overrides of one conductor, with the calls that its folder refuses."""
+class FailingDiskFixture:
+    """The overrides of one conductor in a folder on which system calls can be made to fail."""
 
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.changes = list[tuple[str, bool]]()
@@ -47,8 +47,8 @@
         self._monkeypatch = monkeypatch
         monkeypatch.setattr(log, "error", lambda event, **_: self.errors.append(event))
 
-    def fail_for_the_folder(self, name: str) -> None:
-        """Have one of the system's calls on the folder itself fail."""
+    def fail_on_folder(self, name: str) -> None:
+        """Make a function of `os` fail with EIO for the folder itself, but not for its files."""
         call = getattr(os, name)
         inode = self._folder.stat().st_ino
 
@@ -60,33 +60,35 @@
         self._monkeypatch.setattr(os, name, failing)
 
 
-def test_change_that_takes_effect_is_not_answered_no(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a no to a call that takes effect: the folder's sync fails behind the rename."""
-    disk = Disk(tmp_path, monkeypatch)
-    disk.fail_for_the_folder("fsync")
-    anyio.run(disk.overrides.set_excluded, "w0", True)
-    assert disk.changes == [("w0", True)]
-    assert disk.errors == ["server_override_not_synced"]
+def test_change_that_takes_effect_is_not_reported_as_failed(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against an error for a change that takes effect: the folder's sync fails after the rename."""
+    fixture = FailingDiskFixture(tmp_path, monkeypatch)
+    fixture.fail_on_folder("fsync")
+    anyio.run(fixture.overrides.set_excluded, "w0", True)
+    assert fixture.changes == [("w0", True)]
+    assert fixture.errors == ["server_override_not_synced"]
 
 
-def test_change_that_is_answered_no_does_not_take_effect(
+def test_change_that_is_reported_as_failed_does_not_take_effect(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    disk = Disk(tmp_path, monkeypatch)
-    disk.fail_for_the_folder("open")
+    fixture = FailingDiskFixture(tmp_path, monkeypatch)
+    fixture.fail_on_folder("open")
     with pytest.raises(OSError, match="Input/output"):
-        anyio.run(disk.overrides.set_excluded, "w0", True)
-    disk.overrides.reload()
-    assert disk.changes == []
+        anyio.run(fixture.overrides.set_excluded, "w0", True)
+    fixture.overrides.reload()
+    assert fixture.changes == []
 
 
-def test_error_that_lasts_is_logged_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against an error line at each look, twenty a second without limit."""
-    disk = Disk(tmp_path, monkeypatch)
+def test_persistent_error_is_logged_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against one error line per poll, that is 20 lines per second."""
+    fixture = FailingDiskFixture(tmp_path, monkeypatch)
     path = tmp_path / "ringledge-n1.out.json"
     text = b'{"settings":"ours","out":["w0"]}'
     read_bytes = Path.read_bytes
-    failures = [True] * 20 + [False, False, True, True]  # a later failure is one more
+    failures = [True] * 20 + [False, False, True, True]  # the second series of failures is logged once more
 
     def read(file: Path) -> bytes:
         if failures.pop(0):
@@ -96,9 +98,9 @@
     monkeypatch.setattr(Path, "read_bytes", read)
     path.write_bytes(text)
     for _ in range(20):
-        disk.overrides.reload()
-    assert disk.errors == ["server_overrides_unreadable"]
+        fixture.overrides.reload()
+    assert fixture.errors == ["server_overrides_unreadable"]
     while failures:
-        disk.overrides.reload()
-    assert disk.errors == ["server_overrides_unreadable"] * 2
-    assert disk.changes == [("w0", True)]
+        fixture.overrides.reload()
+    assert fixture.errors == ["server_overrides_unreadable"] * 2
+    assert fixture.changes == [("w0", True)]
--- a/tests/observe/test_stalls.py
+++ b/tests/observe/test_stalls.py
@@ -1,4 +1,4 @@
-"""The stall detector: with a simulated clock, and in the real program."""
+"""The stall detector, with a simulated clock and in the running program."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from ringledge.observe.stalls import StallDetector
 from tests.loopback import WAIT_S, Node, take
 
-STOPPED_S = 1.2  # far longer than a busy machine holds a loop up by itself
+STOPPED_S = 1.2  # far longer than a busy machine delays the event loop
 
 
-class Bench:
-    """A stall detector with a simulated clock, whose log lines are recorded."""
+class DetectorHarness:
+    """A stall detector with a simulated clock and recorded log lines."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.now_s, self.lines = 1000.0, list[dict[str, Any]]()
@@ -36,48 +36,52 @@
 
 
 @pytest.fixture
-def bench(monkeypatch: pytest.MonkeyPatch) -> Iterator[Bench]:
+def harness(monkeypatch: pytest.MonkeyPatch) -> Iterator[DetectorHarness]:
     before = list(gc.callbacks)
-    yield Bench(monkeypatch)
+    yield DetectorHarness(monkeypatch)
     gc.callbacks[:] = before
 
 
-def test_a_heartbeat_over_200_ms_late_is_logged_once_with_the_delay(bench: Bench) -> None:
-    assert not bench.heartbeat(0)
-    assert not bench.heartbeat(0.1)
-    assert not bench.heartbeat(0.299)
-    (line,) = bench.heartbeat(0.35)
+def test_a_heartbeat_over_200_ms_late_is_logged_once_with_the_delay(harness: DetectorHarness) -> None:
+    assert not harness.heartbeat(0)
+    assert not harness.heartbeat(0.1)
+    assert not harness.heartbeat(0.299)
+    (line,) = harness.heartbeat(0.35)
     assert (line["event"], line["away_ms"]) == ("stalled", pytest.approx(250))
-    assert not bench.heartbeat(0.1)
+    assert not harness.heartbeat(0.1)
 
 
-def test_the_longest_event_is_reset_at_each_heartbeat(bench: Bench) -> None:
-    bench.heartbeat(0)
-    bench.detector.longest_event_s, bench.detector.longest_event = 0.2, "Members"
-    bench.heartbeat(0.1)
-    bench.detector.longest_event_s, bench.detector.longest_event = 0.05, "Request"
-    (line,) = bench.heartbeat(1)
+def test_the_longest_event_is_reset_at_each_heartbeat(harness: DetectorHarness) -> None:
+    harness.heartbeat(0)
+    harness.detector.longest_event_s, harness.detector.longest_event = 0.2, "Members"
+    harness.heartbeat(0.1)
+    harness.detector.longest_event_s, harness.detector.longest_event = 0.05, "Request"
+    (line,) = harness.heartbeat(1)
     assert (line["longest"], line["longest_ms"]) == ("Request", pytest.approx(50))
 
 
-def test_garbage_collection_is_timed(bench: Bench) -> None:
-    bench.heartbeat(0)
+def test_garbage_collection_is_timed(harness: DetectorHarness) -> None:
+    harness.heartbeat(0)
     garbage: list[Any] = [[] for _ in range(20_000)]
     gc.collect()
-    (line,) = bench.heartbeat(1)
+    (line,) = harness.heartbeat(1)
     assert garbage and line["collected_ms"] > 0
 
 
 @pytest.mark.parametrize(("text", "withheld_ms"), [(None, None), ("0 0 0\n", None), ("5 0 3\n", 0.0)])
 def test_time_not_scheduled_is_null_where_the_kernel_does_not_count_it(
-    bench: Bench, monkeypatch: pytest.MonkeyPatch, tmp_path: Path, text: str | None, withheld_ms: float | None
+    harness: DetectorHarness,
+    monkeypatch: pytest.MonkeyPatch,
+    tmp_path: Path,
+    text: str | None,
+    withheld_ms: float | None,
 ) -> None:
     path = tmp_path / "schedstat"
     if text is not None:
         path.write_text(text)
     monkeypatch.setattr(stalls, "SCHEDSTAT", str(path))
-    bench.heartbeat(0)
-    (line,) = bench.heartbeat(1)
+    harness.heartbeat(0)
+    (line,) = harness.heartbeat(1)
     assert line["withheld_ms"] == withheld_ms
 
 
@@ -87,7 +91,7 @@
     os.kill(pid, signal.SIGSTOP)
     while Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[0] != "T":
         assert time.monotonic() < until
-    time.sleep(STOPPED_S)  # the fault itself
+    time.sleep(STOPPED_S)  # the simulated fault
     os.kill(pid, signal.SIGCONT)
 
 
@@ -98,13 +102,14 @@
         node.writer[0].next().serve("x")
         take(client)
         stalls_logged = list[dict[str, Any]]()
-        for _ in range(2):  # the second shows that nothing more came of the first
+        for _ in range(2):  # the second stall shows that the first one was logged only once
             stop_for_a_while(node)
             line = node.logged("stalled")
-            while line["away_ms"] < 1000 * (STOPPED_S - 0.1):  # the machine's own, where it is busy
+            while line["away_ms"] < 1000 * (STOPPED_S - 0.1):  # skips stalls caused by a busy machine
                 line = node.logged("stalled")
             stalls_logged.append(line)
-            assert line["waited_ms"] > 1000 * (STOPPED_S - 0.3)  # a beat's time at both ends, and a little
+            # The logged time may lack up to a heartbeat interval at each end; the other 0.1 s is a margin.
+            assert line["waited_ms"] > 1000 * (STOPPED_S - 0.3)
             assert line["why"] == "waited" or (line["withheld_ms"] or 0) > line["waited_ms"]
         assert all(line["away_ms"] < 1000 * (STOPPED_S + WAIT_S) for line in stalls_logged)
         assert stalls_logged[1]["at"] - stalls_logged[0]["at"] > STOPPED_S - 0.1
--- a/tests/structures/test_stall_attribution.py
+++ b/tests/structures/test_stall_attribution.py
@@ -1,4 +1,4 @@
-"""The attribution of a stall, by given counters."""
+"""The attribution of a stall for given counters."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from ringledge.structures.stall_attribution import ProcessCounters, StallCause, attribute_stall
 
-START = ProcessCounters(40.0, 5.0, 2.0, 100, 9_000, 3, 0.5, 0.2)
+INITIAL = ProcessCounters(40.0, 5.0, 2.0, 100, 9_000, 3, 0.5, 0.2)
 
 
-def counters_after(**gained: float | None) -> ProcessCounters:
+def counters_after(**increments: float | None) -> ProcessCounters:
     values = {
-        name: (getattr(START, name) or 0) + (gained.get(name) or 0)
+        name: (getattr(INITIAL, name) or 0) + (increments.get(name) or 0)
         for name in ProcessCounters.__dataclass_fields__
     }
     return ProcessCounters(**values)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
-    ("gained", "cause", "blocked_s"),
+    ("increments", "cause", "blocked_s"),
     [
         pytest.param({"user_s": 0.9}, StallCause.CPU, 0.1, id="a long decision"),
         pytest.param({"user_s": 0.2, "system_s": 0.5}, StallCause.CPU, 0.3, id="system time"),
@@ -48,12 +48,12 @@
     ],
 )
 def test_the_cause_is_the_largest_share(
-    gained: dict[str, float], cause: StallCause, blocked_s: float
+    increments: dict[str, float], cause: StallCause, blocked_s: float
 ) -> None:
-    stall = attribute_stall(1.0, START, counters_after(**gained))
+    stall = attribute_stall(1.0, INITIAL, counters_after(**increments))
     assert stall.cause == cause
     assert stall.blocked_s == pytest.approx(blocked_s)
-    for name, amount in gained.items():
+    for name, amount in increments.items():
         assert getattr(stall.deltas, name) == pytest.approx(amount)
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Unit tests of small modules: the receive buffer, settings, the clock and the connection pool."""
+"""Unit tests of the receive buffer, the flattening of settings, the clock and the connection pool."""
 
 import pytest
 
@@ -39,39 +39,39 @@
     clock = Clock()
     first = clock.now_ms()
     assert first > 1_600_000_000_000
-    monkeypatch.setattr("time.time", lambda: 0.0)  # the system's clock is set back
+    monkeypatch.setattr("time.time", lambda: 0.0)  # the system clock is set back
     assert clock.now_ms() >= first
 
 
-class Idle:
+class FakeConnection:
     idle_since_s = 0.0
     reused = streamed = False
 
     def __init__(self) -> None:
-        self.stale = self.closed = False
+        self.has_unread_data = self.closed = False
 
     def readable(self) -> bool:
-        return self.stale
+        return self.has_unread_data
 
     def close(self) -> None:
         self.closed = True
 
 
-def test_the_pool_returns_the_youngest_connection_and_closes_stale_and_old_ones(
+def test_the_pool_returns_the_last_used_connection_and_closes_readable_and_expired_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     now = [100.0]
     monkeypatch.setattr("time.monotonic", lambda: now[0])
-    pool: ConnectionPool[Idle] = ConnectionPool(3, 15.0, Metrics())
-    conns = [Idle() for _ in range(3)]
+    pool: ConnectionPool[FakeConnection] = ConnectionPool(3, 15.0, Metrics())
+    conns = [FakeConnection() for _ in range(3)]
     for conn in conns:
         assert pool.reserve()
         pool.release("a", conn)
         now[0] += 1
-    assert pool.reserve() and conns[0].closed  # the oldest made room
+    assert pool.reserve() and conns[0].closed  # closed to make room for the new connection
     assert pool.open_count == 3
     pool.cancel_reservation()
-    conns[2].stale = True
+    conns[2].has_unread_data = True
     assert pool.acquire("a") is conns[1] and conns[2].closed
     pool.release("a", conns[1])
     pool.on_reused_connection_broken("b")
@@ -80,4 +80,4 @@
     now[0] += 15
     assert pool.acquire("a") is None and conns[1].closed and pool.open_count == 0
     pool.close_idle()
-    assert len(pool) == 0  # an address that has left is not remembered
+    assert len(pool) == 0  # addresses without connections are deleted
