--- a/ringledge/lab/load.py
+++ b/ringledge/lab/load.py
@@ -24,9 +24,7 @@
 CLASSES = SETTINGS["classes"]
 # Non-reading clients are started one after another at this interval: they are to use memory, not CPU time.
 NON_READING_CLIENT_INTERVAL_S = 0.02
-MAX_SEND_DELAY_S = (
-    0.05  # with a higher 99th percentile the generator did not keep up, according to the report
-)
+MAX_SEND_DELAY_S = 0.05  # with a higher 99th percentile, the report says that the generator was too slow
 SMALL_RECEIVE_BUFFER = socket.SO_RCVBUF, 4096  # of non-reading clients: the system's minimum
 POLL_INTERVAL_S = 0.02
 RESPONSE_GRACE_S = 5.0  # how long after the longest deadline open requests are awaited
--- a/ringledge/lab/load_plan.py
+++ b/ringledge/lab/load_plan.py
@@ -11,7 +11,7 @@
 from ringledge.lab.deployment import SETTINGS
 
 MIN_BODY_BYTES = 100
-MAX_BODY_BYTES = 250_000  # the protocol's limit for a request is 256 KiB
+MAX_BODY_BYTES = 250_000  # of a request; the protocol's limit is 256 KiB
 
 
 @dataclass(slots=True, frozen=True)
