--- a/ringledge/memory/connection_pool.py
+++ b/ringledge/memory/connection_pool.py
@@ -71,8 +71,8 @@
     def release(self, address: str, conn: C, carried_request: bool = True) -> None:
         """Return a connection to the pool after a complete exchange.
 
-        A connection that has carried no request but only calls such as releases (`carried_request` False) counts
-        as new until it has been idle for MIN_SAFE_IDLE_S.
+        A connection that has carried only calls such as releases, but no request (`carried_request` False),
+        counts as new until it has been idle for MIN_SAFE_IDLE_S.
         """
         conn.idle_since_s = time.monotonic()
         conn.reused = conn.reused or carried_request
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -11,6 +11,7 @@
 
 # Types that have been renamed since the golden files were written: name now, name then.
 RENAMED_TYPES = {
+    "WireNames": "Names",
     "QueueHead": "Head",
     "Capacity": "Room",
     "LoanRequest": "Want",
