--- a/ringledge/lifecycle/fingerprint.py
+++ b/ringledge/lifecycle/fingerprint.py
@@ -11,15 +11,15 @@
 
 import orjson
 
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.routing.interface import RouterSettings
 
 SCHEMA = 1  # version of handed-over and stored data; increase it when their meaning changes
 DIGEST_BYTES = 8
 
 
-def fingerprint(settings: RouterSettings, names: Names) -> str:
-    """The digest in hex; it depends on the names of zones, kinds, classes and tenants and on their order."""
+def fingerprint(settings: RouterSettings, names: WireNames) -> str:
+    """The digest in hex digits; equal for equal names of zones, kinds, classes and tenants in equal order."""
     roles = [kind.role.value for kind in settings.kinds]
     idempotency = [each.idempotency.value for each in settings.classes]
     fields = [SCHEMA, names.zones, names.kinds, roles, names.classes, idempotency, names.tenants]
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -67,7 +67,7 @@
         for state, count in (("active", lambda: len(self.active)), ("parked", lambda: len(self.idle))):
             metrics.connections.labels(name, state).set_function(count)
         metrics.woken.labels(name).set_function(lambda: self.idle.woken)
-        metrics.wheel_lag.labels(name).set_function(lambda: self.idle.lag_s)
+        metrics.wheel_lag_seconds.labels(name).set_function(lambda: self.idle.lag_s)
 
     @property
     def open(self) -> int:
--- a/ringledge/wire/exporters/xds.py
+++ b/ringledge/wire/exporters/xds.py
@@ -17,7 +17,7 @@
 import orjson
 
 from ringledge.core.conductor import Conductor
-from ringledge.memory.names import Names
+from ringledge.memory.names import WireNames
 from ringledge.observe.logging import log
 from ringledge.observe.metrics import Metrics
 from ringledge.routing.interface import (
@@ -52,7 +52,7 @@
 class Xds:
     """Serves discovery requests for endpoints and clusters."""
 
-    def __init__(self, config: XdsConfig, names: Names, conductor: Conductor, metrics: Metrics) -> None:
+    def __init__(self, config: XdsConfig, names: WireNames, conductor: Conductor, metrics: Metrics) -> None:
         self._config, self._names, self._conductor, self._metrics = config, names, conductor, metrics
         self._nonces = count(1)
 
