--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -13,8 +13,8 @@
 import click
 import orjson
 
-from benchmarks.soak.day import Day, Verdict
-from benchmarks.soak.plan import draw
+from benchmarks.soak.day import SoakRun, Verdict
+from benchmarks.soak.plan import draw_plan
 
 
 @click.command()
@@ -27,7 +27,7 @@
 @click.option("--json", "report", type=click.Path(path_type=Path), help="Write all verdicts there.")
 def main(seed: int, count: int, parallel: int, keep: Path | None, report: Path | None) -> None:
     """Play seeds with real processes on loopback; exits 1 where a promise was broken."""
-    verdicts = asyncio.run(play(range(seed, seed + count), parallel, keep))
+    verdicts = asyncio.run(run_seeds(range(seed, seed + count), parallel, keep))
     broken = [verdict for verdict in verdicts if verdict.violations]
     click.echo(
         f"{len(verdicts)} days, {sum(each.requests for each in verdicts)} requests, {len(broken)} days broken"
@@ -39,27 +39,27 @@
     sys.exit(bool(broken))
 
 
-async def play(seeds: Iterable[int], parallel: int, keep: Path | None = None) -> list[Verdict]:
+async def run_seeds(seeds: Iterable[int], parallel: int, keep: Path | None = None) -> list[Verdict]:
     """Play these seeds, so many at a time; the events of broken days are kept where a folder is given."""
-    places = asyncio.Semaphore(parallel)
+    slots = asyncio.Semaphore(parallel)
 
-    async def one(seed: int) -> Verdict:
-        async with places:
+    async def run_one(seed: int) -> Verdict:
+        async with slots:
             with tempfile.TemporaryDirectory() as folder:
-                verdict = await Day(draw(seed), Path(folder)).play()
+                verdict = await SoakRun(draw_plan(seed), Path(folder)).run()
                 if keep is not None and verdict.violations:
-                    shutil.copytree(folder, keep / str(seed), dirs_exist_ok=True, ignore=_sockets)
-            _tell(verdict)
+                    shutil.copytree(folder, keep / str(seed), dirs_exist_ok=True, ignore=_special_files)
+            _print_verdict(verdict)
             return verdict
 
-    return list(await asyncio.gather(*(one(seed) for seed in seeds)))
+    return list(await asyncio.gather(*(run_one(seed) for seed in seeds)))
 
 
-def _sockets(folder: str, names: list[str]) -> list[str]:
+def _special_files(folder: str, names: list[str]) -> list[str]:
     return [name for name in names if not (Path(folder, name).is_file() or Path(folder, name).is_dir())]
 
 
-def _tell(verdict: Verdict) -> None:
+def _print_verdict(verdict: Verdict) -> None:
     click.echo(
         f"seed {verdict.seed}: {verdict.requests} requests {verdict.statuses}, "
         f"late streams {verdict.late_streams}, held up {verdict.held_up_s:.3f} s"
@@ -67,8 +67,8 @@
     for violation in verdict.violations[:12]:
         click.echo(f"  {violation.rule} {violation.id}: {violation.note}")
     if verdict.violations:
-        for trouble in verdict.troubles:
-            click.echo(f"    {trouble}")
+        for fault in verdict.troubles:
+            click.echo(f"    {fault}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak/agent.py
+++ b/benchmarks/soak/agent.py
@@ -11,11 +11,11 @@
 
 from benchmarks.soak.events import EventLog
 
-EMPTY_LINE_S = 2.0
-SLOW_S = 1.3
+WATCH_HEARTBEAT_S = 2.0
+SLOW_ANSWER_DELAY_S = 1.3
 
 
-class Directory:
+class EndpointDirectory:
     """The list, and every change that it has seen."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
@@ -29,52 +29,52 @@
         self.entries[name] = self.entries[name] | fields
         self.changes.append((self.index, self.entries[name]))
 
-    def whole(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """The whole list."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
-    def since(self, index: int) -> dict[str, Any]:
+    def changes_since(self, index: int) -> dict[str, Any]:
         """What has changed since, the newest state of each."""
         changed = {entry["name"]: entry for at, entry in self.changes if at > index}
         return {"index": self.index, "snapshot": False, "endpoints": list(changed.values())}
 
 
-class Agent:
+class DiscoveryAgent:
     """One conductor's agent, at two addresses between which a configuration may move it."""
 
-    def __init__(self, conductor: str, host: str, directory: Directory, log: EventLog) -> None:
+    def __init__(self, conductor: str, host: str, directory: EndpointDirectory, log: EventLog) -> None:
         self._host, self.conductor, self.directory, self._log = host, conductor, directory, log
         self.mute_until = self.slow_until = self.garbage_until = 0.0
         self._tasks = set[asyncio.Task[Any]]()
         self._writers: set[asyncio.StreamWriter] = set()
-        self.news = asyncio.Event()
+        self.changed_event = asyncio.Event()
         self.ports: list[int] = []
-        self.asked = [0.0, 0.0]  # when each address was asked last
+        self.last_connected_s = [0.0, 0.0]  # when each address was asked last
 
     async def serve(self, ports: list[int]) -> None:
         """Listen at both addresses."""
         self.ports = ports
         for port in ports:
-            await asyncio.start_server(self._connection, self._host, port)
+            await asyncio.start_server(self._handle_connection, self._host, port)
 
-    def tell(self) -> None:
+    def notify_watches(self) -> None:
         """Have open watches told what has changed."""
-        self.news.set()
-        self.news = asyncio.Event()
+        self.changed_event.set()
+        self.changed_event = asyncio.Event()
 
-    def reset(self) -> None:
+    def reset_connections(self) -> None:
         """Reset every watch."""
         for writer in list(self._writers):
             writer.transport.abort()
 
-    async def _connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         if (task := asyncio.current_task()) is not None:
             self._tasks.add(task)  # the loop itself holds tasks weakly
         try:
             with suppress(OSError, asyncio.IncompleteReadError, ValueError):
                 port = writer.get_extra_info("sockname")[1]
-                self.asked[self.ports.index(port)] = time.monotonic()
+                self.last_connected_s[self.ports.index(port)] = time.monotonic()
                 head = await reader.readuntil(b"\r\n\r\n")
                 await self._answer(head.split(b" ")[1].decode(), writer)
         except asyncio.CancelledError:
@@ -84,12 +84,12 @@
             writer.close()
 
     async def _answer(self, target: str, writer: asyncio.StreamWriter) -> None:
-        await self._unless_mute()
+        await self._hang_while_mute()
         if time.monotonic() < self.slow_until:
-            await asyncio.sleep(SLOW_S)
+            await asyncio.sleep(SLOW_ANSWER_DELAY_S)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         if "watch=1" not in target:
-            self._line(writer, self.directory.whole())
+            self._write_line(writer, self.directory.snapshot())
             writer.write(b"0\r\n\r\n")
             await writer.drain()
         else:
@@ -99,30 +99,30 @@
         first = True
         while True:
             if first and index < 10:
-                self._line(writer, self.directory.whole())
+                self._write_line(writer, self.directory.snapshot())
             elif first or self.directory.index > index:
-                self._line(writer, self.directory.since(index))
+                self._write_line(writer, self.directory.changes_since(index))
             else:
                 writer.write(b"1\r\n\n\r\n")
             first, index = False, self.directory.index
             await writer.drain()
-            news = self.news
+            changed_event = self.changed_event
             with suppress(TimeoutError):
-                await asyncio.wait_for(news.wait(), EMPTY_LINE_S)
+                await asyncio.wait_for(changed_event.wait(), WATCH_HEARTBEAT_S)
             if writer.is_closing():
                 return
             if time.monotonic() < self.mute_until:
                 await asyncio.Event().wait()  # this watch stays silent for good
 
-    async def _unless_mute(self) -> None:
+    async def _hang_while_mute(self) -> None:
         if time.monotonic() < self.mute_until:
             await asyncio.Event().wait()  # accepted in vain
 
-    def _line(self, writer: asyncio.StreamWriter, told: dict[str, Any]) -> None:
-        text = orjson.dumps(told) + b"\n"
+    def _write_line(self, writer: asyncio.StreamWriter, update: dict[str, Any]) -> None:
+        text = orjson.dumps(update) + b"\n"
         if time.monotonic() < self.garbage_until:
             text = text[: len(text) // 2] + b"\n"
         else:
-            states = {each["name"]: each["status"] for each in told["endpoints"]}
-            self._log.write("told", conductor=self.conductor, index=told["index"], states=states)
+            states = {each["name"]: each["status"] for each in update["endpoints"]}
+            self._log.write("told", conductor=self.conductor, index=update["index"], states=states)
         writer.write(b"%x\r\n%s\r\n" % (len(text), text))
--- a/benchmarks/soak/answers.py
+++ b/benchmarks/soak/answers.py
@@ -18,7 +18,7 @@
     late_s: float = 0.0  # the latest of its events, behind the moment in which its server wrote it
 
 
-class Answers:
+class AnswerParser:
     """The answers of one connection: a parser's callbacks."""
 
     def __init__(self) -> None:
--- a/benchmarks/soak/child.py
+++ b/benchmarks/soak/child.py
@@ -9,27 +9,27 @@
 
 import orjson
 
-from benchmarks.soak.shim import Faults, Window
+from benchmarks.soak.shim import FaultWindow, ProcessFaults
 
-OF_PROCESS = ("call_fails", "short_io", "disk_fails", "wall_step")
+PROCESS_FAULT_KINDS = ("call_fails", "short_io", "disk_fails", "wall_step")
 
 
 def main() -> None:
     """Install the faults, then be the program."""
-    told = orjson.loads(Path(os.environ["SOAK_FAULTS"]).read_bytes())
-    name, start_s = os.environ["SOAK_CONDUCTOR"], told["start_s"]
-    windows, cut = [], dict[int, list[tuple[float, float]]]()
-    for trouble in told["plan"]["troubles"]:
-        from_s, until_s = start_s + trouble["at_s"], start_s + trouble["until_s"]
-        if trouble["kind"] in OF_PROCESS and trouble["target"] == name:
-            windows.append(Window(trouble["kind"], from_s, until_s, trouble["detail"]))
-        elif trouble["kind"] == "path_silent":
+    scenario = orjson.loads(Path(os.environ["SOAK_FAULTS"]).read_bytes())
+    router, start_s = os.environ["SOAK_CONDUCTOR"], scenario["start_s"]
+    windows, outages = [], dict[int, list[tuple[float, float]]]()
+    for fault in scenario["plan"]["troubles"]:
+        from_s, until_s = start_s + fault["at_s"], start_s + fault["until_s"]
+        if fault["kind"] in PROCESS_FAULT_KINDS and fault["target"] == router:
+            windows.append(FaultWindow(fault["kind"], from_s, until_s, fault["detail"]))
+        elif fault["kind"] == "path_silent":
             for server in (
-                told["silenced"][trouble["target"]] if trouble["detail"]["zone"] else [trouble["target"]]
+                scenario["silenced"][fault["target"]] if fault["detail"]["zone"] else [fault["target"]]
             ):
-                cut.setdefault(told["ports"][server], []).append((from_s, until_s))
-    faults = Faults(windows, told["plan"]["seed"], os.environ["TMPDIR"])
-    faults.hung, faults.cut = (told["host"], told["hung_port"]), cut
+                outages.setdefault(scenario["ports"][server], []).append((from_s, until_s))
+    faults = ProcessFaults(windows, scenario["plan"]["seed"], os.environ["TMPDIR"])
+    faults.dead_address, faults.outages = ((scenario["host"], scenario["hung_port"]), outages)
     faults.install()
     sys.argv = ["ringledge"]
     runpy.run_module("ringledge", run_name="__main__")
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -11,28 +11,30 @@
 
 import httptools
 
-from benchmarks.soak.answers import Answer, Answers
+from benchmarks.soak.answers import Answer, AnswerParser
 from benchmarks.soak.events import EventLog
 
-CLASSES = ("query", "booking", "order", "ticket")
-WEIGHTS = (5, 4, 2, 2)
-FRESH_S = 0.1  # a connection that rested before its first request counts as any that rests
-ANSWER_S = 9.0  # longest budget, stream and slack
+REQUEST_CLASSES = ("query", "booking", "order", "ticket")
+CLASS_WEIGHTS = (5, 4, 2, 2)
+FRESH_CONNECTION_S = 0.1  # a connection that rested before its first request counts as any that rests
+ANSWER_TIMEOUT_S = 9.0  # longest budget, stream and slack
 BODY = b'{"model":"chat","stream":true,"messages":[{"role":"user","content":"%s"}]}'
 
 
-class Client:
+class ClientConnection:
     """One connection's life."""
 
-    def __init__(self, told: dict[str, Any], conductor: str, number: int, log: EventLog, seed: float) -> None:
-        self.address = (told["host"], told["conductor_ports"][conductor])
-        self.deadline_ms = told["plan"]["deadline_ms"]
-        self.name, self.log, self.rng = f"{conductor}-{number}", log, random.Random(seed)
+    def __init__(
+        self, scenario: dict[str, Any], router: str, number: int, log: EventLog, seed: float
+    ) -> None:
+        self.address = (scenario["host"], scenario["conductor_ports"][router])
+        self.deadline_ms = scenario["plan"]["deadline_ms"]
+        self.name, self.log, self.rng = f"{router}-{number}", log, random.Random(seed)
         self.reader: asyncio.StreamReader
         self.writer: asyncio.StreamWriter
         self.count = 0
         self.opened_s = self.begun_s = 0.0
-        self.fresh, self.answers = True, Answers()
+        self.fresh, self.answers = True, AnswerParser()
 
     async def connect(self) -> bool:
         """Open it; False where nobody listens."""
@@ -41,16 +43,16 @@
             self.reader, self.writer = await asyncio.open_connection(*self.address)
         except OSError:
             return False
-        self.fresh, self.answers = True, Answers()
+        self.fresh, self.answers = True, AnswerParser()
         return True
 
-    def request(self) -> tuple[str, bytes]:
+    def make_request(self) -> tuple[str, bytes]:
         """A further request: its id and its bytes."""
         self.count += 1
         name, rng = f"{self.name}-{self.count}", self.rng
-        kind = rng.choices(CLASSES, WEIGHTS)[0]
-        parts = rng.choice((0.5, 0.8, 1.0, 1.0, 0.0))
-        budget = round(parts * self.deadline_ms) or rng.randint(2, 60)
+        kind = rng.choices(REQUEST_CLASSES, CLASS_WEIGHTS)[0]
+        budget_fraction = rng.choice((0.5, 0.8, 1.0, 1.0, 0.0))
+        budget = round(budget_fraction * self.deadline_ms) or rng.randint(2, 60)
         size = rng.choice((10, 10, 2000, 60_000, 200_000))
         body = BODY % (b"y" * size)
         head = (
@@ -63,21 +65,21 @@
         self.log.write("request", id=name, kind=kind, budget_ms=budget, size=size)
         return name, head.encode() + body
 
-    async def send(self, name: str, data: bytes, ahead: bool = False) -> None:
+    async def send(self, request_id: str, data: bytes, ahead: bool = False) -> None:
         """Write it whole; `ahead`: before the answer to the last one."""
         if data:
             self.begun_s = time.monotonic()
         self.writer.write(data)
         with suppress(OSError):
             await self.writer.drain()
-        fresh = self.fresh and not ahead and self.begun_s - self.opened_s < FRESH_S
-        self.log.write("posted", id=name, fresh=fresh, ahead=ahead, begun_s=self.begun_s)
+        fresh = self.fresh and not ahead and self.begun_s - self.opened_s < FRESH_CONNECTION_S
+        self.log.write("posted", id=request_id, fresh=fresh, ahead=ahead, begun_s=self.begun_s)
 
-    async def receive_answer(self, name: str) -> bool:
+    async def receive_answer(self, request_id: str) -> bool:
         """Take the answer; whether the connection may go on."""
         error = ""
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 while not (self.answers.received and self.answers.received[0].whole):
                     data = await self.reader.read(65536)
                     if not data:
@@ -86,10 +88,10 @@
                     self.answers.feed(data)
         except TimeoutError:
             error = "timeout"
-        except (OSError, httptools.HttpParserError) as broken:
-            error = type(broken).__name__
+        except (OSError, httptools.HttpParserError) as exc:
+            error = type(exc).__name__
         answer = self.answers.received.pop(0) if self.answers.received else Answer()
-        self.log.write("answer", id=name, error=error, fresh=self.fresh, **asdict(answer))
+        self.log.write("answer", id=request_id, error=error, fresh=self.fresh, **asdict(answer))
         self.fresh = False
         if error:
             self.writer.close()
--- a/benchmarks/soak/day.py
+++ b/benchmarks/soak/day.py
@@ -13,18 +13,18 @@
 
 import orjson
 
-from benchmarks.soak.agent import Agent, Directory
-from benchmarks.soak.events import EventLog, read
-from benchmarks.soak.fleet import ROOT, Conductor, free_ports
-from benchmarks.soak.history import collect
-from benchmarks.soak.oracle import HELD_UP_S, TIMED_RULES, Violation, judge, zone
-from benchmarks.soak.plan import PLAY_S, Plan
-from benchmarks.soak.settings import settings
-from benchmarks.soak.troubles import Troubles
+from benchmarks.soak.agent import DiscoveryAgent, EndpointDirectory
+from benchmarks.soak.events import EventLog, read_events
+from benchmarks.soak.fleet import ROOT, RouterProcess, free_ports
+from benchmarks.soak.history import build_history
+from benchmarks.soak.oracle import MAX_STALL_S, TIMED_RULES, Violation, judge, zone
+from benchmarks.soak.plan import LOAD_S, Plan
+from benchmarks.soak.settings import router_settings
+from benchmarks.soak.troubles import FaultInjector
 
-START_S = 3.0  # until the load begins: processes start meanwhile
-END_S = 7.0  # behind it, for what is under way
-STARTS = 20  # of a conductor in a day, at most
+STARTUP_S = 3.0  # until the load begins: processes start meanwhile
+SETTLE_S = 7.0  # behind it, for what is under way
+MAX_STARTS = 20  # of a conductor in a day, at most
 
 
 @dataclass(slots=True)
@@ -39,52 +39,54 @@
     troubles: list[str]
     held_up_s: float  # that a conductor, or the driver, got no processor for at a time, at most
 
-    def judged(self) -> list[Violation]:
+    def counted(self) -> list[Violation]:
         """The violations that count beside load: those of timed rules only where no process was held up."""
-        timed = self.held_up_s <= HELD_UP_S
-        return [each for each in self.violations if timed or each.rule not in TIMED_RULES]
+        include_timed = self.held_up_s <= MAX_STALL_S
+        return [each for each in self.violations if include_timed or each.rule not in TIMED_RULES]
 
 
-class Day:
+class SoakRun:
     """The processes of one seed."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder, self.log = plan, folder, EventLog(folder / "driver.events", "driver")
-        self.start_s = time.monotonic() + START_S
+        self.start_s = time.monotonic() + STARTUP_S
         servers, conductors = len(plan.servers), len(plan.conductors)
-        ports = free_ports(plan.host, 2 * servers + (3 + STARTS) * conductors)
-        self.outer = {server: ports.pop() for server in plan.servers}
-        self.inner = {server: ports.pop() for server in plan.servers}
+        ports = free_ports(plan.host, 2 * servers + (3 + MAX_STARTS) * conductors)
+        self.proxy_ports = {server: ports.pop() for server in plan.servers}
+        self.server_ports = {server: ports.pop() for server in plan.servers}
         self.ports = {name: ports.pop() for name in plan.conductors}
         self.agent_ports = [ports.pop() for _ in range(2 * conductors)]
         self.operator_ports = ports
-        entries = [self._entry(server) for server in plan.servers]
-        self.directory = Directory(entries)
-        self.agents = {name: Agent(name, plan.host, self.directory, self.log) for name in plan.conductors}
-        self.conductors: dict[str, Conductor] = {}
+        entries = [self._endpoint_entry(server) for server in plan.servers]
+        self.directory = EndpointDirectory(entries)
+        self.agents = {
+            name: DiscoveryAgent(name, plan.host, self.directory, self.log) for name in plan.conductors
+        }
+        self.conductors: dict[str, RouterProcess] = {}
         self.servers: dict[str, subprocess.Popen[bytes]] = {}
-        self.others: list[subprocess.Popen[bytes]] = []
+        self.helper_processes: list[subprocess.Popen[bytes]] = []
 
-    def _entry(self, server: str) -> dict[str, Any]:
+    def _endpoint_entry(self, server: str) -> dict[str, Any]:
         return {
-            "name": server, "address": f"{self.plan.host}:{self.outer[server]}", "zone": zone(server),
+            "name": server, "address": f"{self.plan.host}:{self.proxy_ports[server]}", "zone": zone(server),
             "type": self.plan.kind(server), "group": int(server[1:]) % 2 + 1, "status": "active",
             "weight": 1.0, "since_ms": 0,
         }  # fmt: skip
 
-    async def play(self) -> Verdict:
+    async def run(self) -> Verdict:
         """Start all, bring the troubles about, and judge."""
         try:
             await self._start()
-            troubles = Troubles(self)
+            troubles = FaultInjector(self)
             async with asyncio.TaskGroup() as tasks:
-                for trouble in self.plan.troubles:
-                    tasks.create_task(troubles.bring(trouble))
-                await self._until(PLAY_S + END_S)
+                for fault in self.plan.troubles:
+                    tasks.create_task(troubles.inject(fault))
+                await self._supervise_until(LOAD_S + SETTLE_S)
         finally:
-            self._end()
-        events = read(self.folder.glob("*.events"))
-        history = collect(self.plan, self.start_s, events)
+            self._stop()
+        events = read_events(self.folder.glob("*.events"))
+        history = build_history(self.plan, self.start_s, events)
         answers = [request.answer for request in history.requests.values() if request.answer is not None]
         statuses = [str(answer["status"]) for answer in answers]
         return Verdict(
@@ -101,78 +103,79 @@
         )
 
     async def _start(self) -> None:
-        host, hung = self.plan.host, self._hung()
+        host, dead_port = self.plan.host, self._open_dead_port()
         silenced = {s: [o for o in self.plan.servers if zone(o) == zone(s)] for s in self.plan.servers}
-        told = {
-            "plan": self.plan.as_json(), "start_s": self.start_s, "silenced": silenced, "hung_port": hung,
-            "ports": self.outer, "server_ports": self.inner, "conductor_ports": self.ports,
-            "host": host,
+        scenario = {
+            "plan": self.plan.as_json(), "start_s": self.start_s, "silenced": silenced,
+            "hung_port": dead_port, "ports": self.proxy_ports, "server_ports": self.server_ports,
+            "conductor_ports": self.ports, "host": host,
         }  # fmt: skip
         faults = self.folder / "faults.json"
-        faults.write_bytes(orjson.dumps(told))
+        faults.write_bytes(orjson.dumps(scenario))
         for server in self.plan.servers:
             self.start_server(server)
-        self._run("benchmarks.soak.proxy", str(faults), str(self.folder / "proxy.events"))
+        self._start_helper("benchmarks.soak.proxy", str(faults), str(self.folder / "proxy.events"))
         for position, name in enumerate(self.plan.conductors):
             await self.agents[name].serve(self.agent_ports[2 * position : 2 * position + 2])
             (self.folder / name).mkdir()
             config = {
-                "name": name, "listen": f"{host}:{self.ports[name]}", "seed": f"{self.plan.seed}{position}",
-                "discovery": f"{host}:{self.agents[name].ports[0]}", "known": self.directory.whole(),
+                "name": name, "listen": f"{host}:{self.ports[name]}",
+                "seed": f"{self.plan.seed}{position}",
+                "discovery": f"{host}:{self.agents[name].ports[0]}", "known": self.directory.snapshot(),
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-                "settings": settings(self.plan, position),
+                "settings": router_settings(self.plan, position),
             }  # fmt: skip
             ports = self.operator_ports[position :: len(self.plan.conductors)]
-            self.conductors[name] = Conductor(
+            self.conductors[name] = RouterProcess(
                 name, self.folder / name, self.log, faults, config, ports, self.plan.kill_after_s
             )
             self.conductors[name].start()
-        await asyncio.gather(*(each.ready() for each in self.conductors.values()))
+        await asyncio.gather(*(each.wait_until_ready() for each in self.conductors.values()))
         for name in self.plan.conductors:
             events = str(self.folder / f"client-{name}.events")
-            self._run("benchmarks.soak.plays", str(faults), name, events, str(self.plan.seed))
+            self._start_helper("benchmarks.soak.plays", str(faults), name, events, str(self.plan.seed))
 
-    def _hung(self) -> int:
+    def _open_dead_port(self) -> int:
         """A port at which connections never come up: its queue is full."""
-        self._door = socket.socket()
-        self._door.bind((self.plan.host, 0))
-        self._door.listen(0)
-        self._queue = [socket.socket() for _ in range(4)]
-        for sock in self._queue:
+        self._dead_listener = socket.socket()
+        self._dead_listener.bind((self.plan.host, 0))
+        self._dead_listener.listen(0)
+        self._backlog_fillers = [socket.socket() for _ in range(4)]
+        for sock in self._backlog_fillers:
             sock.setblocking(False)
-            sock.connect_ex(self._door.getsockname())
-        return int(self._door.getsockname()[1])
+            sock.connect_ex(self._dead_listener.getsockname())
+        return int(self._dead_listener.getsockname()[1])
 
-    def _run(self, module: str, *args: str) -> None:
+    def _start_helper(self, module: str, *args: str) -> None:
         with (self.folder / "errors.txt").open("ab") as errors:
             command = [sys.executable, "-m", module, *args]
-            self.others.append(subprocess.Popen(command, cwd=ROOT, stderr=errors))
+            self.helper_processes.append(subprocess.Popen(command, cwd=ROOT, stderr=errors))
 
     def start_server(self, server: str) -> None:
         """Start a stand-in."""
-        kind, port = self.plan.kind(server), str(self.inner[server])
+        kind, port = self.plan.kind(server), str(self.server_ports[server])
         command = [sys.executable, "-m", "benchmarks.soak.instance", server, kind, self.plan.host, port]
         command += [str(self.folder / f"{server}.events"), f"{self.plan.seed}{server[1:]}"]
         command.append(str(self.folder / "faults.json"))
         with (self.folder / "errors.txt").open("ab") as errors:
             self.servers[server] = subprocess.Popen(command, cwd=ROOT, stderr=errors)
 
-    async def _until(self, at_s: float) -> None:
+    async def _supervise_until(self, at_s: float) -> None:
         """Wait, and look for ends that nobody asked for."""
         while (left_s := self.start_s + at_s - time.monotonic()) > 0:
             for conductor in self.conductors.values():
-                conductor.check()
+                conductor.record_unexpected_exit()
             wait_s, began_s = min(0.1, left_s), time.monotonic()
             await asyncio.sleep(wait_s)
             self.log.write("held_up", s=time.monotonic() - began_s - wait_s)
 
-    def _end(self) -> None:
+    def _stop(self) -> None:
         for conductor in self.conductors.values():
-            conductor.check()
+            conductor.record_unexpected_exit()
         for conductor in self.conductors.values():
             conductor.close()
-        for process in [*self.servers.values(), *self.others]:
+        for process in [*self.servers.values(), *self.helper_processes]:
             process.kill()
             process.wait()
-        for sock in (self._door, *self._queue):
+        for sock in (self._dead_listener, *self._backlog_fillers):
             sock.close()
--- a/benchmarks/soak/events.py
+++ b/benchmarks/soak/events.py
@@ -24,12 +24,14 @@
         self._file.write(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE))
 
 
-def read(paths: Iterable[Path]) -> list[Event]:
+def read_events(paths: Iterable[Path]) -> list[Event]:
     """All events of these files, in order of time; a line that a kill cut off is left out."""
-    return sorted((event for path in paths for event in _lines(path)), key=lambda event: float(event["t"]))
+    return sorted(
+        (event for path in paths for event in _parse_events(path)), key=lambda event: float(event["t"])
+    )
 
 
-def _lines(path: Path) -> Iterator[Event]:
+def _parse_events(path: Path) -> Iterator[Event]:
     for line in path.read_bytes().splitlines():
         try:
             event = orjson.loads(line)
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -19,11 +19,11 @@
 from benchmarks.soak.events import EventLog
 
 ROOT = Path(__file__).parent.parent.parent
-ENDING = (signal.SIGTERM,)
-READY_S = 10.0
-SERIES_S = 0.06  # between two signals of a series
-EXACT_S = 0.02  # before a kill that is due: from here on nothing else is waited for
-ITS_OWN = (
+STOP_SIGNALS = (signal.SIGTERM,)
+READY_TIMEOUT_S = 10.0
+SIGNAL_INTERVAL_S = 0.06  # between two signals of a series
+BUSY_WAIT_S = 0.02  # before a kill that is due: from here on nothing else is waited for
+FAILURE_MARKERS = (
     b'"invariant_violated"',
     b'"connection_crashed"',
     b'"attempt_crashed"',
@@ -43,7 +43,7 @@
     return ports
 
 
-class Conductor:
+class RouterProcess:
     """One conductor: at any time one process of it, or two while one takes over."""
 
     def __init__(
@@ -61,55 +61,55 @@
         self.name, self.folder, self._log, self._faults = name, folder, log, faults
         self._host = config["listen"].rpartition(":")[0]
         self._operator_ports = operator_ports
-        self.config, self._starts, self.process = config, 0, subprocess.Popen[bytes](["true"])
+        self.config, self._start_count, self.process = config, 0, subprocess.Popen[bytes](["true"])
         self.process.wait()
-        self.old: list[subprocess.Popen[bytes]] = []
-        self.expected = False  # its end
+        self.replaced: list[subprocess.Popen[bytes]] = []
+        self.exit_expected = False  # its end
         self.lock = asyncio.Lock()  # one trouble of the process at a time
 
     @property
-    def lines(self) -> Path:
+    def output(self) -> Path:
         """The log of the process that was started last."""
-        return self.folder / f"{self._starts}.log"
+        return self.folder / f"{self._start_count}.log"
 
-    def configure(self) -> None:
+    def write_config(self) -> None:
         """Write the configuration."""
         (self.folder / "config.json").write_bytes(orjson.dumps(self.config))
 
     def start(self) -> None:
         """Start a process."""
-        self._starts += 1
-        self.expected = False
+        self._start_count += 1
+        self.exit_expected = False
         self.config["operator"] = f"{self._host}:{self._operator_ports.pop()}"
-        self.configure()
+        self.write_config()
         environ = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "RINGLEDGE_", "SOAK_"))}
         environ |= {"RELAY_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder)}
         environ |= {"RINGLEDGE_DEPLOY": str(self.folder), "RINGLEDGE_LOG_LEVEL": "debug"}
         environ |= {"SOAK_FAULTS": str(self._faults), "SOAK_CONDUCTOR": self.name}
-        with self.lines.open("wb") as lines:
+        with self.output.open("wb") as output:
             command = [sys.executable, "-m", "benchmarks.soak.child"]
-            self.process = subprocess.Popen(command, cwd=ROOT, env=environ, stderr=lines)
+            self.process = subprocess.Popen(command, cwd=ROOT, env=environ, stderr=output)
         self._log.write("started", conductor=self.name, pid=self.process.pid)
 
-    async def ready(self) -> bool:
+    async def wait_until_ready(self) -> bool:
         """Wait until it serves; a start that fails is a finding."""
-        began_s, process, lines = time.monotonic(), self.process, self.lines
-        while time.monotonic() < began_s + READY_S:
-            if b'"event":"ready"' in lines.read_bytes():
+        began_s, process, output = time.monotonic(), self.process, self.output
+        while time.monotonic() < began_s + READY_TIMEOUT_S:
+            if b'"event":"ready"' in output.read_bytes():
                 self._log.write("ready", conductor=self.name, after_s=time.monotonic() - began_s)
                 return True
             if process.poll() is not None:
                 break
             await asyncio.sleep(0.02)
-        if not self.expected:
+        if not self.exit_expected:
             after_s = time.monotonic() - began_s
-            self._log.write("not_ready", conductor=self.name, after_s=after_s, tail=tail(lines))
+            self._log.write("not_ready", conductor=self.name, after_s=after_s, tail=tail(output))
         return False
 
     async def restart(self) -> None:
         """Start a process, and wait until it serves."""
         self.start()
-        await self.ready()
+        await self.wait_until_ready()
 
     def signal(self, number: int) -> None:
         """Send the newest process a signal."""
@@ -118,17 +118,19 @@
 
     def kill(self) -> None:
         """SIGKILL."""
-        self.expected = True
+        self.exit_expected = True
         self._log.write("killed", conductor=self.name)
         self.signal(signal.SIGKILL)
         self.process.wait()
 
     async def stop(self) -> None:
         """SIGTERM, and SIGKILL where the grace does not do."""
-        self.expected = True
-        await self.end(self.process)
+        self.exit_expected = True
+        await self.terminate(self.process)
 
-    async def end(self, process: subprocess.Popen[bytes], signals: Sequence[int] = ENDING) -> None:
+    async def terminate(
+        self, process: subprocess.Popen[bytes], signals: Sequence[int] = STOP_SIGNALS
+    ) -> None:
         """The same for any process, with signals in series; the grace runs from the first that ends it."""
         until_s = inf
         for number in signals:
@@ -137,32 +139,32 @@
                 until_s = time.monotonic() + self._kill_after_s
             if process.poll() is None:
                 process.send_signal(number)
-            await asyncio.sleep(SERIES_S if len(signals) > 1 else 0.0)
-        while process.poll() is None and time.monotonic() < until_s - EXACT_S:
+            await asyncio.sleep(SIGNAL_INTERVAL_S if len(signals) > 1 else 0.0)
+        while process.poll() is None and time.monotonic() < until_s - BUSY_WAIT_S:
             await asyncio.sleep(0.01)
-        time.sleep(max(0.0, min(EXACT_S, until_s - time.monotonic())) if process.poll() is None else 0.0)
+        time.sleep(max(0.0, min(BUSY_WAIT_S, until_s - time.monotonic())) if process.poll() is None else 0.0)
         if process.poll() is None:
             self._log.write("killed", conductor=self.name, pid=process.pid, grace=True)
             process.kill()
         process.wait()
 
-    def check(self) -> None:
+    def record_unexpected_exit(self) -> None:
         """Tell of an end that nobody asked for."""
         code = self.process.poll()
-        if code is not None and not self.expected:
-            self.expected = True
-            self._log.write("crashed", conductor=self.name, code=code, tail=tail(self.lines))
+        if code is not None and not self.exit_expected:
+            self.exit_expected = True
+            self._log.write("crashed", conductor=self.name, code=code, tail=tail(self.output))
 
     def close(self) -> None:
         """End what is left, and tell what the logs hold of the program's own findings."""
         self._log.write("killed", conductor=self.name)
-        for process in (self.process, *self.old):
+        for process in (self.process, *self.replaced):
             if process.poll() is None:
                 process.kill()
             process.wait()
         for path in self.folder.glob("*.log"):
             for line in path.read_bytes().splitlines():
-                if any(mark in line for mark in ITS_OWN):
+                if any(marker in line for marker in FAILURE_MARKERS):
                     self._log.write("found", conductor=self.name, line=line.decode(errors="replace")[:600])
                 elif b'"event":"stalled"' in line:
                     self._log.write("held_up", s=orjson.loads(line)["away_ms"] / 1000)
--- a/benchmarks/soak/history.py
+++ b/benchmarks/soak/history.py
@@ -10,8 +10,8 @@
 from benchmarks.soak.events import Event
 from benchmarks.soak.plan import Plan
 
-STOP_TAKES_S = 0.7  # behind SIGTERM: a stream that was taken until then may be cut by the kill
-NOISE_S = 0.15  # that a busy machine may add between two witnesses
+CUT_STREAM_WINDOW_S = 0.7  # behind SIGTERM: a stream that was taken until then may be cut by the kill
+TOLERANCE_S = 0.15  # that a busy machine may add between two witnesses
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
     arrived_s: float = inf  # whole at its server
     end_s: float = inf  # its answer was there, or a side had closed
     told_ms: float = 0.0  # the time that its server was told
-    how: str = ""  # answered, closed (by the conductor), broke
+    ending: str = ""  # answered, closed (by the conductor), broke
 
 
 @dataclass(slots=True)
@@ -36,24 +36,24 @@
     kind: str = ""
     budget_s: float = 0.0
     begun_s: float = inf  # its first byte
-    posted_s: float = inf  # its last byte
+    last_byte_s: float = inf  # its last byte
     fresh: bool = True
     ahead: bool = False  # it was sent before the answer to another one
     answer: Event | None = None
     left_s: float = inf
     floods: bool = False
-    half_s: float = inf
-    half_end: Event | None = None
+    partial_s: float = inf
+    partial_end: Event | None = None
     attempts: list[Attempt] = field(default_factory=list)
     server_events: list[Event] = field(default_factory=list)
 
     @property
-    def conductor(self) -> str:
+    def router(self) -> str:
         """Whom it was sent to."""
         return self.id.partition("-")[0]
 
     @property
-    def ran(self) -> list[Event]:
+    def runs(self) -> list[Event]:
         """Where and when it took effect."""
         return [event for event in self.server_events if event["event"] == "ran"]
 
@@ -66,54 +66,59 @@
     start_s: float
     requests: dict[str, Request]
     kills: dict[str, list[float]]  # SIGKILL, by conductor
-    terms: dict[str, list[float]]
-    overruns: dict[str, list[float]]  # SIGKILL behind SIGTERM, when the grace was over
+    terminations: dict[str, list[float]]
+    grace_kills: dict[str, list[float]]  # SIGKILL behind SIGTERM, when the grace was over
     events: list[Event]
 
-    def killed(self, conductor: str, from_s: float, until_s: float) -> bool:
+    def killed(self, router: str, from_s: float, until_s: float) -> bool:
         """Whether a process of the conductor was killed then."""
-        times = self.kills[conductor] + self.overruns[conductor]
-        return any(from_s - NOISE_S <= at_s <= until_s + NOISE_S for at_s in times)
+        times = self.kills[router] + self.grace_kills[router]
+        return any(from_s - TOLERANCE_S <= at_s <= until_s + TOLERANCE_S for at_s in times)
 
     def excused(self, request: Request, until_s: float) -> bool:
         """Whether its conductor was killed, or its connections were broken for it, until then."""
-        from_s = request.begun_s - NOISE_S
-        if any(from_s <= at_s <= until_s + NOISE_S for at_s in self.kills[request.conductor]):
+        from_s = request.begun_s - TOLERANCE_S
+        if any(from_s <= at_s <= until_s + TOLERANCE_S for at_s in self.kills[request.router]):
             return True
-        if any(self._overrun_excuses(request, at_s) for at_s in self.overruns[request.conductor]):
+        if any(self._grace_kill_excuses(request, at_s) for at_s in self.grace_kills[request.router]):
             return True
         return any(
-            each.target == request.conductor
+            each.target == request.router
             and each.detail.get("call") == "recv"
             and self.start_s + each.at_s <= until_s
             and request.begun_s <= self.start_s + each.until_s
             for each in self.plan.troubles
         )
 
-    def _overrun_excuses(self, request: Request, killed_s: float) -> bool:
+    def _grace_kill_excuses(self, request: Request, killed_s: float) -> bool:
         """Whether a kill behind the grace may have left it unanswered.
 
         That is so where it crosses the kill, and of a stream that was taken up to 0.7 s behind SIGTERM.
         """
         answer = request.answer
-        if answer is None or not request.begun_s - NOISE_S <= killed_s <= answer["t"] + NOISE_S:
+        if answer is None or not request.begun_s - TOLERANCE_S <= killed_s <= answer["t"] + TOLERANCE_S:
             return False
-        termed_s = max((at_s for at_s in self.terms[request.conductor] if at_s < killed_s), default=-inf)
-        streams = answer["status"] == 200 and request.posted_s <= termed_s + STOP_TAKES_S + NOISE_S
-        return streams or request.posted_s >= killed_s - NOISE_S
+        terminated_s = max(
+            (at_s for at_s in self.terminations[request.router] if at_s < killed_s), default=-inf
+        )
+        cut_stream = (
+            answer["status"] == 200
+            and request.last_byte_s <= terminated_s + CUT_STREAM_WINDOW_S + TOLERANCE_S
+        )
+        return cut_stream or request.last_byte_s >= killed_s - TOLERANCE_S
 
-    def cannot_accept(self, conductor: str, from_s: float, until_s: float) -> bool:
+    def accept_fails(self, router: str, from_s: float, until_s: float) -> bool:
         """Whether the system let the conductor accept nothing for a while then."""
         calls = ("accept", "descriptors")
         return any(
-            each.target == conductor
+            each.target == router
             and each.detail.get("call") in calls
             and self.start_s + each.at_s <= until_s
             and from_s <= self.start_s + each.until_s
             for each in self.plan.troubles
         )
 
-    def troubled(self, server: str, kinds: Iterable[str], from_s: float, until_s: float) -> bool:
+    def fault_active(self, server: str, kinds: Iterable[str], from_s: float, until_s: float) -> bool:
         """Whether such a trouble of a server, or of its whole zone, was on then."""
         zone = {server, "zone"}
         return any(
@@ -125,18 +130,18 @@
         )
 
 
-def collect(plan: Plan, start_s: float, events: list[Event]) -> History:
+def build_history(plan: Plan, start_s: float, events: list[Event]) -> History:
     """Sort the events by request."""
     links = dict[tuple[str, int], int]()  # by server and the port that it sees
     requests = defaultdict[str, Request](lambda: Request(""))
-    kills, terms = defaultdict[str, list[float]](list), defaultdict[str, list[float]](list)
-    overruns = defaultdict[str, list[float]](list)
+    kills, terminations = defaultdict[str, list[float]](list), defaultdict[str, list[float]](list)
+    grace_kills = defaultdict[str, list[float]](list)
     for event in events:
         kind = event["event"]
         if kind == "killed":
-            (overruns if event.get("grace") else kills)[event["conductor"]].append(event["t"])
+            (grace_kills if event.get("grace") else kills)[event["conductor"]].append(event["t"])
         elif kind == "sigterm":
-            terms[event["conductor"]].append(event["t"])
+            terminations[event["conductor"]].append(event["t"])
         elif kind == "linked":
             links[event["server"], event["port"]] = event["link"]
         elif "id" in event:
@@ -144,16 +149,16 @@
             request.id = event["id"]
             if kind == "arrived":
                 event["link"] = links.get((event["source"], event["port"]))
-            _add(request, event)
-    return History(plan, start_s, dict(requests), kills, terms, overruns, events)
+            _add_event(request, event)
+    return History(plan, start_s, dict(requests), kills, terminations, grace_kills, events)
 
 
-def _add(request: Request, event: Event) -> None:
+def _add_event(request: Request, event: Event) -> None:
     match event["event"]:
         case "request":
             request.kind, request.budget_s = event["kind"], event["budget_ms"] / 1000
         case "posted":
-            request.posted_s, request.fresh, request.ahead = event["t"], event["fresh"], event["ahead"]
+            request.last_byte_s, request.fresh, request.ahead = event["t"], event["fresh"], event["ahead"]
             request.begun_s = event["begun_s"]
         case "answer":
             request.answer = event
@@ -162,15 +167,15 @@
         case "floods":
             request.floods = True
         case "half":
-            request.half_s = event["t"]
+            request.partial_s = event["t"]
         case "half_ended":
-            request.half_end = event
+            request.partial_end = event
         case "sent":
             request.attempts.append(Attempt(event["server"], event["first_s"], event["t"], event["link"]))
         case "answered" | "closed" | "broke":
             for attempt in request.attempts:
-                if attempt.link == event["link"] and not attempt.how:
-                    attempt.end_s, attempt.how = event["t"], event["event"]
+                if attempt.link == event["link"] and not attempt.ending:
+                    attempt.end_s, attempt.ending = event["t"], event["event"]
                     break
         case "arrived":  # where the server hung, it had it before
             request.server_events.append(event)
--- a/benchmarks/soak/oracle.py
+++ b/benchmarks/soak/oracle.py
@@ -8,25 +8,25 @@
 from math import inf
 
 from benchmarks.soak.events import Event
-from benchmarks.soak.history import NOISE_S, Attempt, History, Request
+from benchmarks.soak.history import TOLERANCE_S, Attempt, History, Request
 
 # Times in s, by the protocol.
 ANSWER_SLACK_S = 0.5  # behind its time an answer earns nothing; later it is lost
-GRACE_S = 0.3  # of a drain: 250 ms, and 50 of sockets
-TOLD_S = 6.0
-HELD_S = 0.85
-GONE_S = 0.1
-TOLD_MS = 150.0
-HALF_S = 3.0
-WINDOW_S = 0.8  # of the keyed classes
-NOT_CARRIED = ("path_silent", "path_stalls", "path_forgets")  # what is sent does not arrive
-KEPT_S = 0.02  # that two attempts may seem to overlap
+DRAIN_GRACE_S = 0.3  # of a drain: 250 ms, and 50 of sockets
+DISCOVERY_DELAY_S = 6.0
+MAX_HOLD_S = 0.85
+DISCONNECT_DELAY_S = 0.1
+BUDGET_TOLERANCE_MS = 150.0
+PARTIAL_TIMEOUT_S = 3.0
+DEDUP_WINDOW_S = 0.8  # of the keyed classes
+SILENT_PATH_KINDS = ("path_silent", "path_stalls", "path_forgets")  # what is sent does not arrive
+OVERLAP_S = 0.02  # that two attempts may seem to overlap
 
 # Rules that a process which got no processor may seem to break: they compare the times of two witnesses.
 TIMED_RULES = frozenset(
     "late second_copy sent_after_left told_too_much held half drain not_ready not_moved found_itself".split()
 )
-HELD_UP_S = 0.15  # that a conductor may be held up for: within that, every rule holds
+MAX_STALL_S = 0.15  # that a conductor may be held up for: within that, every rule holds
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,51 +41,51 @@
 def judge(history: History) -> list[Violation]:
     """Every broken promise."""
     found = [
-        violation for request in history.requests.values() for violation in _of_request(history, request)
+        violation for request in history.requests.values() for violation in _in_request(history, request)
     ]
-    return found + list(_of_lists(history)) + list(_of_processes(history))
+    return found + list(_in_drains(history)) + list(_in_processes(history))
 
 
-def _of_request(history: History, request: Request) -> Iterator[Violation]:
-    checks = (_lost, _cut, _effects, _copies, _departures, _told, _held, _half)
+def _in_request(history: History, request: Request) -> Iterator[Violation]:
+    checks = (_bad_answer, _cut_stream, _wrong_runs, _overlaps, _late_sends, _over_budget, _held, _partial)
     for check in checks:
         for rule, note in check(history, request):
             yield Violation(rule, request.id, note)
 
 
-Found = Iterator[tuple[str, str]]
+Findings = Iterator[tuple[str, str]]
 
 
-def _lost(history: History, request: Request) -> Found:
+def _bad_answer(history: History, request: Request) -> Findings:
     """Each request gets its final answer, in time."""
-    answer, posted_s = request.answer, request.posted_s
-    if posted_s == inf or request.left_s < inf or request.half_s < inf or answer is None:
+    answer, end_s = request.answer, request.last_byte_s
+    if end_s == inf or request.left_s < inf or request.partial_s < inf or answer is None:
         return
     if history.excused(request, answer["t"]):
         return
     if not answer["status"]:
         sent = bool(request.attempts)
-        cannot_accept = history.plan.crowd or history.cannot_accept(
-            request.conductor, request.begun_s, answer["t"]
+        accept_fails = history.plan.crowd or history.accept_fails(
+            request.router, request.begun_s, answer["t"]
         )
-        crowded = cannot_accept and not sent
-        if not request.floods and not crowded and (request.fresh or sent):
+        backlogged = accept_fails and not sent
+        if not request.floods and not backlogged and (request.fresh or sent):
             yield (
                 "lost",
-                f"{answer['error']} after {answer['t'] - posted_s:.3f} s, fresh {request.fresh}, sent {sent}",
+                f"{answer['error']} after {answer['t'] - end_s:.3f} s, fresh {request.fresh}, sent {sent}",
             )
         return
     final_s = answer["first_s"] if answer["status"] == 200 and answer["first_s"] else answer["t"]
-    late_s = final_s - posted_s - request.budget_s
-    if request.floods or request.ahead or history.cannot_accept(request.conductor, request.begun_s, final_s):
+    late_s = final_s - end_s - request.budget_s
+    if request.floods or request.ahead or history.accept_fails(request.router, request.begun_s, final_s):
         return
     if history.plan.crowd and not request.attempts:
         return  # it may have lain in the backlog
-    if late_s > ANSWER_SLACK_S + NOISE_S:
+    if late_s > ANSWER_SLACK_S + TOLERANCE_S:
         yield "late", f"{late_s:.3f} s behind its time, status {answer['status']}"
 
 
-def _cut(history: History, request: Request) -> Found:
+def _cut_stream(history: History, request: Request) -> Findings:
     """A stream is passed on to its end, and ends whole only where it is."""
     answer = request.answer
     if answer is None or answer["status"] != 200 or answer["whole"] or request.left_s < inf or request.floods:
@@ -93,101 +93,103 @@
     if history.excused(request, answer["t"]) or not request.attempts:
         return
     last = request.attempts[-1]
-    silent = (*NOT_CARRIED, "server_hang", "server_kill", "path_reset", "path_breaks")
-    if last.how == "broke" or history.troubled(last.server, silent, last.sent_s - 1.0, answer["t"]):
+    silent = (*SILENT_PATH_KINDS, "server_hang", "server_kill", "path_reset", "path_breaks")
+    if last.ending == "broke" or history.fault_active(last.server, silent, last.sent_s - 1.0, answer["t"]):
         return
-    yield "cut", f"{answer['error']}, its server's side was {last.how or 'open'}"
+    yield "cut", f"{answer['error']}, its server's side was {last.ending or 'open'}"
 
 
-def _effects(history: History, request: Request) -> Found:
+def _wrong_runs(history: History, request: Request) -> Findings:
     """Nothing that must not runs twice, and what was refused has not run."""
-    ran = request.ran
-    if request.kind == "booking" and len(ran) > 1:
-        yield "duplicate", f"ran at {[event['source'] for event in ran]}"
-    if request.kind in ("order", "ticket") and len(ran) > 1:
-        sent = [attempt for attempt in request.attempts if attempt.server in {e["source"] for e in ran}]
-        if sent and sent[-1].first_s > sent[0].first_s + WINDOW_S + NOISE_S:
+    runs = request.runs
+    if request.kind == "booking" and len(runs) > 1:
+        yield "duplicate", f"ran at {[event['source'] for event in runs]}"
+    if request.kind in ("order", "ticket") and len(runs) > 1:
+        sent = [attempt for attempt in request.attempts if attempt.server in {e["source"] for e in runs}]
+        if sent and sent[-1].first_s > sent[0].first_s + DEDUP_WINDOW_S + TOLERANCE_S:
             yield "duplicate", "repeated behind its window"
-        if request.kind == "ticket" and len({zone(event["source"]) for event in ran}) > 1:
+        if request.kind == "ticket" and len({zone(event["source"]) for event in runs}) > 1:
             yield "duplicate", "repeated in another zone"
     status = request.answer["status"] if request.answer else 0
-    if status in (429, 503) and ran and request.kind in ("booking", "ticket"):
-        yield "refused_after_run", f"{status}, ran at {[event['source'] for event in ran]}"
+    if status in (429, 503) and runs and request.kind in ("booking", "ticket"):
+        yield "refused_after_run", f"{status}, ran at {[event['source'] for event in runs]}"
 
 
-def _copies(history: History, request: Request) -> Found:
+def _overlaps(history: History, request: Request) -> Findings:
     """Never two attempts out together."""
-    out = sorted((a.arrived_s, a.end_s) for a in request.attempts if a.arrived_s < a.end_s)
-    for (_, end_s), (next_s, _) in pairwise(out):
-        if next_s < end_s - KEPT_S:
+    in_flight = sorted((a.arrived_s, a.end_s) for a in request.attempts if a.arrived_s < a.end_s)
+    for (_, end_s), (next_s, _) in pairwise(in_flight):
+        if next_s < end_s - OVERLAP_S:
             yield "second_copy", f"{end_s - next_s:.3f} s together"
 
 
-def _departures(history: History, request: Request) -> Found:
+def _late_sends(history: History, request: Request) -> Findings:
     """Nothing begins for a client that has left."""
     for attempt in request.attempts:
-        if attempt.first_s > request.left_s + GONE_S + NOISE_S:
+        if attempt.first_s > request.left_s + DISCONNECT_DELAY_S + TOLERANCE_S:
             yield "sent_after_left", f"{attempt.first_s - request.left_s:.3f} s later, at {attempt.server}"
 
 
-def _told(history: History, request: Request) -> Found:
+def _over_budget(history: History, request: Request) -> Findings:
     """A server is told at most what its client has left."""
     for attempt in request.attempts:
-        left_ms = (request.posted_s + request.budget_s - attempt.first_s) * 1000
-        if attempt.told_ms > left_ms + TOLD_MS + NOISE_S * 1000:
+        left_ms = (request.last_byte_s + request.budget_s - attempt.first_s) * 1000
+        if attempt.told_ms > left_ms + BUDGET_TOLERANCE_MS + TOLERANCE_S * 1000:
             yield "told_too_much", f"{attempt.told_ms} ms of {left_ms:.0f}"
 
 
-def _held(history: History, request: Request) -> Found:
+def _held(history: History, request: Request) -> Findings:
     """What a prefill left is fetched or released in time while no attempt is out."""
-    for held in (event for event in request.server_events if event["event"] == "prefilled"):
-        freed = [e["t"] for e in request.server_events if _frees(request, e)]
+    for prefill in (event for event in request.server_events if event["event"] == "prefilled"):
+        freed_at = [e["t"] for e in request.server_events if _frees_entry(request, e)]
         # Its server may hear of the end of a connection just behind a release that was sent after it.
-        since_s = held["t"] - (NOISE_S if held.get("unseen") else 0.0)
-        end_s = min((at_s for at_s in freed if at_s > since_s), default=inf)
+        since_s = prefill["t"] - (TOLERANCE_S if prefill.get("unseen") else 0.0)
+        end_s = min((at_s for at_s in freed_at if at_s > since_s), default=inf)
         end_s = min(end_s, history.events[-1]["t"])
-        if history.killed(request.conductor, held["t"], end_s):
+        if history.killed(request.router, prefill["t"], end_s):
             continue
-        arrivals = [(_reached_s(history, a), a) for a in request.attempts]
-        out = sorted((at_s, min(a.end_s, end_s)) for at_s, a in arrivals if at_s < a.end_s)
-        free_s, longest_s = held["t"], 0.0
-        for from_s, until_s in [*out, (end_s, end_s)]:
+        arrivals = [(_reached_server_s(history, a), a) for a in request.attempts]
+        in_flight = sorted((at_s, min(a.end_s, end_s)) for at_s, a in arrivals if at_s < a.end_s)
+        free_s, longest_s = prefill["t"], 0.0
+        for from_s, until_s in [*in_flight, (end_s, end_s)]:
             longest_s = max(longest_s, min(from_s, end_s) - free_s)
             free_s = max(free_s, until_s)
-        if longest_s > HELD_S + NOISE_S:
-            yield "held", f"{longest_s:.3f} s at {held['source']}, unseen {held.get('unseen', False)}"
+        if longest_s > MAX_HOLD_S + TOLERANCE_S:
+            yield ("held", f"{longest_s:.3f} s at {prefill['source']}, unseen {prefill.get('unseen', False)}")
 
 
-def _frees(request: Request, event: Event) -> bool:
+def _frees_entry(request: Request, event: Event) -> bool:
     """Whether nothing is held any more: a release leaves what a decode that has arrived waits for."""
     if event["event"] == "released":
         return not any(
-            a.server[0] != "p" and a.arrived_s <= event["t"] < a.end_s - KEPT_S for a in request.attempts
+            a.server[0] != "p" and a.arrived_s <= event["t"] < a.end_s - OVERLAP_S for a in request.attempts
         )
     return event["event"] in ("first", "state_gone")
 
 
-def _reached_s(history: History, attempt: Attempt) -> float:
+def _reached_server_s(history: History, attempt: Attempt) -> float:
     """When its last byte had reached its server: one that hangs has what its system took."""
-    hung = history.troubled(attempt.server, ("server_hang",), attempt.sent_s, attempt.sent_s)
-    silent = history.troubled(attempt.server, NOT_CARRIED, attempt.sent_s, attempt.sent_s)
+    hung = history.fault_active(attempt.server, ("server_hang",), attempt.sent_s, attempt.sent_s)
+    silent = history.fault_active(attempt.server, SILENT_PATH_KINDS, attempt.sent_s, attempt.sent_s)
     return attempt.sent_s if hung and not silent else attempt.arrived_s
 
 
-def _half(history: History, request: Request) -> Found:
+def _partial(history: History, request: Request) -> Findings:
     """Who stops in the middle gets an error or a close."""
-    if request.half_end is None or history.killed(request.conductor, request.half_s, request.half_end["t"]):
+    if request.partial_end is None or history.killed(
+        request.router, request.partial_s, request.partial_end["t"]
+    ):
         return
-    if history.cannot_accept(request.conductor, request.half_s, request.half_end["t"]):
+    if history.accept_fails(request.router, request.partial_s, request.partial_end["t"]):
         return
-    took_s = request.half_end["t"] - request.half_s
-    if request.half_end["error"] == "open" or took_s > HALF_S + NOISE_S:
-        yield "half", f"{request.half_end['error']} after {took_s:.3f} s"
+    took_s = request.partial_end["t"] - request.partial_s
+    if request.partial_end["error"] == "open" or took_s > PARTIAL_TIMEOUT_S + TOLERANCE_S:
+        yield "half", f"{request.partial_end['error']} after {took_s:.3f} s"
 
 
-def _of_lists(history: History) -> Iterator[Violation]:
+def _in_drains(history: History) -> Iterator[Violation]:
     """Nothing new goes to a server that drains, as a conductor was told, or counts as told."""
-    told, drains = dict[tuple[str, str], float](), dict[str, float]()
+    out_since, deadlines = dict[tuple[str, str], float](), dict[str, float]()
     changed = [event for event in history.events if event["event"] in ("told", "list", "maintained")]
     sends = [(a.first_s, a, r) for r in history.requests.values() for a in r.attempts]
     for at_s, event, sent in sorted(
@@ -195,25 +197,27 @@
         key=lambda each: each[0],
     ):
         if event is not None and event["event"] == "list":
-            drains.pop(event["server"], None)
+            deadlines.pop(event["server"], None)
             if event["status"] != "active":
-                drains[event["server"]] = at_s + TOLD_S
+                deadlines[event["server"]] = at_s + DISCOVERY_DELAY_S
             else:
-                told = {key: since for key, since in told.items() if key[1] != event["server"]}
+                out_since = {key: since for key, since in out_since.items() if key[1] != event["server"]}
         elif event is not None:
             for server, status in event["states"].items():
                 if status == "active":
-                    told.pop((event["conductor"], server), None)
+                    out_since.pop((event["conductor"], server), None)
                 else:
-                    told.setdefault((event["conductor"], server), at_s)
+                    out_since.setdefault((event["conductor"], server), at_s)
         elif sent is not None:
             attempt, request = sent
-            since = min(told.get((request.conductor, attempt.server), inf), drains.get(attempt.server, inf))
-            if at_s > since + GRACE_S + NOISE_S:
+            since = min(
+                out_since.get((request.router, attempt.server), inf), deadlines.get(attempt.server, inf)
+            )
+            if at_s > since + DRAIN_GRACE_S + TOLERANCE_S:
                 yield Violation("drain", request.id, f"{at_s - since:.3f} s after told, at {attempt.server}")
 
 
-def _of_processes(history: History) -> Iterator[Violation]:
+def _in_processes(history: History) -> Iterator[Violation]:
     """No process crashes or fails to start; what the program itself found."""
     for event in history.events:
         if event["event"] == "crashed":
--- a/benchmarks/soak/paths.py
+++ b/benchmarks/soak/paths.py
@@ -20,49 +20,52 @@
     address: tuple[str, int]  # of the server itself
     links: set[Link] = field(default_factory=set)
     silent: Windows = field(default_factory=list)
-    pieces: Windows = field(default_factory=list)
-    broken: Windows = field(default_factory=list)  # responses reset their connection instead of passing
-    forgets: list[float] = field(default_factory=list)  # connections from before carry nothing more
-    resets: list[float] = field(default_factory=list)  # when every connection is reset
+    split: Windows = field(default_factory=list)
+    response_resets: Windows = field(
+        default_factory=list
+    )  # responses reset their connection instead of passing
+    forgotten_at: list[float] = field(default_factory=list)  # connections from before carry nothing more
+    reset_at: list[float] = field(default_factory=list)  # when every connection is reset
 
-    def quiet_until(self) -> float:
+    def silent_until(self) -> float:
         """When the silence ends that is now; 0 where there is none."""
-        return _until(self.silent)
+        return _window_end(self.silent)
 
-    def in_pieces(self) -> bool:
+    def splits_writes(self) -> bool:
         """Whether bytes come in pieces now."""
-        return _until(self.pieces) > 0.0
+        return _window_end(self.split) > 0.0
 
-    def breaks(self) -> bool:
+    def resets_responses(self) -> bool:
         """Whether responses reset their connections now."""
-        return _until(self.broken) > 0.0
+        return _window_end(self.response_resets) > 0.0
 
 
-def make_paths(told: dict[str, Any]) -> dict[str, ServerPath]:
+def make_paths(scenario: dict[str, Any]) -> dict[str, ServerPath]:
     """The paths of a plan by server."""
     paths = {
-        server: ServerPath(server, (told["host"], port)) for server, port in told["server_ports"].items()
+        server: ServerPath(server, (scenario["host"], port))
+        for server, port in scenario["server_ports"].items()
     }
-    for trouble in told["plan"]["troubles"]:
-        window = (told["start_s"] + trouble["at_s"], told["start_s"] + trouble["until_s"])
-        target = trouble["target"]
-        match trouble["kind"]:
+    for fault in scenario["plan"]["troubles"]:
+        window = (scenario["start_s"] + fault["at_s"], scenario["start_s"] + fault["until_s"])
+        target = fault["target"]
+        match fault["kind"]:
             case "path_silent":
-                for server in told["silenced"][target] if trouble["detail"]["zone"] else [target]:
+                for server in scenario["silenced"][target] if fault["detail"]["zone"] else [target]:
                     paths[server].silent.append(window)
             case "path_stalls":
                 paths[target].silent.append(window)
             case "path_forgets":
-                paths[target].forgets.append(window[0])
+                paths[target].forgotten_at.append(window[0])
             case "path_pieces":
-                paths[target].pieces.append(window)
+                paths[target].split.append(window)
             case "path_breaks":
-                paths[target].broken.append(window)
+                paths[target].response_resets.append(window)
             case "path_reset":
-                paths[target].resets.append(window[0])
+                paths[target].reset_at.append(window[0])
     return paths
 
 
-def _until(windows: Windows) -> float:
+def _window_end(windows: Windows) -> float:
     now_s = time.monotonic()
     return max((until_s for from_s, until_s in windows if from_s <= now_s < until_s), default=0.0)
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -7,23 +7,23 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-PLAY_S = 16.0  # of clients' load
-CLUSTERS = (3, 5)  # moments at which several troubles meet
-SAME_PART = 0.7  # of a moment's troubles that meet at one conductor, or at one server
-SPREAD_S = 0.9  # within which the troubles of a cluster begin
+LOAD_S = 16.0  # of clients' load
+CLUSTER_COUNT = (3, 5)  # moments at which several troubles meet
+SHARED_TARGET_FRACTION = 0.7  # of a moment's troubles that meet at one conductor, or at one server
+CLUSTER_SPREAD_S = 0.9  # within which the troubles of a cluster begin
 MAX_DEADLINE_S, KILL_GRACE_S = 3.0, 0.7
-CROSSINGS = 0.6  # of the plans with a prefill that is lost while the next one meets silence
-MEETS_S = 0.1  # behind the first lost responses
-CROWDS = 0.15  # of the plans with a crowd
+LOST_PREFILL_FRACTION = 0.6  # of the plans with a prefill that is lost while the next one meets silence
+STALL_DELAY_S = 0.1  # behind the first lost responses
+CROWD_FRACTION = 0.15  # of the plans with a crowd
 SIGNAL_SERIES = (
     ("SIGHUP", "SIGTERM", "SIGTERM", "SIGHUP"),
     ("SIGTERM", "SIGHUP", "SIGINT"),
     ("SIGINT", "SIGTERM", "SIGHUP", "SIGHUP"),
 )
-NO_DESCRIPTORS = ("ENFILE", "EMFILE")
+DESCRIPTOR_ERRNOS = ("ENFILE", "EMFILE")
 
 # What may go wrong, and how often relative to the others.
-KINDS = {
+FAULT_WEIGHTS = {
     "conductor_kill": 2,
     "conductor_stop": 5,  # SIGTERM, SIGKILL when the grace is over, started again at once
     "conductor_stop_early": 3,  # the same, and SIGTERM again while the new process starts
@@ -50,17 +50,17 @@
     "wall_step": 3,  # its wall clock is stepped
     "maintenance": 3,  # operators leave a server out
 }
-CALLS = {
+CALL_ERRNOS = {
     "accept": ("ECONNABORTED", "ENFILE", "ENOBUFS", "EMFILE"),
     "socket": ("ENFILE", "ENOBUFS", "EMFILE"),
     "connect": ("EADDRNOTAVAIL", "ENETUNREACH", "EINTR"),
     "recv": ("ETIMEDOUT", "EHOSTUNREACH"),
-    "descriptors": NO_DESCRIPTORS,  # all that needs a new one
+    "descriptors": DESCRIPTOR_ERRNOS,  # all that needs a new one
 }
 
 
 @dataclass(slots=True)
-class Trouble:
+class PlannedFault:
     """One trouble; times in s from the start of the load."""
 
     kind: str
@@ -82,7 +82,7 @@
     may_cancel: bool
     keepalive_ms: float
     rate: float  # requests a second for each conductor
-    troubles: list[Trouble]
+    troubles: list[PlannedFault]
     deadline_ms: float = 3000.0  # of every class: the longest that a client waits
     crowd: bool = False  # idle and half-open clients come in bursts, up to the limit on descriptors
 
@@ -110,7 +110,7 @@
         return asdict(self)
 
 
-def draw(seed: int) -> Plan:
+def draw_plan(seed: int) -> Plan:
     """The plan of a seed."""
     rng = random.Random(seed)
     plan = Plan(
@@ -124,57 +124,57 @@
         rng.uniform(6, 14),
         [],
     )
-    clusters = rng.randint(*CLUSTERS)
+    clusters = rng.randint(*CLUSTER_COUNT)
     for cluster in range(clusters):
-        middle_s = PLAY_S * (cluster + rng.uniform(0.3, 0.8)) / clusters
-        met = rng.choice(plan.conductors), rng.choice(plan.servers)
+        cluster_s = LOAD_S * (cluster + rng.uniform(0.3, 0.8)) / clusters
+        shared = rng.choice(plan.conductors), rng.choice(plan.servers)
         for _ in range(rng.randint(2, 4)):
-            plan.troubles.append(_trouble(rng, plan, middle_s + rng.uniform(0, SPREAD_S), met))
-    if rng.random() < CROSSINGS:
-        plan.troubles += _crossing(rng, plan)
+            plan.troubles.append(_draw_fault(rng, plan, cluster_s + rng.uniform(0, CLUSTER_SPREAD_S), shared))
+    if rng.random() < LOST_PREFILL_FRACTION:
+        plan.troubles += _lost_prefill_faults(rng, plan)
     plan.deadline_ms = rng.choice((3000.0, 3000.0, 1200.0, 600.0))
-    plan.crowd = rng.random() < CROWDS
-    plan.troubles.sort(key=lambda trouble: trouble.at_s)
+    plan.crowd = rng.random() < CROWD_FRACTION
+    plan.troubles.sort(key=lambda fault: fault.at_s)
     return plan
 
 
-def _crossing(rng: random.Random, plan: Plan) -> list[Trouble]:
+def _lost_prefill_faults(rng: random.Random, plan: Plan) -> list[PlannedFault]:
     """Responses of one prefill server are lost while what is sent to the others does not arrive."""
-    at_s = round(rng.uniform(1.0, PLAY_S - 3.0), 3)
+    at_s = round(rng.uniform(1.0, LOAD_S - 3.0), 3)
     until_s = round(at_s + rng.uniform(1.0, 2.5), 3)
-    answers = rng.choice(plan.prefill)
-    stalled = [server for server in plan.prefill if server != answers]
+    losing = rng.choice(plan.prefill)
+    stalled = [server for server in plan.prefill if server != losing]
     return [
-        Trouble("path_breaks", answers, at_s, until_s),
-        *(Trouble("path_stalls", server, at_s + MEETS_S, until_s) for server in stalled),
+        PlannedFault("path_breaks", losing, at_s, until_s),
+        *(PlannedFault("path_stalls", server, at_s + STALL_DELAY_S, until_s) for server in stalled),
     ]
 
 
-def _trouble(rng: random.Random, plan: Plan, at_s: float, met: tuple[str, str]) -> Trouble:
+def _draw_fault(rng: random.Random, plan: Plan, at_s: float, shared: tuple[str, str]) -> PlannedFault:
     """One trouble; `met`: the conductor and the server that several troubles of a moment have in common."""
-    kind = rng.choices(list(KINDS), list(KINDS.values()))[0]
+    kind = rng.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()))[0]
     of_server = kind.startswith(("server_", "path_", "maintenance"))
     target = rng.choice(plan.servers if of_server else plan.conductors)
-    if rng.random() < SAME_PART:
-        target = met[of_server]
-    trouble = Trouble(kind, target, round(at_s, 3), round(at_s + rng.uniform(0.3, 2.5), 3))
-    trouble.detail = _detail(rng, kind, plan)
-    return trouble
+    if rng.random() < SHARED_TARGET_FRACTION:
+        target = shared[of_server]
+    fault = PlannedFault(kind, target, round(at_s, 3), round(at_s + rng.uniform(0.3, 2.5), 3))
+    fault.detail = _draw_detail(rng, kind, plan)
+    return fault
 
 
-def _detail(rng: random.Random, kind: str, plan: Plan) -> dict[str, Any]:
-    return DETAILS[kind](rng, plan) if kind in DETAILS else {}
+def _draw_detail(rng: random.Random, kind: str, plan: Plan) -> dict[str, Any]:
+    return DETAIL_DRAWS[kind](rng, plan) if kind in DETAIL_DRAWS else {}
 
 
-def _failing_call(rng: random.Random, _: Plan) -> dict[str, Any]:
-    call = rng.choice(list(CALLS))
+def _draw_failing_call(rng: random.Random, _: Plan) -> dict[str, Any]:
+    call = rng.choice(list(CALL_ERRNOS))
     chance = 0.02 if call == "recv" else rng.choice((0.3, 1.0))
-    return {"call": call, "errno": rng.choice(CALLS[call]), "chance": chance}
+    return {"call": call, "errno": rng.choice(CALL_ERRNOS[call]), "chance": chance}
 
 
-Detail = Callable[[random.Random, Plan], dict[str, Any]]
-DETAILS: dict[str, Detail] = {
-    "call_fails": _failing_call,
+DetailDraw = Callable[[random.Random, Plan], dict[str, Any]]
+DETAIL_DRAWS: dict[str, DetailDraw] = {
+    "call_fails": _draw_failing_call,
     "disk_fails": lambda rng, _: {"errno": rng.choice(("ENOSPC", "EIO"))},
     "wall_step": lambda rng, _: {"step_s": rng.choice((-3600.0, -5.0, 5.0, 3600.0))},
     "conductor_reload": lambda rng, _: {"half_file": rng.random() < 0.5, "times": rng.randint(1, 3)},
--- a/benchmarks/soak/settings.py
+++ b/benchmarks/soak/settings.py
@@ -6,7 +6,7 @@
 
 from benchmarks.soak.plan import Plan
 
-CLASSES: list[dict[str, Any]] = [
+REQUEST_CLASSES: list[dict[str, Any]] = [
     {"name": "query", "deadline_ms": 3000.0, "goal_time_ms": 800.0, "effect": "retryable", "worth": 2.0},
     {"name": "booking", "deadline_ms": 3000.0, "goal_time_ms": 1000.0, "effect": "fragile", "worth": 6.0},
     {"name": "order", "deadline_ms": 3000.0, "goal_time_ms": 1000.0, "effect": "dedup", "group": "all",
@@ -16,7 +16,7 @@
 ]  # fmt: skip
 
 
-def settings(plan: Plan, position: int) -> dict[str, Any]:
+def router_settings(plan: Plan, position: int) -> dict[str, Any]:
     """The settings of one conductor."""
     caps = {"cancel": plan.may_cancel, "max_attempts": 6, "retry_after": True, "max_retry_after_ms": 500.0,
             "keepalive_ms": plan.keepalive_ms, "connect_timeout_ms": 250.0,
@@ -27,7 +27,7 @@
                  "let_go_by_ms": 500.0, "read_in_place": True}  # fmt: skip
     return {
         "azs": ["east", "west"], "shapes": ["prefill", "decode", "mixed"], "caps": caps,
-        "classes": [each | {"deadline_ms": plan.deadline_ms} for each in CLASSES],
+        "classes": [each | {"deadline_ms": plan.deadline_ms} for each in REQUEST_CLASSES],
         "tenants": [{"name": "farm", "fraction": 1.0}], "safety": safety, "specifics": specifics,
         "stats": {"how": "silent", "fields": []}, "replicas_of_me": len(plan.conductors),
         "position": position, "tick_ms": 2.0, "zone": position % 2, "membership_mode": "automatic",
--- a/benchmarks/soak/shim.py
+++ b/benchmarks/soak/shim.py
@@ -19,11 +19,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-SHORT = 7  # bytes that a short read or write may have, at most
+SHORT_IO_BYTES = 7  # bytes that a short read or write may have, at most
 
 
 @dataclass(slots=True, frozen=True)
-class Window:
+class FaultWindow:
     """One fault; times in s on the monotonic clock."""
 
     kind: str
@@ -32,56 +32,58 @@
     detail: dict[str, Any]
 
 
-class Faults:
+class ProcessFaults:
     """The faults of one process."""
 
-    def __init__(self, windows: list[Window], seed: int, folder: str) -> None:
+    def __init__(self, windows: list[FaultWindow], seed: int, folder: str) -> None:
         self._windows, self._rng, self._folder = windows, random.Random(seed), folder
-        self.hung: tuple[str, int] | None = None  # where a connection never comes up
-        self.cut: dict[int, list[tuple[float, float]]] = {}  # by port: when connections there never come up
+        self.dead_address: tuple[str, int] | None = None  # where a connection never comes up
+        self.outages: dict[
+            int, list[tuple[float, float]]
+        ] = {}  # by port: when connections there never come up
         self._time, self._epoll, self._open = time.time, select.epoll, io.open
 
-    def now(self, kind: str) -> list[Window]:
+    def active(self, kind: str) -> list[FaultWindow]:
         """The windows of a kind that are open now."""
         now_s = time.monotonic()
         return [each for each in self._windows if each.kind == kind and each.from_s <= now_s < each.until_s]
 
-    def fail(self, *calls: str) -> None:
+    def raise_if_failing(self, *calls: str) -> None:
         """Raise what the system would, where one of these calls fails now."""
-        for window in self.now("call_fails"):
+        for window in self.active("call_fails"):
             if window.detail["call"] in calls and self._rng.random() < window.detail["chance"]:
                 number = getattr(errno, window.detail["errno"])
                 raise OSError(number, os.strerror(number))
 
-    def short(self) -> bool:
+    def is_short(self) -> bool:
         """Whether a read or write is short now."""
-        return bool(self.now("short_io")) and self._rng.random() < 0.5
+        return bool(self.active("short_io")) and self._rng.random() < 0.5
 
     def size(self, wanted: int) -> int:
         """How much of a short read or write comes about."""
-        return min(wanted, self._rng.randint(1, SHORT))
+        return min(wanted, self._rng.randint(1, SHORT_IO_BYTES))
 
-    def unreachable(self, port: int) -> bool:
+    def is_unreachable(self, port: int) -> bool:
         """Whether a connection to that port never comes up now."""
         now_s = time.monotonic()
-        return any(from_s <= now_s < until_s for from_s, until_s in self.cut.get(port, []))
+        return any(from_s <= now_s < until_s for from_s, until_s in self.outages.get(port, []))
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """The wall clock, with its steps so far."""
         now_s = time.monotonic()
         steps = (each for each in self._windows if each.kind == "wall_step" and each.from_s <= now_s)
         return self._time() + sum(float(each.detail["step_s"]) for each in steps)
 
-    def fail_disk(self, path: object) -> None:
+    def raise_if_disk_fails(self, path: object) -> None:
         """Raise what the system would, where a write below our folder fails now."""
-        for window in self.now("disk_fails"):
+        for window in self.active("disk_fails"):
             if str(path).startswith(self._folder):
                 number = getattr(errno, window.detail["errno"])
                 raise OSError(number, os.strerror(number), str(path))
 
     def install(self) -> None:
         """Put them between the program and its calls."""
-        time.time = self.wall
+        time.time = self.wall_time
         self._install_epoll()
         self._install_disk()
         _install_sockets(self)
@@ -89,69 +91,69 @@
     def _install_epoll(self) -> None:
         real = self._epoll
 
-        def epoll(*args: Any, **named: Any) -> Any:
-            self.fail("descriptors")
-            return real(*args, **named)
+        def epoll(*args: Any, **kwargs: Any) -> Any:
+            self.raise_if_failing("descriptors")
+            return real(*args, **kwargs)
 
         select.epoll = epoll  # type: ignore[assignment, misc]
 
     def _install_disk(self) -> None:
         real_open, real_fsync, real_replace = self._open, os.fsync, os.replace
 
-        def open_file(file: Any, mode: str = "r", *args: Any, **named: Any) -> Any:
+        def open_file(file: Any, mode: str = "r", *args: Any, **kwargs: Any) -> Any:
             if isinstance(file, str | os.PathLike):
-                self.fail("descriptors")
+                self.raise_if_failing("descriptors")
                 if set(mode) & set("wax+"):
-                    self.fail_disk(os.fspath(file))
-            return real_open(file, mode, *args, **named)
+                    self.raise_if_disk_fails(os.fspath(file))
+            return real_open(file, mode, *args, **kwargs)
 
         def fsync(descriptor: Any) -> None:
-            self.fail_disk(self._folder)
+            self.raise_if_disk_fails(self._folder)
             real_fsync(descriptor)
 
-        def replace(source: Any, target: Any, **named: Any) -> None:
-            self.fail_disk(os.fspath(target))
-            real_replace(source, target, **named)
+        def replace(source: Any, target: Any, **kwargs: Any) -> None:
+            self.raise_if_disk_fails(os.fspath(target))
+            real_replace(source, target, **kwargs)
 
         io.open = builtins.open = open_file
         os.fsync, os.replace = fsync, replace  # type: ignore[assignment]
 
 
-def _install_sockets(faults: Faults) -> None:
+def _install_sockets(faults: ProcessFaults) -> None:
     """Faults of sockets, by methods of the class that all of the program's are of."""
     real_init, real_accept, real_connect = socket.socket.__init__, socket.socket.accept, socket.socket.connect
     base: Any = socket.socket.__mro__[1]
 
-    def init(self: socket.socket, *args: Any, **named: Any) -> None:
-        if named.get("fileno") is None and len(args) < 4:
-            faults.fail("socket", "descriptors")
-        real_init(self, *args, **named)
+    def init(self: socket.socket, *args: Any, **kwargs: Any) -> None:
+        if kwargs.get("fileno") is None and len(args) < 4:
+            faults.raise_if_failing("socket", "descriptors")
+        real_init(self, *args, **kwargs)
 
     def accept(self: socket.socket) -> Any:
-        faults.fail("accept", "descriptors")
+        faults.raise_if_failing("accept", "descriptors")
         return real_accept(self)
 
     def connect(self: socket.socket, address: Any) -> None:
         if isinstance(address, tuple):
-            faults.fail("connect")
-            if faults.hung is not None and faults.unreachable(address[1]):
-                address = faults.hung
+            faults.raise_if_failing("connect")
+            if faults.dead_address is not None and faults.is_unreachable(address[1]):
+                address = faults.dead_address
         real_connect(self, address)
 
     def send(self: socket.socket, data: Any, *flags: int) -> int:
-        if faults.short():
+        if faults.is_short():
             data = memoryview(data)[: faults.size(len(data))]
         sent: int = base.send(self, data, *flags)
         return sent
 
     def recv_into(self: socket.socket, buffer: Any, size: int = 0, flags: int = 0) -> int:
         try:
-            faults.fail("recv")
+            faults.raise_if_failing("recv")
         except OSError:
             with suppress(OSError):
                 self.shutdown(socket.SHUT_RDWR)  # what has timed out is broken for both sides
             raise
-        if not flags and faults.short():
+        if not flags and faults.is_short():
             size = faults.size(size or len(buffer))
         got: int = base.recv_into(self, buffer, size, flags)
         return got
--- a/benchmarks/soak/troubles.py
+++ b/benchmarks/soak/troubles.py
@@ -11,151 +11,153 @@
 
 import orjson
 
-from benchmarks.soak.fleet import Conductor
-from benchmarks.soak.plan import Trouble
+from benchmarks.soak.fleet import RouterProcess
+from benchmarks.soak.plan import PlannedFault
 
 if TYPE_CHECKING:
-    from benchmarks.soak.day import Day
+    from benchmarks.soak.day import SoakRun
 
-DOWN_S = 0.4  # between a server's end and its new start
-MOVED_S = 4.0  # behind SIGHUP discovery's new address has been asked
+RESTART_DELAY_S = 0.4  # between a server's end and its new start
+DISCOVERY_MOVE_S = 4.0  # behind SIGHUP discovery's new address has been asked
 
 
-class Troubles:
+class FaultInjector:
     """Acts on the processes of one day."""
 
-    def __init__(self, day: Day) -> None:
-        self._day = day
+    def __init__(self, run: SoakRun) -> None:
+        self._run = run
 
-    async def bring(self, trouble: Trouble) -> None:
+    async def inject(self, fault: PlannedFault) -> None:
         """Bring one about when it falls due."""
-        await asyncio.sleep(max(0.0, self._day.start_s + trouble.at_s - time.monotonic()))
-        act: Callable[[Trouble], Coroutine[Any, Any, None]] | None = getattr(self, f"_{trouble.kind}", None)
-        if act is None:
+        await asyncio.sleep(max(0.0, self._run.start_s + fault.at_s - time.monotonic()))
+        handler: Callable[[PlannedFault], Coroutine[Any, Any, None]] | None = getattr(
+            self, f"_{fault.kind}", None
+        )
+        if handler is None:
             return None  # the proxy's, or the conductor's own
-        conductor = self._day.conductors.get(trouble.target)
-        if conductor is None or trouble.kind.startswith("discovery"):
-            return await act(trouble)
-        async with conductor.lock:
-            return await act(trouble)
-
-    def _lasts(self, trouble: Trouble) -> float:
-        return max(0.0, self._day.start_s + trouble.until_s - time.monotonic())
-
-    async def _conductor_kill(self, trouble: Trouble) -> None:
-        conductor = self._day.conductors[trouble.target]
-        conductor.kill()
-        await conductor.restart()
-
-    async def _conductor_stop(self, trouble: Trouble) -> None:
-        conductor = self._day.conductors[trouble.target]
-        await conductor.stop()
-        await conductor.restart()
-
-    async def _conductor_stop_early(self, trouble: Trouble) -> None:
-        conductor = self._day.conductors[trouble.target]
-        conductor.kill()
-        conductor.start()
-        await asyncio.sleep(trouble.detail["after_s"])
-        await conductor.stop()
-        await conductor.restart()
-
-    async def _conductor_signals(self, trouble: Trouble) -> None:
-        conductor = self._day.conductors[trouble.target]
-        conductor.expected = True
-        await conductor.end(conductor.process, [signal.Signals[name] for name in trouble.detail["series"]])
-        await conductor.restart()
-
-    async def _conductor_upgrade(self, trouble: Trouble) -> None:
-        conductor = self._day.conductors[trouble.target]
-        conductor.check()
-        old, conductor.expected = conductor.process, True
-        conductor.old.append(old)
-        conductor.start()
-        if trouble.detail["early"]:
-            await asyncio.gather(conductor.ready(), conductor.end(old))
-        elif await conductor.ready():
-            await conductor.end(old)
-
-    async def _conductor_reload(self, trouble: Trouble) -> None:
-        conductor, agent = self._day.conductors[trouble.target], self._day.agents[trouble.target]
-        for _ in range(trouble.detail["times"]):
-            place = 1 - agent.ports.index(int(conductor.config["discovery"].rpartition(":")[2]))
-            conductor.config["discovery"] = f"{self._day.plan.host}:{agent.ports[place]}"
-            if trouble.detail["half_file"]:
-                whole = orjson.dumps(conductor.config)
-                (conductor.folder / "config.json").write_bytes(whole[: len(whole) // 2])
-                conductor.signal(signal.SIGHUP)
+        router = self._run.conductors.get(fault.target)
+        if router is None or fault.kind.startswith("discovery"):
+            return await handler(fault)
+        async with router.lock:
+            return await handler(fault)
+
+    def _remaining_s(self, fault: PlannedFault) -> float:
+        return max(0.0, self._run.start_s + fault.until_s - time.monotonic())
+
+    async def _conductor_kill(self, fault: PlannedFault) -> None:
+        router = self._run.conductors[fault.target]
+        router.kill()
+        await router.restart()
+
+    async def _conductor_stop(self, fault: PlannedFault) -> None:
+        router = self._run.conductors[fault.target]
+        await router.stop()
+        await router.restart()
+
+    async def _conductor_stop_early(self, fault: PlannedFault) -> None:
+        router = self._run.conductors[fault.target]
+        router.kill()
+        router.start()
+        await asyncio.sleep(fault.detail["after_s"])
+        await router.stop()
+        await router.restart()
+
+    async def _conductor_signals(self, fault: PlannedFault) -> None:
+        router = self._run.conductors[fault.target]
+        router.exit_expected = True
+        await router.terminate(router.process, [signal.Signals[name] for name in fault.detail["series"]])
+        await router.restart()
+
+    async def _conductor_upgrade(self, fault: PlannedFault) -> None:
+        router = self._run.conductors[fault.target]
+        router.record_unexpected_exit()
+        replaced, router.exit_expected = router.process, True
+        router.replaced.append(replaced)
+        router.start()
+        if fault.detail["early"]:
+            await asyncio.gather(router.wait_until_ready(), router.terminate(replaced))
+        elif await router.wait_until_ready():
+            await router.terminate(replaced)
+
+    async def _conductor_reload(self, fault: PlannedFault) -> None:
+        router, agent = self._run.conductors[fault.target], self._run.agents[fault.target]
+        for _ in range(fault.detail["times"]):
+            address_index = 1 - agent.ports.index(int(router.config["discovery"].rpartition(":")[2]))
+            router.config["discovery"] = f"{self._run.plan.host}:{agent.ports[address_index]}"
+            if fault.detail["half_file"]:
+                config_bytes = orjson.dumps(router.config)
+                (router.folder / "config.json").write_bytes(config_bytes[: len(config_bytes) // 2])
+                router.signal(signal.SIGHUP)
                 await asyncio.sleep(0.05)
-            conductor.configure()
+            router.write_config()
             sent_s = time.monotonic()
-            conductor.signal(signal.SIGHUP)
+            router.signal(signal.SIGHUP)
             await asyncio.sleep(0.1)
-        await self._moved(conductor, place, sent_s)
+        await self._check_moved(router, address_index, sent_s)
 
-    async def _moved(self, conductor: Conductor, place: int, sent_s: float) -> None:
+    async def _check_moved(self, conductor: RouterProcess, address_index: int, sent_s: float) -> None:
         """Within 4 s of the last one the new address has been asked."""
-        agent, process = self._day.agents[conductor.name], conductor.process
-        until_s = sent_s + MOVED_S
+        agent, process = self._run.agents[conductor.name], conductor.process
+        until_s = sent_s + DISCOVERY_MOVE_S
         while time.monotonic() < until_s:
-            if agent.asked[place] > sent_s or process.poll() is not None:
+            if agent.last_connected_s[address_index] > sent_s or process.poll() is not None:
                 return
             await asyncio.sleep(0.05)
-        self._day.log.write("not_moved", conductor=conductor.name)
-
-    async def _server_kill(self, trouble: Trouble) -> None:
-        server = trouble.target
-        self._day.servers[server].kill()
-        self._day.servers[server].wait()
-        await asyncio.sleep(DOWN_S)
-        self._day.start_server(server)
-        self._list(server, status="active", since_ms=int(time.time() * 1000))
-
-    async def _server_hang(self, trouble: Trouble) -> None:
-        process = self._day.servers[trouble.target]
+        self._run.log.write("not_moved", conductor=conductor.name)
+
+    async def _server_kill(self, fault: PlannedFault) -> None:
+        server = fault.target
+        self._run.servers[server].kill()
+        self._run.servers[server].wait()
+        await asyncio.sleep(RESTART_DELAY_S)
+        self._run.start_server(server)
+        self._update_endpoint(server, status="active", since_ms=int(time.time() * 1000))
+
+    async def _server_hang(self, fault: PlannedFault) -> None:
+        process = self._run.servers[fault.target]
         process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(self._lasts(trouble))
+        await asyncio.sleep(self._remaining_s(fault))
         process.send_signal(signal.SIGCONT)
 
-    async def _server_drain(self, trouble: Trouble) -> None:
-        self._list(trouble.target, status="leaving")
-        await asyncio.sleep(self._lasts(trouble))
-        self._list(trouble.target, status="active", since_ms=int(time.time() * 1000))
+    async def _server_drain(self, fault: PlannedFault) -> None:
+        self._update_endpoint(fault.target, status="leaving")
+        await asyncio.sleep(self._remaining_s(fault))
+        self._update_endpoint(fault.target, status="active", since_ms=int(time.time() * 1000))
 
-    def _list(self, server: str, **fields: Any) -> None:
-        self._day.directory.change(server, **fields)
-        self._day.log.write("list", server=server, status=fields["status"])
-        for agent in self._day.agents.values():
-            agent.tell()
+    def _update_endpoint(self, server: str, **fields: Any) -> None:
+        self._run.directory.change(server, **fields)
+        self._run.log.write("list", server=server, status=fields["status"])
+        for agent in self._run.agents.values():
+            agent.notify_watches()
 
-    async def _discovery_mute(self, trouble: Trouble) -> None:
-        self._day.agents[trouble.target].mute_until = self._day.start_s + trouble.until_s
+    async def _discovery_mute(self, fault: PlannedFault) -> None:
+        self._run.agents[fault.target].mute_until = self._run.start_s + fault.until_s
 
-    async def _discovery_slow(self, trouble: Trouble) -> None:
-        self._day.agents[trouble.target].slow_until = self._day.start_s + trouble.until_s
-        self._day.agents[trouble.target].reset()
+    async def _discovery_slow(self, fault: PlannedFault) -> None:
+        self._run.agents[fault.target].slow_until = self._run.start_s + fault.until_s
+        self._run.agents[fault.target].reset_connections()
 
-    async def _discovery_garbage(self, trouble: Trouble) -> None:
-        self._day.agents[trouble.target].garbage_until = self._day.start_s + trouble.until_s
+    async def _discovery_garbage(self, fault: PlannedFault) -> None:
+        self._run.agents[fault.target].garbage_until = self._run.start_s + fault.until_s
 
-    async def _discovery_reset(self, trouble: Trouble) -> None:
-        self._day.agents[trouble.target].reset()
+    async def _discovery_reset(self, fault: PlannedFault) -> None:
+        self._run.agents[fault.target].reset_connections()
 
-    async def _maintenance(self, trouble: Trouble) -> None:
-        name, server = trouble.detail["conductor"], trouble.target
-        if await self._call(name, server, "maint"):
-            self._day.log.write("maintained", conductor=name, states={server: "out"})
-        await asyncio.sleep(self._lasts(trouble))
-        self._day.log.write("maintained", conductor=name, states={server: "active"})
-        await self._call(name, server, "ready")
+    async def _maintenance(self, fault: PlannedFault) -> None:
+        name, server = fault.detail["conductor"], fault.target
+        if await self._call_operator(name, server, "maint"):
+            self._run.log.write("maintained", conductor=name, states={server: "out"})
+        await asyncio.sleep(self._remaining_s(fault))
+        self._run.log.write("maintained", conductor=name, states={server: "active"})
+        await self._call_operator(name, server, "ready")
 
-    async def _call(self, name: str, server: str, what: str) -> bool:
+    async def _call_operator(self, name: str, server: str, action: str) -> bool:
         """One call at a conductor's second address; whether it said yes."""
-        host, port = self._day.conductors[name].config["operator"].split(":")
+        host, port = self._run.conductors[name].config["operator"].split(":")
         with suppress(OSError, TimeoutError):
             async with asyncio.timeout(2.0):
                 reader, writer = await asyncio.open_connection(host, int(port))
-                head = f"POST /instances/{server}/{what} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
+                head = f"POST /instances/{server}/{action} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
                 writer.write(head.encode())
                 line = await reader.readline()
                 writer.close()
--- a/tests/benchmarks/test_soak.py
+++ b/tests/benchmarks/test_soak.py
@@ -4,15 +4,15 @@
 
 import asyncio
 
-from benchmarks.soak.__main__ import play
+from benchmarks.soak.__main__ import run_seeds
 
 SEEDS = (490_001, 490_002, 490_003, 490_004)
 
 
 def test_no_promise_is_broken_under_overlapping_faults() -> None:
-    verdicts = asyncio.run(play(SEEDS, parallel=2))
+    verdicts = asyncio.run(run_seeds(SEEDS, parallel=2))
     for verdict in verdicts:
-        unjudged = [each for each in verdict.violations if each not in verdict.judged()]
+        unjudged = [each for each in verdict.violations if each not in verdict.counted()]
         print(f"seed {verdict.seed}: not judged, as a process was held up: {unjudged}")
-    assert [(verdict.seed, verdict.judged()) for verdict in verdicts if verdict.judged()] == []
+    assert [(verdict.seed, verdict.counted()) for verdict in verdicts if verdict.counted()] == []
     assert all(verdict.statuses.get("200", 0) > 0 for verdict in verdicts)
--- a/tests/benchmarks/test_soak_oracle.py
+++ b/tests/benchmarks/test_soak_oracle.py
@@ -9,13 +9,13 @@
 
 from benchmarks.soak.day import Verdict
 from benchmarks.soak.events import Event
-from benchmarks.soak.history import collect
-from benchmarks.soak.oracle import HELD_UP_S, TIMED_RULES, Violation, judge
-from benchmarks.soak.plan import KINDS, Plan, Trouble, draw
+from benchmarks.soak.history import build_history
+from benchmarks.soak.oracle import MAX_STALL_S, TIMED_RULES, Violation, judge
+from benchmarks.soak.plan import FAULT_WEIGHTS, Plan, PlannedFault, draw_plan
 
 START_S = 100.0
 ID = "n0-1-1"
-Story = Callable[[list[Event]], None]
+EventChange = Callable[[list[Event]], None]
 
 
 def at(t: float, event: str, source: str = "driver", **fields: Any) -> Event:
@@ -54,7 +54,7 @@
     next(event for event in reversed(events) if event["event"] == name).update(fields)
 
 
-def no_answer(events: list[Event]) -> None:
+def remove_answer(events: list[Event]) -> None:
     change(events, "answer", status=0, whole=False, error="end")
 
 
@@ -124,14 +124,15 @@
     events.append(at(3.0, "not_moved", conductor="n0"))
 
 
-def rules(*stories: Story, kind: str = "booking", troubles: tuple[Trouble, ...] = ()) -> set[str]:
+def rules(*changes: EventChange, kind: str = "booking", faults: tuple[PlannedFault, ...] = ()) -> set[str]:
     """The rules that the oracle finds broken."""
     events = served(kind)
-    for story in stories:
-        story(events)
-    plan = Plan(1, ["n0"], ["p0"], ["d0", "d1"], [], True, 30_000.0, 5.0, list(troubles))
+    for change_events in changes:
+        change_events(events)
+    plan = Plan(1, ["n0"], ["p0"], ["d0", "d1"], [], True, 30_000.0, 5.0, list(faults))
     return {
-        violation.rule for violation in judge(collect(plan, START_S, sorted(events, key=lambda e: e["t"])))
+        violation.rule
+        for violation in judge(build_history(plan, START_S, sorted(events, key=lambda e: e["t"])))
     }
 
 
@@ -140,9 +141,9 @@
 
 
 @pytest.mark.parametrize(
-    ("story", "rule"),
+    ("change_events", "rule"),
     [
-        (no_answer, "lost"),
+        (remove_answer, "lost"),
         (late, "late"),
         (cut, "cut"),
         (runs_twice, "duplicate"),
@@ -160,8 +161,8 @@
         (not_moved, "not_moved"),
     ],
 )
-def test_each_broken_promise_is_found(story: Story, rule: str) -> None:
-    assert rule in rules(story)
+def test_each_broken_promise_is_found(change_events: EventChange, rule: str) -> None:
+    assert rule in rules(change_events)
 
 
 def test_what_may_run_twice_may() -> None:
@@ -174,9 +175,9 @@
 
 def test_timed_rules_are_left_out_only_where_a_process_was_held_up() -> None:
     for rule in TIMED_RULES:
-        assert verdict(rule, HELD_UP_S).judged() and not verdict(rule, HELD_UP_S + 0.01).judged()
+        assert verdict(rule, MAX_STALL_S).counted() and not verdict(rule, MAX_STALL_S + 0.01).counted()
     for rule in ("duplicate", "refused_after_run", "lost", "cut", "crash"):
-        assert verdict(rule, 10.0).judged()
+        assert verdict(rule, 10.0).counted()
 
 
 def void_release(events: list[Event]) -> None:
@@ -199,15 +200,15 @@
     assert "held" not in rules(released_in_time)
 
 
-def overrun(term_s: float, kill_s: float) -> Story:
+def overrun(term_s: float, kill_s: float) -> EventChange:
     """SIGTERM, and SIGKILL when the grace is over."""
 
-    def story(events: list[Event]) -> None:
+    def change_events(events: list[Event]) -> None:
         without(events, "killed")
         events.append(at(term_s, "sigterm", conductor="n0"))
         events.append(at(kill_s, "killed", conductor="n0", grace=True))
 
-    return story
+    return change_events
 
 
 @pytest.mark.parametrize(
@@ -217,7 +218,7 @@
 def test_kill_behind_the_grace_does_not_excuse_a_request_without_an_answer(
     term_s: float, found: set[str]
 ) -> None:
-    assert rules(no_answer, overrun(term_s, 1.45)) >= found
+    assert rules(remove_answer, overrun(term_s, 1.45)) >= found
 
 
 @pytest.mark.parametrize(("term_s", "found"), [(0.1, {"cut"}), (0.9, set())])
@@ -227,19 +228,19 @@
     assert rules(cut, overrun(term_s, 1.45)) == found
 
 
-@pytest.mark.parametrize("story", [no_answer, late, cut, held, half])
-def test_what_a_kill_costs_is_no_break(story: Story) -> None:
+@pytest.mark.parametrize("change_events", [remove_answer, late, cut, held, half])
+def test_what_a_kill_costs_is_no_break(change_events: EventChange) -> None:
     def kill_then(events: list[Event]) -> None:
-        story(events)
-        events.append(at(6.0 if story is half else 1.3, "killed", conductor="n0"))
+        change_events(events)
+        events.append(at(6.0 if change_events is half else 1.3, "killed", conductor="n0"))
 
     assert not rules(kill_then)
 
 
 def test_a_seed_is_one_plan_and_its_troubles_meet() -> None:
-    assert draw(7) == draw(7) != draw(8)
-    plans = [draw(seed) for seed in range(200)]
-    assert {trouble.kind for plan in plans for trouble in plan.troubles} == set(KINDS)
+    assert draw_plan(7) == draw_plan(7) != draw_plan(8)
+    plans = [draw_plan(seed) for seed in range(200)]
+    assert {fault.kind for plan in plans for fault in plan.troubles} == set(FAULT_WEIGHTS)
     for plan in plans:
-        times = [trouble.at_s for trouble in plan.troubles]
+        times = [fault.at_s for fault in plan.troubles]
         assert all(min(abs(at_s - other) for other in times if other != at_s) < 1.0 for at_s in times)
