--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play many seeds: python -m benchmarks.soak --help."""
+"""Runs the soak for a range of seeds: python -m benchmarks.soak --help."""
 
 from __future__ import annotations
 
@@ -19,18 +19,22 @@
 
 @click.command()
 @click.option("--seed", default=1, help="The first seed.")
-@click.option("--count", default=1, help="How many seeds, one behind the other.")
-@click.option("--parallel", default=1, help="How many days are played at a time.")
+@click.option("--count", default=1, help="The number of consecutive seeds.")
+@click.option("--parallel", default=1, help="The number of runs at a time.")
 @click.option(
-    "--keep", type=click.Path(path_type=Path), help="Keep the events and logs of days that broke a rule."
+    "--keep",
+    type=click.Path(path_type=Path),
+    help="The folder for the events and logs of runs that broke a rule.",
+)
+@click.option(
+    "--json", "report", type=click.Path(path_type=Path), help="The file that receives all verdicts."
 )
-@click.option("--json", "report", type=click.Path(path_type=Path), help="Write all verdicts there.")
 def main(seed: int, count: int, parallel: int, keep: Path | None, report: Path | None) -> None:
-    """Play seeds with real processes on loopback; exits 1 where a promise was broken."""
+    """Run seeds with real processes on loopback; exits with 1 if any run broke a rule."""
     verdicts = asyncio.run(run_seeds(range(seed, seed + count), parallel, keep))
     broken = [verdict for verdict in verdicts if verdict.violations]
     click.echo(
-        f"{len(verdicts)} days, {sum(each.requests for each in verdicts)} requests, {len(broken)} days broken"
+        f"{len(verdicts)} runs, {sum(each.requests for each in verdicts)} requests, {len(broken)} broke a rule"
     )
     if report is not None:
         report.write_bytes(
@@ -40,7 +44,7 @@
 
 
 async def run_seeds(seeds: Iterable[int], parallel: int, keep: Path | None = None) -> list[Verdict]:
-    """Play these seeds, so many at a time; the events of broken days are kept where a folder is given."""
+    """Run the seeds, `parallel` at a time; `keep` receives the files of runs that broke a rule."""
     slots = asyncio.Semaphore(parallel)
 
     async def run_one(seed: int) -> Verdict:
@@ -62,7 +66,7 @@
 def _print_verdict(verdict: Verdict) -> None:
     click.echo(
         f"seed {verdict.seed}: {verdict.requests} requests {verdict.statuses}, "
-        f"late streams {verdict.late_streams}, held up {verdict.held_up_s:.3f} s"
+        f"late streams {verdict.late_streams}, longest stall {verdict.held_up_s:.3f} s"
     )
     for violation in verdict.violations[:12]:
         click.echo(f"  {violation.rule} {violation.id}: {violation.note}")
--- a/benchmarks/soak/agent.py
+++ b/benchmarks/soak/agent.py
@@ -1,4 +1,4 @@
-"""Discovery's agents of a soak, one for each conductor, in the driver's own process."""
+"""Stand-ins for the discovery agents of a soak, one for each router, in the driver's process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EndpointDirectory:
-    """The list, and every change that it has seen."""
+    """The endpoint list and the history of its changes."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
         self.entries = {entry["name"]: entry for entry in entries}
@@ -24,23 +24,23 @@
         self.changes: list[tuple[int, dict[str, Any]]] = []
 
     def change(self, name: str, **fields: Any) -> None:
-        """Change one entry."""
+        """Update fields of one endpoint and record the change."""
         self.index += 1
         self.entries[name] = self.entries[name] | fields
         self.changes.append((self.index, self.entries[name]))
 
     def snapshot(self) -> dict[str, Any]:
-        """The whole list."""
+        """The full list, as the discovery protocol sends it."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
     def changes_since(self, index: int) -> dict[str, Any]:
-        """What has changed since, the newest state of each."""
+        """The current state of each endpoint that changed after `index`."""
         changed = {entry["name"]: entry for at, entry in self.changes if at > index}
         return {"index": self.index, "snapshot": False, "endpoints": list(changed.values())}
 
 
 class DiscoveryAgent:
-    """One conductor's agent, at two addresses between which a configuration may move it."""
+    """The discovery agent of one router, at two addresses between which a reload may switch."""
 
     def __init__(self, conductor: str, host: str, directory: EndpointDirectory, log: EventLog) -> None:
         self._host, self.conductor, self.directory, self._log = host, conductor, directory, log
@@ -49,28 +49,28 @@
         self._writers: set[asyncio.StreamWriter] = set()
         self.changed_event = asyncio.Event()
         self.ports: list[int] = []
-        self.last_connected_s = [0.0, 0.0]  # when each address was asked last
+        self.last_connected_s = [0.0, 0.0]  # last connection to each address
 
     async def serve(self, ports: list[int]) -> None:
-        """Listen at both addresses."""
+        """Listen on both ports."""
         self.ports = ports
         for port in ports:
             await asyncio.start_server(self._handle_connection, self._host, port)
 
     def notify_watches(self) -> None:
-        """Have open watches told what has changed."""
+        """Wake the open watches, so that they send the changes."""
         self.changed_event.set()
         self.changed_event = asyncio.Event()
 
     def reset_connections(self) -> None:
-        """Reset every watch."""
+        """Reset every open connection."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         if (task := asyncio.current_task()) is not None:
-            self._tasks.add(task)  # the loop itself holds tasks weakly
+            self._tasks.add(task)  # the event loop keeps only weak references to tasks
         try:
             with suppress(OSError, asyncio.IncompleteReadError, ValueError):
                 port = writer.get_extra_info("sockname")[1]
@@ -78,7 +78,7 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 await self._answer(head.split(b" ")[1].decode(), writer)
         except asyncio.CancelledError:
-            return  # the play is over
+            return  # the driver is shutting down
         finally:
             self._writers.discard(writer)
             writer.close()
@@ -112,11 +112,11 @@
             if writer.is_closing():
                 return
             if time.monotonic() < self.mute_until:
-                await asyncio.Event().wait()  # this watch stays silent for good
+                await asyncio.Event().wait()  # this watch never sends again, even after the fault
 
     async def _hang_while_mute(self) -> None:
         if time.monotonic() < self.mute_until:
-            await asyncio.Event().wait()  # accepted in vain
+            await asyncio.Event().wait()  # this connection never gets an answer, even after the fault
 
     def _write_line(self, writer: asyncio.StreamWriter, update: dict[str, Any]) -> None:
         text = orjson.dumps(update) + b"\n"
--- a/benchmarks/soak/child.py
+++ b/benchmarks/soak/child.py
@@ -1,4 +1,4 @@
-"""Run the program with the faults that a soak has for this conductor: python -m benchmarks.soak.child."""
+"""Runs the router with a soak's faults for this process: python -m benchmarks.soak.child."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def main() -> None:
-    """Install the faults, then be the program."""
+    """Install the faults, then run the router in this process."""
     scenario = orjson.loads(Path(os.environ["SOAK_FAULTS"]).read_bytes())
     router, start_s = os.environ["SOAK_CONDUCTOR"], scenario["start_s"]
     windows, outages = [], dict[int, list[tuple[float, float]]]()
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -1,4 +1,4 @@
-"""One connection of a client of a soak."""
+"""A client connection of a soak."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 REQUEST_CLASSES = ("query", "booking", "order", "ticket")
 CLASS_WEIGHTS = (5, 4, 2, 2)
-FRESH_CONNECTION_S = 0.1  # a connection that rested before its first request counts as any that rests
-ANSWER_TIMEOUT_S = 9.0  # longest budget, stream and slack
+FRESH_CONNECTION_S = 0.1  # a connection that was idle for longer before its first request is not fresh
+ANSWER_TIMEOUT_S = 9.0  # covers the longest budget, the longest stream and some slack
 BODY = b'{"model":"chat","stream":true,"messages":[{"role":"user","content":"%s"}]}'
 
 
 class ClientConnection:
-    """One connection's life."""
+    """One client connection, which is opened again after a failure."""
 
     def __init__(
         self, scenario: dict[str, Any], router: str, number: int, log: EventLog, seed: float
@@ -37,7 +37,7 @@
         self.fresh, self.answers = True, AnswerParser()
 
     async def connect(self) -> bool:
-        """Open it; False where nobody listens."""
+        """Open the connection; False if that fails."""
         self.opened_s = time.monotonic()
         try:
             self.reader, self.writer = await asyncio.open_connection(*self.address)
@@ -47,7 +47,7 @@
         return True
 
     def make_request(self) -> tuple[str, bytes]:
-        """A further request: its id and its bytes."""
+        """The id and the bytes of a new random request."""
         self.count += 1
         name, rng = f"{self.name}-{self.count}", self.rng
         kind = rng.choices(REQUEST_CLASSES, CLASS_WEIGHTS)[0]
@@ -66,7 +66,7 @@
         return name, head.encode() + body
 
     async def send(self, request_id: str, data: bytes, ahead: bool = False) -> None:
-        """Write it whole; `ahead`: before the answer to the last one."""
+        """Send a request; `ahead` marks one that is sent before the previous answer."""
         if data:
             self.begun_s = time.monotonic()
         self.writer.write(data)
@@ -76,7 +76,7 @@
         self.log.write("posted", id=request_id, fresh=fresh, ahead=ahead, begun_s=self.begun_s)
 
     async def receive_answer(self, request_id: str) -> bool:
-        """Take the answer; whether the connection may go on."""
+        """Receive one answer; whether the connection can be used again."""
         error = ""
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -98,5 +98,5 @@
         return not error
 
     async def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self.writer.close()
--- a/benchmarks/soak/day.py
+++ b/benchmarks/soak/day.py
@@ -1,4 +1,4 @@
-"""One day of a soak: the processes of a seed, its troubles as they fall due, and the verdict."""
+"""One run of a soak: starts the processes of a seed, injects its faults and judges the outcome."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from benchmarks.soak.settings import router_settings
 from benchmarks.soak.troubles import FaultInjector
 
-STARTUP_S = 3.0  # until the load begins: processes start meanwhile
-SETTLE_S = 7.0  # behind it, for what is under way
-MAX_STARTS = 20  # of a conductor in a day, at most
+STARTUP_S = 3.0  # from the creation of the run to the start of the load; processes start meanwhile
+SETTLE_S = 7.0  # after the end of the load, for requests and faults still in progress
+MAX_STARTS = 20  # of one router in a run; each start uses a new operator port
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What came of a seed."""
+    """The outcome of one seed."""
 
     seed: int
     requests: int
@@ -37,16 +37,16 @@
     violations: list[Violation]
     late_streams: int
     troubles: list[str]
-    held_up_s: float  # that a conductor, or the driver, got no processor for at a time, at most
+    held_up_s: float  # longest time for which a router or the driver got no processor
 
     def counted(self) -> list[Violation]:
-        """The violations that count beside load: those of timed rules only where no process was held up."""
+        """The violations that count: those of timed rules only if no process was stalled for too long."""
         include_timed = self.held_up_s <= MAX_STALL_S
         return [each for each in self.violations if include_timed or each.rule not in TIMED_RULES]
 
 
 class SoakRun:
-    """The processes of one seed."""
+    """The processes of one seed and their addresses."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder, self.log = plan, folder, EventLog(folder / "driver.events", "driver")
@@ -75,7 +75,7 @@
         }  # fmt: skip
 
     async def run(self) -> Verdict:
-        """Start all, bring the troubles about, and judge."""
+        """Start all processes, inject the faults, stop everything and judge the events."""
         try:
             await self._start()
             troubles = FaultInjector(self)
@@ -136,7 +136,7 @@
             self._start_helper("benchmarks.soak.plays", str(faults), name, events, str(self.plan.seed))
 
     def _open_dead_port(self) -> int:
-        """A port at which connections never come up: its queue is full."""
+        """Open a port at which connections are never established, because the backlog is full."""
         self._dead_listener = socket.socket()
         self._dead_listener.bind((self.plan.host, 0))
         self._dead_listener.listen(0)
@@ -152,7 +152,7 @@
             self.helper_processes.append(subprocess.Popen(command, cwd=ROOT, stderr=errors))
 
     def start_server(self, server: str) -> None:
-        """Start a stand-in."""
+        """Start the stand-in of a server."""
         kind, port = self.plan.kind(server), str(self.server_ports[server])
         command = [sys.executable, "-m", "benchmarks.soak.instance", server, kind, self.plan.host, port]
         command += [str(self.folder / f"{server}.events"), f"{self.plan.seed}{server[1:]}"]
@@ -161,7 +161,7 @@
             self.servers[server] = subprocess.Popen(command, cwd=ROOT, stderr=errors)
 
     async def _supervise_until(self, at_s: float) -> None:
-        """Wait, and look for ends that nobody asked for."""
+        """Wait until `at_s` of the load, recording unexpected exits and the driver's own stalls."""
         while (left_s := self.start_s + at_s - time.monotonic()) > 0:
             for conductor in self.conductors.values():
                 conductor.record_unexpected_exit()
--- a/benchmarks/soak/events.py
+++ b/benchmarks/soak/events.py
@@ -1,4 +1,4 @@
-"""What the processes of a soak saw, as JSON lines; times are the monotonic clock, which all share."""
+"""Event files of the processes of a soak: JSON lines with times of the monotonic clock, which all share."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class EventLog:
-    """A file of events, written at once: a process may be killed at any moment."""
+    """An event file without buffering, because its process may be killed at any moment."""
 
     def __init__(self, path: Path, source: str) -> None:
         self._file, self._source = path.open("ab", buffering=0), source
 
     def write(self, event: str, **fields: Any) -> None:
-        """Add one event with the present time `t`, in s."""
+        """Append one event with the current time `t`, in s."""
         line = {"t": time.monotonic(), "source": self._source, "event": event, **fields}
         self._file.write(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE))
 
 
 def read_events(paths: Iterable[Path]) -> list[Event]:
-    """All events of these files, in order of time; a line that a kill cut off is left out."""
+    """All events of these files by time; lines that a kill cut short are skipped."""
     return sorted(
         (event for path in paths for event in _parse_events(path)), key=lambda event: float(event["t"])
     )
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: started, told, stopped, killed; each by its id, and none is left behind."""
+"""Router processes of a soak: starts, signals, stops and kills them, and leaves none running."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 STOP_SIGNALS = (signal.SIGTERM,)
 READY_TIMEOUT_S = 10.0
 SIGNAL_INTERVAL_S = 0.06  # between two signals of a series
-BUSY_WAIT_S = 0.02  # before a kill that is due: from here on nothing else is waited for
+BUSY_WAIT_S = 0.02  # final part of the grace period; blocks the driver, so that SIGKILL is sent on time
 FAILURE_MARKERS = (
     b'"invariant_violated"',
     b'"connection_crashed"',
@@ -33,7 +33,7 @@
 
 
 def free_ports(host: str, count: int) -> list[int]:
-    """Ports at an address that nobody has just now."""
+    """Ports of `host` that are free at the moment."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
         sock.bind((host, 0))
@@ -44,7 +44,7 @@
 
 
 class RouterProcess:
-    """One conductor: at any time one process of it, or two while one takes over."""
+    """One router: a single process, or two during a hand-over."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         operator_ports: list[int],
         kill_after_s: float,
     ) -> None:
-        """`kill_after_s`: from SIGTERM to SIGKILL."""
+        """`kill_after_s` is the grace period from SIGTERM to SIGKILL."""
         self._kill_after_s = kill_after_s
         self.name, self.folder, self._log, self._faults = name, folder, log, faults
         self._host = config["listen"].rpartition(":")[0]
@@ -64,20 +64,20 @@
         self.config, self._start_count, self.process = config, 0, subprocess.Popen[bytes](["true"])
         self.process.wait()
         self.replaced: list[subprocess.Popen[bytes]] = []
-        self.exit_expected = False  # its end
-        self.lock = asyncio.Lock()  # one trouble of the process at a time
+        self.exit_expected = False  # the newest process is meant to end, or its end has been recorded
+        self.lock = asyncio.Lock()  # allows one fault of the process at a time
 
     @property
     def output(self) -> Path:
-        """The log of the process that was started last."""
+        """The log file of the newest process."""
         return self.folder / f"{self._start_count}.log"
 
     def write_config(self) -> None:
-        """Write the configuration."""
+        """Write the configuration file."""
         (self.folder / "config.json").write_bytes(orjson.dumps(self.config))
 
     def start(self) -> None:
-        """Start a process."""
+        """Start a process with a new operator port."""
         self._start_count += 1
         self.exit_expected = False
         self.config["operator"] = f"{self._host}:{self._operator_ports.pop()}"
@@ -92,7 +92,7 @@
         self._log.write("started", conductor=self.name, pid=self.process.pid)
 
     async def wait_until_ready(self) -> bool:
-        """Wait until it serves; a start that fails is a finding."""
+        """Wait until the process is ready; records a start that fails or times out."""
         began_s, process, output = time.monotonic(), self.process, self.output
         while time.monotonic() < began_s + READY_TIMEOUT_S:
             if b'"event":"ready"' in output.read_bytes():
@@ -107,31 +107,34 @@
         return False
 
     async def restart(self) -> None:
-        """Start a process, and wait until it serves."""
+        """Start a process and wait until it is ready."""
         self.start()
         await self.wait_until_ready()
 
     def signal(self, number: int) -> None:
-        """Send the newest process a signal."""
+        """Send a signal to the newest process."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL to the newest process and wait for its end."""
         self.exit_expected = True
         self._log.write("killed", conductor=self.name)
         self.signal(signal.SIGKILL)
         self.process.wait()
 
     async def stop(self) -> None:
-        """SIGTERM, and SIGKILL where the grace does not do."""
+        """Send SIGTERM, and SIGKILL when the grace period is over."""
         self.exit_expected = True
         await self.terminate(self.process)
 
     async def terminate(
         self, process: subprocess.Popen[bytes], signals: Sequence[int] = STOP_SIGNALS
     ) -> None:
-        """The same for any process, with signals in series; the grace runs from the first that ends it."""
+        """Send `signals` to a process, and SIGKILL if it outlives the grace period.
+
+        The grace period starts with the first signal other than SIGHUP, which only reloads.
+        """
         until_s = inf
         for number in signals:
             if number != signal.SIGHUP and until_s == inf:
@@ -149,14 +152,14 @@
         process.wait()
 
     def record_unexpected_exit(self) -> None:
-        """Tell of an end that nobody asked for."""
+        """Record a crash if the newest process has ended unexpectedly."""
         code = self.process.poll()
         if code is not None and not self.exit_expected:
             self.exit_expected = True
             self._log.write("crashed", conductor=self.name, code=code, tail=tail(self.output))
 
     def close(self) -> None:
-        """End what is left, and tell what the logs hold of the program's own findings."""
+        """Kill the remaining processes, and record faults and stalls found in their logs."""
         self._log.write("killed", conductor=self.name)
         for process in (self.process, *self.replaced):
             if process.poll() is None:
@@ -171,5 +174,5 @@
 
 
 def tail(path: Path) -> str:
-    """The end of a log."""
+    """The last 700 bytes of a log."""
     return path.read_bytes()[-700:].decode(errors="replace")
--- a/benchmarks/soak/history.py
+++ b/benchmarks/soak/history.py
@@ -1,4 +1,4 @@
-"""What a soak has seen, sorted by request."""
+"""The events of a soak, grouped by request."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from benchmarks.soak.events import Event
 from benchmarks.soak.plan import Plan
 
-CUT_STREAM_WINDOW_S = 0.7  # behind SIGTERM: a stream that was taken until then may be cut by the kill
-TOLERANCE_S = 0.15  # that a busy machine may add between two witnesses
+CUT_STREAM_WINDOW_S = 0.7  # SIGKILL may cut off a stream whose request arrived within this time of SIGTERM
+TOLERANCE_S = 0.15  # difference that a busy machine may add between the clocks of two processes' events
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt as the path and its server saw it."""
+    """One attempt, as seen by the proxy and by the server."""
 
     server: str
-    first_s: float  # its first byte at the path
+    first_s: float  # arrival of its first byte at the proxy
     sent_s: float
     link: int
-    arrived_s: float = inf  # whole at its server
-    end_s: float = inf  # its answer was there, or a side had closed
-    told_ms: float = 0.0  # the time that its server was told
-    ending: str = ""  # answered, closed (by the conductor), broke
+    arrived_s: float = inf  # complete request at the server
+    end_s: float = inf  # its answer was complete, or one side closed the connection
+    told_ms: float = 0.0  # the remaining budget that the router sent to the server
+    ending: str = ""  # answered, closed (by the router) or broke (by the server or the path)
 
 
 @dataclass(slots=True)
 class Request:
-    """One request as its client saw it, and what was done for it."""
+    """One request, as seen by its client, with its attempts and the events of its servers."""
 
     id: str
     kind: str = ""
     budget_s: float = 0.0
-    begun_s: float = inf  # its first byte
-    last_byte_s: float = inf  # its last byte
+    begun_s: float = inf  # the client sent its first byte
+    posted_s: float = inf  # the client sent its last byte
     fresh: bool = True
-    ahead: bool = False  # it was sent before the answer to another one
+    ahead: bool = False  # it was sent before the answer to the previous request
     answer: Event | None = None
     left_s: float = inf
     floods: bool = False
@@ -49,34 +49,34 @@
 
     @property
     def router(self) -> str:
-        """Whom it was sent to."""
+        """The name of the router that the request was sent to."""
         return self.id.partition("-")[0]
 
     @property
     def runs(self) -> list[Event]:
-        """Where and when it took effect."""
+        """The events of servers that ran the request."""
         return [event for event in self.server_events if event["event"] == "ran"]
 
 
 @dataclass(slots=True)
 class History:
-    """All that a soak has seen, by request."""
+    """All events of a soak, with its requests and signals."""
 
     plan: Plan
     start_s: float
     requests: dict[str, Request]
-    kills: dict[str, list[float]]  # SIGKILL, by conductor
+    kills: dict[str, list[float]]  # times of SIGKILL without a grace period, by router
     terminations: dict[str, list[float]]
-    grace_kills: dict[str, list[float]]  # SIGKILL behind SIGTERM, when the grace was over
+    grace_kills: dict[str, list[float]]  # times of SIGKILL at the end of a grace period, by router
     events: list[Event]
 
     def killed(self, router: str, from_s: float, until_s: float) -> bool:
-        """Whether a process of the conductor was killed then."""
+        """Whether a process of the router was killed in this period."""
         times = self.kills[router] + self.grace_kills[router]
         return any(from_s - TOLERANCE_S <= at_s <= until_s + TOLERANCE_S for at_s in times)
 
     def excused(self, request: Request, until_s: float) -> bool:
-        """Whether its conductor was killed, or its connections were broken for it, until then."""
+        """Whether a kill of the router or failing reads of its sockets excuse a missing answer."""
         from_s = request.begun_s - TOLERANCE_S
         if any(from_s <= at_s <= until_s + TOLERANCE_S for at_s in self.kills[request.router]):
             return True
@@ -91,9 +91,10 @@
         )
 
     def _grace_kill_excuses(self, request: Request, killed_s: float) -> bool:
-        """Whether a kill behind the grace may have left it unanswered.
+        """Whether a kill at the end of the grace period may have left the request unanswered.
 
-        That is so where it crosses the kill, and of a stream that was taken up to 0.7 s behind SIGTERM.
+        That holds for a request that the client was still sending at the kill, and for a stream whose request
+        was sent at most 0.7 s after SIGTERM.
         """
         answer = request.answer
         if answer is None or not request.begun_s - TOLERANCE_S <= killed_s <= answer["t"] + TOLERANCE_S:
@@ -102,13 +103,12 @@
             (at_s for at_s in self.terminations[request.router] if at_s < killed_s), default=-inf
         )
         cut_stream = (
-            answer["status"] == 200
-            and request.last_byte_s <= terminated_s + CUT_STREAM_WINDOW_S + TOLERANCE_S
+            answer["status"] == 200 and request.posted_s <= terminated_s + CUT_STREAM_WINDOW_S + TOLERANCE_S
         )
-        return cut_stream or request.last_byte_s >= killed_s - TOLERANCE_S
+        return cut_stream or request.posted_s >= killed_s - TOLERANCE_S
 
     def accept_fails(self, router: str, from_s: float, until_s: float) -> bool:
-        """Whether the system let the conductor accept nothing for a while then."""
+        """Whether the router could have been unable to accept connections in this period."""
         calls = ("accept", "descriptors")
         return any(
             each.target == router
@@ -119,7 +119,7 @@
         )
 
     def fault_active(self, server: str, kinds: Iterable[str], from_s: float, until_s: float) -> bool:
-        """Whether such a trouble of a server, or of its whole zone, was on then."""
+        """Whether a fault of one of these kinds hit the server, or a whole zone, in this period."""
         zone = {server, "zone"}
         return any(
             each.kind in kinds
@@ -131,8 +131,8 @@
 
 
 def build_history(plan: Plan, start_s: float, events: list[Event]) -> History:
-    """Sort the events by request."""
-    links = dict[tuple[str, int], int]()  # by server and the port that it sees
+    """Group the events by request."""
+    links = dict[tuple[str, int], int]()  # link numbers by server and by the client port that the server sees
     requests = defaultdict[str, Request](lambda: Request(""))
     kills, terminations = defaultdict[str, list[float]](list), defaultdict[str, list[float]](list)
     grace_kills = defaultdict[str, list[float]](list)
@@ -158,7 +158,7 @@
         case "request":
             request.kind, request.budget_s = event["kind"], event["budget_ms"] / 1000
         case "posted":
-            request.last_byte_s, request.fresh, request.ahead = event["t"], event["fresh"], event["ahead"]
+            request.posted_s, request.fresh, request.ahead = event["t"], event["fresh"], event["ahead"]
             request.begun_s = event["begun_s"]
         case "answer":
             request.answer = event
@@ -177,7 +177,7 @@
                 if attempt.link == event["link"] and not attempt.ending:
                     attempt.end_s, attempt.ending = event["t"], event["event"]
                     break
-        case "arrived":  # where the server hung, it had it before
+        case "arrived":  # a server that hung received the request earlier than it recorded
             request.server_events.append(event)
             for attempt in request.attempts:
                 if attempt.link == event["link"] and attempt.arrived_s == inf:
--- a/benchmarks/soak/instance.py
+++ b/benchmarks/soak/instance.py
@@ -19,22 +19,24 @@
     0.02,
     0.02,
     0.01,
-)  # of the attempts that are turned away, and how
-ENTRY_WAIT_RANGE_S = (0.3, 1.8)  # that a decode waits for its entry
+)  # shares of attempts: 503, 410 (entry lost) and 500
+ENTRY_WAIT_RANGE_S = (0.3, 1.8)  # range of the time that a decode waits for its KV cache entry
 WAIT_REJECTED_FRACTION, WAIT_ERROR_FRACTION = (
     0.3,
     0.1,
-)  # of the decodes that have waited, and what becomes of them
-UNSEEN_PREFILL_FRACTION = 0.5  # of the prefills whose caller left that end well all the same
+)  # shares of the decodes that have waited
+UNSEEN_PREFILL_FRACTION = (
+    0.5  # share of the prefills that complete although the router has closed the connection
+)
 
 
 class StandInServer(HttpConnection):
-    """One connection."""
+    """One connection to the stand-in."""
 
     log: EventLog
     kind: str
     rng: random.Random
-    entry_wait_windows: list[tuple[float, float]]  # when decodes wait for their KV cache entry
+    entry_wait_windows: list[tuple[float, float]]  # periods in which decodes wait for their KV cache entry
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,7 +44,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def handle(self, method: bytes, target: bytes) -> None:
-        """Answer as a server does."""
+        """Handle a request or the release of a KV cache entry."""
         if target.startswith(b"/internal/reservations/"):
             self.log.write("released", id=target.rpartition(b"/")[2].decode())
             self.transport.write(response(204))
@@ -52,7 +54,7 @@
             self.transport.write(response(404))
 
     def _accept(self, request_id: str) -> None:
-        """A request has arrived whole."""
+        """Handle a complete request: reject it, prefill it, let it wait for its entry, or run it."""
         self.request_id, chance = request_id, self.rng.random()
         told_ms = int(self.headers.get(b"x-budget-ms", b"0"))
         port = self.transport.get_extra_info("peername")[1]
@@ -74,7 +76,7 @@
             self._run(chance < BUSY_FRACTION + LOST_FRACTION + ERROR_FRACTION)
 
     def _finish_entry_wait(self, chance: float) -> None:
-        """The request has waited; its entry has not been fetched yet."""
+        """Reject or run a decode that has waited; its entry has not been fetched yet."""
         self.timer = None
         if chance < WAIT_REJECTED_FRACTION:
             self.transport.write(response(503, b"", REJECTED))
@@ -82,7 +84,7 @@
             self._run(chance < WAIT_REJECTED_FRACTION + WAIT_ERROR_FRACTION)
 
     def _run(self, fails: bool) -> None:
-        """The request takes effect."""
+        """Run the request: from here on it has taken effect."""
         self.log.write("ran", id=self.request_id)
         if fails:
             self.transport.write(response(500))
@@ -90,7 +92,7 @@
             self._after_work(self._send_event, 0, self.rng.choice((4, 8, 8, 60)))
 
     def _after_work(self, call: Callable[..., None], *args: int) -> None:
-        """Do it once the work is done."""
+        """Call it after a random time of work."""
         self.timer = asyncio.get_running_loop().call_later(self.rng.uniform(0.01, 0.08), call, *args)
 
     def _finish_prefill(self) -> None:
@@ -117,7 +119,7 @@
         self.transport.write(data)
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Called by asyncio: work stops, but a prefill may end well all the same."""
+        """Called by asyncio: work stops, except that a prefill may complete without an answer."""
         if self.timer is not None:
             self.timer.cancel()
             if self.prefilling and self.rng.random() < UNSEEN_PREFILL_FRACTION:
@@ -125,7 +127,7 @@
 
 
 def read_entry_wait_windows(faults: Path, server: str) -> list[tuple[float, float]]:
-    """When decodes wait at this server."""
+    """The periods in which decodes wait at this server, from the scenario file."""
     scenario = orjson.loads(faults.read_bytes())
     return [
         (scenario["start_s"] + each["at_s"], scenario["start_s"] + each["until_s"])
--- a/benchmarks/soak/oracle.py
+++ b/benchmarks/soak/oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of a soak: events of all processes in, broken promises out. Pure, so that tests can feed it."""
+"""The oracle of a soak: finds broken rules in the events of a run. Pure, so that tests can call it."""
 
 from __future__ import annotations
 
@@ -10,28 +10,32 @@
 from benchmarks.soak.events import Event
 from benchmarks.soak.history import TOLERANCE_S, Attempt, History, Request
 
-# Times in s, by the protocol.
-ANSWER_SLACK_S = 0.5  # behind its time an answer earns nothing; later it is lost
-DRAIN_GRACE_S = 0.3  # of a drain: 250 ms, and 50 of sockets
-DISCOVERY_DELAY_S = 6.0
-MAX_HOLD_S = 0.85
-DISCONNECT_DELAY_S = 0.1
-BUDGET_TOLERANCE_MS = 150.0
-PARTIAL_TIMEOUT_S = 3.0
-DEDUP_WINDOW_S = 0.8  # of the keyed classes
-SILENT_PATH_KINDS = ("path_silent", "path_stalls", "path_forgets")  # what is sent does not arrive
-OVERLAP_S = 0.02  # that two attempts may seem to overlap
-
-# Rules that a process which got no processor may seem to break: they compare the times of two witnesses.
+# Limits of the protocol.
+ANSWER_SLACK_S = 0.5  # an answer after its deadline has no worth; after this delay it breaks a rule
+DRAIN_GRACE_S = 0.3  # the drain grace of 250 ms, and 50 ms for sockets
+DISCOVERY_DELAY_S = 6.0  # after a change of the list a router counts as informed
+MAX_HOLD_S = 0.85  # time without an attempt in flight until a KV cache entry is fetched or released
+DISCONNECT_DELAY_S = 0.1  # until a router has noticed that the client left
+BUDGET_TOLERANCE_MS = 150.0  # by which the budget sent to a server may exceed the client's
+PARTIAL_TIMEOUT_S = 3.0  # until a router ends a connection with an incomplete request
+DEDUP_WINDOW_S = 0.8  # of the classes order and ticket
+SILENT_PATH_KINDS = (
+    "path_silent",
+    "path_stalls",
+    "path_forgets",
+)  # faults under which sent bytes do not arrive
+OVERLAP_S = 0.02  # by which two attempts may appear to overlap
+
+# Rules that compare the times of two processes; a process that got no processor may appear to break them.
 TIMED_RULES = frozenset(
     "late second_copy sent_after_left told_too_much held half drain not_ready not_moved found_itself".split()
 )
-MAX_STALL_S = 0.15  # that a conductor may be held up for: within that, every rule holds
+MAX_STALL_S = 0.15  # up to this stall of a process, the timed rules count as well
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """One broken promise."""
+    """One broken rule, with the request or router that it concerns."""
 
     rule: str
     id: str
@@ -39,7 +43,7 @@
 
 
 def judge(history: History) -> list[Violation]:
-    """Every broken promise."""
+    """All broken rules of a run."""
     found = [
         violation for request in history.requests.values() for violation in _in_request(history, request)
     ]
@@ -57,9 +61,9 @@
 
 
 def _bad_answer(history: History, request: Request) -> Findings:
-    """Each request gets its final answer, in time."""
-    answer, end_s = request.answer, request.last_byte_s
-    if end_s == inf or request.left_s < inf or request.partial_s < inf or answer is None:
+    """Each request gets a final answer in time."""
+    answer, posted_s = request.answer, request.posted_s
+    if posted_s == inf or request.left_s < inf or request.partial_s < inf or answer is None:
         return
     if history.excused(request, answer["t"]):
         return
@@ -72,21 +76,21 @@
         if not request.floods and not backlogged and (request.fresh or sent):
             yield (
                 "lost",
-                f"{answer['error']} after {answer['t'] - end_s:.3f} s, fresh {request.fresh}, sent {sent}",
+                f"{answer['error']} after {answer['t'] - posted_s:.3f} s, fresh {request.fresh}, sent {sent}",
             )
         return
     final_s = answer["first_s"] if answer["status"] == 200 and answer["first_s"] else answer["t"]
-    late_s = final_s - end_s - request.budget_s
+    late_s = final_s - posted_s - request.budget_s
     if request.floods or request.ahead or history.accept_fails(request.router, request.begun_s, final_s):
         return
     if history.plan.crowd and not request.attempts:
-        return  # it may have lain in the backlog
+        return  # it may have waited in the backlog of the listener
     if late_s > ANSWER_SLACK_S + TOLERANCE_S:
-        yield "late", f"{late_s:.3f} s behind its time, status {answer['status']}"
+        yield "late", f"{late_s:.3f} s after its deadline, status {answer['status']}"
 
 
 def _cut_stream(history: History, request: Request) -> Findings:
-    """A stream is passed on to its end, and ends whole only where it is."""
+    """A stream is passed on to its end, unless its server or the path to it has failed."""
     answer = request.answer
     if answer is None or answer["status"] != 200 or answer["whole"] or request.left_s < inf or request.floods:
         return
@@ -100,14 +104,14 @@
 
 
 def _wrong_runs(history: History, request: Request) -> Findings:
-    """Nothing that must not runs twice, and what was refused has not run."""
+    """A request runs twice only where its class allows that, and a rejected one has not run."""
     runs = request.runs
     if request.kind == "booking" and len(runs) > 1:
         yield "duplicate", f"ran at {[event['source'] for event in runs]}"
     if request.kind in ("order", "ticket") and len(runs) > 1:
         sent = [attempt for attempt in request.attempts if attempt.server in {e["source"] for e in runs}]
         if sent and sent[-1].first_s > sent[0].first_s + DEDUP_WINDOW_S + TOLERANCE_S:
-            yield "duplicate", "repeated behind its window"
+            yield "duplicate", "repeated after its deduplication window"
         if request.kind == "ticket" and len({zone(event["source"]) for event in runs}) > 1:
             yield "duplicate", "repeated in another zone"
     status = request.answer["status"] if request.answer else 0
@@ -116,33 +120,33 @@
 
 
 def _overlaps(history: History, request: Request) -> Findings:
-    """Never two attempts out together."""
+    """A request never has two attempts in flight at a time."""
     in_flight = sorted((a.arrived_s, a.end_s) for a in request.attempts if a.arrived_s < a.end_s)
     for (_, end_s), (next_s, _) in pairwise(in_flight):
         if next_s < end_s - OVERLAP_S:
-            yield "second_copy", f"{end_s - next_s:.3f} s together"
+            yield "second_copy", f"{end_s - next_s:.3f} s of overlap"
 
 
 def _late_sends(history: History, request: Request) -> Findings:
-    """Nothing begins for a client that has left."""
+    """No attempt starts for a client that has left."""
     for attempt in request.attempts:
         if attempt.first_s > request.left_s + DISCONNECT_DELAY_S + TOLERANCE_S:
             yield "sent_after_left", f"{attempt.first_s - request.left_s:.3f} s later, at {attempt.server}"
 
 
 def _over_budget(history: History, request: Request) -> Findings:
-    """A server is told at most what its client has left."""
+    """The budget sent to a server does not exceed the client's remaining time."""
     for attempt in request.attempts:
-        left_ms = (request.last_byte_s + request.budget_s - attempt.first_s) * 1000
+        left_ms = (request.posted_s + request.budget_s - attempt.first_s) * 1000
         if attempt.told_ms > left_ms + BUDGET_TOLERANCE_MS + TOLERANCE_S * 1000:
             yield "told_too_much", f"{attempt.told_ms} ms of {left_ms:.0f}"
 
 
 def _held(history: History, request: Request) -> Findings:
-    """What a prefill left is fetched or released in time while no attempt is out."""
+    """A KV cache entry is fetched or released in time; time with an attempt in flight does not count."""
     for prefill in (event for event in request.server_events if event["event"] == "prefilled"):
         freed_at = [e["t"] for e in request.server_events if _frees_entry(request, e)]
-        # Its server may hear of the end of a connection just behind a release that was sent after it.
+        # The server may notice a closed connection only after a release that the router sent later.
         since_s = prefill["t"] - (TOLERANCE_S if prefill.get("unseen") else 0.0)
         end_s = min((at_s for at_s in freed_at if at_s > since_s), default=inf)
         end_s = min(end_s, history.events[-1]["t"])
@@ -159,7 +163,7 @@
 
 
 def _frees_entry(request: Request, event: Event) -> bool:
-    """Whether nothing is held any more: a release leaves what a decode that has arrived waits for."""
+    """Whether the event frees the entry: a release is void while a decode that has arrived waits for it."""
     if event["event"] == "released":
         return not any(
             a.server[0] != "p" and a.arrived_s <= event["t"] < a.end_s - OVERLAP_S for a in request.attempts
@@ -168,14 +172,14 @@
 
 
 def _reached_server_s(history: History, attempt: Attempt) -> float:
-    """When its last byte had reached its server: one that hangs has what its system took."""
+    """When the attempt reached the server; data for a hung process is received by its kernel."""
     hung = history.fault_active(attempt.server, ("server_hang",), attempt.sent_s, attempt.sent_s)
     silent = history.fault_active(attempt.server, SILENT_PATH_KINDS, attempt.sent_s, attempt.sent_s)
     return attempt.sent_s if hung and not silent else attempt.arrived_s
 
 
 def _partial(history: History, request: Request) -> Findings:
-    """Who stops in the middle gets an error or a close."""
+    """A client that sends an incomplete request gets an error or a close in time."""
     if request.partial_end is None or history.killed(
         request.router, request.partial_s, request.partial_end["t"]
     ):
@@ -188,7 +192,7 @@
 
 
 def _in_drains(history: History) -> Iterator[Violation]:
-    """Nothing new goes to a server that drains, as a conductor was told, or counts as told."""
+    """No attempt starts at a draining server after the router was informed, or counts as informed."""
     out_since, deadlines = dict[tuple[str, str], float](), dict[str, float]()
     changed = [event for event in history.events if event["event"] in ("told", "list", "maintained")]
     sends = [(a.first_s, a, r) for r in history.requests.values() for a in r.attempts]
@@ -214,11 +218,15 @@
                 out_since.get((request.router, attempt.server), inf), deadlines.get(attempt.server, inf)
             )
             if at_s > since + DRAIN_GRACE_S + TOLERANCE_S:
-                yield Violation("drain", request.id, f"{at_s - since:.3f} s after told, at {attempt.server}")
+                yield Violation(
+                    "drain",
+                    request.id,
+                    f"{at_s - since:.3f} s after the router was informed, at {attempt.server}",
+                )
 
 
 def _in_processes(history: History) -> Iterator[Violation]:
-    """No process crashes or fails to start; what the program itself found."""
+    """No router crashes, fails to start, logs a fault of its own or ignores a reload."""
     for event in history.events:
         if event["event"] == "crashed":
             yield Violation("crash", event["conductor"], f"exit {event['code']}: {event['tail']}")
@@ -230,10 +238,12 @@
             yield Violation("found_itself", event["conductor"], event["line"])
         elif event["event"] == "not_moved":
             yield Violation(
-                "not_moved", event["conductor"], "4 s behind SIGHUP discovery's new address was not asked"
+                "not_moved",
+                event["conductor"],
+                "no request at the new discovery address within 4 s of SIGHUP",
             )
 
 
 def zone(server: str) -> str:
-    """A server's zone, by its number."""
+    """The zone of a server: even numbers are in the east."""
     return ("east", "west")[int(server[1:]) % 2]
--- a/benchmarks/soak/paths.py
+++ b/benchmarks/soak/paths.py
@@ -1,4 +1,4 @@
-"""The faults of the path to each server of a soak, from its plan."""
+"""Faults on the network path to each server of a soak."""
 
 from __future__ import annotations
 
@@ -9,39 +9,41 @@
 if TYPE_CHECKING:
     from benchmarks.soak.proxy import Link
 
-Windows = list[tuple[float, float]]  # monotonic times in s: from, until
+Windows = list[tuple[float, float]]  # start and end in s of the monotonic clock
 
 
 @dataclass(slots=True)
 class ServerPath:
-    """The path to one server: its faults."""
+    """The path to one server, with its connections and faults."""
 
     server: str
-    address: tuple[str, int]  # of the server itself
+    address: tuple[str, int]  # of the server behind the proxy
     links: set[Link] = field(default_factory=set)
     silent: Windows = field(default_factory=list)
     split: Windows = field(default_factory=list)
     response_resets: Windows = field(
         default_factory=list
-    )  # responses reset their connection instead of passing
-    forgotten_at: list[float] = field(default_factory=list)  # connections from before carry nothing more
-    reset_at: list[float] = field(default_factory=list)  # when every connection is reset
+    )  # a response resets its connection instead of passing
+    forgotten_at: list[float] = field(
+        default_factory=list
+    )  # connections opened before one of these times carry nothing after it
+    reset_at: list[float] = field(default_factory=list)  # times at which every connection is reset
 
     def silent_until(self) -> float:
-        """When the silence ends that is now; 0 where there is none."""
+        """The end of the current silence; 0 if there is none."""
         return _window_end(self.silent)
 
     def splits_writes(self) -> bool:
-        """Whether bytes come in pieces now."""
+        """Whether data is passed on in small pieces now."""
         return _window_end(self.split) > 0.0
 
     def resets_responses(self) -> bool:
-        """Whether responses reset their connections now."""
+        """Whether responses may reset their connections now."""
         return _window_end(self.response_resets) > 0.0
 
 
 def make_paths(scenario: dict[str, Any]) -> dict[str, ServerPath]:
-    """The paths of a plan by server."""
+    """The paths of a scenario by server."""
     paths = {
         server: ServerPath(server, (scenario["host"], port))
         for server, port in scenario["server_ports"].items()
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a seed plays: fleet, settings, and troubles that overlap in time. One seed is one plan."""
+"""Draws the only plan of a seed: servers, routers, settings, and faults that overlap in time."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-LOAD_S = 16.0  # of clients' load
-CLUSTER_COUNT = (3, 5)  # moments at which several troubles meet
-SHARED_TARGET_FRACTION = 0.7  # of a moment's troubles that meet at one conductor, or at one server
-CLUSTER_SPREAD_S = 0.9  # within which the troubles of a cluster begin
+LOAD_S = 16.0  # duration of the load
+CLUSTER_COUNT = (3, 5)  # range of the number of clusters of faults in a plan
+SHARED_TARGET_FRACTION = 0.7  # share of a cluster's faults that hit the same router or the same server
+CLUSTER_SPREAD_S = 0.9  # period in which the faults of a cluster begin
 MAX_DEADLINE_S, KILL_GRACE_S = 3.0, 0.7
-LOST_PREFILL_FRACTION = 0.6  # of the plans with a prefill that is lost while the next one meets silence
-STALL_DELAY_S = 0.1  # behind the first lost responses
-CROWD_FRACTION = 0.15  # of the plans with a crowd
+LOST_PREFILL_FRACTION = 0.6  # share of plans in which a prefill is lost and its retry stalls
+STALL_DELAY_S = 0.1  # from the start of the lost responses to the stall of the other prefill servers
+CROWD_FRACTION = 0.15  # share of plans with a crowd of idle connections
 SIGNAL_SERIES = (
     ("SIGHUP", "SIGTERM", "SIGTERM", "SIGHUP"),
     ("SIGTERM", "SIGHUP", "SIGINT"),
@@ -22,49 +22,49 @@
 )
 DESCRIPTOR_ERRNOS = ("ENFILE", "EMFILE")
 
-# What may go wrong, and how often relative to the others.
+# Kinds of faults, with their relative frequency.
 FAULT_WEIGHTS = {
     "conductor_kill": 2,
-    "conductor_stop": 5,  # SIGTERM, SIGKILL when the grace is over, started again at once
-    "conductor_stop_early": 3,  # the same, and SIGTERM again while the new process starts
-    "conductor_reload": 4,  # SIGHUP; discovery moves, sometimes with half a file first
-    "conductor_signals": 3,  # SIGHUP, SIGTERM and SIGINT in series; the kill follows the first that ends it
-    "conductor_upgrade": 3,  # a successor beside it, sometimes told to end before that one is ready
-    "server_kill": 3,  # and started again
-    "server_hang": 3,  # SIGSTOP, SIGCONT
-    "server_queue": 4,  # decodes wait for their KV cache entry, and some are rejected or fail behind the wait
-    "server_drain": 5,  # told by discovery; back later
-    "path_silent": 5,  # connections stay open and carry nothing; new ones never come up
-    "path_stalls": 4,  # connections come up and take what is written, and carry nothing while it lasts
-    "path_forgets": 4,  # the connections there are carry nothing more; new ones are well
+    "conductor_stop": 5,  # SIGTERM, SIGKILL after the grace period, restart at once
+    "conductor_stop_early": 3,  # SIGKILL, restart, and SIGTERM while the new process starts
+    "conductor_reload": 4,  # SIGHUP with a new discovery address, sometimes after one with a truncated file
+    "conductor_signals": 3,  # a series of signals; the first one but SIGHUP starts the grace period
+    "conductor_upgrade": 3,  # hand-over to a successor; sometimes SIGTERM before that is ready
+    "server_kill": 3,  # SIGKILL and restart
+    "server_hang": 3,  # SIGSTOP, and SIGCONT at the end
+    "server_queue": 4,  # decodes wait for their KV cache entry, and some are then rejected or fail
+    "server_drain": 5,  # announced by discovery; active again at the end
+    "path_silent": 5,  # connections stay open and carry nothing; new ones are never established
+    "path_stalls": 4,  # connections are established and accept data, and carry nothing meanwhile
+    "path_forgets": 4,  # existing connections carry nothing from then on; new ones work
     "path_reset": 4,
-    "path_breaks": 4,  # a response resets its connection instead of passing: its server has done the work
+    "path_breaks": 4,  # a response resets its connection instead of passing; the server has done the work
     "path_pieces": 2,
-    "discovery_mute": 4,  # answers nothing, its watches are silent
-    "discovery_reset": 3,  # its watches are reset
+    "discovery_mute": 4,  # the agent does not answer, and its watches are silent
+    "discovery_reset": 3,  # the agent's connections are reset
     "discovery_slow": 2,
     "discovery_garbage": 1,
-    "call_fails": 7,  # a system call of one conductor fails for a while
-    "short_io": 3,  # its reads and writes are short
+    "call_fails": 7,  # a system call of one router fails for a while
+    "short_io": 3,  # one router's socket reads and writes are short
     "disk_fails": 2,
-    "wall_step": 3,  # its wall clock is stepped
-    "maintenance": 3,  # operators leave a server out
+    "wall_step": 3,  # one router's wall clock is stepped
+    "maintenance": 3,  # an operator takes a server out
 }
 CALL_ERRNOS = {
     "accept": ("ECONNABORTED", "ENFILE", "ENOBUFS", "EMFILE"),
     "socket": ("ENFILE", "ENOBUFS", "EMFILE"),
     "connect": ("EADDRNOTAVAIL", "ENETUNREACH", "EINTR"),
     "recv": ("ETIMEDOUT", "EHOSTUNREACH"),
-    "descriptors": DESCRIPTOR_ERRNOS,  # all that needs a new one
+    "descriptors": DESCRIPTOR_ERRNOS,  # every call that needs a new file descriptor
 }
 
 
 @dataclass(slots=True)
 class PlannedFault:
-    """One trouble; times in s from the start of the load."""
+    """One fault of a plan; times are in s from the start of the load."""
 
     kind: str
-    target: str  # a conductor's or a server's name
+    target: str  # the name of a router or of a server
     at_s: float
     until_s: float
     detail: dict[str, Any] = field(default_factory=dict)
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A seed's fleet and troubles."""
+    """The servers, routers, settings and faults of a seed; the other processes read it as JSON."""
 
     seed: int
     conductors: list[str]
@@ -81,37 +81,37 @@
     mixed: list[str]
     may_cancel: bool
     keepalive_ms: float
-    rate: float  # requests a second for each conductor
+    rate: float  # requests per second to each router
     troubles: list[PlannedFault]
-    deadline_ms: float = 3000.0  # of every class: the longest that a client waits
-    crowd: bool = False  # idle and half-open clients come in bursts, up to the limit on descriptors
+    deadline_ms: float = 3000.0  # deadline of every request class
+    crowd: bool = False  # bursts of idle and half-open connections, up to the descriptor limit
 
     @property
     def servers(self) -> list[str]:
-        """All servers."""
+        """The names of all servers."""
         return self.prefill + self.decode + self.mixed
 
     @property
     def kill_after_s(self) -> float:
-        """From SIGTERM to SIGKILL, by the protocol: the longest deadline, 3 s at most, and 0.7 s."""
+        """The time from SIGTERM to SIGKILL, by the protocol: the longest deadline (at most 3 s) and 0.7 s."""
         return min(self.deadline_ms / 1000, MAX_DEADLINE_S) + KILL_GRACE_S
 
     @property
     def host(self) -> str:
-        """A loopback address of its own, so that days beside each other share no ports."""
+        """The loopback address of this seed, so that parallel runs share no ports."""
         return f"127.{1 + self.seed // 250 % 250}.{1 + self.seed % 250}.1"
 
     def kind(self, server: str) -> str:
-        """The server's kind, by the settings' names."""
+        """The kind of a server, as named in the settings."""
         return {"p": "prefill", "d": "decode", "m": "mixed"}[server[0]]
 
     def as_json(self) -> dict[str, Any]:
-        """The plan for the other processes."""
+        """The plan as a JSON object."""
         return asdict(self)
 
 
 def draw_plan(seed: int) -> Plan:
-    """The plan of a seed."""
+    """Draw the plan of a seed."""
     rng = random.Random(seed)
     plan = Plan(
         seed,
@@ -139,7 +139,7 @@
 
 
 def _lost_prefill_faults(rng: random.Random, plan: Plan) -> list[PlannedFault]:
-    """Responses of one prefill server are lost while what is sent to the others does not arrive."""
+    """Faults that lose the responses of one prefill server and stall the paths to the others."""
     at_s = round(rng.uniform(1.0, LOAD_S - 3.0), 3)
     until_s = round(at_s + rng.uniform(1.0, 2.5), 3)
     losing = rng.choice(plan.prefill)
@@ -151,7 +151,7 @@
 
 
 def _draw_fault(rng: random.Random, plan: Plan, at_s: float, shared: tuple[str, str]) -> PlannedFault:
-    """One trouble; `met`: the conductor and the server that several troubles of a moment have in common."""
+    """Draw one fault; `shared` is the router and the server that the faults of a cluster have in common."""
     kind = rng.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()))[0]
     of_server = kind.startswith(("server_", "path_", "maintenance"))
     target = rng.choice(plan.servers if of_server else plan.conductors)
@@ -179,7 +179,7 @@
     "wall_step": lambda rng, _: {"step_s": rng.choice((-3600.0, -5.0, 5.0, 3600.0))},
     "conductor_reload": lambda rng, _: {"half_file": rng.random() < 0.5, "times": rng.randint(1, 3)},
     "conductor_stop_early": lambda rng, _: {"after_s": round(rng.uniform(0.3, 1.2), 3)},
-    "path_silent": lambda rng, _: {"zone": rng.random() < 0.4},  # of the one server, or of its whole zone
+    "path_silent": lambda rng, _: {"zone": rng.random() < 0.4},  # one server or its whole zone
     "conductor_signals": lambda rng, _: {"series": list(rng.choice(SIGNAL_SERIES))},
     "conductor_upgrade": lambda rng, _: {"early": rng.random() < 0.4},
     "maintenance": lambda rng, plan: {"conductor": rng.choice(plan.conductors)},
--- a/benchmarks/soak/plays.py
+++ b/benchmarks/soak/plays.py
@@ -1,4 +1,4 @@
-"""Clients of one conductor, good and bad: python -m benchmarks.soak.plays FILE NAME LOG SEED."""
+"""Well-behaved and misbehaving clients of one router: python -m benchmarks.soak.plays FILE NAME LOG SEED."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from benchmarks.soak.plan import LOAD_S
 
 FLOOD_BYTES = b"x" * 1_500_000
-PERSIST_S = 9.0  # that a client goes on with one connection, if the conductor lets it
+PERSIST_S = 9.0  # longest use of one connection by a client that keeps sending
 CROWD_SIZE, BURST_SIZE, BURST_INTERVAL_S = (
     480,
     120,
     1.0,
-)  # connections of a crowd, how many come at once, and how often
-PARTIAL_FRACTION = 0.2  # of a crowd that has begun a request
+)  # kept connections, new ones in a burst, pause
+PARTIAL_FRACTION = 0.2  # share of the crowd that has sent part of a request
 Behaviour = Callable[[ClientConnection], Awaitable[None]]
 
 
 async def sends_in_sequence(client: ClientConnection) -> None:
-    """One request after another, with short pauses; what crosses an idle end is sent once more."""
+    """Send one request after another with short pauses, and reconnect after a failed answer."""
     for _ in range(client.rng.randint(1, 6)):
         request_id, data = client.make_request()
         await client.send(request_id, data)
@@ -40,7 +40,7 @@
 
 
 async def reuses_at_idle_limit(client: ClientConnection) -> None:
-    """Sends again in the moment in which the conductor ends the rest."""
+    """Send again around the time at which the router closes the idle connection."""
     request_id, data = client.make_request()
     await client.send(request_id, data)
     if await client.receive_answer(request_id):
@@ -52,7 +52,7 @@
 
 
 async def disconnects_early(client: ClientConnection) -> None:
-    """Goes before its answer."""
+    """Disconnect before the answer is complete."""
     request_id, data = client.make_request()
     await client.send(request_id, data)
     await asyncio.sleep(client.rng.uniform(0.0, 0.25))
@@ -63,7 +63,7 @@
 
 
 async def pipelines(client: ClientConnection) -> None:
-    """Sends a further request before the first answer."""
+    """Send a second request before the first answer."""
     (one, first), (two, second) = client.make_request(), client.make_request()
     await client.send(one, first)
     await client.send(two, second, ahead=True)
@@ -73,7 +73,7 @@
 
 
 async def floods(client: ClientConnection) -> None:
-    """Sends much behind its request, and takes the answer."""
+    """Send 1.5 MB of garbage after the request, and read the answer."""
     request_id, data = client.make_request()
     await client.send(request_id, data)
     await asyncio.sleep(client.rng.uniform(0.0, 0.2))
@@ -84,7 +84,7 @@
 
 
 async def sends_partial_request(client: ClientConnection) -> None:
-    """Sends half a request and stays."""
+    """Send part of a request and keep the connection open."""
     request_id, data = client.make_request()
     client.writer.write(data[: client.rng.randint(1, len(data) - 1)])
     client.log.write("half", id=request_id)
@@ -98,7 +98,7 @@
 
 
 async def writes_slowly(client: ClientConnection) -> None:
-    """Sends its request in pieces."""
+    """Send a request in pieces."""
     request_id, data = client.make_request()
     step = max(1, len(data) // 8)
     for start in range(0, len(data), step):
@@ -111,7 +111,7 @@
 
 
 async def keeps_sending(client: ClientConnection) -> None:
-    """Goes on with request after request until the conductor ends the connection."""
+    """Send request after request until the router closes the connection."""
     until_s = time.monotonic() + PERSIST_S
     while time.monotonic() < until_s:
         request_id, data = client.make_request()
@@ -123,7 +123,7 @@
 
 
 async def idles_before_sending(client: ClientConnection) -> None:
-    """Rests first, then goes on like the others that persist."""
+    """Keep the new connection idle first, then keep sending."""
     await asyncio.sleep(client.rng.uniform(0.3, 5.0))
     await keeps_sending(client)
 
@@ -142,7 +142,7 @@
 
 
 async def run(scenario: dict[str, Any], router: str, log: EventLog, seed: int) -> None:
-    """Open-loop load until the play ends."""
+    """Generate open-loop load until the load period ends."""
     rng, number, start_s = random.Random(f"{seed}/{router}"), 0, scenario["start_s"]
     await asyncio.sleep(max(0.0, start_s - time.monotonic()))
     async with asyncio.TaskGroup() as tasks:
@@ -164,7 +164,7 @@
 
 
 async def _run_crowd(scenario: dict[str, Any], router: str, seed: float) -> None:
-    """Idle and half-open connections in bursts, as many as the descriptors allow; the oldest leave again."""
+    """Open idle and half-open connections in bursts up to the descriptor limit; close the oldest."""
     address, rng = (scenario["host"], scenario["conductor_ports"][router]), random.Random(seed)
     writers = list[asyncio.StreamWriter]()
     while time.monotonic() < scenario["start_s"] + LOAD_S:
--- a/benchmarks/soak/proxy.py
+++ b/benchmarks/soak/proxy.py
@@ -1,7 +1,7 @@
-"""The paths to all servers of a soak, one process: python -m benchmarks.soak.proxy FILE LOG.
+"""The network paths to all servers of a soak, in one process: python -m benchmarks.soak.proxy FILE LOG.
 
-It passes bytes on, but for its faults: silence (connections stay open and carry nothing), resets, pieces. It
-is also the witness of what conductors sent when, of when they gave an attempt up, and of what came back.
+The proxy passes bytes on, except for its faults: silence (connections stay open and carry nothing), resets
+and small pieces. It also records when routers sent requests and cancelled attempts, and what came back.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 from benchmarks.soak.events import EventLog
 from benchmarks.soak.paths import ServerPath, make_paths
 
-LINGER_RESET = struct.pack("ii", 1, 0)  # closing with it is a reset
-LINK_NUMBERS = count()  # of links
-PIECE_BYTES = 40  # bytes of a piece
-RESET_FRACTION = 0.6  # of the responses in whose place a reset comes, while they break
-HEAL_RESET_FRACTION = 0.5  # of the connections that a silence ends with a reset
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a time of 0: closing resets the connection
+LINK_NUMBERS = count()  # numbers of links, unique in a run
+PIECE_BYTES = 40  # largest piece while data is split
+RESET_FRACTION = 0.6  # share of the responses that are replaced by a reset during path_breaks
+HEAL_RESET_FRACTION = 0.5  # share of the connections with pending data that are reset after a silence
 
 
 class Link:
-    """One connection of a conductor, and ours to the server behind it."""
+    """One connection of a router to the proxy, with the proxy's connection to the server."""
 
     def __init__(self, path: ServerPath, log: EventLog, rng: random.Random) -> None:
         self.path, self.log, self.rng = path, log, rng
-        self.sides = (Side(self, 0), Side(self, 1))  # the conductor's, the server's
+        self.sides = (Side(self, 0), Side(self, 1))  # the router's side and the server's side
         self.request, self.answer = httptools.HttpRequestParser(self), httptools.HttpResponseParser(self)
         self.id, self.first_s, self.awaiting_answer, self.held = "", 0.0, False, False
         self.opened_s, self.number = time.monotonic(), next(LINK_NUMBERS)
         path.links.add(self)
 
-    # The request's parser calls these; the answer's only `on_message_complete`, told apart by `answering`.
+    # Both parsers call these methods; `parsing_answer` tells which of them does.
 
     parsing_answer = False
 
@@ -70,42 +70,42 @@
         self.log.write(event, id=self.id, server=self.path.server, link=self.number, **fields)
 
     def parse(self, side: Side, data: bytes) -> None:
-        """Parse what passes; bytes that are no HTTP are passed on unseen."""
+        """Parse data that passes through; data that is not HTTP is ignored here and still passed on."""
         self.parsing_answer = side is self.sides[1]
         with suppress(httptools.HttpParserError):
             (self.answer if self.parsing_answer else self.request).feed_data(data)
 
     def side_closed(self, side: Side) -> None:
-        """One side has closed."""
+        """Record the end of an attempt whose connection was closed on one side."""
         if self.awaiting_answer:
             self.awaiting_answer = False
             self._log_event("closed" if side is self.sides[0] else "broke")
         self.path.links.discard(self)
 
     def forgotten(self) -> bool:
-        """Whether it carries nothing more."""
+        """Whether the network has forgotten the connection, so that it carries nothing more."""
         now_s = time.monotonic()
         return any(self.opened_s < at_s <= now_s for at_s in self.path.forgotten_at)
 
     def reset(self) -> None:
-        """Reset both sides."""
+        """Reset the connections of both sides."""
         for side in self.sides:
             side.reset()
 
 
 class Side(asyncio.Protocol):
-    """One side of a link."""
+    """One side of a link: 0 is the router's, 1 the server's."""
 
     def __init__(self, link: Link, number: int) -> None:
         self.link, self.number = link, number
         self.transport: asyncio.Transport | None = None
-        self.pending: deque[bytes] = deque()  # what is to be written to the other side
+        self.pending: deque[bytes] = deque()  # data to be written to the other side
         self.lost = False
         self.pump_task: asyncio.Task[None] | None = None
 
     @property
     def other(self) -> Side:
-        """The other side."""
+        """The opposite side of the link."""
         return self.link.sides[1 - self.number]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -135,10 +135,10 @@
         self.pending.append(data)
         self.pump()
 
-    # A connection that the network has forgotten takes what is written, and passes nothing on, not its end.
+    # A connection that the network has forgotten accepts data and passes nothing on, not even its close.
 
     def pump(self) -> None:
-        """Pass on what waits, unless that is under way."""
+        """Start to pass on pending data, unless that is in progress."""
         if self.pump_task is None and self.other.transport is not None and not self.link.forgotten():
             self.pump_task = asyncio.get_running_loop().create_task(self._pump())
 
@@ -179,13 +179,13 @@
         if self.pump_task is not None or self.other.transport is None or self.link.forgotten():
             return
         if self.link.path.silent_until():
-            self.pending.append(b"")  # the end comes through when the silence is over
+            self.pending.append(b"")  # passes on the close when the silence is over
             self.pump()
         else:
             self.other.transport.close()
 
     def reset(self) -> None:
-        """End it at once, by a reset."""
+        """Close this side's connection with a reset."""
         if self.transport is not None and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
--- a/benchmarks/soak/settings.py
+++ b/benchmarks/soak/settings.py
@@ -1,4 +1,4 @@
-"""The settings that a soak gives its conductors."""
+"""The settings of the routers in a soak."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def router_settings(plan: Plan, position: int) -> dict[str, Any]:
-    """The settings of one conductor."""
+    """The settings of the router at this position."""
     caps = {"cancel": plan.may_cancel, "max_attempts": 6, "retry_after": True, "max_retry_after_ms": 500.0,
             "keepalive_ms": plan.keepalive_ms, "connect_timeout_ms": 250.0,
             "second_copies": False}  # fmt: skip
--- a/benchmarks/soak/shim.py
+++ b/benchmarks/soak/shim.py
@@ -1,7 +1,7 @@
-"""Faults of the system, put between the program and Python's own calls: of its clock, its sockets, its disk.
+"""System faults, injected into Python's calls for the clock, sockets and the disk.
 
-The program runs unchanged in a child (`child.py`) that installs these first. Each fault has a window on the
-monotonic clock, which all processes share; outside of them every call is the system's own.
+The router runs unchanged in a child process (`child.py`) that installs the faults first. Each fault is active
+in a period of the monotonic clock, which all processes share; at other times calls go straight to the system.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-SHORT_IO_BYTES = 7  # bytes that a short read or write may have, at most
+SHORT_IO_BYTES = 7  # largest short read or write
 
 
 @dataclass(slots=True, frozen=True)
 class FaultWindow:
-    """One fault; times in s on the monotonic clock."""
+    """One fault; times are in s of the monotonic clock."""
 
     kind: str
     from_s: float
@@ -33,56 +33,54 @@
 
 
 class ProcessFaults:
-    """The faults of one process."""
+    """The faults of one router process."""
 
     def __init__(self, windows: list[FaultWindow], seed: int, folder: str) -> None:
         self._windows, self._rng, self._folder = windows, random.Random(seed), folder
-        self.dead_address: tuple[str, int] | None = None  # where a connection never comes up
-        self.outages: dict[
-            int, list[tuple[float, float]]
-        ] = {}  # by port: when connections there never come up
+        self.dead_address: tuple[str, int] | None = None  # connections there are never established
+        self.outages: dict[int, list[tuple[float, float]]] = {}  # by port: no connection is established then
         self._time, self._epoll, self._open = time.time, select.epoll, io.open
 
     def active(self, kind: str) -> list[FaultWindow]:
-        """The windows of a kind that are open now."""
+        """The faults of a kind that are active now."""
         now_s = time.monotonic()
         return [each for each in self._windows if each.kind == kind and each.from_s <= now_s < each.until_s]
 
     def raise_if_failing(self, *calls: str) -> None:
-        """Raise what the system would, where one of these calls fails now."""
+        """Raise the OSError of an active fault, with its probability, if it affects one of these calls."""
         for window in self.active("call_fails"):
             if window.detail["call"] in calls and self._rng.random() < window.detail["chance"]:
                 number = getattr(errno, window.detail["errno"])
                 raise OSError(number, os.strerror(number))
 
     def is_short(self) -> bool:
-        """Whether a read or write is short now."""
+        """Whether the next read or write is short; random while the fault is active."""
         return bool(self.active("short_io")) and self._rng.random() < 0.5
 
     def size(self, wanted: int) -> int:
-        """How much of a short read or write comes about."""
+        """The random size of a short read or write."""
         return min(wanted, self._rng.randint(1, SHORT_IO_BYTES))
 
     def is_unreachable(self, port: int) -> bool:
-        """Whether a connection to that port never comes up now."""
+        """Whether connections to the port are not established now."""
         now_s = time.monotonic()
         return any(from_s <= now_s < until_s for from_s, until_s in self.outages.get(port, []))
 
     def wall_time(self) -> float:
-        """The wall clock, with its steps so far."""
+        """The wall clock with all steps up to now."""
         now_s = time.monotonic()
         steps = (each for each in self._windows if each.kind == "wall_step" and each.from_s <= now_s)
         return self._time() + sum(float(each.detail["step_s"]) for each in steps)
 
     def raise_if_disk_fails(self, path: object) -> None:
-        """Raise what the system would, where a write below our folder fails now."""
+        """Raise the OSError of an active fault if the path is in the folder of the router."""
         for window in self.active("disk_fails"):
             if str(path).startswith(self._folder):
                 number = getattr(errno, window.detail["errno"])
                 raise OSError(number, os.strerror(number), str(path))
 
     def install(self) -> None:
-        """Put them between the program and its calls."""
+        """Replace the calls by versions that can fail."""
         time.time = self.wall_time
         self._install_epoll()
         self._install_disk()
@@ -120,7 +118,7 @@
 
 
 def _install_sockets(faults: ProcessFaults) -> None:
-    """Faults of sockets, by methods of the class that all of the program's are of."""
+    """Replace methods of `socket.socket`, the class of all sockets of the router."""
     real_init, real_accept, real_connect = socket.socket.__init__, socket.socket.accept, socket.socket.connect
     base: Any = socket.socket.__mro__[1]
 
@@ -151,7 +149,7 @@
             faults.raise_if_failing("recv")
         except OSError:
             with suppress(OSError):
-                self.shutdown(socket.SHUT_RDWR)  # what has timed out is broken for both sides
+                self.shutdown(socket.SHUT_RDWR)  # a connection that timed out is broken for both sides
             raise
         if not flags and faults.is_short():
             size = faults.size(size or len(buffer))
--- a/benchmarks/soak/troubles.py
+++ b/benchmarks/soak/troubles.py
@@ -1,4 +1,4 @@
-"""The troubles that the driver of a soak brings about: signals, restarts, lists, operators' calls."""
+"""Injects the faults of a soak's driver: signals, restarts, changes of the endpoint list, operator calls."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 if TYPE_CHECKING:
     from benchmarks.soak.day import SoakRun
 
-RESTART_DELAY_S = 0.4  # between a server's end and its new start
-DISCOVERY_MOVE_S = 4.0  # behind SIGHUP discovery's new address has been asked
+RESTART_DELAY_S = 0.4  # from the end of a server process to its restart
+DISCOVERY_MOVE_S = 4.0  # after SIGHUP, within which the new discovery address is used
 
 
 class FaultInjector:
-    """Acts on the processes of one day."""
+    """Injects faults into the processes of one run. The method of a fault is named after its kind."""
 
     def __init__(self, run: SoakRun) -> None:
         self._run = run
 
     async def inject(self, fault: PlannedFault) -> None:
-        """Bring one about when it falls due."""
+        """Inject one fault when it is due."""
         await asyncio.sleep(max(0.0, self._run.start_s + fault.at_s - time.monotonic()))
         handler: Callable[[PlannedFault], Coroutine[Any, Any, None]] | None = getattr(
             self, f"_{fault.kind}", None
         )
         if handler is None:
-            return None  # the proxy's, or the conductor's own
+            return None  # injected by the proxy, by a stand-in or by the router process itself
         router = self._run.conductors.get(fault.target)
         if router is None or fault.kind.startswith("discovery"):
             return await handler(fault)
@@ -96,7 +96,7 @@
         await self._check_moved(router, address_index, sent_s)
 
     async def _check_moved(self, conductor: RouterProcess, address_index: int, sent_s: float) -> None:
-        """Within 4 s of the last one the new address has been asked."""
+        """Record a violation unless the new discovery address is used within 4 s of the last SIGHUP."""
         agent, process = self._run.agents[conductor.name], conductor.process
         until_s = sent_s + DISCOVERY_MOVE_S
         while time.monotonic() < until_s:
@@ -152,7 +152,7 @@
         await self._call_operator(name, server, "ready")
 
     async def _call_operator(self, name: str, server: str, action: str) -> bool:
-        """One call at a conductor's second address; whether it said yes."""
+        """Call the operator API of a router; whether it answered with 200."""
         host, port = self._run.conductors[name].config["operator"].split(":")
         with suppress(OSError, TimeoutError):
             async with asyncio.timeout(2.0):
--- a/tests/benchmarks/test_collapse.py
+++ b/tests/benchmarks/test_collapse.py
@@ -1,4 +1,4 @@
-"""The lab falls into the collapse without the limit on reads, and much less far with it."""
+"""The simulated fleet collapses without the concurrency limit on prefills, and much less with it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 3, 4])
-def test_the_fleet_falls_over_without_the_limit_and_gets_up_sooner_with_it(seed: int) -> None:
-    fallen, limited = told(Lab(seed, without_limit).run()), told(Lab(seed).run())
-    assert fallen["before"] > 0.98 and limited["before"] > 0.98
-    later = fallen["seconds"][25:29]  # the burst is over, all readers listed
-    assert all(second["queued"] > 250_000 for second in later)  # nearly 2 s of all that they read
+def test_fleet_collapses_without_the_limit_and_recovers_sooner_with_it(seed: int) -> None:
+    unlimited, limited = told(Lab(seed, without_limit).run()), told(Lab(seed).run())
+    assert unlimited["before"] > 0.98 and limited["before"] > 0.98
+    later = unlimited["seconds"][25:29]  # after the burst, when discovery lists all readers
+    assert all(
+        second["queued"] > 250_000 for second in later
+    )  # all readers together need nearly 2 s for these tokens
     assert sum(s.get("late", 0) for s in later) > 4 * sum(s.get("in time", 0) for s in later)
-    assert limited["after"] > fallen["after"] + 0.05
-    most = [max(s.get("queued", 0) for s in day["seconds"]) for day in (limited, fallen)]
+    assert limited["after"] > unlimited["after"] + 0.05
+    most = [max(s.get("queued", 0) for s in day["seconds"]) for day in (limited, unlimited)]
     assert most[0] < 0.7 * most[1]
--- a/tests/benchmarks/test_fleet_counts.py
+++ b/tests/benchmarks/test_fleet_counts.py
@@ -1,4 +1,4 @@
-"""The fleet's table, from log lines alone."""
+"""The table of a fleet is computed from its log lines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return {"at": at, "event": "request_ended", "ms": ms, "attempts": attempts} | told
 
 
-def test_a_table_of_two_conductors_counts_what_each_of_their_requests_did(tmp_path: Path) -> None:
+def test_table_of_two_routers_counts_requests_and_their_attempts(tmp_path: Path) -> None:
     first = [
         {"at": 100.0, "event": "ready"},
         {"at": 101.0, "event": "endpoint_list_received", "fresh": {"r9": 100_500.0}},
@@ -43,13 +43,13 @@
     assert opening["first_token_ms"]["class 0"]["p50"] == 300.0
     assert opening["repeats"] == 1 and opening["cold_sends"] == 1 and opening["reads_not_taken"] == 0
     assert table["windows"]["5"]["reads_not_taken"] == 1 and table["windows"]["5"]["repeats"] == 0
-    assert table["windows"]["10"]["cold_sends"] == 0  # r9 has run for over 13 s
+    assert table["windows"]["10"]["cold_sends"] == 0  # r9 has been running for more than 13 s
     assert whole["attempts"] == {"cancelled": 1, "connect failed": 1, "ok": 3, "read": 4}
     assert whole["sends_a_request"] == 2.25 and whole["requests"]["class 1 served"] == 1
     assert table["a_request"] == {"connects_failed": 0.25, "list_calls": 0.75, "releases": 0.25}
 
 
-def test_a_folder_without_a_line_gives_an_empty_table(tmp_path: Path) -> None:
+def test_folder_without_events_gives_an_empty_table(tmp_path: Path) -> None:
     (tmp_path / "n1.log").write_text("started\n")
     done = CliRunner().invoke(main, [str(tmp_path)])
     assert done.exit_code == 0 and orjson.loads(done.output)["conductors"] == 0
--- a/tests/benchmarks/test_fleet_plays.py
+++ b/tests/benchmarks/test_fleet_plays.py
@@ -1,4 +1,4 @@
-"""The table of plays: what fails a version shows in it and in the exit code."""
+"""Each failed simulation run is shown in the table and in the exit code."""
 
 import stat
 import sys
@@ -41,19 +41,19 @@
         ({"rules": None, "G": None}, ()),
     ],
 )
-def test_a_day_fails_by_rule_crash_or_gate(change: dict[str, Any], faults: tuple[str, ...]) -> None:
+def test_run_fails_by_rule_crash_or_gate(change: dict[str, Any], faults: tuple[str, ...]) -> None:
     (day,) = read_days({"days": [DAY | change]})
     assert day.faults == faults
     assert day.row().endswith(f"| {'; '.join(faults) or 'rules kept'} |")
 
 
-def test_a_single_days_report_has_one_row() -> None:
+def test_report_of_a_single_run_has_one_row() -> None:
     (day,) = read_days({"row": DAY, "text": "a report for people"})
     assert (day.name, day.seed, day.faults) == ("herd", 7, ())
 
 
 @pytest.mark.parametrize(("broken", "exit_code"), [(0, 0), (1, 1)])
-def test_every_kind_and_panel_is_played_on_every_seed(tmp_path: Path, broken: int, exit_code: int) -> None:
+def test_every_kind_and_panel_is_run_on_every_seed(tmp_path: Path, broken: int, exit_code: int) -> None:
     calls, bench, site = tmp_path / "calls", tmp_path / "bench", tmp_path / "site.toml"
     report = orjson.dumps({"days": [DAY | {"rules": {"lost": broken}}]}).decode()
     python = sys.executable
@@ -70,7 +70,7 @@
     assert [line.split()[line.split().index("--seed") + 1] for line in lines] == ["1", "2", "1", "2"]
 
 
-def test_a_bench_without_a_report_fails_the_day(tmp_path: Path) -> None:
+def test_missing_report_fails_the_run(tmp_path: Path) -> None:
     bench, site = tmp_path / "bench", tmp_path / "site.toml"
     bench.write_text("#!/bin/sh\nexit 3\n")
     bench.chmod(bench.stat().st_mode | stat.S_IXUSR)
--- a/tests/benchmarks/test_site_variant.py
+++ b/tests/benchmarks/test_site_variant.py
@@ -1,4 +1,4 @@
-"""Variants of a made-up site: a list of changes is applied, and nothing else of the file changes."""
+"""Variants of a test site: a list of changes is applied, and the rest of the file stays the same."""
 
 from __future__ import annotations
 
@@ -50,23 +50,23 @@
 """
 
 
-def test_values_are_set_tables_removed_and_appended() -> None:
+def test_changes_set_values_and_remove_and_append_tables() -> None:
     changes = Changes(
         "bakery",
         remove=["class.1"],
         set={"class.0.name": "knead", "rules.drain_grace_ms": 900},
         append=[Append("fam.class", 0, {"turns": 7})],
     )
-    told = tomllib.loads(apply(changes, SITE))
+    variant = tomllib.loads(apply(changes, SITE))
     before = tomllib.loads(SITE)
-    assert told["name"] == "bakery" and told["wire"] == before["wire"]
-    assert told["rules"]["drain_grace_ms"] == 900
-    assert told["class"] == [{"name": "knead", "share": [0.6, 0.9]}]
-    assert told["fam"]["class"] == [{"turns": [1, 2]}, {"turns": 3}, {"turns": 7}]
-    assert told["fam"]["role"] == before["fam"]["role"]
+    assert variant["name"] == "bakery" and variant["wire"] == before["wire"]
+    assert variant["rules"]["drain_grace_ms"] == 900
+    assert variant["class"] == [{"name": "knead", "share": [0.6, 0.9]}]
+    assert variant["fam"]["class"] == [{"turns": [1, 2]}, {"turns": 3}, {"turns": 7}]
+    assert variant["fam"]["role"] == before["fam"]["role"]
 
 
-def test_what_is_not_changed_stays_to_the_letter() -> None:
+def test_unchanged_text_stays_identical() -> None:
     changed = apply(Changes("mill", set={"rules.drain_grace_ms": 900}), SITE)
     assert changed == SITE.replace("250", "900")
 
@@ -82,12 +82,12 @@
         Changes("x", append=[Append("class", 0, {"deadline": 1})]),
     ],
 )
-def test_a_key_that_the_site_lacks_is_named(changes: Changes) -> None:
+def test_change_of_an_unknown_key_is_an_error(changes: Changes) -> None:
     with pytest.raises(ChangeError, match="no such key"):
         apply(changes, SITE)
 
 
-def test_the_command_writes_a_folder_that_can_be_played(tmp_path: Path) -> None:
+def test_command_writes_a_complete_site_folder(tmp_path: Path) -> None:
     (tmp_path / "site").mkdir()
     (tmp_path / "site" / "mill.toml").write_text(SITE)
     for name in BESIDE:
@@ -101,7 +101,7 @@
     assert tomllib.loads(path.read_text())["class"][0]["name"] == "knead"
 
 
-def test_a_mistake_in_the_list_of_changes_is_told(tmp_path: Path) -> None:
+def test_unknown_field_in_a_list_of_changes_is_an_error(tmp_path: Path) -> None:
     path = tmp_path / "changes.toml"
     path.write_text('name = "x"\nremoved = []\n')
     with pytest.raises(ChangeError, match="removed"):
@@ -109,5 +109,5 @@
 
 
 @pytest.mark.parametrize("name", ["ledger", "kiosk"])
-def test_the_lists_of_this_project_can_be_read(name: str) -> None:
+def test_change_lists_of_the_repository_can_be_read(name: str) -> None:
     assert read_changes(Path("deploy/sites") / f"{name}.toml").name == name
--- a/tests/benchmarks/test_soak_oracle.py
+++ b/tests/benchmarks/test_soak_oracle.py
@@ -1,4 +1,4 @@
-"""The soak's oracle finds each broken promise, and none where all is well."""
+"""The oracle of the soak finds each kind of broken rule, and none in a correct run."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def served(kind: str = "booking") -> list[Event]:
-    """A request that is prefilled at p0, decoded at d0 and answered."""
+    """Events of a request that is prefilled at p0, decoded at d0 and answered."""
     sent = {"id": ID, "link": 1, "server": "p0", "first_s": START_S + 1.01}
     decode = {"id": ID, "link": 2, "server": "d0", "first_s": START_S + 1.11}
     return [
@@ -58,12 +58,12 @@
     change(events, "answer", status=0, whole=False, error="end")
 
 
-def late(events: list[Event]) -> None:
+def late_answer(events: list[Event]) -> None:
     change(events, "answer", t=START_S + 4.0, status=503, first_s=0.0)
     without(events, "ran")
 
 
-def cut(events: list[Event]) -> None:
+def cut_stream(events: list[Event]) -> None:
     change(events, "answer", whole=False, error="end")
 
 
@@ -75,27 +75,27 @@
     change(events, "answer", status=429)
 
 
-def two_out(events: list[Event]) -> None:
+def overlapping_attempts(events: list[Event]) -> None:
     change(events, "sent", first_s=START_S + 1.03, t=START_S + 1.03)
     for event in events:
         if event["event"] == "arrived" and event["source"] == "d0":
             event["t"] = START_S + 1.04
 
 
-def left_before(events: list[Event]) -> None:
+def client_left_before(events: list[Event]) -> None:
     events.append(at(0.7, "left", "client n0", id=ID))
 
 
-def told_too_much(events: list[Event]) -> None:
+def budget_too_large(events: list[Event]) -> None:
     change(events, "arrived", told_ms=2400)
 
 
-def held(events: list[Event]) -> None:
+def held_entry(events: list[Event]) -> None:
     change(events, "first", t=START_S + 2.6)
     change(events, "arrived", t=START_S + 2.5)
 
 
-def half(events: list[Event]) -> None:
+def partial_request(events: list[Event]) -> None:
     events.append(at(5.0, "half", "client n0", id="n0-2-1"))
     events.append(at(8.5, "half_ended", "client n0", id="n0-2-1", error="ended"))
 
@@ -104,7 +104,7 @@
     events.append(at(0.4, "told", conductor="n0", index=11, states={"d0": "leaving"}))
 
 
-def drained_unheard(events: list[Event]) -> None:
+def drained_long_ago(events: list[Event]) -> None:
     events.append(at(-5.5, "list", server="d0", status="leaving"))
 
 
@@ -116,16 +116,16 @@
     events.append(at(3.0, "not_ready", conductor="n0", after_s=10.0, tail=""))
 
 
-def found(events: list[Event]) -> None:
+def logged_fault(events: list[Event]) -> None:
     events.append(at(3.0, "found", conductor="n0", line="invariant_violated"))
 
 
-def not_moved(events: list[Event]) -> None:
+def reload_ignored(events: list[Event]) -> None:
     events.append(at(3.0, "not_moved", conductor="n0"))
 
 
 def rules(*changes: EventChange, kind: str = "booking", faults: tuple[PlannedFault, ...] = ()) -> set[str]:
-    """The rules that the oracle finds broken."""
+    """The broken rules that the oracle finds after these changes to a correct run."""
     events = served(kind)
     for change_events in changes:
         change_events(events)
@@ -136,7 +136,7 @@
     }
 
 
-def test_nothing_is_found_where_all_is_well() -> None:
+def test_correct_run_breaks_no_rule() -> None:
     assert not rules()
 
 
@@ -144,28 +144,28 @@
     ("change_events", "rule"),
     [
         (remove_answer, "lost"),
-        (late, "late"),
-        (cut, "cut"),
+        (late_answer, "late"),
+        (cut_stream, "cut"),
         (runs_twice, "duplicate"),
         (refused, "refused_after_run"),
-        (two_out, "second_copy"),
-        (left_before, "sent_after_left"),
-        (told_too_much, "told_too_much"),
-        (held, "held"),
-        (half, "half"),
+        (overlapping_attempts, "second_copy"),
+        (client_left_before, "sent_after_left"),
+        (budget_too_large, "told_too_much"),
+        (held_entry, "held"),
+        (partial_request, "half"),
         (drained, "drain"),
-        (drained_unheard, "drain"),
+        (drained_long_ago, "drain"),
         (crashed, "crash"),
         (not_ready, "not_ready"),
-        (found, "found_itself"),
-        (not_moved, "not_moved"),
+        (logged_fault, "found_itself"),
+        (reload_ignored, "not_moved"),
     ],
 )
-def test_each_broken_promise_is_found(change_events: EventChange, rule: str) -> None:
+def test_each_broken_rule_is_found(change_events: EventChange, rule: str) -> None:
     assert rule in rules(change_events)
 
 
-def test_what_may_run_twice_may() -> None:
+def test_retryable_request_may_run_twice() -> None:
     assert not rules(runs_twice, refused, kind="query")
 
 
@@ -173,7 +173,7 @@
     return Verdict(1, 1, {"200": 1}, [Violation(rule, ID, "")], 0, [], held_up_s)
 
 
-def test_timed_rules_are_left_out_only_where_a_process_was_held_up() -> None:
+def test_timed_rules_are_excused_only_if_a_process_stalled() -> None:
     for rule in TIMED_RULES:
         assert verdict(rule, MAX_STALL_S).counted() and not verdict(rule, MAX_STALL_S + 0.01).counted()
     for rule in ("duplicate", "refused_after_run", "lost", "cut", "crash"):
@@ -181,7 +181,7 @@
 
 
 def void_release(events: list[Event]) -> None:
-    """The entry is released while its decode, which has arrived, waits; that ends, and nothing follows."""
+    """The entry is released while a decode that has arrived waits for it, and not again after its end."""
     without(events, "first", "ran")
     change(events, "answered", t=START_S + 2.0, status=503)
     events.append(at(1.6, "released", "p0", id=ID))
@@ -190,18 +190,18 @@
 
 
 def released_in_time(events: list[Event]) -> None:
-    """The same, and a release follows the decode's end."""
+    """As `void_release`, with a second release after the decode ends."""
     void_release(events)
     events.append(at(2.1, "released", "p0", id=ID))
 
 
-def test_release_beside_a_decode_that_waits_for_the_entry_is_void() -> None:
+def test_release_during_a_decode_that_waits_for_the_entry_is_void() -> None:
     assert "held" in rules(void_release)
     assert "held" not in rules(released_in_time)
 
 
 def overrun(term_s: float, kill_s: float) -> EventChange:
-    """SIGTERM, and SIGKILL when the grace is over."""
+    """SIGTERM, and SIGKILL at the end of the grace period."""
 
     def change_events(events: list[Event]) -> None:
         without(events, "killed")
@@ -213,31 +213,36 @@
 
 @pytest.mark.parametrize(
     ("term_s", "found"),
-    [(0.2, {"lost"}), (0.5, {"lost"})],  # taken behind SIGTERM: more and less than 0.7 s
+    [
+        (0.2, {"lost"}),
+        (0.5, {"lost"}),
+    ],  # the request is sent 0.8 s and 0.5 s after SIGTERM; the limit is 0.7 s
 )
-def test_kill_behind_the_grace_does_not_excuse_a_request_without_an_answer(
+def test_kill_after_the_grace_period_does_not_excuse_a_request_without_an_answer(
     term_s: float, found: set[str]
 ) -> None:
     assert rules(remove_answer, overrun(term_s, 1.45)) >= found
 
 
 @pytest.mark.parametrize(("term_s", "found"), [(0.1, {"cut"}), (0.9, set())])
-def test_kill_behind_the_grace_excuses_a_stream_that_was_taken_soon_behind_the_signal(
+def test_kill_after_the_grace_period_excuses_a_stream_requested_soon_after_sigterm(
     term_s: float, found: set[str]
 ) -> None:
-    assert rules(cut, overrun(term_s, 1.45)) == found
+    assert rules(cut_stream, overrun(term_s, 1.45)) == found
 
 
-@pytest.mark.parametrize("change_events", [remove_answer, late, cut, held, half])
-def test_what_a_kill_costs_is_no_break(change_events: EventChange) -> None:
+@pytest.mark.parametrize(
+    "change_events", [remove_answer, late_answer, cut_stream, held_entry, partial_request]
+)
+def test_kill_excuses_failed_requests(change_events: EventChange) -> None:
     def kill_then(events: list[Event]) -> None:
         change_events(events)
-        events.append(at(6.0 if change_events is half else 1.3, "killed", conductor="n0"))
+        events.append(at(6.0 if change_events is partial_request else 1.3, "killed", conductor="n0"))
 
     assert not rules(kill_then)
 
 
-def test_a_seed_is_one_plan_and_its_troubles_meet() -> None:
+def test_seed_determines_the_plan_and_its_faults_overlap() -> None:
     assert draw_plan(7) == draw_plan(7) != draw_plan(8)
     plans = [draw_plan(seed) for seed in range(200)]
     assert {fault.kind for plan in plans for fault in plan.troubles} == set(FAULT_WEIGHTS)
