--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -34,7 +34,7 @@
     verdicts = asyncio.run(run_seeds(range(seed, seed + count), parallel, keep))
     broken = [verdict for verdict in verdicts if verdict.violations]
     click.echo(
-        f"{len(verdicts)} runs, {sum(each.requests for each in verdicts)} requests, {len(broken)} broke a rule"
+        f"{len(verdicts)} runs, {sum(each.requests for each in verdicts)} requests, {len(broken)} failed"
     )
     if report is not None:
         report.write_bytes(
--- a/benchmarks/soak/history.py
+++ b/benchmarks/soak/history.py
@@ -11,7 +11,7 @@
 from benchmarks.soak.plan import Plan
 
 CUT_STREAM_WINDOW_S = 0.7  # SIGKILL may cut off a stream whose request arrived within this time of SIGTERM
-TOLERANCE_S = 0.15  # difference that a busy machine may add between the clocks of two processes' events
+TOLERANCE_S = 0.15  # delay that a busy machine may add between the events of two processes
 
 
 @dataclass(slots=True)
--- a/benchmarks/soak/instance.py
+++ b/benchmarks/soak/instance.py
@@ -15,19 +15,12 @@
 from ringledge.lab.http_peer import HttpConnection, encode_chunk, response
 
 REJECTED = b"X-Rejected: 1\r\n"
-BUSY_FRACTION, LOST_FRACTION, ERROR_FRACTION = (
-    0.02,
-    0.02,
-    0.01,
-)  # shares of attempts: 503, 410 (entry lost) and 500
+# Shares of the attempts that get 503, 410 (the KV cache entry is lost) and 500.
+BUSY_FRACTION, LOST_FRACTION, ERROR_FRACTION = 0.02, 0.02, 0.01
 ENTRY_WAIT_RANGE_S = (0.3, 1.8)  # range of the time that a decode waits for its KV cache entry
-WAIT_REJECTED_FRACTION, WAIT_ERROR_FRACTION = (
-    0.3,
-    0.1,
-)  # shares of the decodes that have waited
-UNSEEN_PREFILL_FRACTION = (
-    0.5  # share of the prefills that complete although the router has closed the connection
-)
+# Shares of the decodes that get 503 and 500 after they have waited.
+WAIT_REJECTED_FRACTION, WAIT_ERROR_FRACTION = 0.3, 0.1
+UNSEEN_PREFILL_FRACTION = 0.5  # share of prefills that complete after the router closed the connection
 
 
 class StandInServer(HttpConnection):
--- a/benchmarks/soak/oracle.py
+++ b/benchmarks/soak/oracle.py
@@ -10,20 +10,16 @@
 from benchmarks.soak.events import Event
 from benchmarks.soak.history import TOLERANCE_S, Attempt, History, Request
 
-# Limits of the protocol.
+# Limits from the protocol.
 ANSWER_SLACK_S = 0.5  # an answer after its deadline has no worth; after this delay it breaks a rule
 DRAIN_GRACE_S = 0.3  # the drain grace of 250 ms, and 50 ms for sockets
-DISCOVERY_DELAY_S = 6.0  # after a change of the list a router counts as informed
+DISCOVERY_DELAY_S = 6.0  # time after a change of the list at which every router counts as informed
 MAX_HOLD_S = 0.85  # time without an attempt in flight until a KV cache entry is fetched or released
 DISCONNECT_DELAY_S = 0.1  # until a router has noticed that the client left
 BUDGET_TOLERANCE_MS = 150.0  # by which the budget sent to a server may exceed the client's
 PARTIAL_TIMEOUT_S = 3.0  # until a router ends a connection with an incomplete request
 DEDUP_WINDOW_S = 0.8  # of the classes order and ticket
-SILENT_PATH_KINDS = (
-    "path_silent",
-    "path_stalls",
-    "path_forgets",
-)  # faults under which sent bytes do not arrive
+SILENT_PATH_KINDS = ("path_silent", "path_stalls", "path_forgets")  # sent bytes do not arrive
 OVERLAP_S = 0.02  # by which two attempts may appear to overlap
 
 # Rules that compare the times of two processes; a process that got no processor may appear to break them.
--- a/benchmarks/soak/paths.py
+++ b/benchmarks/soak/paths.py
@@ -21,12 +21,10 @@
     links: set[Link] = field(default_factory=set)
     silent: Windows = field(default_factory=list)
     split: Windows = field(default_factory=list)
-    response_resets: Windows = field(
-        default_factory=list
-    )  # a response resets its connection instead of passing
-    forgotten_at: list[float] = field(
-        default_factory=list
-    )  # connections opened before one of these times carry nothing after it
+    # Periods in which a response resets its connection instead of passing.
+    response_resets: Windows = field(default_factory=list)
+    # Connections that were opened before one of these times carry nothing after it.
+    forgotten_at: list[float] = field(default_factory=list)
     reset_at: list[float] = field(default_factory=list)  # times at which every connection is reset
 
     def silent_until(self) -> float:
--- a/benchmarks/soak/plays.py
+++ b/benchmarks/soak/plays.py
@@ -19,11 +19,8 @@
 
 FLOOD_BYTES = b"x" * 1_500_000
 PERSIST_S = 9.0  # longest use of one connection by a client that keeps sending
-CROWD_SIZE, BURST_SIZE, BURST_INTERVAL_S = (
-    480,
-    120,
-    1.0,
-)  # kept connections, new ones in a burst, pause
+# Connections that a crowd keeps open, new connections in a burst, and time between bursts.
+CROWD_SIZE, BURST_SIZE, BURST_INTERVAL_S = 480, 120, 1.0
 PARTIAL_FRACTION = 0.2  # share of the crowd that has sent part of a request
 Behaviour = Callable[[ClientConnection], Awaitable[None]]
 
@@ -73,7 +70,7 @@
 
 
 async def floods(client: ClientConnection) -> None:
-    """Send 1.5 MB of garbage after the request, and read the answer."""
+    """Send 1.5 MB of invalid data after the request, and read the answer."""
     request_id, data = client.make_request()
     await client.send(request_id, data)
     await asyncio.sleep(client.rng.uniform(0.0, 0.2))
--- a/tests/benchmarks/test_collapse.py
+++ b/tests/benchmarks/test_collapse.py
@@ -13,9 +13,8 @@
     unlimited, limited = told(Lab(seed, without_limit).run()), told(Lab(seed).run())
     assert unlimited["before"] > 0.98 and limited["before"] > 0.98
     later = unlimited["seconds"][25:29]  # after the burst, when discovery lists all readers
-    assert all(
-        second["queued"] > 250_000 for second in later
-    )  # all readers together need nearly 2 s for these tokens
+    # All readers together need nearly 2 s to read this many tokens.
+    assert all(second["queued"] > 250_000 for second in later)
     assert sum(s.get("late", 0) for s in later) > 4 * sum(s.get("in time", 0) for s in later)
     assert limited["after"] > unlimited["after"] + 0.05
     most = [max(s.get("queued", 0) for s in day["seconds"]) for day in (limited, unlimited)]
--- a/tests/benchmarks/test_fleet_counts.py
+++ b/tests/benchmarks/test_fleet_counts.py
@@ -13,8 +13,8 @@
 
 
 def ended(at: float, ms: float, attempts: list[list[Any]], **more: Any) -> dict[str, Any]:
-    told = {"how": "served", "first_ms": ms, "class": 0} | more
-    return {"at": at, "event": "request_ended", "ms": ms, "attempts": attempts} | told
+    fields = {"how": "served", "first_ms": ms, "class": 0} | more
+    return {"at": at, "event": "request_ended", "ms": ms, "attempts": attempts} | fields
 
 
 def test_table_of_two_routers_counts_requests_and_their_attempts(tmp_path: Path) -> None:
@@ -31,8 +31,8 @@
         ended(114.5, 500.0, [["r9", "read", 100.0], ["w1", "ok", 400.0]], **{"class": 1}),
         {"at": 114.6, "event": "release_ended"},
     ]
-    for name, told in (("n1", first), ("n2", second)):
-        text = "\n".join(f"0.5 {json.dumps(each | {'conductor': name})}" for each in told)
+    for name, events in (("n1", first), ("n2", second)):
+        text = "\n".join(f"0.5 {json.dumps(each | {'conductor': name})}" for each in events)
         (tmp_path / f"{name}.log").write_text(text + '\n0.6 {"at": 1, "event\nTraceback (most recent):\n')
     done = CliRunner().invoke(main, [str(tmp_path)])
     assert done.exit_code == 0, done.output
