--- a/benchmarks/soak/history.py
+++ b/benchmarks/soak/history.py
@@ -37,12 +37,12 @@
     budget_s: float = 0.0
     begun_s: float = inf  # the client sent its first byte
     posted_s: float = inf  # the client sent its last byte
-    fresh: bool = True
+    fresh: bool = True  # the connection had been opened less than 0.1 s before and carried no other request
     ahead: bool = False  # it was sent before the answer to the previous request
     answer: Event | None = None
-    left_s: float = inf
-    floods: bool = False
-    partial_s: float = inf
+    left_s: float = inf  # the client disconnected
+    floods: bool = False  # the client sent invalid data after the request
+    partial_s: float = inf  # the client sent part of a request and then waited
     partial_end: Event | None = None
     attempts: list[Attempt] = field(default_factory=list)
     server_events: list[Event] = field(default_factory=list)
@@ -66,7 +66,7 @@
     start_s: float
     requests: dict[str, Request]
     kills: dict[str, list[float]]  # times of SIGKILL without a grace period, by router
-    terminations: dict[str, list[float]]
+    terminations: dict[str, list[float]]  # times of the signals that start a grace period, by router
     grace_kills: dict[str, list[float]]  # times of SIGKILL at the end of a grace period, by router
     events: list[Event]
 
--- a/benchmarks/soak/paths.py
+++ b/benchmarks/soak/paths.py
@@ -19,8 +19,8 @@
     server: str
     address: tuple[str, int]  # of the server behind the proxy
     links: set[Link] = field(default_factory=set)
-    silent: Windows = field(default_factory=list)
-    split: Windows = field(default_factory=list)
+    silent: Windows = field(default_factory=list)  # periods in which connections carry nothing
+    split: Windows = field(default_factory=list)  # periods in which data is passed on in small pieces
     # Periods in which a response resets its connection instead of passing.
     response_resets: Windows = field(default_factory=list)
     # Connections that were opened before one of these times carry nothing after it.
--- a/tests/benchmarks/test_collapse.py
+++ b/tests/benchmarks/test_collapse.py
@@ -17,5 +17,5 @@
     assert all(second["queued"] > 250_000 for second in later)
     assert sum(s.get("late", 0) for s in later) > 4 * sum(s.get("in time", 0) for s in later)
     assert limited["after"] > unlimited["after"] + 0.05
-    most = [max(s.get("queued", 0) for s in day["seconds"]) for day in (limited, unlimited)]
+    most = [max(s.get("queued", 0) for s in result["seconds"]) for result in (limited, unlimited)]
     assert most[0] < 0.7 * most[1]
