--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: started, told, stopped, killed; each by its id, and none is left behind."""
+"""Router processes of a soak: starts, signals, stops and kills them, and leaves none running."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from benchmarks.soak.events import EventLog
 
 ROOT = Path(__file__).parent.parent.parent
-ENDING = (signal.SIGTERM,)
-READY_S = 10.0
-SERIES_S = 0.06  # between two signals of a series
-EXACT_S = 0.02  # before a kill that is due: from here on nothing else is waited for
-ITS_OWN = (
+STOP_SIGNALS = (signal.SIGTERM,)
+READY_TIMEOUT_S = 10.0
+SIGNAL_INTERVAL_S = 0.06  # between two signals of a series
+BUSY_WAIT_S = 0.02  # final part of the grace period; blocks the driver, so that SIGKILL is sent on time
+FAILURE_MARKERS = (
     b'"invariant_violated"',
     b'"connection_crashed"',
     b'"attempt_crashed"',
@@ -33,7 +33,7 @@
 
 
 def free_ports(host: str, count: int) -> list[int]:
-    """Ports at an address that nobody has just now."""
+    """Ports of `host` that are free at the moment."""
     socks = [socket.socket() for _ in range(count)]
     for sock in socks:
         sock.bind((host, 0))
@@ -43,8 +43,8 @@
     return ports
 
 
-class Conductor:
-    """One conductor: at any time one process of it, or two while one takes over."""
+class RouterProcess:
+    """One router: a single process, or two during a hand-over."""
 
     def __init__(
         self,
@@ -56,80 +56,85 @@
         operator_ports: list[int],
         kill_after_s: float,
     ) -> None:
-        """`kill_after_s`: from SIGTERM to SIGKILL."""
+        """`kill_after_s` is the grace period from SIGTERM to SIGKILL."""
         self._kill_after_s = kill_after_s
         self.name, self.folder, self._log, self._faults = name, folder, log, faults
         self._host = config["listen"].rpartition(":")[0]
         self._operator_ports = operator_ports
-        self.config, self._starts, self.process = config, 0, subprocess.Popen[bytes](["true"])
+        self.config, self._start_count, self.process = config, 0, subprocess.Popen[bytes](["true"])
         self.process.wait()
-        self.old: list[subprocess.Popen[bytes]] = []
-        self.expected = False  # its end
-        self.lock = asyncio.Lock()  # one trouble of the process at a time
+        self.replaced: list[subprocess.Popen[bytes]] = []
+        self.exit_expected = False  # the newest process is meant to end, or its end has been recorded
+        self.lock = asyncio.Lock()  # allows one fault of the process at a time
 
     @property
-    def lines(self) -> Path:
-        """The log of the process that was started last."""
-        return self.folder / f"{self._starts}.log"
+    def output(self) -> Path:
+        """The log file of the newest process."""
+        return self.folder / f"{self._start_count}.log"
 
-    def configure(self) -> None:
-        """Write the configuration."""
+    def write_config(self) -> None:
+        """Write the configuration file."""
         (self.folder / "config.json").write_bytes(orjson.dumps(self.config))
 
     def start(self) -> None:
-        """Start a process."""
-        self._starts += 1
-        self.expected = False
+        """Start a process with a new operator port."""
+        self._start_count += 1
+        self.exit_expected = False
         self.config["operator"] = f"{self._host}:{self._operator_ports.pop()}"
-        self.configure()
+        self.write_config()
         environ = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "RINGLEDGE_", "SOAK_"))}
         environ |= {"RELAY_CONFIG": str(self.folder / "config.json"), "TMPDIR": str(self.folder)}
         environ |= {"RINGLEDGE_DEPLOY": str(self.folder), "RINGLEDGE_LOG_LEVEL": "debug"}
         environ |= {"SOAK_FAULTS": str(self._faults), "SOAK_CONDUCTOR": self.name}
-        with self.lines.open("wb") as lines:
+        with self.output.open("wb") as output:
             command = [sys.executable, "-m", "benchmarks.soak.child"]
-            self.process = subprocess.Popen(command, cwd=ROOT, env=environ, stderr=lines)
+            self.process = subprocess.Popen(command, cwd=ROOT, env=environ, stderr=output)
         self._log.write("started", conductor=self.name, pid=self.process.pid)
 
-    async def ready(self) -> bool:
-        """Wait until it serves; a start that fails is a finding."""
-        began_s, process, lines = time.monotonic(), self.process, self.lines
-        while time.monotonic() < began_s + READY_S:
-            if b'"event":"ready"' in lines.read_bytes():
+    async def wait_until_ready(self) -> bool:
+        """Wait until the process is ready; records a start that fails or times out."""
+        began_s, process, output = time.monotonic(), self.process, self.output
+        while time.monotonic() < began_s + READY_TIMEOUT_S:
+            if b'"event":"ready"' in output.read_bytes():
                 self._log.write("ready", conductor=self.name, after_s=time.monotonic() - began_s)
                 return True
             if process.poll() is not None:
                 break
             await asyncio.sleep(0.02)
-        if not self.expected:
+        if not self.exit_expected:
             after_s = time.monotonic() - began_s
-            self._log.write("not_ready", conductor=self.name, after_s=after_s, tail=tail(lines))
+            self._log.write("not_ready", conductor=self.name, after_s=after_s, tail=tail(output))
         return False
 
     async def restart(self) -> None:
-        """Start a process, and wait until it serves."""
+        """Start a process and wait until it is ready."""
         self.start()
-        await self.ready()
+        await self.wait_until_ready()
 
     def signal(self, number: int) -> None:
-        """Send the newest process a signal."""
+        """Send a signal to the newest process."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """SIGKILL."""
-        self.expected = True
+        """Send SIGKILL to the newest process and wait for its end."""
+        self.exit_expected = True
         self._log.write("killed", conductor=self.name)
         self.signal(signal.SIGKILL)
         self.process.wait()
 
     async def stop(self) -> None:
-        """SIGTERM, and SIGKILL where the grace does not do."""
-        self.expected = True
-        await self.end(self.process)
+        """Send SIGTERM, and SIGKILL when the grace period is over."""
+        self.exit_expected = True
+        await self.terminate(self.process)
 
-    async def end(self, process: subprocess.Popen[bytes], signals: Sequence[int] = ENDING) -> None:
-        """The same for any process, with signals in series; the grace runs from the first that ends it."""
+    async def terminate(
+        self, process: subprocess.Popen[bytes], signals: Sequence[int] = STOP_SIGNALS
+    ) -> None:
+        """Send `signals` to a process, and SIGKILL if it outlives the grace period.
+
+        The grace period starts with the first signal other than SIGHUP, which only reloads.
+        """
         until_s = inf
         for number in signals:
             if number != signal.SIGHUP and until_s == inf:
@@ -137,37 +142,37 @@
                 until_s = time.monotonic() + self._kill_after_s
             if process.poll() is None:
                 process.send_signal(number)
-            await asyncio.sleep(SERIES_S if len(signals) > 1 else 0.0)
-        while process.poll() is None and time.monotonic() < until_s - EXACT_S:
+            await asyncio.sleep(SIGNAL_INTERVAL_S if len(signals) > 1 else 0.0)
+        while process.poll() is None and time.monotonic() < until_s - BUSY_WAIT_S:
             await asyncio.sleep(0.01)
-        time.sleep(max(0.0, min(EXACT_S, until_s - time.monotonic())) if process.poll() is None else 0.0)
+        time.sleep(max(0.0, min(BUSY_WAIT_S, until_s - time.monotonic())) if process.poll() is None else 0.0)
         if process.poll() is None:
             self._log.write("killed", conductor=self.name, pid=process.pid, grace=True)
             process.kill()
         process.wait()
 
-    def check(self) -> None:
-        """Tell of an end that nobody asked for."""
+    def record_unexpected_exit(self) -> None:
+        """Record a crash if the newest process has ended unexpectedly."""
         code = self.process.poll()
-        if code is not None and not self.expected:
-            self.expected = True
-            self._log.write("crashed", conductor=self.name, code=code, tail=tail(self.lines))
+        if code is not None and not self.exit_expected:
+            self.exit_expected = True
+            self._log.write("crashed", conductor=self.name, code=code, tail=tail(self.output))
 
     def close(self) -> None:
-        """End what is left, and tell what the logs hold of the program's own findings."""
+        """Kill the remaining processes, and record faults and stalls found in their logs."""
         self._log.write("killed", conductor=self.name)
-        for process in (self.process, *self.old):
+        for process in (self.process, *self.replaced):
             if process.poll() is None:
                 process.kill()
             process.wait()
         for path in self.folder.glob("*.log"):
             for line in path.read_bytes().splitlines():
-                if any(mark in line for mark in ITS_OWN):
+                if any(marker in line for marker in FAILURE_MARKERS):
                     self._log.write("found", conductor=self.name, line=line.decode(errors="replace")[:600])
                 elif b'"event":"stalled"' in line:
                     self._log.write("held_up", s=orjson.loads(line)["away_ms"] / 1000)
 
 
 def tail(path: Path) -> str:
-    """The end of a log."""
+    """The last 700 bytes of a log."""
     return path.read_bytes()[-700:].decode(errors="replace")
--- a/benchmarks/soak/plan.py
+++ b/benchmarks/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a seed plays: fleet, settings, and troubles that overlap in time. One seed is one plan."""
+"""Draws the only plan of a seed: servers, routers, settings, and faults that overlap in time."""
 
 from __future__ import annotations
 
@@ -7,64 +7,64 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-PLAY_S = 16.0  # of clients' load
-CLUSTERS = (3, 5)  # moments at which several troubles meet
-SAME_PART = 0.7  # of a moment's troubles that meet at one conductor, or at one server
-SPREAD_S = 0.9  # within which the troubles of a cluster begin
+LOAD_S = 16.0  # duration of the load
+CLUSTER_COUNT = (3, 5)  # range of the number of clusters of faults in a plan
+SHARED_TARGET_FRACTION = 0.7  # share of a cluster's faults that hit the same router or the same server
+CLUSTER_SPREAD_S = 0.9  # period in which the faults of a cluster begin
 MAX_DEADLINE_S, KILL_GRACE_S = 3.0, 0.7
-CROSSINGS = 0.6  # of the plans with a prefill that is lost while the next one meets silence
-MEETS_S = 0.1  # behind the first lost responses
-CROWDS = 0.15  # of the plans with a crowd
+LOST_PREFILL_FRACTION = 0.6  # share of plans in which a prefill is lost and its retry stalls
+STALL_DELAY_S = 0.1  # from the start of the lost responses to the stall of the other prefill servers
+CROWD_FRACTION = 0.15  # share of plans with a crowd of idle connections
 SIGNAL_SERIES = (
     ("SIGHUP", "SIGTERM", "SIGTERM", "SIGHUP"),
     ("SIGTERM", "SIGHUP", "SIGINT"),
     ("SIGINT", "SIGTERM", "SIGHUP", "SIGHUP"),
 )
-NO_DESCRIPTORS = ("ENFILE", "EMFILE")
+DESCRIPTOR_ERRNOS = ("ENFILE", "EMFILE")
 
-# What may go wrong, and how often relative to the others.
-KINDS = {
+# Kinds of faults, with their relative frequency.
+FAULT_WEIGHTS = {
     "conductor_kill": 2,
-    "conductor_stop": 5,  # SIGTERM, SIGKILL when the grace is over, started again at once
-    "conductor_stop_early": 3,  # the same, and SIGTERM again while the new process starts
-    "conductor_reload": 4,  # SIGHUP; discovery moves, sometimes with half a file first
-    "conductor_signals": 3,  # SIGHUP, SIGTERM and SIGINT in series; the kill follows the first that ends it
-    "conductor_upgrade": 3,  # a successor beside it, sometimes told to end before that one is ready
-    "server_kill": 3,  # and started again
-    "server_hang": 3,  # SIGSTOP, SIGCONT
-    "server_queue": 4,  # decodes wait for their KV cache entry, and some are rejected or fail behind the wait
-    "server_drain": 5,  # told by discovery; back later
-    "path_silent": 5,  # connections stay open and carry nothing; new ones never come up
-    "path_stalls": 4,  # connections come up and take what is written, and carry nothing while it lasts
-    "path_forgets": 4,  # the connections there are carry nothing more; new ones are well
+    "conductor_stop": 5,  # SIGTERM, SIGKILL after the grace period, restart at once
+    "conductor_stop_early": 3,  # SIGKILL, restart, and SIGTERM while the new process starts
+    "conductor_reload": 4,  # SIGHUP with a new discovery address, sometimes after one with a truncated file
+    "conductor_signals": 3,  # a series of signals; the first one but SIGHUP starts the grace period
+    "conductor_upgrade": 3,  # hand-over to a successor; sometimes SIGTERM before that is ready
+    "server_kill": 3,  # SIGKILL and restart
+    "server_hang": 3,  # SIGSTOP, and SIGCONT at the end
+    "server_queue": 4,  # decodes wait for their KV cache entry, and some are then rejected or fail
+    "server_drain": 5,  # announced by discovery; active again at the end
+    "path_silent": 5,  # connections stay open and carry nothing; new ones are never established
+    "path_stalls": 4,  # connections are established and accept data, and carry nothing meanwhile
+    "path_forgets": 4,  # existing connections carry nothing from then on; new ones work
     "path_reset": 4,
-    "path_breaks": 4,  # a response resets its connection instead of passing: its server has done the work
+    "path_breaks": 4,  # a response resets its connection instead of passing; the server has done the work
     "path_pieces": 2,
-    "discovery_mute": 4,  # answers nothing, its watches are silent
-    "discovery_reset": 3,  # its watches are reset
+    "discovery_mute": 4,  # the agent does not answer, and its watches are silent
+    "discovery_reset": 3,  # the agent's connections are reset
     "discovery_slow": 2,
     "discovery_garbage": 1,
-    "call_fails": 7,  # a system call of one conductor fails for a while
-    "short_io": 3,  # its reads and writes are short
+    "call_fails": 7,  # a system call of one router fails for a while
+    "short_io": 3,  # one router's socket reads and writes are short
     "disk_fails": 2,
-    "wall_step": 3,  # its wall clock is stepped
-    "maintenance": 3,  # operators leave a server out
+    "wall_step": 3,  # one router's wall clock is stepped
+    "maintenance": 3,  # an operator takes a server out
 }
-CALLS = {
+CALL_ERRNOS = {
     "accept": ("ECONNABORTED", "ENFILE", "ENOBUFS", "EMFILE"),
     "socket": ("ENFILE", "ENOBUFS", "EMFILE"),
     "connect": ("EADDRNOTAVAIL", "ENETUNREACH", "EINTR"),
     "recv": ("ETIMEDOUT", "EHOSTUNREACH"),
-    "descriptors": NO_DESCRIPTORS,  # all that needs a new one
+    "descriptors": DESCRIPTOR_ERRNOS,  # every call that needs a new file descriptor
 }
 
 
 @dataclass(slots=True)
-class Trouble:
-    """One trouble; times in s from the start of the load."""
+class PlannedFault:
+    """One fault of a plan; times are in s from the start of the load."""
 
     kind: str
-    target: str  # a conductor's or a server's name
+    target: str  # the name of a router or of a server
     at_s: float
     until_s: float
     detail: dict[str, Any] = field(default_factory=dict)
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A seed's fleet and troubles."""
+    """The servers, routers, settings and faults of a seed; the other processes read it as JSON."""
 
     seed: int
     conductors: list[str]
@@ -81,37 +81,37 @@
     mixed: list[str]
     may_cancel: bool
     keepalive_ms: float
-    rate: float  # requests a second for each conductor
-    troubles: list[Trouble]
-    deadline_ms: float = 3000.0  # of every class: the longest that a client waits
-    crowd: bool = False  # idle and half-open clients come in bursts, up to the limit on descriptors
+    rate: float  # requests per second to each router
+    troubles: list[PlannedFault]
+    deadline_ms: float = 3000.0  # deadline of every request class
+    crowd: bool = False  # bursts of idle and half-open connections, up to the descriptor limit
 
     @property
     def servers(self) -> list[str]:
-        """All servers."""
+        """The names of all servers."""
         return self.prefill + self.decode + self.mixed
 
     @property
     def kill_after_s(self) -> float:
-        """From SIGTERM to SIGKILL, by the protocol: the longest deadline, 3 s at most, and 0.7 s."""
+        """The time from SIGTERM to SIGKILL, by the protocol: the longest deadline (at most 3 s) and 0.7 s."""
         return min(self.deadline_ms / 1000, MAX_DEADLINE_S) + KILL_GRACE_S
 
     @property
     def host(self) -> str:
-        """A loopback address of its own, so that days beside each other share no ports."""
+        """The loopback address of this seed, so that parallel runs share no ports."""
         return f"127.{1 + self.seed // 250 % 250}.{1 + self.seed % 250}.1"
 
     def kind(self, server: str) -> str:
-        """The server's kind, by the settings' names."""
+        """The kind of a server, as named in the settings."""
         return {"p": "prefill", "d": "decode", "m": "mixed"}[server[0]]
 
     def as_json(self) -> dict[str, Any]:
-        """The plan for the other processes."""
+        """The plan as a JSON object."""
         return asdict(self)
 
 
-def draw(seed: int) -> Plan:
-    """The plan of a seed."""
+def draw_plan(seed: int) -> Plan:
+    """Draw the plan of a seed."""
     rng = random.Random(seed)
     plan = Plan(
         seed,
@@ -124,62 +124,62 @@
         rng.uniform(6, 14),
         [],
     )
-    clusters = rng.randint(*CLUSTERS)
+    clusters = rng.randint(*CLUSTER_COUNT)
     for cluster in range(clusters):
-        middle_s = PLAY_S * (cluster + rng.uniform(0.3, 0.8)) / clusters
-        met = rng.choice(plan.conductors), rng.choice(plan.servers)
+        cluster_s = LOAD_S * (cluster + rng.uniform(0.3, 0.8)) / clusters
+        shared = rng.choice(plan.conductors), rng.choice(plan.servers)
         for _ in range(rng.randint(2, 4)):
-            plan.troubles.append(_trouble(rng, plan, middle_s + rng.uniform(0, SPREAD_S), met))
-    if rng.random() < CROSSINGS:
-        plan.troubles += _crossing(rng, plan)
+            plan.troubles.append(_draw_fault(rng, plan, cluster_s + rng.uniform(0, CLUSTER_SPREAD_S), shared))
+    if rng.random() < LOST_PREFILL_FRACTION:
+        plan.troubles += _lost_prefill_faults(rng, plan)
     plan.deadline_ms = rng.choice((3000.0, 3000.0, 1200.0, 600.0))
-    plan.crowd = rng.random() < CROWDS
-    plan.troubles.sort(key=lambda trouble: trouble.at_s)
+    plan.crowd = rng.random() < CROWD_FRACTION
+    plan.troubles.sort(key=lambda fault: fault.at_s)
     return plan
 
 
-def _crossing(rng: random.Random, plan: Plan) -> list[Trouble]:
-    """Responses of one prefill server are lost while what is sent to the others does not arrive."""
-    at_s = round(rng.uniform(1.0, PLAY_S - 3.0), 3)
+def _lost_prefill_faults(rng: random.Random, plan: Plan) -> list[PlannedFault]:
+    """Faults that lose the responses of one prefill server and stall the paths to the others."""
+    at_s = round(rng.uniform(1.0, LOAD_S - 3.0), 3)
     until_s = round(at_s + rng.uniform(1.0, 2.5), 3)
-    answers = rng.choice(plan.prefill)
-    stalled = [server for server in plan.prefill if server != answers]
+    losing = rng.choice(plan.prefill)
+    stalled = [server for server in plan.prefill if server != losing]
     return [
-        Trouble("path_breaks", answers, at_s, until_s),
-        *(Trouble("path_stalls", server, at_s + MEETS_S, until_s) for server in stalled),
+        PlannedFault("path_breaks", losing, at_s, until_s),
+        *(PlannedFault("path_stalls", server, at_s + STALL_DELAY_S, until_s) for server in stalled),
     ]
 
 
-def _trouble(rng: random.Random, plan: Plan, at_s: float, met: tuple[str, str]) -> Trouble:
-    """One trouble; `met`: the conductor and the server that several troubles of a moment have in common."""
-    kind = rng.choices(list(KINDS), list(KINDS.values()))[0]
+def _draw_fault(rng: random.Random, plan: Plan, at_s: float, shared: tuple[str, str]) -> PlannedFault:
+    """Draw one fault; `shared` is the router and the server that the faults of a cluster have in common."""
+    kind = rng.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()))[0]
     of_server = kind.startswith(("server_", "path_", "maintenance"))
     target = rng.choice(plan.servers if of_server else plan.conductors)
-    if rng.random() < SAME_PART:
-        target = met[of_server]
-    trouble = Trouble(kind, target, round(at_s, 3), round(at_s + rng.uniform(0.3, 2.5), 3))
-    trouble.detail = _detail(rng, kind, plan)
-    return trouble
+    if rng.random() < SHARED_TARGET_FRACTION:
+        target = shared[of_server]
+    fault = PlannedFault(kind, target, round(at_s, 3), round(at_s + rng.uniform(0.3, 2.5), 3))
+    fault.detail = _draw_detail(rng, kind, plan)
+    return fault
 
 
-def _detail(rng: random.Random, kind: str, plan: Plan) -> dict[str, Any]:
-    return DETAILS[kind](rng, plan) if kind in DETAILS else {}
+def _draw_detail(rng: random.Random, kind: str, plan: Plan) -> dict[str, Any]:
+    return DETAIL_DRAWS[kind](rng, plan) if kind in DETAIL_DRAWS else {}
 
 
-def _failing_call(rng: random.Random, _: Plan) -> dict[str, Any]:
-    call = rng.choice(list(CALLS))
+def _draw_failing_call(rng: random.Random, _: Plan) -> dict[str, Any]:
+    call = rng.choice(list(CALL_ERRNOS))
     chance = 0.02 if call == "recv" else rng.choice((0.3, 1.0))
-    return {"call": call, "errno": rng.choice(CALLS[call]), "chance": chance}
+    return {"call": call, "errno": rng.choice(CALL_ERRNOS[call]), "chance": chance}
 
 
-Detail = Callable[[random.Random, Plan], dict[str, Any]]
-DETAILS: dict[str, Detail] = {
-    "call_fails": _failing_call,
+DetailDraw = Callable[[random.Random, Plan], dict[str, Any]]
+DETAIL_DRAWS: dict[str, DetailDraw] = {
+    "call_fails": _draw_failing_call,
     "disk_fails": lambda rng, _: {"errno": rng.choice(("ENOSPC", "EIO"))},
     "wall_step": lambda rng, _: {"step_s": rng.choice((-3600.0, -5.0, 5.0, 3600.0))},
     "conductor_reload": lambda rng, _: {"half_file": rng.random() < 0.5, "times": rng.randint(1, 3)},
     "conductor_stop_early": lambda rng, _: {"after_s": round(rng.uniform(0.3, 1.2), 3)},
-    "path_silent": lambda rng, _: {"zone": rng.random() < 0.4},  # of the one server, or of its whole zone
+    "path_silent": lambda rng, _: {"zone": rng.random() < 0.4},  # one server or its whole zone
     "conductor_signals": lambda rng, _: {"series": list(rng.choice(SIGNAL_SERIES))},
     "conductor_upgrade": lambda rng, _: {"early": rng.random() < 0.4},
     "maintenance": lambda rng, plan: {"conductor": rng.choice(plan.conductors)},
