--- a/ringledge/lifecycle/components/chat.py
+++ b/ringledge/lifecycle/components/chat.py
@@ -7,7 +7,7 @@
 from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.context import ProgramContext
 from ringledge.lifecycle.fronts import Service
-from ringledge.wire.clients.chat import Chat, ChatOptions, error_body
+from ringledge.wire.clients.chat import ChatHandler, ChatOptions, error_body
 from ringledge.wire.clients.chat_settings import ChatConfig
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     config = context.config
     settings = config.settings_of(ChatConfig)
     max_retained_bytes = config.memory_bytes / RETAINED_RESPONSES_DIVISOR
-    chat = Chat(
+    chat = ChatHandler(
         ChatOptions(settings, config.settings, config.names, max_retained_bytes),
         context.conductor,
         None if overload is None else overload.gate,
@@ -32,4 +32,4 @@
         queued_chat,
     )
     context.fronts.open(Service("chat", settings.listen, chat.handle, error_body))
-    return Component(start=lambda: context.tasks.start_soon(chat.reap))
+    return Component(start=lambda: context.tasks.start_soon(chat.evict_expired_sessions))
--- a/ringledge/lifecycle/components/operator.py
+++ b/ringledge/lifecycle/components/operator.py
@@ -6,13 +6,15 @@
 
 from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.context import ProgramContext
-from ringledge.wire.clients.operator import Operator
+from ringledge.wire.clients.operator import OperatorHandler
 from ringledge.wire.clients.platform import error_body
 
 
 def create(context: ProgramContext, can_serve: Callable[[], bool]) -> Component:
     """Open the front; it accepts from the start, so that readiness can be queried before the rest serves."""
     classes, fronts = context.config.names.classes, context.fronts
-    operator = Operator(classes, context.metrics, context.servers, context.operator_overrides, can_serve)
+    operator = OperatorHandler(
+        classes, context.metrics, context.servers, context.operator_overrides, can_serve
+    )
     fronts.open_operator(context.config.operator, operator.handle, error_body)
     return Component(start=lambda: fronts.serve(fronts.operators, context.tasks))
--- a/ringledge/lifecycle/components/platform.py
+++ b/ringledge/lifecycle/components/platform.py
@@ -8,24 +8,24 @@
 from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.context import ProgramContext
 from ringledge.lifecycle.fronts import Service
-from ringledge.wire.clients.platform import Platform, error_body
+from ringledge.wire.clients.platform import PlatformHandler, error_body
 
 if TYPE_CHECKING:
     from ringledge.lifecycle.components.overload import OverloadControl
 
 
-def create_platform(context: ProgramContext, overload: OverloadControl | None) -> Platform:
+def create_platform(context: ProgramContext, overload: OverloadControl | None) -> PlatformHandler:
     """The handler of the platform's requests, with overload control where that is enabled."""
     config, conductor = context.config, context.conductor
     if overload is None:
-        return Platform(config.names, conductor)
-    from ringledge.wire.clients.loop_budget import Turns
+        return PlatformHandler(config.names, conductor)
+    from ringledge.wire.clients.loop_budget import LoopBudget
 
-    turns = Turns(config.settings_of(OverloadConfig).max_turn_ms / 1000)
-    return Platform(config.names, conductor, overload.gate, turns, overload.buffered_bytes)
+    loop_budget = LoopBudget(config.settings_of(OverloadConfig).max_turn_ms / 1000)
+    return PlatformHandler(config.names, conductor, overload.gate, loop_budget, overload.buffered_bytes)
 
 
-def create(context: ProgramContext, platform: Platform) -> Component:
+def create(context: ProgramContext, platform: PlatformHandler) -> Component:
     """Open the front; `/ready` reports ready from `on_ready` on, unless a shutdown was requested before."""
     is_gated = "overload" in context.config.deploy_settings
     context.fronts.open(
@@ -34,9 +34,9 @@
             context.config.listen,
             platform.handle,
             error_body,
-            on_rejected=platform.refused,
-            is_served_past_limit=platform.keeps if is_gated else None,
-            reject_unparsed=platform.turn_away if is_gated else None,
+            on_rejected=platform.count_rejection,
+            is_served_past_limit=platform.exempt_from_limit if is_gated else None,
+            reject_unparsed=platform.reject_early if is_gated else None,
             serves_during_start=True,
         )
     )
--- a/ringledge/lifecycle/composition.py
+++ b/ringledge/lifecycle/composition.py
@@ -18,7 +18,7 @@
     from ringledge.lifecycle.components.overload import OverloadControl
     from ringledge.members.cluster import ClusterMember
     from ringledge.wire.clients.chat.queued import QueuedChat
-    from ringledge.wire.clients.platform import Platform
+    from ringledge.wire.clients.platform import PlatformHandler
 
 
 @dataclass(slots=True, eq=False)
@@ -32,7 +32,7 @@
     can_serve: Callable[[], bool]
     components: list[Component] = field(default_factory=list)  # in the order in which they are started
     overload: OverloadControl | None = None
-    platform: Platform | None = None
+    platform: PlatformHandler | None = None
     fleet: ClusterMember | None = None
     queued_chat: QueuedChat | None = None
 
--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -62,7 +62,7 @@
         """`inherited`: a predecessor's listening sockets by address; those that are used are removed."""
         self._metrics, self._inherited = metrics, inherited
         # Half for servers, half for clients; each front accepts an eighth more, only to reject them.
-        reserved = RESERVED_SOCKETS + (operator.CONNECTIONS if config.operator else 0)
+        reserved = RESERVED_SOCKETS + (operator.MAX_CONNECTIONS if config.operator else 0)
         self.max_upstream_sockets = max(8, (max_descriptors(config.sockets) - reserved) // 2)
         self._body_memory = config.memory_bytes / BODY_MEMORY_DIVISOR
         self._budget = BodyMemory(self._body_memory)
@@ -104,9 +104,9 @@
     def open_operator(self, address: str, handler: Handler, error_body: ErrorBody) -> None:
         """Open the operators' front, whose limits no client can use up."""
         # One is read before the next is accepted: incomplete calls are known, and are evicted first.
-        options = FrontOptions("operator", operator.CONNECTIONS, accepts_per_turn=1)
-        handling = RequestHandling(handler, error_body, request_timeout_s=operator.CALL_S)
-        front = Front(options, handling, BodyMemory(operator.MEMORY), self._metrics)
+        options = FrontOptions("operator", operator.MAX_CONNECTIONS, accepts_per_turn=1)
+        handling = RequestHandling(handler, error_body, request_timeout_s=operator.REQUEST_TIMEOUT_S)
+        front = Front(options, handling, BodyMemory(operator.MAX_BODY_MEMORY_BYTES), self._metrics)
         front.connections.end_with_answers(True)  # one call to a connection
         self.operators.append(ListeningFront(front, self._listen(address)))
 
--- a/ringledge/wire/clients/chat/__init__.py
+++ b/ringledge/wire/clients/chat/__init__.py
@@ -1,6 +1,6 @@
 """The chat front: OpenAI-style requests and answers over the same core, decisions and rules."""
 
 from ringledge.wire.clients.chat.errors import error_body
-from ringledge.wire.clients.chat.front import Chat, ChatOptions
+from ringledge.wire.clients.chat.front import ChatHandler, ChatOptions
 
-__all__ = ["Chat", "ChatOptions", "error_body"]
+__all__ = ["ChatHandler", "ChatOptions", "error_body"]
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -29,7 +29,7 @@
 from ringledge.wire.clients.chat.replies import Replies
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession, StreamSessionStore
 from ringledge.wire.clients.chat_settings import ChatConfig
-from ringledge.wire.clients.platform import shed
+from ringledge.wire.clients.platform import shed_error
 from ringledge.wire.clients.response import write_while_connected
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
@@ -55,7 +55,7 @@
     max_retained_bytes: float
 
 
-class Chat:
+class ChatHandler:
     """Handles the requests of chat clients."""
 
     def __init__(
@@ -125,7 +125,7 @@
             self._ask(self._names.classes.index(told), head, int(length or 0))
         elif reason := self._gate.rejects_all():
             class_index = self._names.classes.index(next(iter(self._config.models.values())))
-            raise shed(self._gate.reject(class_index, reason))
+            raise shed_error(self._gate.reject(class_index, reason))
 
     def _ask(self, class_index: int, head: h11.Request, size: int) -> None:
         """Have the gate decide."""
@@ -134,7 +134,7 @@
             tenant = self._names.index(self._names.tenants, caller)
             no = self._gate.admit(class_index, tenant, min(size, MAX_BODY_BYTES))
             if no is not None:
-                raise shed(no)
+                raise shed_error(no)
 
     def _may_refuse(self, session: StreamSession) -> bool:
         """Whether a client may be told that a retry does no harm."""
@@ -235,7 +235,7 @@
         ]
         return {"object": "list", "data": data}
 
-    async def reap(self) -> None:
+    async def evict_expired_sessions(self) -> None:
         """Drop old sessions in time."""
         while True:
             await anyio.sleep(5.0)
--- a/ringledge/wire/clients/chat/replies.py
+++ b/ringledge/wire/clients/chat/replies.py
@@ -11,7 +11,7 @@
 from ringledge.core.conductor import Conductor
 from ringledge.memory.names import Names
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
-from ringledge.wire.clients.platform import retry_after
+from ringledge.wire.clients.platform import retry_after_headers
 from ringledge.wire.clients.response import STREAM_HEAD
 from ringledge.wire.http.connection import Connection
 from ringledge.wire.http.errors import HttpError
@@ -39,7 +39,7 @@
             await session.updated.wait()
         if len(session.events) > seen or session.end is SessionEnd.SERVED:
             return
-        headers = retry_after(session.retry_after_ms, self._names)
+        headers = retry_after_headers(session.retry_after_ms, self._names)
         if session.end is SessionEnd.REJECTED:
             raise HttpError(503, "overloaded, nothing has run", "overloaded", headers=headers)
         if session.end is SessionEnd.BROKEN and self._safe(session.class_index):
--- a/ringledge/wire/clients/operator.py
+++ b/ringledge/wire/clients/operator.py
@@ -19,15 +19,15 @@
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.messages import read_body, require_method, respond
 
-CONNECTIONS = 24  # its own: no client can take them
-MEMORY = 64 * 1024  # bytes that all calls' bodies may hold: none needs any
-CALL_S = 1.0  # a call that has not come whole by then is turned away
+MAX_CONNECTIONS = 24  # its own: no client can take them
+MAX_BODY_MEMORY_BYTES = 64 * 1024  # bytes that all calls' bodies may hold: none needs any
+REQUEST_TIMEOUT_S = 1.0  # a call that has not come whole by then is turned away
 INSTANCE = re.compile(rb"/instances/([^/]+)/(maint|ready)")
 PREFIX = "relay"
 ANSWERED = {"served": "answered", "refused": "deferred", "failed": "errored", "broken": "errored"}
 
 
-class Operator:
+class OperatorHandler:
     """Answers the operators' calls."""
 
     def __init__(
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -27,7 +27,7 @@
     from ringledge.core.gate import AdmissionGate
     from ringledge.decide.overload.messages import Rejection
     from ringledge.memory.buffered_bytes import BufferedBytes
-    from ringledge.wire.clients.loop_budget import Turns
+    from ringledge.wire.clients.loop_budget import LoopBudget
 
 PATH = b"/v1/chat/completions"
 OVER = b'{"error":"its time was over before it was read, nothing has run"}'
@@ -39,7 +39,7 @@
 NO = b"HTTP/1.1 %d \r\nContent-Type: application/json\r\nContent-Length: %d\r\nRetry-After: %s\r\n%s\r\n"
 
 
-class Platform:
+class PlatformHandler:
     """Handles the requests of the platform's clients."""
 
     def __init__(
@@ -47,10 +47,10 @@
         names: Names,
         conductor: Conductor,
         gate: AdmissionGate | None = None,
-        turns: Turns | None = None,
+        loop_budget: LoopBudget | None = None,
         held: BufferedBytes | None = None,
     ) -> None:
-        self._names, self._conductor, self._gate, self._turns = names, conductor, gate, turns
+        self._names, self._conductor, self._gate, self._loop_budget = names, conductor, gate, loop_budget
         self._held = held
         self.ready = False
         self.start_gate = StartGate()
@@ -70,8 +70,8 @@
         if self._gate is not None:
             self._ask(self._gate, conn, head)
         body = await read_body(conn, head)
-        if self._turns is not None:
-            await self._turns.take()
+        if self._loop_budget is not None:
+            await self._loop_budget.wait_for_budget()
         began = time.perf_counter()
         request = read_request(self._names, head, body)
         if self._gate is not None:
@@ -79,8 +79,8 @@
         left_ms = request.expires_in_ms - conn.waited_ms()  # its client's time runs from its last byte on
         left_ms = await self.start_gate.wait(left_ms)
         if left_ms <= 0:
-            self.refused(head)
-            return await respond(conn, 503, OVER, retry_after(None, self._names))
+            self.count_rejection(head)
+            return await respond(conn, 503, OVER, retry_after_headers(None, self._names))
         request = replace(request, expires_in_ms=left_ms)
         payload = Payload(head.target, body, header(head, b"content-type") or b"application/json")
         exchange = PlatformResponse(conn, self._held)
@@ -99,12 +99,12 @@
             exchange.discard_unsent()
             self._conductor.on_client_disconnected(record)  # for a request that is over it changes nothing
 
-    def keeps(self, head: h11.Request) -> bool:
+    def exempt_from_limit(self, head: h11.Request) -> bool:
         """Whether a request is served on a connection past the limit: it has a descriptor, as a no would."""
         name = (header(head, b"x-call-class") or b"").decode("latin1")
         return self._gate is not None and self._gate.has_max_priority(name)
 
-    def turn_away(self, conn: Connection) -> int | None:
+    def reject_early(self, conn: Connection) -> int | None:
         """While the gate sheds: turn a request away without a parser; how much of its body is still to come.
 
         None where it did not.
@@ -134,7 +134,7 @@
         if no is None:
             conn.admitted = True
             return None
-        error = shed(no)
+        error = shed_error(no)
         body, (_, after) = error_body(error), error.headers[0]
         kept = b"Keep-Alive: %s\r\n" % conn.keep_alive if conn.keep_alive else b""
         head = NO % (error.status, len(body), after, kept)
@@ -153,7 +153,7 @@
         length = int(told.get(b"content-length", b"0"))
         no = self._decide(gate, told.get(b"x-call-class", b""), told.get(b"x-caller", b""), length)
         if no is not None:
-            raise shed(no)
+            raise shed_error(no)
 
     def _decide(self, gate: AdmissionGate, name: bytes, caller: bytes, length: int) -> Rejection | None:
         """What names no class is not the gate's matter."""
@@ -164,7 +164,7 @@
         tenant = names.index(names.tenants, caller.decode("latin1"))
         return gate.admit(class_index, tenant, min(length, MAX_BODY_BYTES))
 
-    def refused(self, head: h11.Request) -> None:
+    def count_rejection(self, head: h11.Request) -> None:
         """Count a request that was turned away before the core took it: to its client it is one more no."""
         self._count_no(header(head, b"x-call-class") or b"")
 
@@ -183,12 +183,12 @@
             return  # the connection ends without the last chunk: a clean end would pass for a whole answer
         elif exchange.result == "refused":
             text = b'{"error":"overloaded, nothing has run"}'
-            await respond(conn, 503, text, retry_after(exchange.retry_after_ms, self._names))
+            await respond(conn, 503, text, retry_after_headers(exchange.retry_after_ms, self._names))
         else:
             await respond(conn, 500, b'{"error":"failed, it may have run"}')
 
 
-def shed(no: Rejection) -> ShedError:
+def shed_error(no: Rejection) -> ShedError:
     """What a client that the gate turned away is told: when to come back, and whose limit it met."""
     headers: Headers = [(b"Retry-After", b"%.3f" % (no.retry_after_ms / 1000))]
     if no.over_quota:
@@ -197,7 +197,7 @@
     return ShedError(503, "overloaded, nothing has run", "overloaded", headers=headers)
 
 
-def retry_after(come_back_ms: float | None, names: Names) -> Headers:
+def retry_after_headers(come_back_ms: float | None, names: Names) -> Headers:
     """When to come back, in decimal seconds: as the policy says, else the longest wait clients follow."""
     return [(b"Retry-After", b"%.3f" % ((come_back_ms or names.max_retry_after_ms or 1000.0) / 1000))]
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.loopback import WAIT_S, Node, read, take
-from tests.test_client_pace import END, request, until
+from tests.test_client_pace import END, read_until, request
 
 ROUNDS = 8  # the order in which the loop hears of two things is the system's
 
@@ -92,7 +92,7 @@
         call = node.reader[0].next()
         sender = threading.Thread(target=send_without_end, args=(flood,))
         sender.start()
-        assert until(flood, b"sent ahead").startswith(b"HTTP/1.1 429")
+        assert read_until(flood, b"sent ahead").startswith(b"HTTP/1.1 429")
         assert call.closed()
         call.drop()
         assert ended(node) == "gone" and sent(node, "flood") == 1
@@ -108,14 +108,14 @@
         flood.sendall(request("flood"))
         node.reader[0].next().read()
         call = node.writer[0].next().begin().token("first")
-        until(flood, b"first")
+        read_until(flood, b"first")
         sender = threading.Thread(target=send_without_end, args=(flood,))
         sender.start()
         client, beside = read(node, "beside")
         beside.serve("x")
         assert take(client).status == 200
         call.token("last").end()
-        assert b"last" in until(flood, END)
+        assert b"last" in read_until(flood, END)
         flood.shutdown(socket.SHUT_RDWR)
         sender.join(WAIT_S)
 
--- a/tests/test_client_pace.py
+++ b/tests/test_client_pace.py
@@ -19,7 +19,7 @@
     return head.encode() + BODY
 
 
-def until(sock: socket.socket, text: bytes, times: int = 1) -> bytes:
+def read_until(sock: socket.socket, text: bytes, times: int = 1) -> bytes:
     """What comes until a text has come so many times."""
     told = b""
     while told.count(text) < times:
@@ -44,7 +44,7 @@
         sock.sendall(b"".join(map(request, names)))
         for name in names:
             serve(node, name)
-            told = until(sock, END)
+            told = read_until(sock, END)
             assert told.startswith(b"HTTP/1.1 200") and event(name).encode() in told
 
 
@@ -73,7 +73,7 @@
                 call.serve("x")
                 assert take(client).status == 200
         serve(node, "slow")
-        assert until(sock, END).startswith(b"HTTP/1.1 200")
+        assert read_until(sock, END).startswith(b"HTTP/1.1 200")
 
 
 def test_each_event_is_passed_on_before_the_next_is_there(node: Node) -> None:
@@ -82,14 +82,14 @@
         sock.sendall(request("a1"))
         node.reader[0].next().read()
         call = node.writer[0].next().begin().token("first")
-        until(sock, event("first").encode())
+        read_until(sock, event("first").encode())
         for number in range(5):
             text = event(f"piece{number}")
             for half in (text[:20], text[20:]):
                 call.chunk(half)
-                until(sock, half.encode())
+                read_until(sock, half.encode())
         call.end()
-        until(sock, END)
+        read_until(sock, END)
 
 
 def test_an_attempt_is_told_what_is_left_of_the_clients_time(node: Node) -> None:
--- a/tests/test_half_in_backlog.py
+++ b/tests/test_half_in_backlog.py
@@ -14,7 +14,7 @@
 
 def test_time_in_the_backlog_counts_against_the_request_timeout(killed: Node) -> None:
     restart = Restart(killed, StandIn())  # discovery does not answer, and the start waits for it
-    with restart.dial() as client:
+    with restart.open_client() as client:
         client.sendall(request("a1")[:-5])
         sent_s = time.monotonic()
         client.recv(65536)
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -48,7 +48,7 @@
         self.took_s = time.monotonic() - self._began
         return [line["event"] for line in self.process.passed]
 
-    def dial(self) -> socket.socket:
+    def open_client(self) -> socket.socket:
         """A client that knows the address from before."""
         until = time.monotonic() + WAIT_S
         while True:
@@ -60,14 +60,14 @@
 
     def ask(self) -> list[socket.socket]:
         """Send requests of several sessions, each over its own connection."""
-        clients = [self.dial() for _ in range(REQUESTS)]
+        clients = [self.open_client() for _ in range(REQUESTS)]
         for number, client in enumerate(clients):
             session = f"{number:016x}".encode()
             client.sendall(request(f"a{number}").replace(b"7f3a9c21e0b4d655", session))
         return clients
 
 
-def first_word(node: Node, how: str) -> str:
+def first_listing(node: Node, how: str) -> str:
     """The list that discovery has: r1 and w0 are not to be used any more."""
     status = "left" if how == "left" else "leaving"
     told = node.listing(9, r1=status, w0=status)
@@ -94,8 +94,8 @@
     restart = Restart(node, discovery)
     clients = restart.ask()
     watch = discovery.next().begin()
-    watch.chunk(first_word(node, how)[:30])  # a piece of it is no word
-    watch.chunk(first_word(node, how)[30:])
+    watch.chunk(first_listing(node, how)[:30])  # a piece of it is no word
+    watch.chunk(first_listing(node, how)[30:])
     assert all_by_the_others(node, clients)
     assert "endpoint_list_late" not in restart.wait_ready()
     assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
@@ -106,7 +106,7 @@
     restart = Restart(node, discovery)
     clients = restart.ask()
     discovery.next()  # accepted, and no word
-    discovery.next().begin().chunk(first_word(node, "leaving"))
+    discovery.next().begin().chunk(first_listing(node, "leaving"))
     assert all_by_the_others(node, clients)
     assert "endpoint_list_late" not in restart.wait_ready()
     assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
@@ -120,7 +120,7 @@
     while not discovery.calls.empty():  # several were asked in vain by then
         call = discovery.next()
     assert call.closed()
-    discovery.next().begin().chunk(first_word(node, "leaving"))
+    discovery.next().begin().chunk(first_listing(node, "leaving"))
     while restart.process.logged("endpoint_list_received")["index"] != 9:
         pass
     assert all_by_the_others(node, restart.ask())
--- a/tests/test_start_crossings.py
+++ b/tests/test_start_crossings.py
@@ -31,7 +31,7 @@
 
 def test_a_stop_while_the_start_waits_for_the_list_answers_who_has_come(killed: Node) -> None:
     restart = Restart(killed, StandIn())  # discovery says nothing
-    with restart.dial() as client:
+    with restart.open_client() as client:
         client.sendall(request("a1"))
         restart.process.process.send_signal(signal.SIGTERM)
         sent_s = time.monotonic()
@@ -43,7 +43,7 @@
 
 def test_request_with_little_time_is_answered_while_the_start_waits_for_the_list(killed: Node) -> None:
     restart = Restart(killed, StandIn())  # discovery says nothing
-    with restart.dial() as client:
+    with restart.open_client() as client:
         client.sendall(request("a1").replace(b"X-Budget-Ms: 4800", b"X-Budget-Ms: 40"))
         sent_s = time.monotonic()
         assert client.recv(65536).startswith(b"HTTP/1.1 503")
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.loopback import WAIT_S, Node
-from tests.test_client_pace import END, request, serve, until
+from tests.test_client_pace import END, read_until, request, serve
 
 
 def stopping(node: Node) -> None:
@@ -33,13 +33,13 @@
         if how == "resting":
             client.sendall(request("a1"))
             serve(node, "a1")
-            until(client, END)
+            read_until(client, END)
         elif how == "half read":
             client.sendall(text[:40])
         stopping(node)
         client.sendall(text[40:] if how == "half read" else text)
         serve(node, "a2")
-        assert until(client, END).startswith(b"HTTP/1.1 200")
+        assert read_until(client, END).startswith(b"HTTP/1.1 200")
     assert node.process.wait(WAIT_S) == 0
 
 
@@ -50,7 +50,7 @@
         stopping(node)
         drained(node)
         client.sendall(text[40:])
-        assert until(client, b"nothing has run").startswith(b"HTTP/1.1 503")
+        assert read_until(client, b"nothing has run").startswith(b"HTTP/1.1 503")
         assert client.recv(1) == b""
     assert node.process.wait(WAIT_S) == 0
     assert not node.reader[0].seen
@@ -62,12 +62,12 @@
         client.sendall(request("a1"))
         node.reader[0].next().read()
         call = node.writer[0].next().begin().token("x")
-        until(client, b"x")
+        read_until(client, b"x")
         client.sendall(request("a2"))
         stopping(node)
         drained(node)
         call.end()
-        got = until(client, b"nothing has run")
+        got = read_until(client, b"nothing has run")
         assert END in got and got.index(END) < got.index(b"HTTP/1.1 503")
     assert node.process.wait(WAIT_S) == 0
     assert [each.id for each in node.reader[0].seen] == ["a1"]
@@ -78,7 +78,7 @@
     with node.connect() as client:
         client.sendall(request("a1"))
         serve(node, "a1")
-        until(client, END)
+        read_until(client, END)
         stopping(node)
         assert client.recv(1) == b""  # our side is shut
         client.sendall(request("a2"))
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -9,8 +9,8 @@
 
 from tests.loopback import Call, Node
 from tests.standins import StandIn
-from tests.test_client_pace import END, request, until
-from tests.test_platform_restart import Restart, first_word
+from tests.test_client_pace import END, read_until, request
+from tests.test_platform_restart import Restart, first_listing
 
 BUDGET_MS = 4800.0  # X-Budget-Ms of `request`
 DELAY_S = 0.4  # by which the remaining time has to shrink
@@ -55,7 +55,7 @@
         decode = node.writer[0].next()
         assert forwarded_budget_ms(decode) <= remaining_ms(sent_s) + SLACK_MS
         decode.serve("y")
-        until(client, END, times=2)
+        read_until(client, END, times=2)
 
 
 def test_request_is_charged_for_its_wait_behind_a_rejected_one(node: Node) -> None:
@@ -63,7 +63,7 @@
     invalid = request("a1").replace(b"X-Call-Class: query", b"X-Call-Class: quarry")
     with node.connect() as client:
         client.sendall(invalid)
-        until(client, b"400")
+        read_until(client, b"400")
         client.sendall(request("a2"))
         sent_s = time.monotonic()
         call = node.reader[0].next()
@@ -78,11 +78,11 @@
     """A long request is read in several pieces, all of which waited in the socket."""
     discovery = StandIn()
     restart = Restart(killed, discovery)
-    with restart.dial() as client:
+    with restart.open_client() as client:
         client.sendall(padded(request("a1"), size))
         sent_s = time.monotonic()
         wait_for_delay()
-        endpoint_list = first_word(killed, "leaving").replace("leaving", "active")
+        endpoint_list = first_listing(killed, "leaving").replace("leaving", "active")
         while not discovery.calls.empty():
             watch = discovery.next()  # the last watch call: earlier ones were abandoned
         watch.begin().chunk(endpoint_list)
@@ -99,5 +99,5 @@
         first = node.writer[0].next().begin().token("x")
         wait_for_delay()
         first.end()
-        assert b"HTTP/1.1 503" in until(client, b"has run")
+        assert b"HTTP/1.1 503" in read_until(client, b"has run")
     assert [call.id for call in node.reader[0].seen] == ["a1"]
--- a/tests/wire/clients/chat/queued.py
+++ b/tests/wire/clients/chat/queued.py
@@ -36,7 +36,7 @@
 from ringledge.store.metrics import QueueMetrics
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
-from ringledge.wire.clients.chat import Chat, ChatOptions, error_body
+from ringledge.wire.clients.chat import ChatHandler, ChatOptions, error_body
 from ringledge.wire.clients.chat.queued import QueuedChat, QueuedChatOptions
 from ringledge.wire.clients.chat.replaying import ReplaySender
 from ringledge.wire.clients.chat_settings import ChatConfig
@@ -116,7 +116,7 @@
         self.metrics = QueueMetrics(CollectorRegistry())
         options = QueuedChatOptions(NAMES.classes, SETTINGS, "farm", 600.0)
         queued = QueuedChat(self.queue, lambda: self.site_state, self.metrics, options)
-        self.chat = Chat(ChatOptions(CONFIG, SETTINGS, NAMES, 1e6), self.conductor, queued=queued)
+        self.chat = ChatHandler(ChatOptions(CONFIG, SETTINGS, NAMES, 1e6), self.conductor, queued=queued)
         self.sender = ReplaySender(CONFIG, SETTINGS, NAMES, self.conductor)
 
     async def request(
