--- a/ringledge/wire/clients/__init__.py
+++ b/ringledge/wire/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The client side: accepting connections, the request loop, and the fronts."""
+"""Serving clients: accepting connections, reading their requests, and the fronts."""
--- a/ringledge/wire/clients/chat/__init__.py
+++ b/ringledge/wire/clients/chat/__init__.py
@@ -1,4 +1,4 @@
-"""The chat front: OpenAI-style requests and answers over the same core, decisions and rules."""
+"""The chat front: an OpenAI-compatible API served by the same core and decisions as the platform's."""
 
 from ringledge.wire.clients.chat.errors import error_body
 from ringledge.wire.clients.chat.front import ChatHandler, ChatOptions
--- a/ringledge/wire/clients/chat/answer.py
+++ b/ringledge/wire/clients/chat/answer.py
@@ -1,4 +1,4 @@
-"""The core's caller for one run of a session."""
+"""The response sink that records a server's stream in a session."""
 
 from __future__ import annotations
 
@@ -11,54 +11,57 @@
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
 from ringledge.wire.http.messages import MAX_BODY_BYTES
 
-# bytes kept of a question and its answer: twice what the protocol lets them have
-MOST_ANSWER = 4 * MAX_BODY_BYTES
+# Maximum size of a request and its response in a session: twice what the protocol allows.
+MAX_SESSION_BYTES = 4 * MAX_BODY_BYTES
 
 
-class Answer:
-    """The core's caller for one run of a session: reads the server's events into the session."""
+class SessionSink:
+    """The response sink of one request of a session: adds the server's events to the session."""
 
     def __init__(self, session: StreamSession) -> None:
         self._session = session
-        self._rest = b""
+        self._partial_line = b""
 
-    def reject(self, come_back_ms: float | None) -> None:
-        """Final answer: refused."""
-        self._session.retry_after_ms = come_back_ms
+    def reject(self, retry_after_ms: float | None) -> None:
+        """End the session's response: the request was rejected and may safely be retried."""
+        self._session.retry_after_ms = retry_after_ms
         self._end(SessionEnd.REJECTED)
 
     def fail(self) -> None:
-        """Final answer: failed."""
+        """End the session's response: the request failed."""
         self._end(SessionEnd.FAILED)
 
     def finish(self) -> None:
-        """The stream is whole."""
+        """End the session's response: the stream is complete."""
         self._end(SessionEnd.SERVED)
 
     def abort(self) -> None:
-        """The stream broke; what came of a half event is not kept, so the rest starts clean behind it."""
+        """End the session's response: the stream broke off.
+
+        An incomplete event is not recorded, so a continuation starts after the last complete event.
+        """
         self._end(SessionEnd.BROKEN)
 
     def is_disconnected(self) -> bool:
-        """Whether all that follow its session have left; one that has begun runs on for their return."""
+        """Whether all followers have left before the stream began; a later stream continues without them."""
         return bool(self._session.followers) and self._session.abandoned
 
-    async def relay(self, piece: bytes) -> None:
-        """Take whole events in; half a line waits for its other half."""
-        *lines, self._rest = (self._rest + piece).split(b"\n")
+    async def relay(self, chunk: bytes) -> None:
+        """Add the events of complete lines to the session; an incomplete line waits for the next chunk."""
+        *lines, self._partial_line = (self._partial_line + chunk).split(b"\n")
         session = self._session
         for line in lines:
             if not line.startswith(b"data: {"):
                 continue
             try:
-                self._take_in(orjson.loads(line[6:]))
+                self._apply_event(orjson.loads(line[6:]))
             except (ValueError, TypeError, AttributeError) as error:
                 raise h11.RemoteProtocolError(f"an event can't be read: {error}") from error
-        if session.size_bytes > MOST_ANSWER:
-            raise h11.RemoteProtocolError("the answer has no end")
+        if session.size_bytes > MAX_SESSION_BYTES:
+            raise h11.RemoteProtocolError("the request and its response are too large for a session")
         session.notify_followers()
 
-    def _take_in(self, event: dict[str, Any]) -> None:
+    def _apply_event(self, event: dict[str, Any]) -> None:
         session = self._session
         for choice in event.get("choices") or ():
             if text := (choice.get("delta") or {}).get("content"):
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -1,7 +1,7 @@
-"""The chat front: OpenAI-style requests and answers over the same core, decisions and rules.
+"""The chat front: an OpenAI-compatible API with resumable streams.
 
-An answer is written into a session, and connections follow the session. So a client that comes back with
-``Last-Event-ID`` gets what it lacks, while the request behind it runs once.
+The core writes each response into a session, which clients' connections follow. So a client that reconnects
+with ``Last-Event-ID`` receives the events that it lacks, while the request itself runs once.
 """
 
 from __future__ import annotations
@@ -24,9 +24,14 @@
     Request,
     RouterSettings,
 )
-from ringledge.wire.clients.chat.answer import Answer
-from ringledge.wire.clients.chat.question import prompt_of, read_question, to_request, told_header
-from ringledge.wire.clients.chat.replies import Replies
+from ringledge.wire.clients.chat.answer import SessionSink
+from ringledge.wire.clients.chat.question import (
+    build_request,
+    header_text,
+    parse_chat_request,
+    prompt_text,
+)
+from ringledge.wire.clients.chat.replies import ResponseWriter
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession, StreamSessionStore
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.clients.platform import shed_error
@@ -41,13 +46,13 @@
     from ringledge.memory.buffered_bytes import BufferedBytes
     from ringledge.wire.clients.chat.queued import QueuedChat
 
-PATH = b"/v1/chat/completions"
-MOST_KEY = 256  # bytes of an idempotency key, which is kept as long as its answer
+COMPLETIONS_PATH = b"/v1/chat/completions"
+MAX_KEY_BYTES = 256  # of an idempotency key, which is retained for as long as its session
 
 
 @dataclass(frozen=True, slots=True)
 class ChatOptions:
-    """The settings of the chat front; `max_retained_bytes` bounds the answers kept for a resume."""
+    """The settings of the chat front; `max_retained_bytes` limits the sessions that are retained."""
 
     config: ChatConfig
     settings: RouterSettings
@@ -74,7 +79,7 @@
         self.sessions = StreamSessionStore(config.sessions, options.max_retained_bytes, config.resume_for_s)
         self._gate = gate
         self._queued = queued
-        self._replies = Replies(conductor, names, self._safe, self._go_on)
+        self._writer = ResponseWriter(conductor, names, self._is_idempotent, self._continue_response)
         if buffered_bytes is not None:
             buffered_bytes.register(self.sessions)
 
@@ -89,10 +94,10 @@
         if self._queued is not None and path.startswith(b"/v1/queue/"):
             await self._queued.handle(conn, head)
             return
-        if path != PATH:
+        if path != COMPLETIONS_PATH:
             raise HttpError(404, f"no such path: {path.decode('ascii', 'replace')}", "unknown_url")
         require_method(head, b"POST")
-        self._look(head)
+        self._check_head_admission(head)
         body = await read_body(conn, head)
         last_event = header(head, b"last-event-id")
         if last_event:
@@ -101,50 +106,50 @@
         else:
             started = await self._start(conn, head, body)
             if started is None:
-                return  # it is queued, and its client has been told
+                return  # queued requests have been answered already
             session, seen = started, 0
-            whole = not session.question["stream"]
+            whole = not session.chat_request["stream"]
         session.followers.add(conn)
         try:
-            replies = self._replies
-            follow = replies.whole(conn, session) if whole else replies.stream(conn, session, seen)
+            writer = self._writer
+            writing = writer.write_whole(conn, session) if whole else writer.write_stream(conn, session, seen)
             await write_while_connected(
-                conn, follow, partial(self._may_refuse, session), partial(self._left, session)
+                conn, writing, partial(self._may_reject, session), partial(self._on_left, session)
             )
         finally:
             session.followers.discard(conn)
-            self._left(session)
+            self._on_left(session)
 
-    def _look(self, head: h11.Request) -> None:
-        """Turn away before the body is read, as far as the head tells the class; else the body does."""
+    def _check_head_admission(self, head: h11.Request) -> None:
+        """Shed a request before its body is read, if its head has its class or the gate rejects all."""
         if self._gate is None or header(head, b"last-event-id") or header(head, b"idempotency-key"):
-            return  # what has begun goes on
-        told = told_header(head, b"x-call-class")
+            return  # it may continue a request that was admitted already
+        class_name = header_text(head, b"x-call-class")
         length = header(head, b"content-length")
-        if told in self._names.classes:
-            self._ask(self._names.classes.index(told), head, int(length or 0))
+        if class_name in self._names.classes:
+            self._check_admission(self._names.classes.index(class_name), head, int(length or 0))
         elif reason := self._gate.rejects_all():
             class_index = self._names.classes.index(next(iter(self._config.models.values())))
             raise shed_error(self._gate.reject(class_index, reason))
 
-    def _ask(self, class_index: int, head: h11.Request, size: int) -> None:
-        """Have the gate decide."""
+    def _check_admission(self, class_index: int, head: h11.Request, size: int) -> None:
+        """Raise ShedError if the gate rejects the request."""
         if self._gate is not None:
-            caller = told_header(head, b"x-caller") or self._config.tenant
+            caller = header_text(head, b"x-caller") or self._config.tenant
             tenant = self._names.index(self._names.tenants, caller)
-            no = self._gate.admit(class_index, tenant, min(size, MAX_BODY_BYTES))
-            if no is not None:
-                raise shed_error(no)
+            rejection = self._gate.admit(class_index, tenant, min(size, MAX_BODY_BYTES))
+            if rejection is not None:
+                raise shed_error(rejection)
 
-    def _may_refuse(self, session: StreamSession) -> bool:
-        """Whether a client may be told that a retry does no harm."""
+    def _may_reject(self, session: StreamSession) -> bool:
+        """Whether the request may be rejected, which promises the client that a retry is safe."""
         return session.record is None or self._conductor.may_reject(session.record)
 
-    def _left(self, session: StreamSession) -> None:
-        """A client has gone, or has its answer.
+    def _on_left(self, session: StreamSession) -> None:
+        """Cancel the request if all its clients disconnected before its stream began.
 
-        A stream that has begun runs on into the session: it may have booked, so it is neither cut off nor
-        ever sent again, and its client can come back for it. One that has not begun is given up.
+        A stream that has begun continues into the session: it may have booked something, so it is neither cut
+        off nor sent again, and its client can resume it.
         """
         record = session.record
         if record is not None and session.abandoned:
@@ -152,80 +157,82 @@
             session.end = SessionEnd.CLIENT_DISCONNECTED
             log.info("chat_ended", session=session.name, how=SessionEnd.CLIENT_DISCONNECTED.value, events=0)
 
-    # Starting and resuming.
-
     async def _start(self, conn: Connection, head: h11.Request, body: bytes) -> StreamSession | None:
-        """A new session; or, for an idempotency key that is known, the one that it has begun.
+        """Start a session, or return the one that the idempotency key has started before.
 
-        None where the request is queued.
+        Returns None if the request is queued, in which case it has been answered.
         """
-        question = read_question(body)
+        chat_request = parse_chat_request(body)
         key = header(head, b"idempotency-key")
-        if key and len(key) > MOST_KEY:
-            raise HttpError(400, f"longer than {MOST_KEY} bytes", "invalid_value", "Idempotency-Key")
-        known = self.sessions.get_by_idempotency_key(key.decode("ascii", "replace")) if key else None
-        if known is not None:
-            record = known.record
-            if known.end in (None, SessionEnd.SERVED):
-                return known
-            if record is not None and record.may_have_run and not self._safe(known.class_index):
+        if key and len(key) > MAX_KEY_BYTES:
+            raise HttpError(400, f"longer than {MAX_KEY_BYTES} bytes", "invalid_value", "Idempotency-Key")
+        existing = self.sessions.get_by_idempotency_key(key.decode("ascii", "replace")) if key else None
+        if existing is not None:
+            record = existing.record
+            if existing.end in (None, SessionEnd.SERVED):
+                return existing
+            if record is not None and record.may_have_run and not self._is_idempotent(existing.class_index):
                 raise HttpError(409, "this request may have run before; it is not run again", "may_have_run")
-        class_index, request = to_request(self._config, self._names, self._settings, head, question)
-        if key or not told_header(head, b"x-call-class"):  # else it was asked about by its head
-            self._ask(class_index, head, len(body))
-        if self._queued is not None and await self._queued.answer_if_queued(conn, head, question, request):
+        class_index, request = build_request(self._config, self._names, self._settings, head, chat_request)
+        if key or not header_text(head, b"x-call-class"):  # else the gate has decided by the head
+            self._check_admission(class_index, head, len(body))
+        if self._queued is not None and await self._queued.answer_if_queued(
+            conn, head, chat_request, request
+        ):
             return None
         if not self.sessions.make_room():
-            raise HttpError(429, "too many answers are under way", "rate_limit_exceeded")
+            raise HttpError(429, "too many responses are in progress", "rate_limit_exceeded")
         session = StreamSession(
-            f"chatcmpl-{uuid4().hex}", question, class_index, request.max_output_tokens, len(body)
+            f"chatcmpl-{uuid4().hex}", chat_request, class_index, request.max_output_tokens, len(body)
         )
         self.sessions.add(session, key.decode("ascii", "replace") if key else None)
-        self._run(session, request, question)
+        self._submit(session, request, chat_request)
         return session
 
     def _resume(self, last_event: str) -> tuple[StreamSession, int]:
-        """The session that a client comes back to, and how much of it the client has."""
+        """The session that a client resumes, and the number of events that the client has received."""
         name, _, number = last_event.rpartition(":")
         session = self.sessions.get(name)
         if session is None or not number.isdecimal() or int(number) > len(session.events):
-            raise HttpError(404, "this stream is not known any more", "stream_not_found", "Last-Event-ID")
-        # Broken, or a try to go on that was refused, failed or left: each can be taken up again.
+            raise HttpError(
+                404, "this stream is unknown or no longer retained", "stream_not_found", "Last-Event-ID"
+            )
+        # A broken response, or a continuation that was rejected, failed or left, can be continued again.
         if session.end not in (None, SessionEnd.SERVED):
-            if not self._safe(session.class_index):
+            if not self._is_idempotent(session.class_index):
                 raise HttpError(409, "the stream broke; it may have run and is not run again", "may_have_run")
-            self._go_on(session)
+            self._continue_response(session)
         return session, int(number)
 
-    def _go_on(self, session: StreamSession) -> None:
-        """Ask for the rest of a broken answer: the prompt and the answer so far are read, and it goes on."""
+    def _continue_response(self, session: StreamSession) -> None:
+        """Request the rest of a broken response, with the response so far appended to the prompt."""
         assert session.record is not None
-        before, text = session.record.request, session.text
-        question = session.question
+        previous, text = session.record.request, session.text
+        chat_request = session.chat_request
         if text:
-            said = {"role": "assistant", "content": text}
-            more = {"continue_final_message": True, "add_generation_prompt": False}
-            question = question | more | {"messages": [*question["messages"], said]}
+            reply = {"role": "assistant", "content": text}
+            flags = {"continue_final_message": True, "add_generation_prompt": False}
+            chat_request = chat_request | flags | {"messages": [*chat_request["messages"], reply]}
         request = replace(
-            before,
+            previous,
             request=uuid4().hex,
             expires_in_ms=self._settings.classes[session.class_index].deadline_ms,
-            prompt_tokens=len(prompt_of(question)) / 4,
+            prompt_tokens=len(prompt_text(chat_request)) / 4,
             max_output_tokens=max(1.0, session.max_tokens - len(text) // 4),
             reconnect=True,
         )
         session.end = None
         session.resume_count += 1
-        self._run(session, request, question)
+        self._submit(session, request, chat_request)
 
-    def _run(self, session: StreamSession, request: Request, question: dict[str, Any]) -> None:
-        """Give the core one request for the session."""
-        asked = question | {"stream": True, "max_tokens": int(request.max_output_tokens)}
-        asked.pop("max_completion_tokens", None)
-        payload = Payload(PATH, orjson.dumps(asked))
-        session.record = self._conductor.accept(request, payload, Answer(session))
+    def _submit(self, session: StreamSession, request: Request, chat_request: dict[str, Any]) -> None:
+        """Submit a request for the session to the core."""
+        server_request = chat_request | {"stream": True, "max_tokens": int(request.max_output_tokens)}
+        server_request.pop("max_completion_tokens", None)
+        payload = Payload(COMPLETIONS_PATH, orjson.dumps(server_request))
+        session.record = self._conductor.accept(request, payload, SessionSink(session))
 
-    def _safe(self, class_index: int) -> bool:
+    def _is_idempotent(self, class_index: int) -> bool:
         return self._settings.classes[class_index].idempotency is Idempotency.IDEMPOTENT
 
     def _models(self) -> dict[str, Any]:
@@ -236,7 +243,7 @@
         return {"object": "list", "data": data}
 
     async def evict_expired_sessions(self) -> None:
-        """Drop old sessions in time."""
+        """Until cancelled, evict sessions whose retention time is over."""
         while True:
             await anyio.sleep(5.0)
             self.sessions.evict_expired()
--- a/ringledge/wire/clients/chat/queue_responses.py
+++ b/ringledge/wire/clients/chat/queue_responses.py
@@ -1,4 +1,4 @@
-"""Responses of the chat front about queued requests: accepted, rejected, and an entry's state or outcome."""
+"""The chat front's responses about queued requests: accepted, rejected, and an entry's state or outcome."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 # Status, code and message of the response for an entry that ended without being served.
 OUTCOME_RESPONSES = {
-    EntryOutcome.FAILED: (500, "failed", "it failed"),
-    EntryOutcome.EXPIRED: (410, "expired", "its time was up before it could be sent; it never ran"),
+    EntryOutcome.FAILED: (500, "failed", "the request failed"),
+    EntryOutcome.EXPIRED: (410, "expired", "the request expired before it was sent; it never ran"),
     EntryOutcome.UNKNOWN: (409, "may_have_run", "it may have run and is not run again"),
-    EntryOutcome.WITHDRAWN: (410, "withdrawn", "it was taken back; it never ran"),
+    EntryOutcome.WITHDRAWN: (410, "withdrawn", "the request was withdrawn; it never ran"),
 }
 
 STATUS_NAMES = {
@@ -50,10 +50,15 @@
 
 
 def rejection_response(error: QueueError, location_headers: Headers | None = None) -> HttpError:
-    """The response to a request that the queue rejected; the headers are for one that may be queued yet."""
+    """The response to a request that the queue rejected.
+
+    `location_headers` are added if the request may have been queued nevertheless.
+    """
     status, code = REJECTION_RESPONSES[error.reason]
     if error.reason is QueueRejectionReason.IO_ERROR:
-        return HttpError(status, "the disk failed; it may have been queued", code, headers=location_headers)
+        return HttpError(
+            status, "a disk error occurred; the request may have been queued", code, headers=location_headers
+        )
     headers = [RETRY_AFTER] if status in (429, 503) else []
     message = f"not queued, nothing has run ({error.reason.value})"
     return HttpError(status, message, code, headers=headers)
@@ -71,7 +76,7 @@
 
 
 async def respond_entry(conn: Connection, entry: Entry) -> None:
-    """Respond with the entry's state, its response, or HttpError for another outcome."""
+    """Respond with the state of the entry or with its response; HttpError for any other outcome."""
     if entry.outcome is None:
         await respond(conn, 202, _status_body(entry), [POLL_AFTER])
     elif entry.outcome is EntryOutcome.SERVED:
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -1,9 +1,9 @@
 """Asynchronous requests: 202 for a request that is queued while the site is cut off or short of capacity.
 
-Only for clients that ask for it (`Prefer: respond-async`, RFC 7240); 202 is sent once the request is durable.
-The response's Location is polled with GET, which any process of the site answers, since they share the
-queue's file, and DELETE withdraws the request. A request whose idempotency key is in the queue is never run
-beside it, whether or not its client asks for an asynchronous answer.
+This applies to clients that ask for it (`Prefer: respond-async`, RFC 7240); 202 is sent once the request is
+durable. The client polls the response's Location with GET, which any process of the site can answer because
+they share the queue's file; DELETE withdraws the request. A request whose idempotency key is in the queue is
+never run in addition to the queued one, whether or not its client asks for an asynchronous response.
 """
 
 from __future__ import annotations
@@ -52,12 +52,12 @@
 
     class_names: tuple[str, ...]  # by class index
     settings: RouterSettings
-    default_tenant: str  # of a client that names none
-    expiry_s: float  # after which a request that was not sent expires
+    default_tenant: str  # used for requests that name no tenant
+    expiry_s: float  # time after which a request that was not sent expires
 
 
 class QueuedChat:
-    """Enqueues chat requests and answers for the entries of the queue."""
+    """Enqueues chat requests and answers requests about the entries of the queue."""
 
     def __init__(
         self,
@@ -75,12 +75,12 @@
         self,
         conn: Connection,
         head: h11.Request,
-        question: dict[str, Any],
+        chat_request: dict[str, Any],
         request: Request,
     ) -> bool:
-        """Answer a request that is in the queue or is enqueued now; False: it has to be run now.
+        """Answer a request that is in the queue or is enqueued now; return False if it has to be run now.
 
-        Raises HttpError where the queue rejects it, or where it is queued and the client wants it run now.
+        Raises HttpError if the queue rejects it, or if it is queued and the client wants it run now.
         """
         idempotency_key = _idempotency_key(head)
         if idempotency_key is not None:
@@ -91,12 +91,12 @@
         if not prefers_async(head) or self._site_state() is SiteState.AVAILABLE:
             return False
         now_s = await self._now_s()
-        entry = await self._enqueue(self._queued_request(head, idempotency_key, question, request, now_s))
+        entry = await self._enqueue(self._queued_request(head, idempotency_key, chat_request, request, now_s))
         await respond_accepted(conn, entry)
         return True
 
     async def handle(self, conn: Connection, head: h11.Request) -> None:
-        """Answer a request at an entry's location: its state or outcome (GET), or withdraw it (DELETE)."""
+        """Answer a request to an entry's location: return its state or outcome, or withdraw it (DELETE)."""
         await read_body(conn, head)
         name = head.target.partition(b"?")[0][len(LOCATION_PREFIX) :].decode("ascii", "replace")
         if head.method not in (b"GET", b"DELETE"):
@@ -104,15 +104,17 @@
             raise HttpError(405, "only GET and DELETE here", "method_not_allowed", headers=allow)
         try:
             entry = await self._queue.get(name)
-            if entry is None or entry.request.tenant != self._tenant(head):  # nothing is revealed to others
-                raise HttpError(404, "no such entry, or its answer was kept for long enough", "not_found")
+            if entry is None or entry.request.tenant != self._tenant(
+                head
+            ):  # same as unknown, so that nothing is revealed
+                raise HttpError(404, "the entry does not exist or is no longer retained", "not_found")
             if head.method == b"DELETE":
                 await self._queue.withdraw(name)
         except InvalidTransitionError as error:
-            raise HttpError(409, "it has begun or ended, and can't be taken back", "begun") from error
+            raise HttpError(409, "the request has begun or ended; it cannot be withdrawn", "begun") from error
         except QueueError as error:
             # Not 404: the entry may well exist.
-            message = f"the queue can't be read ({error.reason.value})"
+            message = f"the queue cannot be read ({error.reason.value})"
             raise HttpError(503, message, "queue_closed", headers=[RETRY_AFTER]) from error
         if head.method == b"DELETE":
             await self._respond_withdrawn(conn, name)
@@ -128,7 +130,7 @@
         return self._options.settings.classes[class_index].idempotency is Idempotency.IDEMPOTENT
 
     async def _find_entry(self, tenant: str, idempotency_key: str, class_index: int) -> Entry | None:
-        """The entry with the key; where the file can't be read, only an idempotent request goes on."""
+        """The entry with that key; if the file cannot be read, HttpError unless the request is idempotent."""
         try:
             return await self._queue.find_by_idempotency_key(tenant, idempotency_key)
         except QueueError as error:
@@ -140,7 +142,7 @@
         self,
         head: h11.Request,
         idempotency_key: str | None,
-        question: dict[str, Any],
+        chat_request: dict[str, Any],
         request: Request,
         now_s: float,
     ) -> QueuedRequest:
@@ -149,7 +151,7 @@
             tenant=self._tenant(head),
             request_class=self._options.class_names[request.class_index],
             idempotent=self._is_idempotent(request.class_index),
-            body=orjson.dumps(question | {"stream": False}),
+            body=orjson.dumps(chat_request | {"stream": False}),
             estimated_tokens=request.prompt_tokens + request.max_output_tokens,
             created_s=now_s,
             expires_s=now_s + self._options.expiry_s,
@@ -157,7 +159,7 @@
         )
 
     async def _now_s(self) -> float:
-        """The time on the queue's clock; where its file can't be opened, nothing is queued."""
+        """The time on the queue's clock; HttpError if the queue's file cannot be opened."""
         try:
             return await self._queue.now_s()
         except QueueError as error:
@@ -200,11 +202,11 @@
 
 
 async def _respond_to_repeated_request(conn: Connection, head: h11.Request, entry: Entry) -> None:
-    """Answer a request whose idempotency key is in the queue; HttpError 409 if it was to be run now."""
+    """Answer a request whose idempotency key is queued; HttpError 409 if the client wants it run now."""
     if entry.outcome is not None:
         await respond_entry(conn, entry)
     elif prefers_async(head):
         await respond_accepted(conn, entry)
     else:
-        message = "this request is queued: ask for it at its place"
+        message = "this request is queued; poll it at its location"
         raise HttpError(409, message, "queued", headers=[location(entry.name)])
--- a/ringledge/wire/clients/chat/replaying.py
+++ b/ringledge/wire/clients/chat/replaying.py
@@ -1,4 +1,4 @@
-"""Sends queued requests through the conductor, by the same decisions as those of waiting clients."""
+"""Sends queued requests through the conductor, which treats them like those of connected clients."""
 
 from __future__ import annotations
 
@@ -20,16 +20,19 @@
     RouterSettings,
 )
 from ringledge.store.entry import Entry
-from ringledge.wire.clients.chat.answer import Answer
+from ringledge.wire.clients.chat.answer import SessionSink
 from ringledge.wire.clients.chat.question import ChatOrigin, class_and_request
-from ringledge.wire.clients.chat.replies import whole_answer
+from ringledge.wire.clients.chat.replies import completion_body
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
 from ringledge.wire.clients.chat_settings import ChatConfig
 from ringledge.wire.http.errors import HttpError
 
 
-class _ReplayAttempt(Answer):
-    """One attempt for an entry: a session without followers, whose result is reported to the replay once."""
+class _ReplayAttempt(SessionSink):
+    """The response sink of one attempt for an entry; reports its result to the replay exactly once.
+
+    The attempt's session has no followers.
+    """
 
     def __init__(
         self,
@@ -42,12 +45,12 @@
         self._conductor = conductor
         self._report = report
         self._idempotent = idempotent
-        self._finished = False  # the result was reported, or is not wanted any more
+        self._finished = False  # the result has been reported or is no longer wanted
 
     def cancel(self) -> bool:
-        """Give up an idempotent request, which the next lease holder sends again.
+        """Cancel an idempotent request, which the next lease holder sends again; return whether it was.
 
-        Another one runs on, for it may have run already, and its result may yet be accepted: False.
+        Any other request continues, because it may have run already, and its result may still be accepted.
         """
         if not self._idempotent:
             return False
@@ -67,7 +70,7 @@
         if end is SessionEnd.SERVED:
             return self._served()
         record = self._session.record
-        # Without a record the conductor has not returned from `accept`, and nothing can have been sent.
+        # Without a record, the conductor has not returned from `accept`, so nothing can have been sent.
         may_have_run = record is not None and (record.streaming or record.may_have_run)
         if end is SessionEnd.REJECTED or not may_have_run:
             return SendResult(SendOutcome.REJECTED, False)
@@ -77,7 +80,7 @@
         usage = self._session.usage or {}
         output_tokens = float(usage.get("completion_tokens") or 0)
         total_tokens = float(usage.get("prompt_tokens") or 0) + output_tokens
-        response = whole_answer(self._session)
+        response = completion_body(self._session)
         return SendResult(SendOutcome.SERVED, True, response, total_tokens or None, output_tokens)
 
 
@@ -93,25 +96,25 @@
         self._conductor = conductor
 
     def __call__(self, entry: Entry, ended: Callable[[SendResult], None]) -> SendHandle | None:
-        """Start an attempt; None if the entry's class or model is not served any more."""
+        """Start an attempt; return None if the entry's class or model is no longer served."""
         queued = entry.request
-        question: dict[str, Any] = orjson.loads(queued.body)
+        chat_request: dict[str, Any] = orjson.loads(queued.body)
         try:
             origin = ChatOrigin(queued.tenant, _attempt_id(entry), queued.request_class)
             class_index, request = class_and_request(
-                self._config, self._names, self._settings, question, origin
+                self._config, self._names, self._settings, chat_request, origin
             )
         except HttpError:
             return None
         session_name = f"chatcmpl-{entry.name}"
         session = StreamSession(
-            session_name, question, class_index, request.max_output_tokens, len(queued.body)
+            session_name, chat_request, class_index, request.max_output_tokens, len(queued.body)
         )
         idempotent = self._is_idempotent(class_index) and queued.idempotent
         attempt = _ReplayAttempt(session, self._conductor, ended, idempotent)
         try:
-            session.record = self._conductor.accept(request, _payload(question, request), attempt)
-        except DuplicateRequestError:  # the previous attempt is not closed yet
+            session.record = self._conductor.accept(request, _payload(chat_request, request), attempt)
+        except DuplicateRequestError:  # the previous attempt has not ended yet
             ended(SendResult(SendOutcome.REJECTED, False))
         return attempt
 
@@ -119,13 +122,13 @@
         return self._settings.classes[class_index].idempotency is Idempotency.IDEMPOTENT
 
 
-def _payload(question: dict[str, Any], request: Request) -> Payload:
-    """The request to the servers, which stream in any case."""
-    body = question | {"stream": True, "max_tokens": int(request.max_output_tokens)}
+def _payload(chat_request: dict[str, Any], request: Request) -> Payload:
+    """The request to the servers, which is always for a stream."""
+    body = chat_request | {"stream": True, "max_tokens": int(request.max_output_tokens)}
     body.pop("max_completion_tokens", None)
     return Payload(b"/v1/chat/completions", orjson.dumps(body))
 
 
 def _attempt_id(entry: Entry) -> str:
-    """The id at the servers: each attempt has its own, and none reveals the name that clients poll."""
+    """The request id sent to servers: unique to the attempt, and without the name that clients poll."""
     return blake2b(f"{entry.name}:{entry.attempts}".encode(), digest_size=16).hexdigest()
--- a/ringledge/wire/clients/chat/replies.py
+++ b/ringledge/wire/clients/chat/replies.py
@@ -1,4 +1,4 @@
-"""Answers: a session as its clients get it, whole or event by event."""
+"""Sends a session's response to its clients, as one JSON object or as server-sent events."""
 
 from __future__ import annotations
 
@@ -17,33 +17,40 @@
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.messages import respond
 
-RESUMES = 2  # times that a broken answer goes on by itself for a client that waits for the whole
+MAX_CONTINUATIONS = 2  # of a broken response for a client that does not stream
 
 
-class Replies:
-    """Writes sessions to the connections that follow them."""
+class ResponseWriter:
+    """Writes the responses of sessions to the connections that follow them."""
 
     def __init__(
         self,
         conductor: Conductor,
         names: Names,
-        safe: Callable[[int], bool],
-        go_on: Callable[[StreamSession], None],
+        is_idempotent: Callable[[int], bool],
+        continue_response: Callable[[StreamSession], None],
     ) -> None:
-        """`safe`: whether a class may run twice; `go_on`: have the rest of a broken answer asked for."""
-        self._conductor, self._names, self._safe, self._go_on = conductor, names, safe, go_on
-
-    async def _first(self, session: StreamSession, seen: int = 0) -> None:
-        """Wait for an event behind those seen; HttpError where the answer ends without one."""
-        while len(session.events) <= seen and session.end is None:
+        """`is_idempotent` takes a class index; `continue_response` requests the rest of a broken response."""
+        self._conductor, self._names, self._is_idempotent, self._continue_response = (
+            conductor,
+            names,
+            is_idempotent,
+            continue_response,
+        )
+
+    async def _wait_for_event(self, session: StreamSession, seen_count: int = 0) -> None:
+        """Wait for an event after the first `seen_count`; HttpError if the response ends without one."""
+        while len(session.events) <= seen_count and session.end is None:
             await session.updated.wait()
-        if len(session.events) > seen or session.end is SessionEnd.SERVED:
+        if len(session.events) > seen_count or session.end is SessionEnd.SERVED:
             return
         headers = retry_after_headers(session.retry_after_ms, self._names)
         if session.end is SessionEnd.REJECTED:
             raise HttpError(503, "overloaded, nothing has run", "overloaded", headers=headers)
-        if session.end is SessionEnd.BROKEN and self._safe(session.class_index):
-            raise HttpError(503, "the stream broke again: come back for it", "stream_broken", headers=headers)
+        if session.end is SessionEnd.BROKEN and self._is_idempotent(session.class_index):
+            raise HttpError(
+                503, "the stream broke again; it can be resumed", "stream_broken", headers=headers
+            )
         record = session.record
         if (
             session.end is SessionEnd.FAILED
@@ -53,73 +60,76 @@
             raise HttpError(504, "no answer in time; it may have run", "deadline_exceeded")
         raise HttpError(500, "the request failed; it may have run", "failed")
 
-    async def whole(self, conn: Connection, session: StreamSession) -> None:
-        """One JSON object when all has come."""
-        await self._first(session)
+    async def write_whole(self, conn: Connection, session: StreamSession) -> None:
+        """Write the complete response as one JSON object."""
+        await self._wait_for_event(session)
         while session.end is not SessionEnd.SERVED:
             if session.end is not None:
-                # A client that waits for the whole can't come back for the rest, so it is fetched for it.
-                if session.resume_count >= RESUMES or not self._safe(session.class_index):
+                # A client that does not stream cannot resume, so the rest is requested on its behalf.
+                if session.resume_count >= MAX_CONTINUATIONS or not self._is_idempotent(session.class_index):
                     break
-                self._go_on(session)
+                self._continue_response(session)
             else:
                 await session.updated.wait()
         if session.end is not SessionEnd.SERVED:
-            raise HttpError(500, "the answer broke off; it may have run", "stream_broken")
-        await respond(conn, 200, whole_answer(session))
+            raise HttpError(500, "the response broke off; it may have run", "stream_broken")
+        await respond(conn, 200, completion_body(session))
+
+    async def write_stream(self, conn: Connection, session: StreamSession, seen_count: int) -> None:
+        """Write the events after the first `seen_count`; if the stream breaks, close the connection.
 
-    async def stream(self, conn: Connection, session: StreamSession, seen: int) -> None:
-        """Server-sent events from the one behind `seen` on; a break ends the connection, never cleanly."""
-        await self._first(session, seen)
+        Without the last chunk, the client can tell that the stream is incomplete.
+        """
+        await self._wait_for_event(session, seen_count)
         await conn.send(STREAM_HEAD)
         while True:
-            news, end = session.updated, session.end
-            fresh = b"".join(self._events(session, seen))
-            seen = len(session.events)
-            if fresh:
-                await conn.send(h11.Data(data=fresh))
+            update, end = session.updated, session.end
+            unsent = b"".join(self._encode_events(session, seen_count))
+            seen_count = len(session.events)
+            if unsent:
+                await conn.send(h11.Data(data=unsent))
             if end is SessionEnd.SERVED:
                 break
             if end is not None:
                 conn.close()
                 return
-            await news.wait()
-        last = _envelope(session, "chat.completion.chunk")
-        stop = last | {
+            await update.wait()
+        final_chunk = _envelope(session, "chat.completion.chunk")
+        stop_chunk = final_chunk | {
             "choices": [{"index": 0, "delta": {}, "finish_reason": session.finish_reason or "stop"}]
         }
-        tail = _sse(stop, f"{session.name}:{seen}")
-        if session.usage and (session.question.get("stream_options") or {}).get("include_usage"):
-            tail += _sse(last | {"choices": [], "usage": session.usage})
+        tail = _sse(stop_chunk, f"{session.name}:{seen_count}")
+        if session.usage and (session.chat_request.get("stream_options") or {}).get("include_usage"):
+            tail += _sse(final_chunk | {"choices": [], "usage": session.usage})
         await conn.send(h11.Data(data=tail + b"data: [DONE]\n\n"), h11.EndOfMessage())
 
-    def _events(self, session: StreamSession, seen: int) -> Iterator[bytes]:
-        for number, text in enumerate(session.events[seen:], seen + 1):
+    def _encode_events(self, session: StreamSession, seen_count: int) -> Iterator[bytes]:
+        for number, text in enumerate(session.events[seen_count:], seen_count + 1):
             delta = {"role": "assistant", "content": text} if number == 1 else {"content": text}
             chunk = _envelope(session, "chat.completion.chunk")
             chunk["choices"] = [{"index": 0, "delta": delta, "finish_reason": None}]
             yield _sse(chunk, f"{session.name}:{number}")
 
 
-def whole_answer(session: StreamSession) -> bytes:
-    """All of a session that was served, as one JSON object."""
+def completion_body(session: StreamSession) -> bytes:
+    """The complete response of a session as one JSON object."""
     message = {"role": "assistant", "content": session.text}
     choice = {"index": 0, "message": message, "finish_reason": session.finish_reason or "stop"}
-    told = _envelope(session, "chat.completion") | {"choices": [choice]}
+    completion = _envelope(session, "chat.completion") | {"choices": [choice]}
     if session.usage:
-        told["usage"] = session.usage
-    return orjson.dumps(told)
+        completion["usage"] = session.usage
+    return orjson.dumps(completion)
 
 
-def _envelope(session: StreamSession, kind: str) -> dict[str, Any]:
+def _envelope(session: StreamSession, object_type: str) -> dict[str, Any]:
     return {
         "id": session.name,
-        "object": kind,
+        "object": object_type,
         "created": session.created_s,
-        "model": session.question["model"],
+        "model": session.chat_request["model"],
     }
 
 
 def _sse(chunk: dict[str, Any], number: str = "") -> bytes:
-    start = f"id: {number}\n".encode() if number else b""
-    return start + b"data: " + orjson.dumps(chunk) + b"\n\n"
+    id_line = f"id: {number}\n".encode() if number else b""
+    return id_line + b"data: " + orjson.dumps(chunk) + b"\n\n"
--- a/ringledge/wire/clients/chat/stream_sessions.py
+++ b/ringledge/wire/clients/chat/stream_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of resumable streams: the events of each response so far, for a client that reconnects."""
+"""Sessions of resumable streams: the events of each response so far, for clients that reconnect."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class SessionEnd(Enum):
-    """How a session's response ended; the values are fields of the log."""
+    """How a session's response ended; the values are logged."""
 
     SERVED = "served"
-    BROKEN = "broken"  # after its first token: it may continue from its last one
+    BROKEN = "broken"  # after its first token; it may be continued after its last one
     REJECTED = "refused"
     FAILED = "failed"
     CLIENT_DISCONNECTED = "gone"  # before the first token
@@ -27,20 +27,20 @@
     """A connection that follows a session."""
 
     def peer_disconnected(self) -> bool:
-        """Whether its client has closed it."""
+        """Whether the client has closed the connection."""
 
 
 @dataclass(slots=True, eq=False)
 class StreamSession:
-    """One response. Its events are retained by number, so that each can be resent."""
+    """One response, whose events are retained by number so that each can be sent again."""
 
     name: str
-    question: dict[str, Any]  # the client's request as parsed
+    chat_request: dict[str, Any]  # the client's request as parsed
     class_index: int
     max_tokens: float  # of the whole response
     size_bytes: int = 0  # of the request and the response so far
-    resume_count: int = 0  # how often the response was continued after a break
-    record: RequestRecord | None = None  # the request that the core runs for it now
+    resume_count: int = 0  # how often the response was continued after it broke off
+    record: RequestRecord | None = None  # the core's current request for the session
     events: list[str] = field(default_factory=list)  # the text of each event; event numbers start at 1
     finish_reason: str | None = None
     usage: dict[str, Any] | None = None
@@ -48,12 +48,12 @@
     retry_after_ms: float | None = None
     created_s: int = field(default_factory=lambda: int(time.time()))  # Unix time
     last_used_s: float = field(default_factory=time.monotonic)
-    followers: set[SessionFollower] = field(default_factory=set)  # connections that follow it now
+    followers: set[SessionFollower] = field(default_factory=set)  # connections that follow it at present
     updated: anyio.Event = field(default_factory=anyio.Event)  # set, and replaced, with each change
 
     @property
     def abandoned(self) -> bool:
-        """Whether it has not started streaming and all its followers have disconnected."""
+        """Whether all followers have disconnected before the stream began."""
         is_streaming = self.record is not None and self.record.streaming
         if self.end is not None or is_streaming:
             return False
@@ -65,14 +65,14 @@
         return "".join(self.events)
 
     def notify_followers(self) -> None:
-        """Wake the followers."""
+        """Wake all followers after a change."""
         self.last_used_s = time.monotonic()
         self.updated.set()
         self.updated = anyio.Event()
 
 
 class StreamSessionStore:
-    """The sessions by name, bounded in number, bytes and age; a running one is never evicted."""
+    """The sessions by name, limited in number, bytes and age; one that is running is never evicted."""
 
     def __init__(self, max_sessions: int, max_bytes: float, retention_s: float) -> None:
         self.max_sessions = max_sessions
@@ -82,11 +82,14 @@
         self._names_by_key: dict[str, str] = {}  # the session that each idempotency key has started
 
     def __len__(self) -> int:
-        """How many sessions are retained."""
+        """The number of sessions that are retained."""
         return len(self._sessions)
 
     def make_room(self) -> bool:
-        """Make room for one more session by evicting ended ones, oldest first; False if none is left."""
+        """Make room for one more session by evicting ended ones, least recently used first.
+
+        Returns whether there is room.
+        """
         self.evict_expired()
         while len(self._sessions) >= self.max_sessions or self.size_bytes() > self.max_bytes:
             evictable = list(self._evictable())
@@ -100,7 +103,7 @@
         return sum(session.size_bytes for session in self._sessions.values())
 
     def evict(self, size_bytes: int) -> int:
-        """Evict ended sessions, least recently used first, until so many bytes are free; returns how many."""
+        """Evict ended sessions, least recently used first, to free `size_bytes`; return the bytes freed."""
         evicted_bytes = 0
         for session in sorted(self._evictable(), key=lambda session: session.last_used_s):
             if evicted_bytes >= size_bytes:
--- a/ringledge/wire/clients/closing.py
+++ b/ringledge/wire/clients/closing.py
@@ -1,9 +1,10 @@
-"""Lingering close: a connection is closed without losing the end of its last answer.
+"""Lingering close: closes a connection without losing the end of its last response.
 
-A close with unread input resets the connection, which discards what of an answer is still in flight. So our
-side is shut down first. What the peer still sends is read and discarded, also a request that crossed the
-shutdown: nothing is forwarded for it, and its client, which sees the end before an answer, sends it once more
-elsewhere. The socket is closed once the peer has ended its side, or after a timeout.
+Closing a socket that has unread input resets the connection, and the reset discards response data that is
+still in flight. So the sending side is shut down first, and further input is read and discarded. That
+includes a request that the client sent before it saw the shutdown: it is never forwarded, and the client,
+which receives the end of the stream instead of a response, can retry it on another connection. The socket is
+closed once the peer has closed its side, or after a timeout.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 
 from ringledge.wire.http.socket_reader import DISCARD_BUFFER
 
-LINGER_S = 0.5  # after which the socket is closed though the peer has not ended its side
-LINGER_BYTES = 1024 * 1024  # that a peer may still send
+LINGER_S = 0.5  # time for the peer to close its side before the socket is closed regardless
+LINGER_BYTES = 1024 * 1024  # maximum input that is discarded before the socket is closed regardless
 
 
 @dataclass(slots=True, eq=False)
 class _ClosingConnection:
-    """One connection whose sending side is shut down."""
+    """A connection whose sending side is shut down."""
 
     sock: socket.socket
     remaining_bytes: int = LINGER_BYTES
@@ -28,20 +29,20 @@
 
 
 class LingeringCloses:
-    """The connections of a front that are in their lingering close."""
+    """The connections of a front that are in a lingering close."""
 
     def __init__(self) -> None:
-        self._connections: dict[_ClosingConnection, None] = {}  # longest first
+        self._connections: dict[_ClosingConnection, None] = {}  # in the order in which they began to close
 
     def __len__(self) -> int:
-        """How many of them still hold a descriptor."""
+        """The number of connections that still hold a descriptor."""
         return len(self._connections)
 
     def begin(self, sock: socket.socket) -> None:
-        """Shut our side down, and close the socket once the peer has ended its own."""
+        """Shut down the sending side, and close the socket once the peer has closed its side."""
         try:
             sock.shutdown(socket.SHUT_WR)
-        except OSError:  # it is reset already
+        except OSError:  # the peer has already reset the connection
             sock.close()
             return
         loop = asyncio.get_running_loop()
@@ -52,14 +53,14 @@
         self._discard_input(peer)
 
     def close(self, limit: int) -> int:
-        """Close at most `limit` now, the longest lingering first; how many were."""
-        for peer in (first := list(self._connections)[:limit]):
+        """Close up to `limit` connections now, the longest lingering first; return how many were closed."""
+        for peer in (oldest := list(self._connections)[:limit]):
             self._close(peer)
-        return len(first)
+        return len(oldest)
 
     def _discard_input(self, peer: _ClosingConnection) -> None:
         try:
-            # Linux drops what TCP has without copying it, up to the size that is named (tcp(7)).
+            # With MSG_TRUNC, Linux discards received TCP data without copying it (tcp(7)).
             size = peer.sock.recv_into(
                 DISCARD_BUFFER, min(len(DISCARD_BUFFER), peer.remaining_bytes), socket.MSG_TRUNC
             )
--- a/ringledge/wire/clients/front.py
+++ b/ringledge/wire/clients/front.py
@@ -1,4 +1,4 @@
-"""A front: accepts connections, bounded in number, and has requests read from them one after another."""
+"""A front's listener: accepts a bounded number of connections and starts reading requests from them."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import AdmittedConnection, ConnectionAdmission
 
-EVICTED_AT_ONCE = 16  # connections at rest that are closed when descriptors run out
-SEND_BUFFER_BYTES = 64 * 1024  # of an answer that the kernel may hold, where memory is watched
-MAX_BACKLOG_ACCEPTS = 1024  # new connections that are taken at a stop, at most
-BACKLOG_TIMEOUT_S = 1.0  # in which they are, while the system has nothing for them
-MIN_READ_TIMEOUT_S = 1.0  # that a request may still take to be read, however long it lay in the backlog
-ACCEPT_RETRY_S = 0.05  # behind a failure that closing nothing mends
-ACCEPTS_PER_TURN = 16  # new connections before others get their turn
+EVICTION_BATCH_SIZE = 16  # idle connections that are closed at a time when descriptors run out
+SEND_BUFFER_BYTES = 64 * 1024  # response data that the kernel may buffer, where memory is limited
+MAX_BACKLOG_ACCEPTS = 1024  # maximum number of connections that are accepted from the backlog at shutdown
+BACKLOG_TIMEOUT_S = 1.0  # time limit for that while accepting fails, e.g. for lack of descriptors
+MIN_READ_TIMEOUT_S = 1.0  # left for reading a request, however long it waited in the backlog
+ACCEPT_RETRY_S = 0.05  # after a failure that closing connections could not resolve
+ACCEPTS_PER_TURN = 16  # connections accepted before the event loop serves other tasks
 
 
 @dataclass(frozen=True, slots=True)
 class FrontOptions:
-    """What bounds a front.
+    """The name and the limits of a front.
 
-    `name` labels its metrics and log lines; `connection_limit` counts open connections of all states;
-    `accepts_per_turn` new connections are accepted before the event loop serves others.
+    `name` labels its metrics and log lines; `connection_limit` applies to open connections in any state;
+    `accepts_per_turn` connections are accepted before the event loop serves other tasks.
     """
 
     name: str
@@ -53,10 +53,10 @@
 
 
 class Front:
-    """Accepts connections, bounded in number, and has requests read from them one after another.
+    """Accepts a bounded number of connections and starts reading requests from them.
 
-    Invariant: the listening socket is closed by `serve` alone, and only after what waits in its backlog was
-    accepted, unless a successor process accepts at the same socket.
+    Invariant: only `serve` closes the listening socket, and only after accepting the connections in its
+    backlog, unless a successor process accepts from the same socket.
     """
 
     def __init__(
@@ -68,54 +68,54 @@
         admission: ConnectionAdmission | None = None,
         on_queue_delay: Callable[[float], None] | None = None,
     ) -> None:
-        """`on_queue_delay` is called with the ms that each request lay unread in its socket."""
+        """`on_queue_delay` is called for each request with the ms for which it was unread in its socket."""
         self.name = options.name
         self._accepts_per_turn = options.accepts_per_turn
         self._request_timeout_s = handling.request_timeout_s
         self._body_memory = body_memory
         self._admission = admission
-        self._denied = metrics.doors
+        self._denied_counter = metrics.doors
         self._on_queue_delay = on_queue_delay
         self.connections = OpenConnections(
             options.name, options.connection_limit, self._on_readable, metrics, admission
         )
         self._requests = RequestLoop(self.connections, handling, metrics)
-        self._tasks: anyio.abc.TaskGroup | None = None  # set while it serves
-        self.serving = False  # it accepts
-        self._stopped = False  # and never will again
-        self._sole = True  # no other process accepts here
-        self._accepting = anyio.CancelScope()
+        self._tasks: anyio.abc.TaskGroup | None = None  # set by `serve`
+        self.serving = False  # `serve` has begun to accept
+        self._stopped = False  # drained: no connection is accepted any more
+        self._is_sole_acceptor = True  # no other process accepts from the listening socket
+        self._accept_scope = anyio.CancelScope()
         self._reopened = anyio.Event()
 
     @property
     def open(self) -> int:
-        """How many connections there are, active, idle and closing."""
+        """The number of open connections: active, idle and closing."""
         return self.connections.open
 
     async def serve(self, listener: socket.socket, tasks: anyio.abc.TaskGroup) -> None:
-        """Accept in `tasks` until drained, paused while a successor accepts; then close the listener."""
+        """Accept connections until drained, except while a successor does; then close the listener."""
         self._tasks = tasks
         tasks.start_soon(self.connections.close_idle)
         self.serving = True
         while not self._stopped:
-            with anyio.CancelScope() as self._accepting:
+            with anyio.CancelScope() as self._accept_scope:
                 await self._accept(listener)
             if not self._stopped:
                 await self._reopened.wait()
-        if self._sole:
+        if self._is_sole_acceptor:
             await self._accept_backlog(listener)
         listener.close()
 
     async def _accept_backlog(self, listener: socket.socket) -> None:
-        """Accept what waits in the backlog: it would be reset with the listening socket."""
-        until_s = anyio.current_time() + BACKLOG_TIMEOUT_S
+        """Accept the connections in the backlog, which closing the listening socket would reset."""
+        deadline_s = anyio.current_time() + BACKLOG_TIMEOUT_S
         for _ in range(MAX_BACKLOG_ACCEPTS):
             try:
                 self._admit(*listener.accept())
             except BlockingIOError:
                 return
-            except OSError as error:  # those behind it in the backlog are owed an answer all the same
-                if anyio.current_time() >= until_s:
+            except OSError as error:  # the other connections in the backlog still have to be answered
+                if anyio.current_time() >= deadline_s:
                     log.error("accept_failed", front=self.name, error=str(error))
                     return
                 if error.errno not in CLIENT_DISCONNECTED:
@@ -131,7 +131,7 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 continue
             except OSError as error:
-                # Out of descriptors: idle connections are evicted, or no new client would ever be served.
+                # Out of descriptors: without evicting idle connections, no new client would be served.
                 if error.errno in (errno.EMFILE, errno.ENFILE) and self._free_descriptors():
                     log.rate_limited(
                         "idle_connections_evicted", front=self.name, parked=len(self.connections.idle)
@@ -141,13 +141,13 @@
                 await anyio.sleep(ACCEPT_RETRY_S)
 
     def _free_descriptors(self) -> int:
-        """Close some connections that are owed nothing; how many."""
+        """Close some connections that are owed no response; return how many."""
         connections = self.connections
-        lingering = connections.lingering.close(EVICTED_AT_ONCE)
-        return lingering or connections.idle.evict_oldest(EVICTED_AT_ONCE)
+        lingering = connections.lingering.close(EVICTION_BATCH_SIZE)
+        return lingering or connections.idle.evict_oldest(EVICTION_BATCH_SIZE)
 
     def _admit(self, sock: socket.socket, address: tuple[str, int] | str) -> None:
-        """Admit a new connection; up to an eighth past the limit, only to be answered 503."""
+        """Admit a new connection; up to an eighth more than the limit are admitted to be answered 503."""
         admission_record: AdmittedConnection | None = None
         if self._admission is not None and not isinstance(address, str):
             decision = self._admission.admit(time.monotonic() * 1000, address[0])
@@ -161,7 +161,7 @@
         if connections.open >= connections.limit + max(1, connections.limit // 8):
             log.rate_limited("connection_rejected", front=self.name, open=self.open)
             connections.record_disconnect(admission_record, False)
-            sock.close()  # at once: in the backlog it would wait for nothing
+            sock.close()  # immediately, rather than leaving it in the backlog to no purpose
             return
         self._configure(sock, admission_record)
         over_limit = connections.open >= connections.limit
@@ -169,13 +169,13 @@
         if has_unread_bytes(sock):
             new.since_s -= min(unread_ms(sock) / 1000, max(0.0, self._request_timeout_s - MIN_READ_TIMEOUT_S))
             self._on_readable(new)
-        else:  # a flood that opens connections and sends nothing costs no task and no buffer
+        else:  # a connection on which nothing was sent needs no task and no buffer, e.g. in a flood
             connections.idle.add(new, IDLE_TIMEOUT_S)
         connections.update_gauge()
 
     def _deny(self, sock: socket.socket, address: str, reason: Enum) -> None:
         """Close a connection that connection admission rejected."""
-        self._denied.labels(self.name, reason.value).inc()
+        self._denied_counter.labels(self.name, reason.value).inc()
         log.rate_limited("connection_denied", front=self.name, address=address, why=reason.value)
         sock.close()
 
@@ -183,13 +183,13 @@
         """Set the options of an accepted socket."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self._on_queue_delay is not None:  # what the kernel buffers for a slow client is memory, too
+        if self._on_queue_delay is not None:  # the kernel's buffer for a slow client takes memory, too
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         if admission_record is not None:
             enable_keepalive(sock, admission_record.idle_timeout_s)
 
     def _on_readable(self, idle: IdleConnection) -> None:
-        """Give an idle connection a parser, a buffer and a task, or close it where its peer has."""
+        """Activate an idle connection with a parser, a buffer and a task; close it if its peer has closed."""
         connections, sock = self.connections, idle.sock
         if nothing_readable(sock):  # a spurious wake-up
             connections.idle.add(idle, IDLE_TIMEOUT_S)
@@ -207,7 +207,7 @@
         self._tasks.start_soon(self._requests.run, conn, idle.over_limit, read_deadline_s)
 
     def _activate(self, idle: IdleConnection) -> Connection:
-        """A connection with a parser on an idle connection's socket."""
+        """Create a connection with a parser on an idle connection's socket."""
         conn = Connection(idle.sock, h11.SERVER)
         conn.body_memory = self._body_memory
         conn.closes_after_answer = self.connections.closing
@@ -224,26 +224,26 @@
         return conn
 
     def drain(self) -> None:
-        """Stop accepting, close idle connections, and end every other one with its answer.
+        """Stop accepting, close idle connections, and close every other one after its response.
 
-        Later connections are refused by the closed listener: clients that reconnected again and again would
-        keep the process from its end.
+        The closed listener refuses later connections: clients that keep reconnecting would otherwise keep the
+        process from exiting.
         """
         self._stopped = True
-        self._accepting.cancel()
+        self._accept_scope.cancel()
         self._reopened.set()
         self.connections.drain()
 
     def yield_to_successor(self) -> None:
-        """A successor accepts now; here each connection ends with its next answer, not before it."""
+        """Stop accepting in favour of a successor; each connection is closed after its next response."""
         self._reopened = anyio.Event()
-        self._sole = False
-        self._accepting.cancel()
+        self._is_sole_acceptor = False
+        self._accept_scope.cancel()
         self.connections.end_with_answers(True)
 
     def reopen(self) -> None:
         """Accept again, after a successor has ended."""
-        self._sole = True
+        self._is_sole_acceptor = True
         if self._stopped:
             return
         self.connections.end_with_answers(False)
--- a/ringledge/wire/clients/loop_budget.py
+++ b/ringledge/wire/clients/loop_budget.py
@@ -1,4 +1,4 @@
-"""Turns of the event loop, bounded: what costs CPU by size waits for the next one once one is used up."""
+"""A CPU time budget for each iteration of the event loop, for work whose cost grows with its input's size."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class LoopBudget:
-    """Lets work go on until a turn has lasted so long; then the rest gets up again in the next turn."""
+    """Defers work to the next iteration of the loop once the current one has used up its budget."""
 
     def __init__(self, max_iteration_s: float) -> None:
         self._max_iteration_s = max_iteration_s
-        self._started_s: float | None = None  # this turn's first work; None: none yet
+        self._started_s: float | None = None  # when this iteration's first work began; None: none has begun
 
     async def wait_for_budget(self) -> None:
-        """Return in a turn that has time left."""
+        """Wait until an iteration of the loop has budget left."""
         loop = asyncio.get_running_loop()
         while self._started_s is not None and time.monotonic() - self._started_s > self._max_iteration_s:
             await asyncio.sleep(0)
         if self._started_s is None:
             self._started_s = time.monotonic()
-            loop.call_soon(self._reset)  # runs in the next turn, before all that gets up again there
+            loop.call_soon(self._reset)  # runs in the next iteration, before the tasks that wait for budget
 
     def _reset(self) -> None:
         self._started_s = None
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -1,4 +1,4 @@
-"""The open connections of a front: active or idle, evicted at the limit, and closed in order."""
+"""The open connections of a front, active and idle, with their eviction, idle timeouts and closing."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import AdmittedConnection, ConnectionAdmission
 
-IDLE_TIMEOUT_S = 2.0  # a client's connection without an open request is closed then
-IDLE_AFTER_S = 0.5  # between requests until a connection gives up its task and parser: a busy one keeps them
-MAX_DRAINED_PER_TURN = 1000  # idle connections closed at a time in a drain: some 7 ms
-SWEEP_INTERVAL_S = 0.2  # between two searches for idle connections
+IDLE_TIMEOUT_S = 2.0  # a connection without an open request is closed after this time
+# Time without a request after which a connection gives up its task and parser; a busy one keeps them.
+IDLE_AFTER_S = 0.5
+MAX_DRAINED_PER_TURN = 1000  # idle connections closed in one step of a drain, which takes about 7 ms
+SWEEP_INTERVAL_S = 0.2  # between two scans for connections that are idle or have expired
 
 
 class CloseReason(StrEnum):
-    """Why a client's connection was closed here."""
+    """Why this process closed a client's connection."""
 
     IDLE = "idle"  # its keep-alive timeout expired
     EVICTED = "room"  # its descriptor was needed
@@ -48,7 +49,7 @@
         metrics: Metrics,
         admission: ConnectionAdmission | None,
     ) -> None:
-        """`on_readable` is called with each idle connection on which bytes or the peer's end have arrived."""
+        """`on_readable` is called with each idle connection that has received data or the peer's close."""
         self.name = name
         self.limit = limit
         self._admission = admission
@@ -58,12 +59,12 @@
         self._violations = metrics.violations.labels(Invariant.CLOSED_UNANSWERED.value)
         self._gauge = metrics.client_sockets.labels(name)
         self.active: set[Connection] = set()
-        self.between_requests: dict[Connection, float] = {}  # and since when, longest first
+        self.between_requests: dict[Connection, float] = {}  # with the start time, longest first
         self.reading: dict[
             Connection, None
-        ] = {}  # in an exchange, longest first; some requests are incomplete
-        self.closing = False  # each connection is closed after its next answer
-        self.draining = False  # idle ones are closed, and no further request is read after an answer
+        ] = {}  # connections with a request, complete or not, longest first
+        self.closing = False  # each connection is closed after its next response
+        self.draining = False  # idle connections are closed, and later requests are rejected
         for state, count in (("active", lambda: len(self.active)), ("parked", lambda: len(self.idle))):
             metrics.connections.labels(name, state).set_function(count)
         metrics.woken.labels(name).set_function(lambda: self.idle.woken)
@@ -71,27 +72,28 @@
 
     @property
     def open(self) -> int:
-        """How many connections there are: active, idle and in a lingering close."""
+        """The number of open connections: active, idle and in a lingering close."""
         return len(self.active) + len(self.idle) + len(self.lingering)
 
     def update_gauge(self) -> None:
-        """Export the number of open connections, after it has changed."""
+        """Export the number of open connections."""
         self._gauge.set(self.open)
 
     def is_over_limit(self, newcomer: Connection) -> bool:
-        """Whether a connection accepted past the limit is still past it, now that its request has arrived.
+        """Whether a connection accepted past the limit is still past it after its request has arrived.
 
-        Evicts others first. Incomplete requests that arrived in the same iteration of the loop had unread
-        bytes when the connection was accepted, so none of them could be evicted then.
+        Evicts others first. Connections with incomplete requests that arrived in the same iteration of the
+        loop could not be evicted when this connection was accepted, because their bytes were still unread.
         """
         while self.open > self.limit and self.evict_one(newcomer):
             pass
         return self.open > self.limit
 
     def evict_one(self, newcomer: Connection | None = None) -> bool:
-        """Close one connection that is owed no answer; whether there was one.
+        """Close one connection that is owed no response; return whether there was one.
 
-        The oldest of each kind is a candidate, but not `newcomer`: its head has been read, its body may not.
+        The oldest connection in each state is a candidate, except `newcomer`, whose head has been read but
+        possibly not its body.
         """
         if self.lingering.close(1):
             return True
@@ -111,7 +113,7 @@
         return True
 
     def _oldest_active(self, newcomer: Connection | None) -> list[Connection]:
-        """The oldest active connection between requests, and the oldest with an incomplete request."""
+        """The oldest active connection between requests and the oldest one with an incomplete request."""
         incomplete = (
             conn for conn in self.reading if conn is not newcomer and conn.h11.their_state is not h11.DONE
         )
@@ -119,7 +121,7 @@
         return [*between, *islice(filter(nothing_unread, incomplete), 1)]
 
     def make_idle(self, conn: Connection, over_limit: bool) -> None:
-        """Keep the socket alone; the connection's task ends, and its parser and buffer are freed."""
+        """Keep only the socket of a connection; its parser and buffer are freed, and its task ends."""
         conn.pause_reading()
         self._forget(conn)
         keep_s = IDLE_TIMEOUT_S if conn.admission_record is None else conn.admission_record.idle_timeout_s
@@ -129,19 +131,19 @@
         self.idle.add(idle, max(0.0, keep_s - IDLE_AFTER_S))
 
     def drain(self) -> None:
-        """Close idle connections, and every other one after its answer."""
+        """Close idle connections, and every other one after its response."""
         self.draining = True
         self.end_with_answers(True)
         self.close_between_requests()
 
     def end_with_answers(self, closing: bool) -> None:
-        """Set whether each connection is closed after its next answer."""
+        """Set whether each connection is closed after its next response."""
         self.closing = closing
         for conn in self.active:
             conn.closes_after_answer = closing
 
     def lower_limit(self, limit: int) -> None:
-        """Admit fewer connections; the longest idle ones past the new limit are closed."""
+        """Lower the connection limit, and close the longest idle connections that exceed it."""
         self.limit = limit
         self.idle.evict_oldest(max(0, self.open - limit))
         waiting = [conn for conn in self.between_requests if nothing_unread(conn)]
@@ -150,7 +152,7 @@
         self.update_gauge()
 
     def close_between_requests(self) -> None:
-        """Close connections between requests, of the idle ones a bounded number at a time."""
+        """Close all active connections between requests, and a bounded number of idle ones."""
         for conn in list(self.between_requests):
             if nothing_unread(conn):
                 self.close_gracefully(conn, CloseReason.DRAIN)
@@ -158,7 +160,7 @@
         self.update_gauge()
 
     async def close_idle(self) -> None:
-        """For ever: make connections without a request for a while idle, and close expired ones."""
+        """Until cancelled, make connections idle that had no request for a while, and close expired ones."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_S)
             until = anyio.current_time() - IDLE_AFTER_S
@@ -179,14 +181,14 @@
         self.reading.pop(conn, None)
 
     def close_gracefully(self, conn: Connection, reason: CloseReason) -> None:
-        """Close one whose answer may still be in flight, by a lingering close."""
+        """Close a connection by a lingering close, since its response may still be in flight."""
         self._check_answered(conn, reason)
         if not (conn.closed or conn.eof_received):
             self.lingering.begin(conn.detach())
         self._close_checked(conn, reason)
 
     def _check_answered(self, conn: Connection, reason: CloseReason) -> None:
-        """Count a close under a request that was read completely, while its client is still connected."""
+        """Record an invariant violation if a connected client is still owed a response."""
         if owes_answer(conn) and not conn.peer_disconnected():
             self._violations.inc()
             log.error(
@@ -197,12 +199,12 @@
             )
 
     def close(self, conn: Connection, reason: CloseReason) -> None:
-        """Close one now."""
+        """Close a connection immediately."""
         self._check_answered(conn, reason)
         self._close_checked(conn, reason)
 
     def _close_checked(self, conn: Connection, reason: CloseReason) -> None:
-        """Close one that owes no answer, or whose owed answer is counted."""
+        """Close a connection after `_check_answered`."""
         conn.close()
         self._forget(conn)
         self.record_disconnect(conn.admission_record, conn.had_request)
@@ -211,8 +213,8 @@
         self.update_gauge()
 
     def _close_expired(self, idle: IdleConnection, now: bool) -> None:
-        """Close a connection that is idle no more, at once where its descriptor is needed (`now`)."""
-        if now or not idle.had_request:  # nothing was ever answered on it
+        """Close an idle connection that was evicted or has expired; `now`: without a lingering close."""
+        if now or not idle.had_request:  # without a request there is no response that could be lost
             idle.sock.close()
         else:
             self.lingering.begin(idle.sock)
@@ -220,16 +222,16 @@
         self._closed[CloseReason.IDLE].inc()
 
     def record_disconnect(self, admission_record: AdmittedConnection | None, had_request: bool) -> None:
-        """Tell connection admission that a client's connection has ended."""
+        """Notify connection admission that a client's connection has ended."""
         if admission_record is not None and self._admission is not None:
             self._admission.disconnected(admission_record, had_request)
 
 
 def owes_answer(conn: Connection) -> bool:
-    """Whether a request was read completely and nothing of its answer is written."""
+    """Whether a request was read completely and none of its response has been written."""
     return conn.h11.their_state in (h11.DONE, h11.MUST_CLOSE) and conn.h11.our_state is h11.SEND_RESPONSE
 
 
 def nothing_unread(conn: Connection) -> bool:
-    """Whether no request can be waiting unread: it would be owed an answer."""
+    """Whether no unread request can be waiting in the socket, which would be owed a response."""
     return conn.paused or not conn.readable()
--- a/ringledge/wire/clients/operator.py
+++ b/ringledge/wire/clients/operator.py
@@ -1,6 +1,6 @@
-"""The operators' front: whether this process serves, its figures, instances left out by hand.
+"""The operators' front: health check, statistics, and operator overrides that exclude servers.
 
-One call to a connection.
+Each connection carries a single call.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.messages import read_body, require_method, respond
 
-MAX_CONNECTIONS = 24  # its own: no client can take them
-MAX_BODY_MEMORY_BYTES = 64 * 1024  # bytes that all calls' bodies may hold: none needs any
-REQUEST_TIMEOUT_S = 1.0  # a call that has not come whole by then is turned away
-INSTANCE = re.compile(rb"/instances/([^/]+)/(maint|ready)")
-PREFIX = "relay"
-ANSWERED = {"served": "answered", "refused": "deferred", "failed": "errored", "broken": "errored"}
+MAX_CONNECTIONS = 24  # reserved for this front, so that clients cannot use them up
+MAX_BODY_MEMORY_BYTES = 64 * 1024  # for the bodies of all calls; no call needs a body
+REQUEST_TIMEOUT_S = 1.0  # a call that is incomplete by then is rejected
+INSTANCE_PATH = re.compile(rb"/instances/([^/]+)/(maint|ready)")
+STATSD_PREFIX = "relay"
+STATSD_OUTCOMES = {"served": "answered", "refused": "deferred", "failed": "errored", "broken": "errored"}
 
 
 class OperatorHandler:
-    """Answers the operators' calls."""
+    """Handles the operators' calls."""
 
     def __init__(
         self,
         classes: tuple[str, ...],
         metrics: Metrics,
         servers: ServerList,
-        by_hand: OperatorOverrides,
+        overrides: OperatorOverrides,
         can_serve: Callable[[], bool],
     ) -> None:
         self._classes, self._metrics, self._can_serve = classes, metrics, can_serve
-        self._servers, self._by_hand = servers, by_hand
+        self._servers, self._overrides = servers, overrides
 
     async def handle(self, conn: Connection, head: h11.Request) -> None:
         """Answer one call."""
@@ -47,42 +47,48 @@
         path = head.target.partition(b"?")[0]
         if path == b"/healthcheck":
             require_method(head, b"GET")
-            yes = self._can_serve()
-            await respond(conn, 200 if yes else 503, b'{"serves":%s}' % str(yes).lower().encode())
+            can_serve = self._can_serve()
+            await respond(conn, 200 if can_serve else 503, b'{"serves":%s}' % str(can_serve).lower().encode())
         elif path == b"/stats":
             require_method(head, b"GET")
-            await respond(conn, 200, stats(self._metrics, self._classes).encode(), content_type=b"text/plain")
-        elif told := INSTANCE.fullmatch(path):
+            await respond(
+                conn, 200, format_statsd(self._metrics, self._classes).encode(), content_type=b"text/plain"
+            )
+        elif match := INSTANCE_PATH.fullmatch(path):
             require_method(head, b"POST")
-            await self._change(unquote_to_bytes(told[1]).decode("utf-8", "replace"), told[2] == b"maint")
-            await respond(conn, 200, b'{"out":%s}' % (b"true" if told[2] == b"maint" else b"false"))
+            await self._set_excluded(
+                unquote_to_bytes(match[1]).decode("utf-8", "replace"), match[2] == b"maint"
+            )
+            await respond(conn, 200, b'{"out":%s}' % (b"true" if match[2] == b"maint" else b"false"))
         else:
             raise HttpError(404, "no such call", "not_found")
 
-    async def _change(self, server: str, out: bool) -> None:
-        """Leave an instance out or call it back; HttpError for one that nobody has."""
-        if server not in self._servers.entries and server not in self._by_hand.excluded:
+    async def _set_excluded(self, server: str, out: bool) -> None:
+        """Exclude a server or include it again; HttpError for an unknown one."""
+        if server not in self._servers.entries and server not in self._overrides.excluded:
             raise HttpError(404, "no such instance", "not_found")
         try:
-            await self._by_hand.set_excluded(server, out)
+            await self._overrides.set_excluded(server, out)
         except OSError as error:
             log.error("server_override_failed", server=server, out=out, error=str(error))
-            raise HttpError(503, "it could not be written down", "unavailable") from error
+            raise HttpError(503, "the override could not be stored", "unavailable") from error
 
 
-def stats(metrics: Metrics, classes: tuple[str, ...]) -> str:
-    """The figures in statsd's form, from where Prometheus has them too."""
+def format_statsd(metrics: Metrics, classes: tuple[str, ...]) -> str:
+    """The statistics in the statsd format, read from the Prometheus metrics."""
     answers = metrics.read(metrics.answers)
-    counts = {f"{what}.{name}": 0.0 for what in ANSWERED.values() for name in classes}
-    for (how, index), value in answers.items():
-        if how in ANSWERED and int(index) < len(classes):
-            counts[f"{ANSWERED[how]}.{classes[int(index)]}"] += value
+    counts = {f"{counter}.{name}": 0.0 for counter in STATSD_OUTCOMES.values() for name in classes}
+    for (outcome, index), value in answers.items():
+        if outcome in STATSD_OUTCOMES and int(index) < len(classes):
+            counts[f"{STATSD_OUTCOMES[outcome]}.{classes[int(index)]}"] += value
     counts["sends"] = sum(metrics.read(metrics.sends).values())
     gauges = {
         "current": metrics.open_requests,
         "cluster_size": metrics.servers,
         "cluster_unhealthy": metrics.avoided,
     }
-    lines = [f"{PREFIX}.{name}:{value:.0f}|c" for name, value in counts.items()]
-    lines += [f"{PREFIX}.{name}:{sum(metrics.read(each).values()):.0f}|g" for name, each in gauges.items()]
+    lines = [f"{STATSD_PREFIX}.{name}:{value:.0f}|c" for name, value in counts.items()]
+    lines += [
+        f"{STATSD_PREFIX}.{name}:{sum(metrics.read(each).values()):.0f}|g" for name, each in gauges.items()
+    ]
     return "\n".join(lines) + "\n"
--- a/ringledge/wire/clients/platform_request.py
+++ b/ringledge/wire/clients/platform_request.py
@@ -1,4 +1,4 @@
-"""The platform's headers as a request of the decisions; whatever can't be one is named."""
+"""Parses the platform's request headers into the core's request, and rejects invalid ones."""
 
 from __future__ import annotations
 
@@ -12,50 +12,50 @@
 from ringledge.wire.http.errors import HttpError
 from ringledge.wire.http.headers import headers_by_name
 
-MOST_HINT_MS = 3_600_000.0  # an estimate of over an hour of work is no estimate
+MAX_HINT_MS = 3_600_000.0  # estimates of more than an hour of work are ignored
 
 
 def read_request(names: Names, head: h11.Request, body: bytes) -> Request:
-    """Translate the headers; HttpError 400 names what is wrong."""
-    told = headers_by_name(head)
-    info = dict(part.partition("=")[::2] for part in _text(told, b"x-call-info", "").split(",") if part)
+    """Parse the headers of a request; HttpError 400 says what is invalid."""
+    headers = headers_by_name(head)
+    info = dict(part.partition("=")[::2] for part in _text(headers, b"x-call-info", "").split(",") if part)
     info = {key.strip(): value.strip() for key, value in info.items()}
     try:
         if not isinstance(orjson.loads(body), dict):
-            raise ValueError("the body is no JSON object")
-        name = _text(told, b"x-call-id")
-        if not re.fullmatch(r"[A-Za-z0-9._-]{1,64}", name):  # it becomes part of a path
-            raise ValueError("X-Call-Id is no plain word")
-        budget = _text(told, b"x-budget-ms")
-        if not re.fullmatch(r"[0-9]{1,7}", budget) or not int(budget):  # int alone takes '1_0' and '+1'
-            raise ValueError("X-Budget-Ms is no number of milliseconds")
-        class_index = names.index(names.classes, _text(told, b"x-call-class"))
-        tenant = names.index(names.tenants, _text(told, b"x-caller", ""))
+            raise ValueError("the body is not a JSON object")
+        request_id = _text(headers, b"x-call-id")
+        if not re.fullmatch(r"[A-Za-z0-9._-]{1,64}", request_id):  # it becomes part of a URL path
+            raise ValueError("X-Call-Id must be 1 to 64 letters, digits, dots, hyphens or underscores")
+        budget = _text(headers, b"x-budget-ms")
+        if not re.fullmatch(r"[0-9]{1,7}", budget) or not int(budget):  # int() accepts '1_0' and '+1'
+            raise ValueError("X-Budget-Ms must be a whole number of milliseconds over 0, of at most 7 digits")
+        class_index = names.index(names.classes, _text(headers, b"x-call-class"))
+        tenant = names.index(names.tenants, _text(headers, b"x-caller", ""))
         if class_index == len(names.classes):
-            raise ValueError("X-Call-Class names no class")
+            raise ValueError("X-Call-Class names an unknown class")
         if names.tenants and tenant == len(names.tenants):
-            raise ValueError("X-Caller names no tenant")
-        again = _text(told, b"x-again", "")
+            raise ValueError("X-Caller names an unknown tenant")
+        repeat = _text(headers, b"x-again", "")
         return Request(
-            name,
+            request_id,
             float(budget),
             class_index,
             tenant,
-            _key(_text(told, b"x-route-hash", "")),
-            _key(info.get("prefix", "")),
-            _tokens(info.get("prefix_len", 0)),
-            _tokens(info.get("prompt_len", len(body) / 4)),  # a token is four characters
-            _tokens(info.get("max_out", 0)),
-            _hint_ms(told),
-            again == "1",
-            again == "again",
+            _parse_key(_text(headers, b"x-route-hash", "")),
+            _parse_key(info.get("prefix", "")),
+            _token_count(info.get("prefix_len", 0)),
+            _token_count(info.get("prompt_len", len(body) / 4)),  # default: four bytes per token
+            _token_count(info.get("max_out", 0)),
+            _hint_ms(headers),
+            repeat == "1",
+            repeat == "again",
         )
     except ValueError as error:
         raise HttpError(400, str(error)) from error
 
 
-def _text(told: dict[bytes, bytes], name: bytes, default: str | None = None) -> str:
-    value = told.get(name)
+def _text(headers: dict[bytes, bytes], name: bytes, default: str | None = None) -> str:
+    value = headers.get(name)
     if value is None:
         if default is None:
             raise ValueError(f"{name.decode()} is missing")
@@ -63,25 +63,25 @@
     return value.decode("ascii", "replace").strip()
 
 
-def _tokens(told: str | float) -> float:
-    """A count of tokens; 'nan' would pass as a number and spoil every sum that it enters."""
-    value = float(told)
+def _token_count(text: str | float) -> float:
+    """A valid number of tokens. float() accepts 'nan', which would make every sum it enters 'nan'."""
+    value = float(text)
     if not 0 <= value < 1e9:
-        raise ValueError("X-Call-Info holds no count of tokens")
+        raise ValueError("X-Call-Info has an invalid number of tokens")
     return value
 
 
-def _hint_ms(told: dict[bytes, bytes]) -> float | None:
-    """What the client estimates of the work, ms; a hint that can't be read is none, for it is only advice."""
+def _hint_ms(headers: dict[bytes, bytes]) -> float | None:
+    """The client's estimate of the work in ms; an invalid one is ignored, since it is only a hint."""
     try:
-        estimate_ms = float(told.get(b"x-call-cost", b"")) / 1000
+        estimate_ms = float(headers.get(b"x-call-cost", b"")) / 1000
     except ValueError:
         return None
-    return estimate_ms if 0 <= estimate_ms < MOST_HINT_MS else None
+    return estimate_ms if 0 <= estimate_ms < MAX_HINT_MS else None
 
 
-def _key(text: str) -> int | None:
-    """A session or a shared beginning: hex digits, as a number; it is kept, so it has a bound."""
+def _parse_key(text: str) -> int | None:
+    """The number of a session or a shared prefix from hex digits, bounded because it is stored."""
     if text and not re.fullmatch(r"[0-9a-fA-F]{1,64}", text):
-        raise ValueError("a key is no hex digits")
+        raise ValueError("X-Route-Hash and the prefix in X-Call-Info must be at most 64 hex digits")
     return int(text, 16) if text else None
--- a/ringledge/wire/clients/request_loop.py
+++ b/ringledge/wire/clients/request_loop.py
@@ -1,4 +1,4 @@
-"""Requests of one connection, read and answered one after another."""
+"""Reads the requests of a connection and has each of them answered before the next one is read."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from ringledge.wire.http.headers import header
 from ringledge.wire.http.messages import MAX_BODY_BYTES, read_body, respond
 
-# From a request's first byte, on a new connection from its opening, to its last byte.
+# From a request's first byte to its last one; on a new connection, from when it was opened.
 REQUEST_TIMEOUT_S = 2.5
-BODY_SKIP_TIMEOUT_S = 1.0  # for the rest of a body whose request was shed
-# Before more is read from a client whose request was rejected: it may send requests without end.
+BODY_SKIP_TIMEOUT_S = 1.0  # for receiving the rest of a body whose request was shed
+# Wait before the next read from a client whose request was rejected: it may send requests continuously.
 REJECTION_PAUSE_S = 0.5
 
 OnRejected = Callable[[h11.Request], None]
@@ -31,11 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHandling:
-    """How requests of a front are answered.
+    """How the requests of a front are answered.
 
     `on_rejected` is called with each request that is answered 503 or 429 by the loop itself;
-    `exempt_from_limit` tells whether a request past the connection limit is served all the same;
-    `reject_early` may answer a request before it is parsed, and gives the bytes of its body still to come.
+    `exempt_from_limit` returns whether a request is served although its connection exceeds the limit;
+    `reject_early` may reject a request before it is parsed, and then returns how many bytes of its body are
+    still to be received.
     """
 
     handler: Handler
@@ -47,7 +48,7 @@
 
 
 class RequestLoop:
-    """Reads the requests of connections, and has them answered one after another."""
+    """Reads the requests of a front's connections and calls the handler for each."""
 
     def __init__(self, connections: OpenConnections, handling: RequestHandling, metrics: Metrics) -> None:
         self._connections = connections
@@ -55,9 +56,9 @@
         self._rejections = metrics.rejections
 
     async def run(self, conn: Connection, over_limit: bool, read_deadline_s: float) -> None:
-        """Answer one request after another until the connection ends or becomes idle.
+        """Answer one request after another until the connection is closed or becomes idle.
 
-        `read_deadline_s`: the loop's time by which the first request has to be complete.
+        `read_deadline_s`: when, on the event loop's clock, the first request has to be complete.
         """
         try:
             conn.read_deadline_s = read_deadline_s
@@ -71,14 +72,14 @@
             self._connections.make_idle(conn, over_limit)
         except (OSError, anyio.ClosedResourceError, h11.LocalProtocolError) as error:
             log.debug("client_connection_lost", front=self._connections.name, error=str(error))
-        except Exception as error:  # a fault of ours costs this connection, not all the others
+        except Exception as error:  # a bug in this process affects one connection only
             log.exception("connection_crashed", error, front=self._connections.name)
         finally:
             if conn in self._connections.active:
                 self._connections.close_gracefully(conn, CloseReason.ENDED)
 
     async def _exchange(self, conn: Connection, over_limit: bool) -> bool:
-        """Read one request and have it answered; False where no further one is read."""
+        """Read one request and have it answered; return whether another one is to be read."""
         rejected, head = False, None
         try:
             if not conn.has_unparsed_bytes() and not await conn.fill():
@@ -113,35 +114,38 @@
             return False
         if rejected:
             await self._pause(conn)
-        # One more that has arrived meanwhile is answered as well.
+        # While closing, a request that has already arrived is answered as well.
         return not conn.closed and (
             not self._connections.closing or conn.has_unparsed_bytes() or conn.readable()
         )
 
     def _reject_early(self, conn: Connection) -> int | None:
-        """Reject a request before it is parsed, if overload control says so; its body's remaining bytes."""
+        """Reject a request before it is parsed if the front wants that; return its body's remaining bytes.
+
+        Returns None for a request that was not rejected.
+        """
         reject_early = self._handling.reject_early
         if reject_early is None or self._connections.closing:
             return None
         return reject_early(conn)
 
     async def _reject_while_draining(self, conn: Connection, head: h11.Request) -> None:
-        """HttpError for a request that is read in a drain: its stream might outlast the process."""
-        await read_body(conn, head)  # an incomplete request is none
+        """Raise HttpError for a request that is read in a drain: its stream might outlast the process."""
+        await read_body(conn, head)  # only a complete request is answered
         raise HttpError(503, "stopping, nothing has run", "stopping", headers=[(b"Retry-After", b"0")])
 
     async def _require_capacity(self, conn: Connection, head: h11.Request) -> None:
-        """HttpError for a request past the connection limit, unless it is exempt or another is evicted."""
+        """Raise HttpError past the connection limit, unless the request is exempt or another is evicted."""
         connections = self._connections
         is_exempt = self._handling.exempt_from_limit
         if (is_exempt is not None and is_exempt(head)) or not connections.is_over_limit(conn):
             return
-        await read_body(conn, head)  # an incomplete request is none, and may be evicted itself
+        await read_body(conn, head)  # only a complete request is answered; an incomplete one may be evicted
         log.rate_limited("connections_exhausted", front=connections.name, open=connections.open)
         raise HttpError(503, "too many connections", "overloaded", headers=[(b"Retry-After", b"1")])
 
     async def _read_head(self, conn: Connection) -> h11.Request | None:
-        """The head of the request that has begun; HttpError where its body's end would be a guess."""
+        """Read the head of a request, None if there is none; HttpError if the body's end is ambiguous."""
         self._connections.between_requests.pop(conn, None)
         self._connections.reading[conn] = None
         conn.read_deadline_s = min(
@@ -157,14 +161,14 @@
             return None
         if header(head, b"transfer-encoding") and (
             header(head, b"content-length") or head.http_version < b"1.1"
-        ):  # request smuggling: a peer that goes by the other one finds another request in the body
+        ):  # request smuggling: a peer that uses the other header finds a second request in the body
             raise HttpError(400, "Transfer-Encoding with Content-Length or HTTP/1.0")
         return head
 
     async def _skip_body(self, conn: Connection, remaining_bytes: int) -> bool:
-        """Read and discard the rest of a rejected request's body; False where it doesn't arrive."""
+        """Read and discard the rest of a rejected request's body; return whether it arrived in time."""
         if not remaining_bytes:
-            await anyio.lowlevel.checkpoint()  # pipelined requests wait their turn
+            await anyio.lowlevel.checkpoint()  # lets other connections run before pipelined requests
             return not conn.closed
         self._connections.between_requests.pop(conn, None)
         self._connections.reading[conn] = None
@@ -173,9 +177,9 @@
         return False
 
     async def _shed(self, conn: Connection, head: h11.Request, error: ShedError) -> None:
-        """Answer at once, and only then discard the body: it is never buffered, nor awaited for long."""
+        """Answer immediately, then discard the body, which is never buffered nor awaited for long."""
         length = header(head, b"content-length")
-        # A body over the protocol's limit, or without a length: to discard it might take for ever.
+        # A body over the size limit or without a length could take arbitrarily long to discard.
         bounded = header(head, b"transfer-encoding") is None and int(length or 0) <= MAX_BODY_BYTES
         if not bounded or self._connections.closing:
             await self._reject(conn, error, True)
@@ -190,11 +194,11 @@
                     await conn.next_event()
         if conn.h11.their_state is not h11.DONE:
             conn.close()
-        # No pause: a front's connections carry others' bookings, too. But pipelined requests wait.
+        # No pause, since the connection may carry bookings as well; but other connections run first.
         await anyio.lowlevel.checkpoint()
 
     async def _pause(self, conn: Connection) -> None:
-        """Read nothing for a while from a rejected client: its next request would cost as much."""
+        """Read nothing for a while from a client that was rejected: its next request would cost as much."""
         self._connections.between_requests[conn] = anyio.current_time()
         conn.paused = True
         conn.pause_reading()
@@ -202,7 +206,7 @@
         conn.paused = False
 
     async def _reject(self, conn: Connection, error: HttpError, closing: bool) -> None:
-        """Answer an invalid request; unread input closes the connection."""
+        """Send an error response; the connection is closed if the request was not read completely."""
         self._rejections.labels(self._connections.name, str(error.status)).inc()
         name, reason = self._connections.name, error.reason[:200]
         log.rate_limited("request_rejected", front=name, status=error.status, reason=reason)
--- a/ringledge/wire/clients/response.py
+++ b/ringledge/wire/clients/response.py
@@ -1,4 +1,4 @@
-"""The client's side of one platform request: pieces of its answer go out as they come."""
+"""The response to one platform request: each chunk is forwarded to the client as it arrives."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from ringledge.memory.buffered_bytes import BufferedBytes
 
-HIGH_WATER = 64 * 1024  # bytes of a stream that may wait for a slow client
+HIGH_WATER_BYTES = 64 * 1024  # unsent bytes of a stream above which its server is read no further
 
-# The head of every streamed answer, made once: h11 checks headers each time one is made.
+# The head of every streamed response. It is built once, because h11 validates the headers of each new one.
 STREAM_HEAD = h11.Response(
     status_code=200,
     headers=[
@@ -28,72 +28,76 @@
 
 
 class PlatformResponse:
-    """One request's client side. Pieces go straight to the socket; what it leaves waits for the task."""
+    """The response sink of one request.
 
-    def __init__(self, conn: Connection, held: BufferedBytes | None = None) -> None:
-        self._buffered = held
-        self.begun = False
+    Chunks are written to the socket directly. What the socket does not accept is written by the request's
+    task.
+    """
+
+    def __init__(self, conn: Connection, buffered_bytes: BufferedBytes | None = None) -> None:
+        self._buffered_bytes = buffered_bytes
+        self.begun = False  # the head of the response has been encoded
         self.result: str | None = None
         self.retry_after_ms: float | None = None
         self._conn = conn
         self._chunks: list[bytes] = []
-        self._unsent_bytes = 0  # bytes that the client has not taken
+        self._unsent_bytes = 0
         self._changed, self._drained = anyio.Event(), anyio.Event()
 
-    def reject(self, come_back_ms: float | None) -> None:
-        """Final answer: refused."""
-        self.retry_after_ms = come_back_ms
+    def reject(self, retry_after_ms: float | None) -> None:
+        """End the response: the request was rejected and may safely be retried."""
+        self.retry_after_ms = retry_after_ms
         self._end("refused")
 
     def fail(self) -> None:
-        """Final answer: failed."""
+        """End the response: the request failed."""
         self._end("failed")
 
     def finish(self) -> None:
-        """The stream is whole."""
+        """End the response: the stream is complete."""
         self._end("served")
 
     def abort(self) -> None:
-        """The stream broke."""
+        """End the response: the stream broke off."""
         self._end("broken")
 
     def is_disconnected(self) -> bool:
         """Whether the client has closed its connection."""
         return self._conn.peer_disconnected()
 
-    async def relay(self, piece: bytes) -> None:
-        """Pass a piece on; wait while too much is waiting for a slow client."""
-        told = h11.Data(data=piece)
-        data = self._conn.encode(told) if self.begun else self._conn.encode(STREAM_HEAD, told)
+    async def relay(self, chunk: bytes) -> None:
+        """Forward a chunk; blocks while a slow client leaves more than `HIGH_WATER_BYTES` unsent."""
+        body_data = h11.Data(data=chunk)
+        data = self._conn.encode(body_data) if self.begun else self._conn.encode(STREAM_HEAD, body_data)
         self.begun = True
         if not self._unsent_bytes:
             try:
                 data = data[self._conn.write_nowait(data) :]
             except OSError:
-                return  # the client has gone: its connection's task is told so
+                return  # the client has disconnected, which its connection's task is notified of
         if data:
             self._chunks.append(data)
             self._count(len(data))
             self._changed.set()
-        while self._unsent_bytes > HIGH_WATER:
+        while self._unsent_bytes > HIGH_WATER_BYTES:
             self._drained = anyio.Event()
             await self._drained.wait()
 
     def _count(self, change: int) -> None:
         self._unsent_bytes += change
-        if self._buffered is not None:
-            self._buffered.stream_bytes += change
+        if self._buffered_bytes is not None:
+            self._buffered_bytes.stream_bytes += change
 
     def discard_unsent(self) -> None:
-        """Nobody takes what still waits."""
+        """Stop counting the unsent bytes as buffered, because they will not be sent."""
         self._count(-self._unsent_bytes)
 
-    def _end(self, how: str) -> None:
-        self.result = how
+    def _end(self, result: str) -> None:
+        self.result = result
         self._changed.set()
 
     async def write_out(self) -> None:
-        """Write what waits for the client until the request's end is known."""
+        """Write unsent chunks until all are written and the response has ended."""
         while self._chunks or self.result is None:
             if self._chunks:
                 data = b"".join(self._chunks)
@@ -109,37 +113,39 @@
 async def write_while_connected(
     conn: Connection,
     answer: Awaitable[None],
-    may_refuse: Callable[[], bool],
-    left: Callable[[], None] = lambda: None,
+    may_reject: Callable[[], bool],
+    on_disconnect: Callable[[], None] = lambda: None,
 ) -> None:
-    """Write the answer while watching for the client's disconnect, also when nothing is written.
+    """Write the answer while watching for the client's disconnect, even while nothing is being written.
+
+    `on_disconnect` is called in the same iteration of the event loop that detects the disconnect: other tasks
+    could otherwise still send something for that client before the cancelled task runs.
 
-    `left` is called in the very turn of the loop that hears of a disconnect: before the cancelled task comes
-    round, others might still send something for that client. One that sends without end ahead of its answer
-    could leave unheard; unless its answer has begun, it is told so instead: refused where `may_refuse` says
-    that a retry does no harm, else failed.
+    The disconnect of a client that pipelines without limit ahead of its response cannot be detected. So if
+    none of its response has been written, the request ends with FloodError: rejected if `may_reject` returns
+    that a retry is safe, else failed.
     """
-    floods = False
+    is_flooding = False
 
-    def gone() -> None:
-        left()
+    def disconnected() -> None:
+        on_disconnect()
         scope.cancel()
 
     def flooded() -> None:
-        nonlocal floods
-        if conn.h11.our_state is h11.SEND_RESPONSE:  # nothing of the answer is written
-            floods = True
-            gone()
+        nonlocal is_flooding
+        if conn.h11.our_state is h11.SEND_RESPONSE:  # none of the response has been written
+            is_flooding = True
+            disconnected()
 
     with anyio.CancelScope() as scope:
-        conn.set_disconnect_callback(gone, flooded)
+        conn.set_disconnect_callback(disconnected, flooded)
         try:
             await answer
         except (OSError, anyio.ClosedResourceError):
-            conn.close()  # the client has gone while it was written to
+            conn.close()  # the client disconnected during a write
         finally:
             conn.set_disconnect_callback(None)
-    if scope.cancelled_caught and floods:
-        raise FloodError(may_refuse())
+    if scope.cancelled_caught and is_flooding:
+        raise FloodError(may_reject())
     if scope.cancelled_caught:
         conn.close()
--- a/ringledge/wire/clients/start_gate.py
+++ b/ringledge/wire/clients/start_gate.py
@@ -1,4 +1,4 @@
-"""Where requests wait that arrive while a start still waits for the endpoint list."""
+"""Holds requests that arrive while the starting process still waits for the endpoint list."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class StartGate:
-    """Opened once requests may be begun, or closed for good where the process ends before."""
+    """Opened once requests can be processed, or closed for good if the process stops before that."""
 
     def __init__(self) -> None:
         self.is_open = False
         self._decided = anyio.Event()
 
     def open(self) -> None:
-        """Let requests through, those that wait too."""
+        """Let requests through, including those that are waiting."""
         self.is_open = True
         self._decided.set()
 
     def close(self) -> None:
-        """Reject those that wait: there may be no time for them."""
+        """Reject the waiting requests: the process may not have the time to serve them."""
         self._decided.set()
 
     async def wait(self, timeout_ms: float) -> float:
-        """Wait until requests may be begun, `timeout_ms` at most; returns what is left of it, in ms.
+        """Wait until the gate opens, for at most `timeout_ms`; return the part of it that remains, in ms.
 
-        HttpError where none will be begun.
+        Raises HttpError if the gate is closed instead.
         """
         if self.is_open:
             return timeout_ms
--- a/tests/wire/clients/chat/test_departures.py
+++ b/tests/wire/clients/chat/test_departures.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ringledge.wire.clients.chat.answer import Answer
+from ringledge.wire.clients.chat.answer import SessionSink
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
 from tests.loopback import Node
 from tests.wire.clients.chat.helpers import HELLO
@@ -45,7 +45,7 @@
 def test_a_client_has_gone_once_all_that_follow_an_answer_that_has_not_begun_have(
     told: StreamSession, gone: bool
 ) -> None:
-    assert Answer(told).is_disconnected() is gone
+    assert SessionSink(told).is_disconnected() is gone
 
 
 def test_nothing_follows_for_a_chat_client_that_left_between_prefill_and_decode(node: Node) -> None:
--- a/tests/wire/clients/test_platform_request.py
+++ b/tests/wire/clients/test_platform_request.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ringledge.lifecycle.config import Names
-from ringledge.wire.clients.platform_request import MOST_HINT_MS, read_request
+from ringledge.wire.clients.platform_request import MAX_HINT_MS, read_request
 
 NAMES = Names(("east",), ("decode",), ("query",), (), 30.0, 0.25, 0.0)
 
@@ -26,6 +26,6 @@
     assert hint_of(told) == hint_ms
 
 
-@pytest.mark.parametrize("told", [b"nan", b"-1", b"inf", b"%d" % (MOST_HINT_MS * 1000)])
+@pytest.mark.parametrize("told", [b"nan", b"-1", b"inf", b"%d" % (MAX_HINT_MS * 1000)])
 def test_unbounded_work_estimate_is_ignored(told: bytes) -> None:
     assert hint_of(told) is None
