--- a/ringledge/wire/clients/chat/answer.py
+++ b/ringledge/wire/clients/chat/answer.py
@@ -22,9 +22,9 @@
         self._session = session
         self._partial_line = b""
 
-    def reject(self, retry_after_ms: float | None) -> None:
+    def reject(self, retry_delay_ms: float | None) -> None:
         """End the session's response: the request was rejected and may safely be retried."""
-        self._session.retry_after_ms = retry_after_ms
+        self._session.retry_after_ms = retry_delay_ms
         self._end(SessionEnd.REJECTED)
 
     def fail(self) -> None:
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -102,17 +102,19 @@
         last_event = header(head, b"last-event-id")
         if last_event:
             session, seen = self._resume(last_event.decode("ascii", "replace"))
-            whole = False
+            write_whole = False
         else:
             started = await self._start(conn, head, body)
             if started is None:
                 return  # queued requests have been answered already
             session, seen = started, 0
-            whole = not session.chat_request["stream"]
+            write_whole = not session.chat_request["stream"]
         session.followers.add(conn)
         try:
             writer = self._writer
-            writing = writer.write_whole(conn, session) if whole else writer.write_stream(conn, session, seen)
+            writing = (
+                writer.write_whole(conn, session) if write_whole else writer.write_stream(conn, session, seen)
+            )
             await write_while_connected(
                 conn, writing, partial(self._may_reject, session), partial(self._on_left, session)
             )
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -121,22 +121,22 @@
         if gate is None or not gate.may_reject() or conn.h11.trailing_data[0]:
             return None
         data = conn.buffer.peek()
-        match = SIMPLE_HEAD.match(data)
-        if match is None:
+        simple_head = SIMPLE_HEAD.match(data)
+        if simple_head is None:
             return None
-        headers: dict[bytes, bytes] = {}
-        for line in match[1].split(b"\r\n"):
+        fields: dict[bytes, bytes] = {}
+        for line in simple_head[1].split(b"\r\n"):
             name, _, value = line.partition(b":")
-            if headers.setdefault(name.lower(), value.strip()) != value.strip():
+            if fields.setdefault(name.lower(), value.strip()) != value.strip():
                 return None
-        length = headers.get(b"content-length", b"")
-        if not length.isdigit() or NON_SIMPLE_HEADERS & headers.keys() or int(length) > MAX_BODY_BYTES:
+        length = fields.get(b"content-length", b"")
+        if not length.isdigit() or NON_SIMPLE_HEADERS & fields.keys() or int(length) > MAX_BODY_BYTES:
             return None
-        remaining_bytes = match.end() + int(length) - len(data)
+        remaining_bytes = simple_head.end() + int(length) - len(data)
         if remaining_bytes < 0:  # a pipelined request follows
             return None
         rejection = self._decide_admission(
-            gate, headers.get(b"x-call-class", b""), headers.get(b"x-caller", b""), int(length)
+            gate, fields.get(b"x-call-class", b""), fields.get(b"x-caller", b""), int(length)
         )
         if rejection is None:
             conn.admitted = True
@@ -148,7 +148,7 @@
         if conn.write_nowait(head + body) < len(head) + len(body):
             conn.close()  # the client does not even read a short response
         conn.buffer.clear()
-        self._count_rejected_class(headers.get(b"x-call-class", b""))
+        self._count_rejected_class(fields.get(b"x-call-class", b""))
         return remaining_bytes
 
     def _check_admission(self, gate: AdmissionGate, conn: Connection, head: h11.Request) -> None:
--- a/ringledge/wire/clients/response.py
+++ b/ringledge/wire/clients/response.py
@@ -44,9 +44,9 @@
         self._unsent_bytes = 0
         self._changed, self._drained = anyio.Event(), anyio.Event()
 
-    def reject(self, retry_after_ms: float | None) -> None:
+    def reject(self, retry_delay_ms: float | None) -> None:
         """End the response: the request was rejected and may safely be retried."""
-        self.retry_after_ms = retry_after_ms
+        self.retry_after_ms = retry_delay_ms
         self._end("refused")
 
     def fail(self) -> None:
@@ -92,8 +92,8 @@
         """Stop counting the unsent bytes as buffered, because they will not be sent."""
         self._count(-self._unsent_bytes)
 
-    def _end(self, result: str) -> None:
-        self.result = result
+    def _end(self, outcome: str) -> None:
+        self.result = outcome
         self._changed.set()
 
     async def write_out(self) -> None:
