--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -15,42 +15,42 @@
 ROUNDS = 8  # the order in which the loop hears of two things is the system's
 
 
-def stopped(node: Node) -> None:
+def suspend(node: Node) -> None:
     node.process.send_signal(signal.SIGSTOP)
 
 
-def goes_on(node: Node) -> None:
+def resume(node: Node) -> None:
     node.process.send_signal(signal.SIGCONT)
 
 
-def ended(node: Node) -> str:
+def logged_outcome(node: Node) -> str:
     return str(node.logged("request_ended")["how"])
 
 
-def sent(node: Node, name: str) -> int:
+def attempt_count(node: Node, name: str) -> int:
     """How many attempts of a request there were."""
     servers = (*node.reader, *node.writer)
     return sum(call.method == "POST" and call.id == name for each in servers for call in each.seen)
 
 
-def keep_connections(node: Node) -> None:
+def open_upstream_connections(node: Node) -> None:
     client, call = read(node, "first")
     call.serve("x")
     assert take(client).status == 200
-    assert ended(node) == "served"
+    assert logged_outcome(node) == "served"
 
 
 @pytest.mark.parametrize("first", ["answer", "client"])
 @pytest.mark.parametrize("status", [202, 503])
-def test_nothing_follows_for_a_client_that_left_as_an_answer_came(
+def test_no_attempt_follows_disconnect_that_coincides_with_a_response(
     node: Node, first: str, status: int
 ) -> None:
     """Between prefill and decode, and before a retry: a busy loop hears of both at once."""
-    keep_connections(node)
+    open_upstream_connections(node)
     for number in range(ROUNDS):
         client = node.post(f"a{number}")
         call = node.reader[0].next()
-        stopped(node)
+        suspend(node)
         if first == "client":
             client.close()
         if status == 202:
@@ -58,21 +58,21 @@
         else:
             call.answer(status, X_Rejected="1")
         client.close()
-        goes_on(node)
-        assert ended(node) == "gone" and sent(node, f"a{number}") == 1
+        resume(node)
+        assert logged_outcome(node) == "gone" and attempt_count(node, f"a{number}") == 1
 
 
-def test_nothing_is_sent_for_a_client_that_left_while_a_connection_was_waited_for(tmp_path: Path) -> None:
+def test_no_attempt_is_sent_after_disconnect_during_connection_setup(tmp_path: Path) -> None:
     with Node(tmp_path, writers=0, hung=1) as node:
         client = node.post("a1")
         node.reader[0].next().read()
         client.close()
-        assert ended(node) == "gone"
-        assert node.deleted.get(timeout=10).path.endswith("/a1") and sent(node, "a1") == 1
+        assert logged_outcome(node) == "gone"
+        assert node.deleted.get(timeout=10).path.endswith("/a1") and attempt_count(node, "a1") == 1
 
 
 @pytest.mark.parametrize("size", [1_000, 40_000, 300_000, 900_000])
-def test_the_end_is_heard_behind_what_a_client_sent_ahead(node: Node, size: int) -> None:
+def test_disconnect_is_detected_behind_pipelined_input(node: Node, size: int) -> None:
     """More than is read ahead stays in the socket, and with it the end.
 
     A booking, whose silent writer is left to answer: nothing else would end the attempt.
@@ -82,37 +82,37 @@
     client.close()
     assert call.closed()
     call.drop()
-    assert ended(node) == "gone"
+    assert logged_outcome(node) == "gone"
 
 
-def test_a_flood_ahead_of_an_answer_is_cut_off_and_harms_no_other(node: Node) -> None:
+def test_flood_ahead_of_response_is_closed_without_harm_to_others(node: Node) -> None:
     """Its end could not be heard behind it, so nothing more is sent on for it, and it is told so."""
     with node.connect() as flood:
         flood.sendall(request("flood"))
         call = node.reader[0].next()
-        sender = threading.Thread(target=send_without_end, args=(flood,))
+        sender = threading.Thread(target=pipeline_until_closed, args=(flood,))
         sender.start()
         assert read_until(flood, b"sent ahead").startswith(b"HTTP/1.1 429")
         assert call.closed()
         call.drop()
-        assert ended(node) == "gone" and sent(node, "flood") == 1
-        client, beside = read(node, "beside")
-        beside.serve("x")
+        assert logged_outcome(node) == "gone" and attempt_count(node, "flood") == 1
+        client, other_call = read(node, "beside")
+        other_call.serve("x")
         assert take(client).status == 200
         sender.join(WAIT_S)
         assert not sender.is_alive()
 
 
-def test_a_flood_behind_a_begun_stream_takes_nothing_of_it(node: Node) -> None:
+def test_flood_behind_started_stream_does_not_truncate_it(node: Node) -> None:
     with node.connect() as flood:
         flood.sendall(request("flood"))
         node.reader[0].next().read()
         call = node.writer[0].next().begin().token("first")
         read_until(flood, b"first")
-        sender = threading.Thread(target=send_without_end, args=(flood,))
+        sender = threading.Thread(target=pipeline_until_closed, args=(flood,))
         sender.start()
-        client, beside = read(node, "beside")
-        beside.serve("x")
+        client, other_call = read(node, "beside")
+        other_call.serve("x")
         assert take(client).status == 200
         call.token("last").end()
         assert b"last" in read_until(flood, END)
@@ -120,7 +120,7 @@
         sender.join(WAIT_S)
 
 
-def send_without_end(sock: socket.socket) -> None:
+def pipeline_until_closed(sock: socket.socket) -> None:
     """Further requests until the connection ends, or far more than any buffer takes is sent."""
     with suppress(OSError):
         for number in range(200):
--- a/tests/test_client_pace.py
+++ b/tests/test_client_pace.py
@@ -21,12 +21,12 @@
 
 def read_until(sock: socket.socket, text: bytes, times: int = 1) -> bytes:
     """What comes until a text has come so many times."""
-    told = b""
-    while told.count(text) < times:
+    received = b""
+    while received.count(text) < times:
         data = sock.recv(65536)
-        assert data, told
-        told += data
-    return told
+        assert data, received
+        received += data
+    return received
 
 
 def serve(node: Node, name: str) -> None:
@@ -38,17 +38,17 @@
     call.serve(name)
 
 
-def test_requests_sent_at_once_on_one_connection_are_answered_in_their_order(node: Node) -> None:
+def test_pipelined_requests_are_answered_in_order(node: Node) -> None:
     names = [f"a{number}" for number in range(5)]
     with node.connect() as sock:
         sock.sendall(b"".join(map(request, names)))
         for name in names:
             serve(node, name)
-            told = read_until(sock, END)
-            assert told.startswith(b"HTTP/1.1 200") and event(name).encode() in told
+            received = read_until(sock, END)
+            assert received.startswith(b"HTTP/1.1 200") and event(name).encode() in received
 
 
-def test_of_a_flood_whose_client_has_gone_nothing_more_is_sent_on(node: Node) -> None:
+def test_pipelined_requests_are_not_sent_after_client_disconnected(node: Node) -> None:
     names = [f"flood{number}" for number in range(200)]
     with node.connect() as sock:
         sock.sendall(b"".join(map(request, names)))
@@ -62,7 +62,7 @@
     assert {call.id for call in node.reader[0].seen if call.method == "POST"} == {"flood0", "after"}
 
 
-def test_a_request_that_comes_byte_by_byte_is_served_and_holds_nobody_up(node: Node) -> None:
+def test_request_sent_byte_by_byte_is_served_without_delaying_others(node: Node) -> None:
     with node.connect() as sock:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         text = request("slow")
@@ -76,7 +76,7 @@
         assert read_until(sock, END).startswith(b"HTTP/1.1 200")
 
 
-def test_each_event_is_passed_on_before_the_next_is_there(node: Node) -> None:
+def test_each_event_is_forwarded_before_the_next_arrives(node: Node) -> None:
     """Half ones, too: what a server has written is held back for no more, but for the first event's end."""
     with node.connect() as sock:
         sock.sendall(request("a1"))
@@ -92,20 +92,20 @@
         read_until(sock, END)
 
 
-def test_an_attempt_is_told_what_is_left_of_the_clients_time(node: Node) -> None:
+def test_attempt_carries_the_remaining_budget(node: Node) -> None:
     client = node.post("a1", X_Budget_Ms="4800")
     first = node.reader[0].next()
-    told = [int(first.headers["X-Budget-Ms"])]
+    budgets_ms = [int(first.headers["X-Budget-Ms"])]
     first.answer(503, X_Rejected="1")
-    again = node.reader[0].next()
-    told.append(int(again.headers["X-Budget-Ms"]))
-    again.read()
+    second = node.reader[0].next()
+    budgets_ms.append(int(second.headers["X-Budget-Ms"]))
+    second.read()
     call = node.writer[0].next()
-    told.append(int(call.headers["X-Budget-Ms"]))
+    budgets_ms.append(int(call.headers["X-Budget-Ms"]))
     call.serve("x")
     answer = take(client)
     assert answer.status == 200
     ended = node.logged("request_ended")
     spent_ms = [sum(each[2] for each in ended["attempts"][:number]) for number in range(3)]
-    assert all(left <= 4800 - spent for left, spent in zip(told, spent_ms, strict=True))
-    assert told == sorted(told, reverse=True)
+    assert all(left <= 4800 - spent for left, spent in zip(budgets_ms, spent_ms, strict=True))
+    assert budgets_ms == sorted(budgets_ms, reverse=True)
--- a/tests/test_flood_refusals.py
+++ b/tests/test_flood_refusals.py
@@ -10,17 +10,17 @@
 
 from tests.loopback import Node, read
 
-AHEAD = 4 * 1024 * 1024  # bytes: more than is ever read ahead of an answer
+FLOOD_BYTES = 4 * 1024 * 1024  # bytes: more than is ever read ahead of an answer
 
 
 def flood(sock: socket.socket) -> None:
     """Send far more than is read ahead, until the connection ends."""
     with suppress(OSError):
-        sock.sendall(b"x" * AHEAD)
+        sock.sendall(b"x" * FLOOD_BYTES)
 
 
 @pytest.mark.parametrize(("name", "status"), [("query", 429), ("booking", 500)])
-def test_a_flood_behind_what_may_have_run_is_not_told_that_a_retry_is_harmless(
+def test_flood_behind_request_that_may_have_run_is_not_told_that_a_retry_is_safe(
     node: Node, name: str, status: int
 ) -> None:
     client, call = read(node, "a1", X_Call_Class=name)
@@ -34,7 +34,7 @@
     assert not [line for line in node.passed if line["event"] == "invariant_violated"]
 
 
-def test_a_flood_behind_a_booking_that_is_only_being_prefilled_is_refused(node: Node) -> None:
+def test_flood_behind_booking_in_prefill_is_rejected(node: Node) -> None:
     client = node.post("a1", X_Call_Class="booking")
     call = node.reader[0].next()
     sender = threading.Thread(target=flood, args=(client.sock,))
--- a/tests/test_forgotten_connections.py
+++ b/tests/test_forgotten_connections.py
@@ -15,8 +15,8 @@
 from ringledge.memory.connection_pool import MIN_SAFE_IDLE_S
 from tests.loopback import WAIT_S, Call, Node, read, take
 
-HELD_S = 0.8  # a KV cache entry may be held so long while no attempt of its request has arrived
-BUSY_S = 0.4  # that a machine which runs the tests may add
+MAX_HOLD_S = 0.8  # a KV cache entry may be held so long while no attempt of its request has arrived
+SLACK_S = 0.4  # that a machine which runs the tests may add
 
 
 @pytest.fixture
@@ -25,7 +25,7 @@
         yield node
 
 
-def keep_a_connection(node: Node) -> Call:
+def open_idle_connection(node: Node) -> Call:
     """Have a booking served, and its connection to the decode server kept long enough to be trusted."""
     client, call = read(node, "first", X_Call_Class="booking")
     call.serve("x")
@@ -34,19 +34,19 @@
     return call
 
 
-def test_what_is_held_for_a_booking_is_let_go_where_its_decode_may_not_have_arrived(node: Node) -> None:
-    kept = keep_a_connection(node)
+def test_entry_is_released_if_the_decode_of_a_booking_may_not_have_arrived(node: Node) -> None:
+    first_call = open_idle_connection(node)
     client, call = read(node, "a1", X_Call_Class="booking")
     prefilled_s = time.monotonic()
-    assert call.port == kept.port  # nothing was heard on it since; so far it may as well be dead
+    assert call.port == first_call.port  # nothing was heard on it since; so far it may as well be dead
     assert node.deleted.get(timeout=WAIT_S).path.endswith("/a1")
-    assert time.monotonic() - prefilled_s < HELD_S + BUSY_S
+    assert time.monotonic() - prefilled_s < MAX_HOLD_S + SLACK_S
     call.serve("late")  # it had arrived after all: its answer is passed on
     assert take(client).status == 200
 
 
-def test_a_booking_whose_decode_may_not_have_arrived_is_not_sent_again(node: Node) -> None:
-    keep_a_connection(node)
+def test_booking_is_not_sent_again_if_its_decode_may_not_have_arrived(node: Node) -> None:
+    open_idle_connection(node)
     client, call = read(node, "a1", X_Call_Class="booking", X_Budget_Ms="1500")
     assert node.deleted.get(timeout=WAIT_S).path.endswith("/a1")
     assert take(client).status == 500
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,7 +9,7 @@
 from tests.loopback import Node, event, read, take
 
 
-def test_a_request_is_read_and_its_stream_passed_on_unchanged(node: Node) -> None:
+def test_request_is_prefilled_and_its_stream_forwarded_unchanged(node: Node) -> None:
     body = b'{"model": "chat",  "stream":true, "messages":[]}'
     client = node.post("a1", body)
     first = node.reader[0].next()
@@ -26,7 +26,7 @@
     assert node.logged("request_ended")["how"] == "served"
 
 
-def test_a_piece_is_passed_on_at_once(node: Node) -> None:
+def test_event_is_forwarded_immediately(node: Node) -> None:
     client, call = read(node)
     call.begin().token("one")
     answer = client.getresponse()
@@ -35,7 +35,7 @@
     assert b"two" in answer.read()
 
 
-def test_a_break_after_the_first_token_is_no_clean_end(node: Node) -> None:
+def test_break_after_first_token_is_not_a_clean_end(node: Node) -> None:
     client, call = read(node)
     call.begin().token("one").drop()
     with pytest.raises(http.client.IncompleteRead) as broken:
@@ -55,7 +55,7 @@
         ("booking", None, {}, False),
     ],
 )
-def test_a_booking_goes_again_only_if_it_never_ran(
+def test_booking_is_retried_only_if_it_never_ran(
     node: Node, name: str, status: int | None, headers: dict[str, str], again: bool
 ) -> None:
     client, call = read(node, X_Call_Class=name)
@@ -72,7 +72,7 @@
         assert [each.method for each in node.writer[0].seen] == ["POST"]
 
 
-def test_a_state_that_is_gone_is_read_again(node: Node) -> None:
+def test_lost_entry_is_prefilled_again(node: Node) -> None:
     client, call = read(node)
     call.answer(410, X_Rejected="1")
     node.reader[0].next().read()
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("stage", ["reading", "writing"])
-def test_a_client_that_leaves_ends_the_attempt_and_what_is_held(node: Node, stage: str) -> None:
+def test_disconnect_ends_the_attempt_and_releases_the_entry(node: Node, stage: str) -> None:
     client = node.post("a1")
     call = node.reader[0].next()
     if stage == "writing":
@@ -95,7 +95,7 @@
     assert node.logged("request_ended")["how"] == "gone"
 
 
-def test_a_client_that_leaves_mid_stream_ends_it(node: Node) -> None:
+def test_disconnect_during_stream_ends_the_attempt(node: Node) -> None:
     client, call = read(node)
     call.begin().token("one")
     answer = client.getresponse()
@@ -106,7 +106,7 @@
     call.drop()
 
 
-def test_a_silent_server_is_answered_for_in_time(node: Node) -> None:
+def test_request_at_silent_server_is_answered_at_its_deadline(node: Node) -> None:
     client = node.post("a1", X_Budget_Ms="300")
     call = node.reader[0].next()
     answer = take(client)
@@ -115,7 +115,7 @@
     call.drop()
 
 
-def test_a_release_is_tried_again_until_it_is_heard(node: Node) -> None:
+def test_release_is_retried_until_it_arrives(node: Node) -> None:
     """What a reader holds stays pinned otherwise; here the first connection for it breaks."""
     client, call = read(node)
     node.reader[0].refuse_next = True
@@ -126,7 +126,7 @@
     assert not node.reader[0].refuse_next
 
 
-def test_a_request_that_no_server_hears_is_refused_not_failed(tmp_path: Path) -> None:
+def test_request_that_reaches_no_decode_server_is_rejected_not_failed(tmp_path: Path) -> None:
     """Refused connections prove that a booking never ran: its client may ask again."""
     with Node(tmp_path) as node:
         client = node.post("a1", X_Call_Class="booking", X_Budget_Ms="1500")
@@ -137,13 +137,13 @@
         assert node.deleted.get(timeout=10).path == "/internal/reservations/a1"
 
 
-def test_nothing_goes_to_a_server_that_drains(tmp_path: Path) -> None:
+def test_draining_server_gets_no_requests(tmp_path: Path) -> None:
     with Node(tmp_path, writers=2) as node:
         watch = node.watches.get(timeout=10)
-        told = node.listing(8, w0="leaving")
-        told["endpoints"] = [each for each in told["endpoints"] if each["name"] == "w0"]
-        told["snapshot"] = False
-        watch.chunk(json.dumps(told) + "\n")
+        endpoint_list = node.listing(8, w0="leaving")
+        endpoint_list["endpoints"] = [each for each in endpoint_list["endpoints"] if each["name"] == "w0"]
+        endpoint_list["snapshot"] = False
+        watch.chunk(json.dumps(endpoint_list) + "\n")
         while node.logged("endpoint_list_received")["index"] != 8:
             pass
         for number in range(6):
@@ -154,7 +154,7 @@
         assert not node.writer[0].seen
 
 
-def test_a_stale_connection_is_not_written_to(node: Node) -> None:
+def test_stale_connection_is_not_reused(node: Node) -> None:
     """A server that closed a kept connection would end a booking as a reset, which may have run."""
     client, call = read(node, X_Call_Class="booking")
     call.hang_up_after().serve("x")
--- a/tests/test_platform_life.py
+++ b/tests/test_platform_life.py
@@ -10,7 +10,7 @@
 from tests.loopback import Node, StandIn, read, take
 
 
-def test_a_stop_finishes_what_was_taken(node: Node) -> None:
+def test_shutdown_completes_accepted_requests(node: Node) -> None:
     client, call = read(node)
     idle = node.client()
     idle.connect()
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(("name", "status"), [("booking", 500), ("query", 503)])
-def test_what_has_not_begun_when_a_stop_runs_out_is_answered_before_the_kill(
+def test_requests_without_a_stream_are_answered_before_the_shutdown_deadline(
     node: Node, name: str, status: int
 ) -> None:
     """Its class's deadline is 5 s, which counts as 3 s; the kill comes 0.7 s later."""
@@ -44,7 +44,7 @@
     assert node.process.wait(10) == 0 and time.monotonic() - begun < 10  # not the 60 s that the client waits
 
 
-def test_a_state_that_discovery_invents_gets_nothing_new(tmp_path: Path) -> None:
+def test_server_with_unknown_status_gets_no_requests(tmp_path: Path) -> None:
     with Node(tmp_path, writers=2) as node:
         node.watches.get(timeout=10).chunk(json.dumps(node.listing(8, w0="resting")) + "\n")
         while node.logged("endpoint_list_received")["index"] != 8:
@@ -55,7 +55,7 @@
         assert take(client).status == 200
 
 
-def test_a_watch_that_ends_is_made_again_from_the_last_index(node: Node) -> None:
+def test_ended_watch_is_restarted_from_the_last_index(node: Node) -> None:
     first = node.watches.get(timeout=10)
     assert first.path == "/v1/endpoints?watch=1&after=7"
     first.chunk(json.dumps(node.listing(9)) + "\n")
@@ -65,19 +65,19 @@
     assert node.watches.get(timeout=10).path == "/v1/endpoints?watch=1&after=9"
 
 
-def test_sighup_moves_discovery_at_once_and_a_bad_file_changes_nothing(node: Node) -> None:
+def test_sighup_changes_discovery_immediately_and_an_invalid_file_changes_nothing(node: Node) -> None:
     """Its default action ends the process; a restart may come on the same day."""
     client, call = read(node)
     old = node.watches.get(timeout=10)
     (node.folder / "config.json").write_text("{")
     node.process.send_signal(signal.SIGHUP)
     assert "config.json" in node.logged("reload_failed")["error"]
-    moved = StandIn()
-    node.configure(discovery=moved.address, limits={"sockets": 128})
+    new_discovery = StandIn()
+    node.configure(discovery=new_discovery.address, limits={"sockets": 128})
     node.process.send_signal(signal.SIGHUP)
-    told = node.logged("reloaded")
-    assert told["discovery"] == moved.address and told["waits_for_restart"] == ["sockets"]
-    watch = moved.next()
+    reloaded = node.logged("reloaded")
+    assert reloaded["discovery"] == new_discovery.address and reloaded["waits_for_restart"] == ["sockets"]
+    watch = new_discovery.next()
     assert watch.path == "/v1/endpoints?watch=1&after=7" and old.closed()
     node.process.send_signal(signal.SIGTERM)
     node.logged("stopping")
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -16,9 +16,9 @@
 from tests.standins import play
 from tests.test_client_pace import request
 
-REQUESTS = 8
-BUSY_S = 2.0  # that a busy machine may add to a bound
-LOOK_S = 0.01  # how often a condition is looked at
+REQUEST_COUNT = 8
+SLACK_S = 2.0  # that a busy machine may add to a bound
+POLL_INTERVAL_S = 0.01  # how often a condition is looked at
 
 
 @pytest.fixture
@@ -50,17 +50,17 @@
 
     def open_client(self) -> socket.socket:
         """A client that knows the address from before."""
-        until = time.monotonic() + WAIT_S
+        deadline_s = time.monotonic() + WAIT_S
         while True:
             try:
                 return self.node.connect()
             except ConnectionRefusedError:
-                assert time.monotonic() < until
-                time.sleep(LOOK_S)
+                assert time.monotonic() < deadline_s
+                time.sleep(POLL_INTERVAL_S)
 
-    def ask(self) -> list[socket.socket]:
+    def send_requests(self) -> list[socket.socket]:
         """Send requests of several sessions, each over its own connection."""
-        clients = [self.open_client() for _ in range(REQUESTS)]
+        clients = [self.open_client() for _ in range(REQUEST_COUNT)]
         for number, client in enumerate(clients):
             session = f"{number:016x}".encode()
             client.sendall(request(f"a{number}").replace(b"7f3a9c21e0b4d655", session))
@@ -70,14 +70,16 @@
 def first_listing(node: Node, how: str) -> str:
     """The list that discovery has: r1 and w0 are not to be used any more."""
     status = "left" if how == "left" else "leaving"
-    told = node.listing(9, r1=status, w0=status)
+    endpoint_list = node.listing(9, r1=status, w0=status)
     if how == "absent":
-        told["endpoints"] = [each for each in told["endpoints"] if each["status"] == "active"]
-    told["snapshot"] = how != "left"
-    return json.dumps(told) + "\n"
+        endpoint_list["endpoints"] = [
+            each for each in endpoint_list["endpoints"] if each["status"] == "active"
+        ]
+    endpoint_list["snapshot"] = how != "left"
+    return json.dumps(endpoint_list) + "\n"
 
 
-def all_by_the_others(node: Node, clients: list[socket.socket]) -> bool:
+def all_served_by_remaining_servers(node: Node, clients: list[socket.socket]) -> bool:
     """Whether all are served, and nothing was sent to a server that leaves."""
     play(node.reader[0], Call.read)
     play(node.writer[1], lambda call: call.serve("x"))
@@ -89,38 +91,40 @@
 
 
 @pytest.mark.parametrize("how", ["leaving", "absent", "left"])
-def test_clients_that_come_before_a_slow_first_word_go_by_it(node: Node, how: str) -> None:
+def test_early_requests_wait_for_a_slow_endpoint_list(node: Node, how: str) -> None:
     discovery = StandIn()
     restart = Restart(node, discovery)
-    clients = restart.ask()
+    clients = restart.send_requests()
     watch = discovery.next().begin()
     watch.chunk(first_listing(node, how)[:30])  # a piece of it is no word
     watch.chunk(first_listing(node, how)[30:])
-    assert all_by_the_others(node, clients)
+    assert all_served_by_remaining_servers(node, clients)
     assert "endpoint_list_late" not in restart.wait_ready()
-    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
+    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + SLACK_S
 
 
-def test_clients_that_come_while_the_first_call_is_answered_in_vain_go_by_the_second(node: Node) -> None:
+def test_early_requests_wait_for_the_second_discovery_call_if_the_first_is_silent(node: Node) -> None:
     discovery = StandIn()
     restart = Restart(node, discovery)
-    clients = restart.ask()
+    clients = restart.send_requests()
     discovery.next()  # accepted, and no word
     discovery.next().begin().chunk(first_listing(node, "leaving"))
-    assert all_by_the_others(node, clients)
+    assert all_served_by_remaining_servers(node, clients)
     assert "endpoint_list_late" not in restart.wait_ready()
-    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
+    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + SLACK_S
 
 
-def test_beside_a_silent_discovery_it_is_ready_in_time_and_obeys_the_first_word(node: Node) -> None:
+def test_process_without_discovery_becomes_ready_in_time_and_applies_a_later_endpoint_list(
+    node: Node,
+) -> None:
     discovery = StandIn()
     restart = Restart(node, discovery)
     assert "endpoint_list_late" in restart.wait_ready()
-    assert ENDPOINT_LIST_TIMEOUT_S < restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
+    assert ENDPOINT_LIST_TIMEOUT_S < restart.took_s < ENDPOINT_LIST_TIMEOUT_S + SLACK_S
     while not discovery.calls.empty():  # several were asked in vain by then
         call = discovery.next()
     assert call.closed()
     discovery.next().begin().chunk(first_listing(node, "leaving"))
     while restart.process.logged("endpoint_list_received")["index"] != 9:
         pass
-    assert all_by_the_others(node, restart.ask())
+    assert all_served_by_remaining_servers(node, restart.send_requests())
--- a/tests/wire/clients/chat/helpers.py
+++ b/tests/wire/clients/chat/helpers.py
@@ -12,12 +12,15 @@
 yard = "query"
 book = "booking"
 """
-HELLO: dict[str, Any] = {"model": "yard", "messages": [{"role": "user", "content": "is room 14 free?"}]}
-STREAM = HELLO | {"stream": True}
-BOOK = STREAM | {"model": "book"}
+CHAT_REQUEST: dict[str, Any] = {
+    "model": "yard",
+    "messages": [{"role": "user", "content": "is room 14 free?"}],
+}
+STREAM_REQUEST = CHAT_REQUEST | {"stream": True}
+BOOKING_REQUEST = STREAM_REQUEST | {"model": "book"}
 
 
-def writing(node: Node) -> Call:
+def wait_for_decode(node: Node) -> Call:
     """Let a request be read; give the call at the writer."""
     node.reader[0].next().read()
     return node.writer[0].next()
@@ -33,7 +36,7 @@
     )
 
 
-def first_id(answer: Any) -> str:
+def read_first_event_id(answer: Any) -> str:
     """Read a stream's first event; give its id."""
     line: str = answer.readline().decode()
     assert line.startswith("id: ")
@@ -42,5 +45,5 @@
     return line[4:].strip()
 
 
-def resume(node: Node, question: Any, last: str) -> Answer:
-    return take(node.chat(question, Last_Event_ID=last))
+def resume(node: Node, chat_request: Any, last_event_id: str) -> Answer:
+    return take(node.chat(chat_request, Last_Event_ID=last_event_id))
--- a/tests/wire/clients/chat/test_departures.py
+++ b/tests/wire/clients/chat/test_departures.py
@@ -11,46 +11,48 @@
 from ringledge.wire.clients.chat.answer import SessionSink
 from ringledge.wire.clients.chat.stream_sessions import SessionEnd, StreamSession
 from tests.loopback import Node
-from tests.wire.clients.chat.helpers import HELLO
+from tests.wire.clients.chat.helpers import CHAT_REQUEST
 
 
-class Client:
+class Follower:
     """A connection that follows an answer."""
 
-    def __init__(self, left: bool) -> None:
-        self.left = left
+    def __init__(self, disconnected: bool) -> None:
+        self.disconnected = disconnected
 
     def peer_disconnected(self) -> bool:
-        return self.left
+        return self.disconnected
 
 
-def session(*left: bool, began: bool = False, end: SessionEnd | None = None) -> StreamSession:
-    record: Any = SimpleNamespace(streaming=began)
-    return StreamSession("a", {}, 0, 100.0, record=record, end=end, followers={Client(each) for each in left})
+def session(*disconnected: bool, is_streaming: bool = False, end: SessionEnd | None = None) -> StreamSession:
+    record: Any = SimpleNamespace(streaming=is_streaming)
+    return StreamSession(
+        "a", {}, 0, 100.0, record=record, end=end, followers={Follower(each) for each in disconnected}
+    )
 
 
 @pytest.mark.parametrize(
-    ("told", "gone"),
+    ("followed", "expected"),
     [
         (session(True), True),
         (session(True, True), True),
         (session(True, False), False),
         (session(False), False),
-        (session(True, began=True), False),  # it runs on, and may be come back for
+        (session(True, is_streaming=True), False),  # it runs on, and may be come back for
         (session(True, end=SessionEnd.SERVED), False),
         (session(), False),  # its connection is about to follow it
     ],
     ids="left both-left one-left stays begun ended nobody-yet".split(),
 )
-def test_a_client_has_gone_once_all_that_follow_an_answer_that_has_not_begun_have(
-    told: StreamSession, gone: bool
+def test_client_is_disconnected_once_all_followers_left_before_the_stream(
+    followed: StreamSession, expected: bool
 ) -> None:
-    assert SessionSink(told).is_disconnected() is gone
+    assert SessionSink(followed).is_disconnected() is expected
 
 
-def test_nothing_follows_for_a_chat_client_that_left_between_prefill_and_decode(node: Node) -> None:
+def test_no_decode_is_sent_for_chat_client_that_disconnected_during_prefill(node: Node) -> None:
     for _ in range(4):
-        client = node.chat(HELLO)
+        client = node.chat(CHAT_REQUEST)
         call = node.reader[0].next()
         node.process.send_signal(signal.SIGSTOP)  # both are there when it goes on
         call.read()
--- a/tests/wire/clients/chat/test_errors.py
+++ b/tests/wire/clients/chat/test_errors.py
@@ -8,63 +8,70 @@
 import pytest
 
 from tests.loopback import Call, Node, take
-from tests.wire.clients.chat.helpers import BOOK, CHAT, HELLO, STREAM, text, writing
+from tests.wire.clients.chat.helpers import (
+    BOOKING_REQUEST,
+    CHAT,
+    CHAT_REQUEST,
+    STREAM_REQUEST,
+    text,
+    wait_for_decode,
+)
 
 
 @pytest.mark.parametrize(
-    ("told", "headers", "status", "code", "param"),
+    ("chat_request", "headers", "status", "code", "param"),
     [
         (b"{", {}, 400, "invalid_json", None),
         (b"[]", {}, 400, "invalid_json", None),
-        ({"messages": HELLO["messages"]}, {}, 400, "missing_field", "model"),
+        ({"messages": CHAT_REQUEST["messages"]}, {}, 400, "missing_field", "model"),
         ({"model": "yard"}, {}, 400, "missing_field", "messages"),
-        (HELLO | {"messages": "hi"}, {}, 400, "invalid_type", "messages"),
-        (HELLO | {"messages": [{"role": "user"}]}, {}, 400, "invalid_message", "messages"),
-        (HELLO | {"model": "other"}, {}, 404, "model_not_found", "model"),
-        (HELLO | {"stream": "yes"}, {}, 400, "invalid_type", "stream"),
-        (HELLO | {"max_tokens": 0}, {}, 400, "invalid_value", "max_tokens"),
-        (HELLO | {"max_tokens": 10**400}, {}, 400, "invalid_json", None),
-        (HELLO | {"max_tokens": 10**9}, {}, 400, "invalid_value", "max_tokens"),
-        (HELLO | {"n": 2}, {}, 400, "unsupported_value", "n"),
-        (HELLO, {"X_Call_Class": "none"}, 400, "unknown_class", "X-Call-Class"),
-        (HELLO, {"X_Caller": "none"}, 400, "unknown_caller", "X-Caller"),
-        (HELLO, {"X_Budget_Ms": "soon"}, 400, "invalid_value", "X-Budget-Ms"),
-        (HELLO, {"Idempotency_Key": "k" * 257}, 400, "invalid_value", "Idempotency-Key"),
-        (STREAM, {"Last_Event_ID": "chatcmpl-1:4"}, 404, "stream_not_found", "Last-Event-ID"),
+        (CHAT_REQUEST | {"messages": "hi"}, {}, 400, "invalid_type", "messages"),
+        (CHAT_REQUEST | {"messages": [{"role": "user"}]}, {}, 400, "invalid_message", "messages"),
+        (CHAT_REQUEST | {"model": "other"}, {}, 404, "model_not_found", "model"),
+        (CHAT_REQUEST | {"stream": "yes"}, {}, 400, "invalid_type", "stream"),
+        (CHAT_REQUEST | {"max_tokens": 0}, {}, 400, "invalid_value", "max_tokens"),
+        (CHAT_REQUEST | {"max_tokens": 10**400}, {}, 400, "invalid_json", None),
+        (CHAT_REQUEST | {"max_tokens": 10**9}, {}, 400, "invalid_value", "max_tokens"),
+        (CHAT_REQUEST | {"n": 2}, {}, 400, "unsupported_value", "n"),
+        (CHAT_REQUEST, {"X_Call_Class": "none"}, 400, "unknown_class", "X-Call-Class"),
+        (CHAT_REQUEST, {"X_Caller": "none"}, 400, "unknown_caller", "X-Caller"),
+        (CHAT_REQUEST, {"X_Budget_Ms": "soon"}, 400, "invalid_value", "X-Budget-Ms"),
+        (CHAT_REQUEST, {"Idempotency_Key": "k" * 257}, 400, "invalid_value", "Idempotency-Key"),
+        (STREAM_REQUEST, {"Last_Event_ID": "chatcmpl-1:4"}, 404, "stream_not_found", "Last-Event-ID"),
         pytest.param(b"x" * (256 * 1024 + 1), {}, 413, "invalid_request", None, id="too long"),
     ],
 )
-def test_errors_name_what_is_wrong(
-    node: Node, told: Any, headers: dict[str, str], status: int, code: str, param: str | None
+def test_error_names_the_invalid_field(
+    node: Node, chat_request: Any, headers: dict[str, str], status: int, code: str, param: str | None
 ) -> None:
-    answer = take(node.chat(told, **headers))
+    answer = take(node.chat(chat_request, **headers))
     error = answer.json()["error"]
     assert (answer.status, error["code"], error["param"]) == (status, code, param)
     assert error["message"] and error["type"]
     assert not node.reader[0].seen
 
 
-def test_a_deadline_that_passes_while_it_may_run_is_a_504(node: Node) -> None:
-    client = node.chat(BOOK, X_Budget_Ms="400")
-    call = writing(node)
+def test_deadline_exceeded_after_request_may_have_run_gets_504(node: Node) -> None:
+    client = node.chat(BOOKING_REQUEST, X_Budget_Ms="400")
+    call = wait_for_decode(node)
     answer = take(client)
     assert (answer.status, answer.json()["error"]["code"]) == (504, "deadline_exceeded")
     call.drop()
 
 
-def test_a_refusal_says_when_to_come_back(node: Node) -> None:
-    client = node.chat(HELLO, X_Budget_Ms="300")
+def test_rejection_has_retry_after(node: Node) -> None:
+    client = node.chat(CHAT_REQUEST, X_Budget_Ms="300")
     answer = take(client)
     assert (answer.status, answer.json()["error"]["code"]) == (503, "overloaded")
     assert float(answer.headers["retry-after"]) > 0
     node.reader[0].next().drop()
 
 
-def test_too_many_answers_under_way_are_a_429(tmp_path: Path) -> None:
+def test_too_many_sessions_get_429(tmp_path: Path) -> None:
     with Node(tmp_path, files={"chat.toml": CHAT.replace("[models]", "sessions = 1\n[models]")}) as node:
-        client = node.chat(STREAM)
-        call = writing(node)
-        assert take(node.chat(STREAM)).status == 429
+        client = node.chat(STREAM_REQUEST)
+        call = wait_for_decode(node)
+        assert take(node.chat(STREAM_REQUEST)).status == 429
         call.serve("x")
         assert take(client).status == 200
 
@@ -75,9 +82,9 @@
     calls: dict[str, Call] = {}
     clients = {}
     for number, how in enumerate(ends):
-        told = BOOK | {"messages": [{"role": "user", "content": f"{how} {number}"}]}
-        clients[f"{how} {number}"] = node.chat(told)
-        call = writing(node)
+        chat_request = BOOKING_REQUEST | {"messages": [{"role": "user", "content": f"{how} {number}"}]}
+        clients[f"{how} {number}"] = node.chat(chat_request)
+        call = wait_for_decode(node)
         calls[json.loads(call.body)["messages"][0]["content"]] = call
     assert calls.keys() == clients.keys()
     expected = {}
@@ -106,9 +113,9 @@
     assert sum(call.method == "POST" for call in node.writer[0].seen) == len(ends)
 
 
-def test_an_event_that_cannot_be_read_breaks_the_stream_and_is_no_fault_of_ours(node: Node) -> None:
-    client = node.chat(STREAM)
-    writing(node).begin().token("one").chunk("data: {oops\n\n")
+def test_malformed_event_from_server_breaks_the_stream_as_attempt_reset(node: Node) -> None:
+    client = node.chat(STREAM_REQUEST)
+    wait_for_decode(node).begin().token("one").chunk("data: {oops\n\n")
     with pytest.raises(http.client.IncompleteRead):
         take(client)
     assert "event can't be read" in node.logged("attempt_reset")["error"]
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -18,7 +18,7 @@
 from tests.wire.clients.chat.queued import ASYNC, SiteProcess, run_scenario
 
 
-def test_a_queued_request_is_polled_at_any_process_until_it_is_served(tmp_path: Path) -> None:
+def test_queued_request_can_be_polled_at_any_process_until_it_is_served(tmp_path: Path) -> None:
     async def scenario(first: SiteProcess) -> None:
         accepted = await first.post(Prefer="wait=1, Respond-Async; x=1")
         location = accepted.headers["location"]
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     ("prefer", "state"), [("", SiteState.PARTITIONED), ("respond-async", SiteState.AVAILABLE)]
 )
-def test_a_request_is_run_at_once_without_the_preference_or_while_the_site_is_open(
+def test_request_runs_immediately_without_the_preference_or_while_the_site_is_available(
     tmp_path: Path, prefer: str, state: SiteState
 ) -> None:
     async def scenario(process: SiteProcess) -> None:
@@ -68,7 +68,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_only_its_tenant_may_poll_an_entry_and_withdraw_it_while_it_waits(tmp_path: Path) -> None:
+def test_only_the_tenant_of_an_entry_can_poll_it_and_withdraw_it_while_it_waits(tmp_path: Path) -> None:
     async def scenario(process: SiteProcess) -> None:
         location = (await process.post(**ASYNC)).headers["location"]
         other_tenant = {"X-Caller": "yard"}
--- a/tests/wire/clients/test_closing.py
+++ b/tests/wire/clients/test_closing.py
@@ -22,19 +22,19 @@
 from ringledge.wire.http.sockets import connect, listen
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-LAST = GET.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
-AHEAD = b"x" * 100_000  # more than is read ahead
+LAST_GET = GET.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
+OVERSIZED_INPUT = b"x" * 100_000  # more than is read ahead
 
 
-class Played:
+class FrontHarness:
     """A front in this process, and how many requests it was asked."""
 
     def __init__(self, body: bytes = b"served") -> None:
-        self.asked, self._body = 0, body
+        self.request_count, self._body = 0, body
         self._listener = listen("127.0.0.1:0")
         self.front = Front(
             FrontOptions("test", 8),
-            RequestHandling(self._handle, self._error),
+            RequestHandling(self._handle, self._error_body),
             BodyMemory(1e6),
             Metrics(),
             on_queue_delay=lambda _: None,
@@ -42,23 +42,23 @@
 
     async def _handle(self, conn: Connection, head: h11.Request) -> None:
         await read_body(conn, head)
-        self.asked += 1
+        self.request_count += 1
         await respond(conn, 200, self._body)
 
-    def _error(self, told: HttpError) -> bytes:
-        return told.reason.encode()
+    def _error_body(self, error: HttpError) -> bytes:
+        return error.reason.encode()
 
-    def dial(self, receive: int | None = None) -> socket.socket:
+    def open_client(self, receive_buffer_bytes: int | None = None) -> socket.socket:
         sock = socket.socket()
-        if receive is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
+        if receive_buffer_bytes is not None:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         sock.settimeout(10)
         sock.connect(self._listener.getsockname())
         return sock
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         with anyio.fail_after(10):
-            while not holds():
+            while not condition():
                 await anyio.sleep(0.005)
 
     @asynccontextmanager
@@ -70,27 +70,29 @@
                 tasks.cancel_scope.cancel()
 
 
-def everything(sock: socket.socket) -> bytes:
+def read_to_end(sock: socket.socket) -> bytes:
     """All that comes to the clean end; a reset is an error."""
-    told = b""
+    received = b""
     while data := sock.recv(65536):
-        told += data
-    return told
+        received += data
+    return received
 
 
 def test_close_with_unread_input_loses_no_answer() -> None:
     """The kernel resets such a connection, and drops what of the answer its client has not taken yet."""
 
     async def run() -> None:
-        at = Played(b"y" * 32_000)
-        async with at.serving():
-            with at.dial(receive=4096) as client:
-                client.sendall(LAST)
-                client.sendall(AHEAD[:60_000])
-                await at.until(lambda: at.asked == 1 and not at.front.connections.active)
-                told = await anyio.to_thread.run_sync(everything, client)
-            assert told.startswith(b"HTTP/1.1 200") and told.endswith(b"y" * 32_000)
-            await at.until(lambda: at.front.open == 0)
+        harness = FrontHarness(b"y" * 32_000)
+        async with harness.serving():
+            with harness.open_client(receive_buffer_bytes=4096) as client:
+                client.sendall(LAST_GET)
+                client.sendall(OVERSIZED_INPUT[:60_000])
+                await harness.wait_until(
+                    lambda: harness.request_count == 1 and not harness.front.connections.active
+                )
+                received = await anyio.to_thread.run_sync(read_to_end, client)
+            assert received.startswith(b"HTTP/1.1 200") and received.endswith(b"y" * 32_000)
+            await harness.wait_until(lambda: harness.front.open == 0)
 
     anyio.run(run)
 
@@ -99,39 +101,39 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its client sends it once more elsewhere; here it is never sent on."""
-    decided = open_connections.nothing_unread
+    original = open_connections.nothing_unread
 
     async def run() -> None:
-        at = Played()
-        async with at.serving():
-            with at.dial() as client:
+        harness = FrontHarness()
+        async with harness.serving():
+            with harness.open_client() as client:
                 client.sendall(GET)
-                await at.until(lambda: len(at.front.connections.between_requests) == 1)
+                await harness.wait_until(lambda: len(harness.front.connections.between_requests) == 1)
 
-                def quiet(conn: Connection) -> bool:
-                    told = decided(conn)
+                def nothing_unread_then_send(conn: Connection) -> bool:
+                    result = original(conn)
                     client.sendall(GET)
-                    return told
+                    return result
 
-                monkeypatch.setattr(open_connections, "nothing_unread", quiet)
-                at.front.connections.drain()
-                told = await anyio.to_thread.run_sync(everything, client)
-            assert told.count(b"HTTP/1.1 200") == 1 and at.asked == 1
-            await at.until(lambda: at.front.open == 0)
+                monkeypatch.setattr(open_connections, "nothing_unread", nothing_unread_then_send)
+                harness.front.connections.drain()
+                received = await anyio.to_thread.run_sync(read_to_end, client)
+            assert received.count(b"HTTP/1.1 200") == 1 and harness.request_count == 1
+            await harness.wait_until(lambda: harness.front.open == 0)
 
     anyio.run(run)
 
 
 def test_request_after_shutdown_of_sending_side_is_discarded() -> None:
     async def run() -> None:
-        at = Played()
-        async with at.serving():
-            with at.dial() as client:
-                client.sendall(LAST)
-                assert (await anyio.to_thread.run_sync(everything, client)).startswith(b"HTTP/1.1 200")
+        harness = FrontHarness()
+        async with harness.serving():
+            with harness.open_client() as client:
+                client.sendall(LAST_GET)
+                assert (await anyio.to_thread.run_sync(read_to_end, client)).startswith(b"HTTP/1.1 200")
                 client.sendall(GET)
-            await at.until(lambda: at.front.open == 0)
-            assert at.asked == 1
+            await harness.wait_until(lambda: harness.front.open == 0)
+            assert harness.request_count == 1
 
     anyio.run(run)
 
@@ -140,11 +142,11 @@
     monkeypatch.setattr(closing, "LINGER_S", 0.05)
 
     async def run() -> None:
-        at = Played()
-        async with at.serving():
-            with at.dial() as client:
-                client.sendall(LAST)
-                await at.until(lambda: at.asked == 1 and at.front.open == 0)
+        harness = FrontHarness()
+        async with harness.serving():
+            with harness.open_client() as client:
+                client.sendall(LAST_GET)
+                await harness.wait_until(lambda: harness.request_count == 1 and harness.front.open == 0)
 
     anyio.run(run)
 
@@ -154,19 +156,19 @@
 
     def send_without_end(client: socket.socket) -> None:
         for _ in range(1000):
-            client.sendall(AHEAD)
+            client.sendall(OVERSIZED_INPUT)
 
     def send(client: socket.socket) -> None:
         with pytest.raises(ConnectionError):
             send_without_end(client)
 
     async def run() -> None:
-        at = Played()
-        async with at.serving():
-            with at.dial() as client:
-                client.sendall(LAST)
+        harness = FrontHarness()
+        async with harness.serving():
+            with harness.open_client() as client:
+                client.sendall(LAST_GET)
                 await anyio.to_thread.run_sync(send, client)
-                await at.until(lambda: at.front.open == 0)
+                await harness.wait_until(lambda: harness.front.open == 0)
 
     anyio.run(run)
 
@@ -175,18 +177,18 @@
     monkeypatch.setattr(closing, "LINGER_S", 60.0)
 
     async def run() -> None:
-        at = Played()
-        async with at.serving():
-            clients = [at.dial() for _ in range(at.front.connections.limit)]
+        harness = FrontHarness()
+        async with harness.serving():
+            clients = [harness.open_client() for _ in range(harness.front.connections.limit)]
             for client in clients:
-                client.sendall(LAST)
-            await at.until(lambda: len(at.front.connections.lingering) == len(clients))
-            with at.dial() as client:
-                client.sendall(LAST)
-                assert (await anyio.to_thread.run_sync(everything, client)).startswith(b"HTTP/1.1 200")
+                client.sendall(LAST_GET)
+            await harness.wait_until(lambda: len(harness.front.connections.lingering) == len(clients))
+            with harness.open_client() as client:
+                client.sendall(LAST_GET)
+                assert (await anyio.to_thread.run_sync(read_to_end, client)).startswith(b"HTTP/1.1 200")
             for client in clients:
                 client.close()
-            await at.until(lambda: at.front.open == 0)
+            await harness.wait_until(lambda: harness.front.open == 0)
 
     anyio.run(run)
 
@@ -195,12 +197,12 @@
     """What the system held back would go with a reset, and late in any case."""
 
     async def run() -> None:
-        at = Played()
-        async with at.serving():
-            with at.dial() as client:
+        harness = FrontHarness()
+        async with harness.serving():
+            with harness.open_client() as client:
                 client.sendall(GET[:5])
-                await at.until(lambda: len(at.front.connections.active) == 1)
-                (conn,) = at.front.connections.active
+                await harness.wait_until(lambda: len(harness.front.connections.active) == 1)
+                (conn,) = harness.front.connections.active
                 host, port = client.getpeername()
                 upstream = await connect(f"{host}:{port}", 10)
                 for sock in (conn.sock, upstream.sock):
--- a/tests/wire/clients/test_front_capacity.py
+++ b/tests/wire/clients/test_front_capacity.py
@@ -19,7 +19,7 @@
 from ringledge.wire.http.sockets import listen
 
 LIMITS = [4, 16]  # one, two more are let in to be told no
-WHOLE = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 async def handle(conn: Connection, head: h11.Request) -> None:
@@ -27,13 +27,15 @@
     await respond(conn, 200, b"served")
 
 
-def error(told: HttpError) -> bytes:
-    return told.reason.encode()
+def error_body(error: HttpError) -> bytes:
+    return error.reason.encode()
 
 
 @pytest.mark.parametrize("limit", LIMITS)
-@pytest.mark.parametrize("ahead", [b"GET / HT", b""])
-def test_incomplete_requests_of_same_iteration_are_evicted_for_complete_one(ahead: bytes, limit: int) -> None:
+@pytest.mark.parametrize("partial_request", [b"GET / HT", b""])
+def test_incomplete_requests_of_same_iteration_are_evicted_for_complete_one(
+    partial_request: bytes, limit: int
+) -> None:
     """All lie in the backlog as the front begins: none of them could give way while its bytes were unread."""
 
     async def run() -> bytes:
@@ -41,9 +43,11 @@
         address = listener.getsockname()
         socks = [socket.create_connection(address, 10) for _ in range(limit + max(1, limit // 8))]
         for sock in socks[:-1]:
-            sock.sendall(ahead)
-        socks[-1].sendall(WHOLE)
-        front = Front(FrontOptions("test", limit), RequestHandling(handle, error), BodyMemory(1e6), Metrics())
+            sock.sendall(partial_request)
+        socks[-1].sendall(REQUEST)
+        front = Front(
+            FrontOptions("test", limit), RequestHandling(handle, error_body), BodyMemory(1e6), Metrics()
+        )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(front.serve, listener, tasks)
             answer = await anyio.to_thread.run_sync(socks[-1].recv, 4096)
--- a/tests/wire/clients/test_idle_connections.py
+++ b/tests/wire/clients/test_idle_connections.py
@@ -21,15 +21,15 @@
         yield each
 
 
-def answer(sock: socket.socket, whole: bytes = b'"ready":true}') -> bytes:
+def read_response(sock: socket.socket, end: bytes = b'"ready":true}') -> bytes:
     """What comes until the answer is whole, or the connection ends."""
-    told = b""
-    while whole not in told and (data := sock.recv(4096)):
-        told += data
-    return told
+    received = b""
+    while end not in received and (data := sock.recv(4096)):
+        received += data
+    return received
 
 
-def ends(sock: socket.socket) -> bool:
+def wait_for_close(sock: socket.socket) -> bool:
     """Wait until the other side closes it."""
     try:
         return not sock.recv(1)
@@ -43,36 +43,36 @@
             time.sleep(pause_s)
             sock.sendall(READY[:20])
             sock.sendall(READY[20:])
-            assert answer(sock).startswith(b"HTTP/1.1 200")
+            assert read_response(sock).startswith(b"HTTP/1.1 200")
         time.sleep(0.8)
         sock.sendall(READY[:9])
         time.sleep(0.7)  # half a head is no rest
         sock.sendall(READY[9:] + READY)
-        assert answer(sock).startswith(b"HTTP/1.1 200")
+        assert read_response(sock).startswith(b"HTTP/1.1 200")
 
 
 def test_pipelined_requests_on_idle_connection_are_all_answered(node: Node) -> None:
     with node.connect() as sock:
         sock.sendall(READY)
-        assert answer(sock)
+        assert read_response(sock)
         time.sleep(0.9)
         sock.sendall(READY * 3)
-        told = b""
-        while told.count(b'"ready":true}') < 3:
-            told += sock.recv(4096)
-        assert told.count(b"HTTP/1.1 200") == 3
+        received = b""
+        while received.count(b'"ready":true}') < 3:
+            received += sock.recv(4096)
+        assert received.count(b"HTTP/1.1 200") == 3
 
 
 def test_thousands_of_silent_connections_time_out_without_delaying_others(node: Node) -> None:
     silent = [node.connect() for _ in range(1500)]
     with node.connect() as sock:
         sock.sendall(READY)
-        assert answer(sock).startswith(b"HTTP/1.1 200")
+        assert read_response(sock).startswith(b"HTTP/1.1 200")
     client = node.post("a1")
     node.reader[0].next().read()
     node.writer[0].next().serve("ok")
     assert take(client).status == 200
-    assert all(ends(sock) for sock in silent)
+    assert all(wait_for_close(sock) for sock in silent)
     for sock in silent:
         sock.close()
 
@@ -82,35 +82,35 @@
     socks = [node.connect() for _ in range(120)]
     for sock in socks:
         sock.sendall(READY)
-        assert answer(sock)
+        assert read_response(sock)
     began = time.monotonic()
     answered = closed = 0
     for number, sock in enumerate(socks):
-        at = began + 1.7 + number * 0.006
-        time.sleep(max(0.0, at - time.monotonic()))
+        send_s = began + 1.7 + number * 0.006
+        time.sleep(max(0.0, send_s - time.monotonic()))
         try:
             sock.sendall(READY)
-            told = answer(sock)
+            received = read_response(sock)
         except (BrokenPipeError, ConnectionResetError):
-            told = b""
-        answered += told.startswith(b"HTTP/1.1 200") and told.endswith(b"}")
-        closed += told == b""
+            received = b""
+        answered += received.startswith(b"HTTP/1.1 200") and received.endswith(b"}")
+        closed += received == b""
         sock.close()
     assert answered + closed == len(socks) and answered > 0
 
 
 def test_flood_is_evicted_before_connection_with_request(tmp_path: Path) -> None:
     with Node(tmp_path, sockets=128) as node:  # 28 connections of clients, and three more
-        asked = node.connect()
-        asked.sendall(READY)
-        assert answer(asked)
+        client = node.connect()
+        client.sendall(READY)
+        assert read_response(client)
         flood = [node.connect() for _ in range(60)]
-        asked.sendall(READY)
-        assert answer(asked).startswith(b"HTTP/1.1 200")
+        client.sendall(READY)
+        assert read_response(client).startswith(b"HTTP/1.1 200")
         with node.connect() as new:
             new.sendall(READY)
-            assert answer(new).startswith(b"HTTP/1.1 200")
-        for sock in (asked, *flood):
+            assert read_response(new).startswith(b"HTTP/1.1 200")
+        for sock in (client, *flood):
             sock.close()
 
 
@@ -122,7 +122,7 @@
         assert node.logged("idle_connections_evicted")
         with node.connect() as new:
             new.sendall(READY)
-            assert answer(new).startswith(b"HTTP/1.1 200")
+            assert read_response(new).startswith(b"HTTP/1.1 200")
         for sock in flood:
             sock.close()
 
@@ -131,15 +131,15 @@
     socks = [node.connect() for _ in range(1500)]
     for sock in socks[:200]:
         sock.sendall(READY)
-        assert answer(sock)
+        assert read_response(sock)
     node.process.terminate()
     assert node.process.wait(WAIT_S) == 0
-    assert all(ends(sock) for sock in socks)
+    assert all(wait_for_close(sock) for sock in socks)
     for sock in socks:
         sock.close()
 
 
-DOORS = """enabled = true
+CONNECTION_SETTINGS = """enabled = true
 keep_alive_s = 3.0
 jitter = 0.0
 [[rules]]
@@ -153,24 +153,30 @@
 
 
 def test_keep_alive_and_connection_limits_by_network(tmp_path: Path) -> None:
-    with Node(tmp_path, files={"doors.toml": DOORS}) as node:
+    with Node(tmp_path, files={"doors.toml": CONNECTION_SETTINGS}) as node:
 
-        def come(source: str) -> socket.socket:
+        def connect_from(source: str) -> socket.socket:
             return socket.create_connection(node.address(), WAIT_S, source_address=(source, 0))
 
-        with come("127.0.0.1") as sock, come("127.0.8.1") as long:
-            for each, told in ((sock, b"keep-alive: timeout=3"), (long, b"keep-alive: timeout=60")):
+        with connect_from("127.0.0.1") as sock, connect_from("127.0.8.1") as long_lived:
+            for each, expected in ((sock, b"keep-alive: timeout=3"), (long_lived, b"keep-alive: timeout=60")):
                 each.sendall(READY)
-                assert told in answer(each).lower()
+                assert expected in read_response(each).lower()
             began = time.monotonic()
-            assert ends(sock) and 2.5 < time.monotonic() - began < 8
-            long.sendall(READY)
-            assert answer(long).startswith(b"HTTP/1.1 200")
-            assert ends(come("127.0.9.1")) and node.logged("connection_denied")["why"] == "denied"
-            with come("127.0.8.1") as second:
+            assert wait_for_close(sock) and 2.5 < time.monotonic() - began < 8
+            long_lived.sendall(READY)
+            assert read_response(long_lived).startswith(b"HTTP/1.1 200")
+            assert (
+                wait_for_close(connect_from("127.0.9.1"))
+                and node.logged("connection_denied")["why"] == "denied"
+            )
+            with connect_from("127.0.8.1") as second:
                 second.sendall(READY)
-                assert answer(second).startswith(b"HTTP/1.1 200")
-                assert ends(come("127.0.8.1")) and node.logged("connection_denied")["why"] == "most_each"
+                assert read_response(second).startswith(b"HTTP/1.1 200")
+                assert (
+                    wait_for_close(connect_from("127.0.8.1"))
+                    and node.logged("connection_denied")["why"] == "most_each"
+                )
 
 
 def test_simultaneous_requests_are_all_answered_and_slow_sender_is_closed(tmp_path: Path) -> None:
@@ -178,21 +184,21 @@
         socks = [node.connect() for _ in range(500)]
         for sock in socks:
             sock.sendall(READY)
-            assert answer(sock)
+            assert read_response(sock)
         time.sleep(1.0)  # all are parked
         for sock in socks:
             sock.sendall(READY)
         with node.connect() as other:
             other.sendall(READY)
-            assert answer(other).startswith(b"HTTP/1.1 200")
-        assert all(answer(sock).startswith(b"HTTP/1.1 200") for sock in socks)
+            assert read_response(other).startswith(b"HTTP/1.1 200")
+        assert all(read_response(sock).startswith(b"HTTP/1.1 200") for sock in socks)
         for sock in socks:
             sock.close()
-        with node.connect() as drip:  # a byte now and then keeps nobody's place for long
-            told = b""
+        with node.connect() as slow_sender:  # a byte now and then keeps nobody's place for long
+            received = b""
             for byte in READY[:8]:
-                drip.sendall(bytes([byte]))
+                slow_sender.sendall(bytes([byte]))
                 time.sleep(0.4)
-            while data := drip.recv(4096):
-                told += data
-            assert told.startswith(b"HTTP/1.1 408")
+            while data := slow_sender.recv(4096):
+                received += data
+            assert received.startswith(b"HTTP/1.1 408")
--- a/tests/wire/clients/test_response.py
+++ b/tests/wire/clients/test_response.py
@@ -23,18 +23,18 @@
             order.append("cancelled")
 
     async def run() -> None:
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        conn = Connection(ours, h11.SERVER)
+        server_end, client_end = socket.socketpair()
+        server_end.setblocking(False)
+        conn = Connection(server_end, h11.SERVER)
 
-        def left() -> None:
+        def on_disconnect() -> None:
             order.append("left")
             asyncio.get_running_loop().call_soon(order.append, "next in turn")
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(write_while_connected, conn, answer(), lambda: True, left)
+            tasks.start_soon(write_while_connected, conn, answer(), lambda: True, on_disconnect)
             await anyio.wait_all_tasks_blocked()
-            theirs.close()
+            client_end.close()
         assert conn.closed
 
     anyio.run(run)
