--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that leaves: nothing more is sent for it, wherever its request stands."""
+"""After a client's disconnect nothing more is sent for its request, whatever stage it has reached."""
 
 import http.client
 import signal
@@ -12,7 +12,7 @@
 from tests.loopback import WAIT_S, Node, read, take
 from tests.test_client_pace import END, read_until, request
 
-ROUNDS = 8  # the order in which the loop hears of two things is the system's
+ROUNDS = 8  # the kernel determines in which order two simultaneous events are reported
 
 
 def suspend(node: Node) -> None:
@@ -28,7 +28,7 @@
 
 
 def attempt_count(node: Node, name: str) -> int:
-    """How many attempts of a request there were."""
+    """The number of attempts that the servers received for a request."""
     servers = (*node.reader, *node.writer)
     return sum(call.method == "POST" and call.id == name for each in servers for call in each.seen)
 
@@ -45,7 +45,7 @@
 def test_no_attempt_follows_disconnect_that_coincides_with_a_response(
     node: Node, first: str, status: int
 ) -> None:
-    """Between prefill and decode, and before a retry: a busy loop hears of both at once."""
+    """A busy event loop sees both at once, between prefill and decode or before a retry."""
     open_upstream_connections(node)
     for number in range(ROUNDS):
         client = node.post(f"a{number}")
@@ -73,9 +73,9 @@
 
 @pytest.mark.parametrize("size", [1_000, 40_000, 300_000, 900_000])
 def test_disconnect_is_detected_behind_pipelined_input(node: Node, size: int) -> None:
-    """More than is read ahead stays in the socket, and with it the end.
+    """Input beyond what is read ahead stays in the socket, in front of the client's close.
 
-    A booking, whose silent writer is left to answer: nothing else would end the attempt.
+    The request is a booking at a silent decode server, so that nothing else ends the attempt.
     """
     client, call = read(node, X_Call_Class="booking", X_Budget_Ms="60000")
     send_ahead(client, size)
@@ -86,7 +86,7 @@
 
 
 def test_flood_ahead_of_response_is_closed_without_harm_to_others(node: Node) -> None:
-    """Its end could not be heard behind it, so nothing more is sent on for it, and it is told so."""
+    """A disconnect behind the flood could not be detected, so the request is cancelled and rejected."""
     with node.connect() as flood:
         flood.sendall(request("flood"))
         call = node.reader[0].next()
@@ -121,7 +121,7 @@
 
 
 def pipeline_until_closed(sock: socket.socket) -> None:
-    """Further requests until the connection ends, or far more than any buffer takes is sent."""
+    """Send further requests until the connection ends, or until far more than all buffers hold is sent."""
     with suppress(OSError):
         for number in range(200):
             sock.sendall(request(f"more{number}").replace(b"Host: a", b"Host: " + b"a" * 20_000) * 5)
--- a/tests/test_client_pace.py
+++ b/tests/test_client_pace.py
@@ -1,4 +1,4 @@
-"""Clients that send at once, bit by bit, or ahead; what their servers are told; events as they come."""
+"""Clients that pipeline requests or send them slowly; prompt forwarding of events; attempts' budgets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def read_until(sock: socket.socket, text: bytes, times: int = 1) -> bytes:
-    """What comes until a text has come so many times."""
+    """Read until the text has been received `times` times."""
     received = b""
     while received.count(text) < times:
         data = sock.recv(65536)
@@ -77,7 +77,7 @@
 
 
 def test_each_event_is_forwarded_before_the_next_arrives(node: Node) -> None:
-    """Half ones, too: what a server has written is held back for no more, but for the first event's end."""
+    """Partial events are forwarded as well; only the first event is held back until it is complete."""
     with node.connect() as sock:
         sock.sendall(request("a1"))
         node.reader[0].next().read()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients that fill the descriptors: discovery and servers are still reached."""
+"""Idle clients that use all descriptors they may do not prevent connections to discovery and servers."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @contextmanager
 def reconnecting_idle_clients(node: Node) -> Iterator[threading.Event]:
-    """Hundreds of connections that never speak, each opened again as soon as it is closed.
+    """Keep hundreds of idle connections open, each reopened as soon as it is closed.
 
-    Gives an event that is set once each was opened, and closed ones again.
+    Yields an event that is set after more closed connections were reopened than there are clients.
     """
     stop, saturated = threading.Event(), threading.Event()
 
@@ -64,7 +64,7 @@
 
 
 def is_request_served(node: Node) -> bool:
-    """Whether a request is served; its connection may be closed unread while there are so many."""
+    """Whether a request is served; it is retried because its connection may be evicted unread."""
     for number in range(200):
         with suppress(OSError):
             client = node.post(f"a{number}")
@@ -84,7 +84,7 @@
         reconnecting_idle_clients(node) as saturated,
     ):
         assert saturated.wait(WAIT_S)
-        new_discovery = StandIn()  # as after an outage: a new connection to discovery is wanted
+        new_discovery = StandIn()  # requires a new connection, as after an outage of discovery
         node.configure(discovery=new_discovery.address)
         node.process.send_signal(signal.SIGHUP)
         new_discovery.next().begin().chunk(json.dumps(node.listing(9)) + "\n")
@@ -99,7 +99,7 @@
 
 
 def test_shutdown_ends_while_clients_keep_reconnecting(node: Node) -> None:
-    """Each new connection was one more to wait for, up to the kill."""
+    """The shutdown used to wait for each new connection as well, until the process was killed."""
     with reconnecting_idle_clients(node) as saturated:
         assert saturated.wait(WAIT_S)
         node.process.terminate()
--- a/tests/test_flood_refusals.py
+++ b/tests/test_flood_refusals.py
@@ -1,4 +1,4 @@
-"""A client that floods is cut off; what it is told of its request has to be true all the same."""
+"""A client that floods its connection is rejected with a status that is true of its request."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from tests.loopback import Node, read
 
-FLOOD_BYTES = 4 * 1024 * 1024  # bytes: more than is ever read ahead of an answer
+FLOOD_BYTES = 4 * 1024 * 1024  # more than is ever read ahead of a response
 
 
 def flood(sock: socket.socket) -> None:
-    """Send far more than is read ahead, until the connection ends."""
+    """Send far more than is read ahead, or until the connection ends."""
     with suppress(OSError):
         sock.sendall(b"x" * FLOOD_BYTES)
 
--- a/tests/test_forgotten_connections.py
+++ b/tests/test_forgotten_connections.py
@@ -1,7 +1,7 @@
-"""Open connections that the network has forgotten: nothing arrives on them, and nobody is told.
+"""Idle upstream connections whose state the network has dropped: data on them is lost without an error.
 
-The server itself is well, and a new connection there comes up. From here this looks like a decode server that
-is slow to answer.
+The server itself works, and new connections to it succeed. To the program, such a connection looks like a
+decode server that is slow to answer.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from ringledge.memory.connection_pool import MIN_SAFE_IDLE_S
 from tests.loopback import WAIT_S, Call, Node, read, take
 
-MAX_HOLD_S = 0.8  # a KV cache entry may be held so long while no attempt of its request has arrived
-SLACK_S = 0.4  # that a machine which runs the tests may add
+MAX_HOLD_S = 0.8  # how long an entry may be held while no attempt of its request has arrived
+SLACK_S = 0.4  # delay that the machine which runs the tests may add
 
 
 @pytest.fixture
@@ -26,7 +26,7 @@
 
 
 def open_idle_connection(node: Node) -> Call:
-    """Have a booking served, and its connection to the decode server kept long enough to be trusted."""
+    """Serve a booking, and keep its decode connection idle beyond the age at which it is safe to use."""
     client, call = read(node, "first", X_Call_Class="booking")
     call.serve("x")
     assert take(client).status == 200
@@ -38,10 +38,10 @@
     first_call = open_idle_connection(node)
     client, call = read(node, "a1", X_Call_Class="booking")
     prefilled_s = time.monotonic()
-    assert call.port == first_call.port  # nothing was heard on it since; so far it may as well be dead
+    assert call.port == first_call.port  # it was reused, and may be dead
     assert node.deleted.get(timeout=WAIT_S).path.endswith("/a1")
     assert time.monotonic() - prefilled_s < MAX_HOLD_S + SLACK_S
-    call.serve("late")  # it had arrived after all: its answer is passed on
+    call.serve("late")  # the request had arrived after all, and its response is forwarded
     assert take(client).status == 200
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The program on the platform's protocol: outcomes and rules, played over real sockets."""
+"""The platform's protocol over real sockets: outcomes, retries and releases."""
 
 import http.client
 import json
@@ -67,7 +67,7 @@
         node.writer[0].next().serve("x")
     answer = take(client)
     assert answer.status == (200 if again else 500)
-    if not again:  # what the reader holds is let go, and nothing was sent again
+    if not again:  # the entry is released, and there was no retry
         assert node.deleted.get(timeout=10).path.endswith("/a1")
         assert [each.method for each in node.writer[0].seen] == ["POST"]
 
@@ -90,7 +90,7 @@
     client.close()
     assert call.closed()
     call.drop()
-    # A read whose close crossed its 202 has left a state as well.
+    # A prefill whose 202 crossed the disconnect has left an entry as well.
     assert node.deleted.get(timeout=10).path == "/internal/reservations/a1"
     assert node.logged("request_ended")["how"] == "gone"
 
@@ -116,7 +116,7 @@
 
 
 def test_release_is_retried_until_it_arrives(node: Node) -> None:
-    """What a reader holds stays pinned otherwise; here the first connection for it breaks."""
+    """Otherwise the prefill server keeps the entry; here the first connection for the release breaks."""
     client, call = read(node)
     node.reader[0].refuse_next = True
     client.close()
@@ -127,7 +127,7 @@
 
 
 def test_request_that_reaches_no_decode_server_is_rejected_not_failed(tmp_path: Path) -> None:
-    """Refused connections prove that a booking never ran: its client may ask again."""
+    """Refused connections prove that a booking never ran, so its client may retry it."""
     with Node(tmp_path) as node:
         client = node.post("a1", X_Call_Class="booking", X_Budget_Ms="1500")
         node.writer[0].close()
@@ -155,7 +155,7 @@
 
 
 def test_stale_connection_is_not_reused(node: Node) -> None:
-    """A server that closed a kept connection would end a booking as a reset, which may have run."""
+    """On a connection that its server has closed, a booking would be reset and count as possibly run."""
     client, call = read(node, X_Call_Class="booking")
     call.hang_up_after().serve("x")
     assert take(client).status == 200
--- a/tests/test_platform_input.py
+++ b/tests/test_platform_input.py
@@ -1,4 +1,4 @@
-"""What clients send that can't be read, and more connections than there may be, over real sockets."""
+"""Invalid input from clients and connections past the limit, over real sockets."""
 
 import contextlib
 import json
@@ -64,7 +64,7 @@
         busy = [node.post(f"a{number}") for number in range(7)]
         calls = [node.reader[0].next() for _ in busy]
         idle = node.client()
-        for _ in range(2):  # the second one takes the place of the first, which rests
+        for _ in range(2):  # the second one evicts the first, which is idle
             idle.request("GET", "/ready")
             assert take(idle).status == 200
             idle = node.client()
@@ -79,7 +79,7 @@
 
 
 def read_to_end(sock: socket.socket) -> bytes:
-    """All that comes until the other side closes; a reset is a close as well."""
+    """Read until the peer closes or resets the connection."""
     received = b""
     try:
         while data := sock.recv(65536):
@@ -113,17 +113,17 @@
 def test_unreadable_input_closes_its_connection_in_time(node: Node, text: bytes, status: bytes) -> None:
     with node.connect() as sock:
         started = time.monotonic()
-        with contextlib.suppress(ConnectionError):  # it may be cut off while it still sends
+        with contextlib.suppress(ConnectionError):  # the connection may be closed during the send
             sock.sendall(text)
         received = read_to_end(sock)
         assert received.startswith(b"HTTP/1.1 " + status) if status else not received
-        assert received.count(b"HTTP/1.1 ") == bool(status)  # what stood behind it is not answered
+        assert received.count(b"HTTP/1.1 ") == bool(status)  # input after it is not answered as a request
         assert time.monotonic() - started < 3
     assert not node.reader[0].seen
 
 
 def test_client_that_retries_immediately_after_rejection_is_slowed(node: Node) -> None:
-    """Without end it would cost all others the program's time; others go on meanwhile."""
+    """Such a client could otherwise take up the program's CPU time; others are served meanwhile."""
     with node.connect() as sock:
         sock.sendall(b"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n" * 50)
         assert sock.recv(1)
--- a/tests/test_platform_life.py
+++ b/tests/test_platform_life.py
@@ -1,4 +1,4 @@
-"""The program's stop, its list and its reload, played over real sockets."""
+"""Shutdown, updates of the endpoint list and reload of the settings, over real sockets."""
 
 import json
 import signal
@@ -19,7 +19,7 @@
     probe = node.client()
     probe.request("GET", "/ready")
     assert take(probe).status == 503
-    late = node.post("a2")  # still taken, and answered
+    late = node.post("a2")  # still accepted and answered
     node.reader[0].next().read()
     node.writer[0].next().serve("late")
     assert b"late" in take(late).body
@@ -32,10 +32,10 @@
 def test_requests_without_a_stream_are_answered_before_the_shutdown_deadline(
     node: Node, name: str, status: int
 ) -> None:
-    """Its class's deadline is 5 s, which counts as 3 s; the kill comes 0.7 s later."""
+    """The class's deadline of 5 s is limited to 3 s at shutdown; the kill follows 0.7 s later."""
     client = node.post("a1", X_Call_Class=name, X_Budget_Ms="60000")
     node.reader[0].next().read()
-    node.writer[0].next()  # silent
+    node.writer[0].next()  # does not answer
     node.process.send_signal(signal.SIGTERM)
     begun = time.monotonic()
     answer = take(client)
@@ -66,7 +66,7 @@
 
 
 def test_sighup_changes_discovery_immediately_and_an_invalid_file_changes_nothing(node: Node) -> None:
-    """Its default action ends the process; a restart may come on the same day."""
+    """By default, SIGHUP would end the process. Settings that need a restart are only reported."""
     client, call = read(node)
     old = node.watches.get(timeout=10)
     (node.folder / "config.json").write_text("{")
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -1,4 +1,4 @@
-"""A restart whose configuration tells a stale list, beside a discovery that is slow or silent at first."""
+"""A restart with a stale endpoint list in its configuration, while discovery is slow or silent."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from tests.test_client_pace import request
 
 REQUEST_COUNT = 8
-SLACK_S = 2.0  # that a busy machine may add to a bound
-POLL_INTERVAL_S = 0.01  # how often a condition is looked at
+SLACK_S = 2.0  # delay that a busy machine may add
+POLL_INTERVAL_S = 0.01
 
 
 @pytest.fixture
 def node(tmp_path: Path) -> Iterator[Node]:
-    """The program, killed; its file still tells the list of its start, and discovery is the test's."""
+    """The program after a kill; its configuration still has the endpoint list of its first start."""
     with Node(tmp_path, readers=2, writers=2) as node:
         node.configure(listen=node.listening["platform"])
         node.kill()
@@ -31,7 +31,7 @@
 
 
 class Restart:
-    """The program's new process while it starts."""
+    """A new process of the program while it starts."""
 
     def __init__(self, node: Node, discovery: StandIn) -> None:
         node.configure(discovery=discovery.address)
@@ -42,14 +42,14 @@
         self._thread.start()
 
     def wait_ready(self) -> list[str]:
-        """Wait until it is; the events that it has logged before."""
+        """Wait until the process is ready; return the events that it has logged until then."""
         self._thread.join(WAIT_S)
         assert not self._thread.is_alive()
         self.took_s = time.monotonic() - self._began
         return [line["event"] for line in self.process.passed]
 
     def open_client(self) -> socket.socket:
-        """A client that knows the address from before."""
+        """Connect a client as soon as the process listens at its former address."""
         deadline_s = time.monotonic() + WAIT_S
         while True:
             try:
@@ -59,7 +59,7 @@
                 time.sleep(POLL_INTERVAL_S)
 
     def send_requests(self) -> list[socket.socket]:
-        """Send requests of several sessions, each over its own connection."""
+        """Send requests of different sessions, each on its own connection."""
         clients = [self.open_client() for _ in range(REQUEST_COUNT)]
         for number, client in enumerate(clients):
             session = f"{number:016x}".encode()
@@ -68,7 +68,7 @@
 
 
 def first_listing(node: Node, how: str) -> str:
-    """The list that discovery has: r1 and w0 are not to be used any more."""
+    """Discovery's endpoint list, by which r1 and w0 may no longer be used."""
     status = "left" if how == "left" else "leaving"
     endpoint_list = node.listing(9, r1=status, w0=status)
     if how == "absent":
@@ -80,7 +80,7 @@
 
 
 def all_served_by_remaining_servers(node: Node, clients: list[socket.socket]) -> bool:
-    """Whether all are served, and nothing was sent to a server that leaves."""
+    """Whether all requests are served, and none was sent to a server that may no longer be used."""
     play(node.reader[0], Call.read)
     play(node.writer[1], lambda call: call.serve("x"))
     for client in clients:
@@ -96,7 +96,7 @@
     restart = Restart(node, discovery)
     clients = restart.send_requests()
     watch = discovery.next().begin()
-    watch.chunk(first_listing(node, how)[:30])  # a piece of it is no word
+    watch.chunk(first_listing(node, how)[:30])  # an incomplete list has no effect
     watch.chunk(first_listing(node, how)[30:])
     assert all_served_by_remaining_servers(node, clients)
     assert "endpoint_list_late" not in restart.wait_ready()
@@ -107,7 +107,7 @@
     discovery = StandIn()
     restart = Restart(node, discovery)
     clients = restart.send_requests()
-    discovery.next()  # accepted, and no word
+    discovery.next()  # accepted but never answered
     discovery.next().begin().chunk(first_listing(node, "leaving"))
     assert all_served_by_remaining_servers(node, clients)
     assert "endpoint_list_late" not in restart.wait_ready()
@@ -121,7 +121,7 @@
     restart = Restart(node, discovery)
     assert "endpoint_list_late" in restart.wait_ready()
     assert ENDPOINT_LIST_TIMEOUT_S < restart.took_s < ENDPOINT_LIST_TIMEOUT_S + SLACK_S
-    while not discovery.calls.empty():  # several were asked in vain by then
+    while not discovery.calls.empty():  # calls that were not answered
         call = discovery.next()
     assert call.closed()
     discovery.next().begin().chunk(first_listing(node, "leaving"))
--- a/tests/test_platform_stop.py
+++ b/tests/test_platform_stop.py
@@ -1,4 +1,4 @@
-"""The stop while servers hang or clients read slowly: all that was taken is answered before the end."""
+"""Shutdown while servers hang or clients read slowly: all accepted requests are answered before the exit."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 from tests.standins import play
 from tests.test_client_pace import request
 
-SLACK_S = 1.0  # that a busy machine may add to a bound
-MAX_REQUESTS = 60  # requests until each server that hangs has one
+SLACK_S = 1.0  # delay that a busy machine may add
+MAX_REQUESTS = 60  # maximum number sent until each hanging server has one
 LONG_MS = "60000"
-POLL_INTERVAL_S = 0.01  # how often a condition is looked at
+POLL_INTERVAL_S = 0.01
 
 
 def has_received(server: StandIn, name: str) -> bool:
-    """Whether a server has had a call for that request."""
+    """Whether a server has received a call for that request."""
     return any(call.headers["X-Call-Id"] == name for call in server.seen)
 
 
 @dataclass
 class WaitingClient:
-    """A client that waits for its answer on a thread of its own."""
+    """A client that waits for its response in its own thread."""
 
     node: Node
     name: str
     request_class: str
     status: int = 0
-    was_running: bool = False  # the process still ran when the answer was there
+    was_running: bool = False  # the process was still running when the response arrived
 
     def __post_init__(self) -> None:
         self.thread = threading.Thread(target=self._wait_for_response, daemon=True)
@@ -83,11 +83,11 @@
 
 TOKENS = 1600  # of a stream that a slow client reads
 TOKEN = "x" * 2000
-READ_BYTES = 2000  # bytes that it takes at once
+READ_BYTES = 2000  # bytes that the slow client reads at a time
 
 
 def slow_client(node: Node) -> socket.socket:
-    """A client whose system takes little at once."""
+    """Connect a client with a small receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.settimeout(WAIT_S)
@@ -96,7 +96,7 @@
 
 
 def refuses_connections(node: Node) -> bool:
-    """Whether the process accepts no more."""
+    """Whether the process no longer accepts connections."""
     try:
         node.client().connect()
     except ConnectionRefusedError:
@@ -105,14 +105,14 @@
 
 
 def write_stream(call: Call) -> None:
-    """Write a stream to its end."""
+    """Write a complete stream after its first token."""
     for _ in range(TOKENS):
         call.token(TOKEN)
     call.end()
 
 
 def test_stream_finished_by_its_server_is_forwarded_completely_after_shutdown(tmp_path: Path) -> None:
-    """The client reads nothing until what has not begun is given up, and takes the rest in small pieces."""
+    """The client reads nothing until requests without a stream are given up, then reads small pieces."""
     with Node(tmp_path, writers=1) as node, slow_client(node) as sock:
         sock.sendall(request("slow"))
         node.reader[0].next().read()
@@ -122,15 +122,15 @@
         answer.begin()
         received = answer.read(len(event("first")))
         threading.Thread(target=write_stream, args=(call,), daemon=True).start()
-        assert call.done.wait(WAIT_S)  # the server has written all of it: most waits for the client
+        assert call.done.wait(WAIT_S)  # the server has written everything; most is unsent to the client
         silent = node.post("a2", X_Call_Class="booking", X_Budget_Ms=LONG_MS)
         node.reader[0].next().read()
         node.writer[0].next()
         node.process.send_signal(signal.SIGTERM)
-        assert take(silent).status == 500  # the stop has run out
+        assert take(silent).status == 500  # the shutdown deadline has passed
         assert refuses_connections(node)
         assert node.process.poll() is None
-        while chunk := answer.read(READ_BYTES):  # IncompleteRead without the last chunk
+        while chunk := answer.read(READ_BYTES):  # raises IncompleteRead without the last chunk
             received += chunk
         assert received.decode().startswith(event("first") + event(TOKEN) * TOKENS)
         assert b"data: [DONE]" in received
--- a/tests/wire/clients/chat/conftest.py
+++ b/tests/wire/clients/chat/conftest.py
@@ -1,4 +1,4 @@
-"""A conductor with the chat front."""
+"""The program under test with its chat front enabled."""
 
 from collections.abc import Iterator
 from pathlib import Path
--- a/tests/wire/clients/chat/helpers.py
+++ b/tests/wire/clients/chat/helpers.py
@@ -1,4 +1,4 @@
-"""Requests to the chat front, and what its streams say."""
+"""Requests to the chat front, and helpers to read its streams."""
 
 import json
 from typing import Any
@@ -21,13 +21,13 @@
 
 
 def wait_for_decode(node: Node) -> Call:
-    """Let a request be read; give the call at the writer."""
+    """Complete a request's prefill; return the call at the decode server."""
     node.reader[0].next().read()
     return node.writer[0].next()
 
 
 def text(body: bytes) -> str:
-    """What the events of a stream say, whole or broken."""
+    """The text in the events of a stream, whether complete or broken off."""
     return "".join(
         choice["delta"].get("content", "")
         for line in body.splitlines()
@@ -37,7 +37,7 @@
 
 
 def read_first_event_id(answer: Any) -> str:
-    """Read a stream's first event; give its id."""
+    """Read a stream's first event; return its id."""
     line: str = answer.readline().decode()
     assert line.startswith("id: ")
     for _ in range(2):
--- a/tests/wire/clients/chat/queued.py
+++ b/tests/wire/clients/chat/queued.py
@@ -1,4 +1,4 @@
-"""A process of a partitioned site: its chat front, its queue, and servers whose answers a test determines."""
+"""A process of a partitioned site: its chat front, its queue, and servers whose answers the test controls."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 class FakeServerPort:
-    """Attempts that were sent to the servers, for the test to answer."""
+    """Records the attempts that are sent to servers, for the test to answer them."""
 
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
@@ -79,13 +79,13 @@
         self.sent.append(attempt)
 
     def abandon(self, attempt: Attempt) -> None:
-        """No connection to close."""
+        """Do nothing: there is no connection to close."""
 
     def release(self, request: str, known: set[str], unseen: Mapping[str, float], begun: bool) -> None:
-        """No cache to release."""
+        """Do nothing: there is no entry to release."""
 
     def endpoints_changed(self) -> None:
-        """No connection depends on them."""
+        """Do nothing: no connection depends on the endpoints."""
 
     def answered_since(self, server: str, at_ms: float) -> bool:
         return True
@@ -94,10 +94,10 @@
         return frozenset()
 
     def probe(self, server: str) -> None:
-        """No probe is sent."""
+        """Do nothing: there is no server to probe."""
 
     def poll_endpoints(self) -> None:
-        """No discovery to poll."""
+        """Do nothing: there is no discovery service to poll."""
 
 
 class SiteProcess:
@@ -122,7 +122,7 @@
     async def request(
         self, method: str, path: str, body: Any = None, headers: Mapping[str, str] | None = None
     ) -> Response:
-        """Send one request to the front."""
+        """Send one request to the front and return its response."""
         client, server = socket.socketpair()
         server.setblocking(False)
         content = b"" if body is None else json.dumps(body).encode()
@@ -156,7 +156,7 @@
         return results
 
     async def serve(self, attempt: Attempt, *texts: str) -> None:
-        """Answer an attempt as the prefill and the decode server do."""
+        """Answer an attempt as a prefill server and a decode server do."""
         if attempt.is_prefill:
             self.conductor.on_attempt_outcome(attempt, AttemptStatus.PREFILLED)
             attempt = self.port.sent[-1]
@@ -168,7 +168,7 @@
 
 
 def parse_response(method: str, path: str, received: bytes) -> Response:
-    """The response to that request."""
+    """Parse the response to a request."""
     client = h11.Connection(h11.CLIENT)
     client.send(h11.Request(method=method, target=path, headers=[("Host", "x"), ("Content-Length", "0")]))
     client.send(h11.EndOfMessage())
@@ -186,7 +186,7 @@
 
 
 def run_scenario(tmp_path: Path, scenario: Scenario, **queue_options: Any) -> None:
-    """Run a scenario with one process at a new file."""
+    """Run a scenario with one process and a new queue file."""
 
     async def run() -> None:
         process = SiteProcess(tmp_path / "queue.db", **queue_options)
--- a/tests/wire/clients/chat/test_answers.py
+++ b/tests/wire/clients/chat/test_answers.py
@@ -1,4 +1,4 @@
-"""The chat front over real sockets: whole and streamed answers."""
+"""The chat front over real sockets: responses with and without streaming."""
 
 import json
 from pathlib import Path
--- a/tests/wire/clients/chat/test_bookings.py
+++ b/tests/wire/clients/chat/test_bookings.py
@@ -1,4 +1,4 @@
-"""The chat front over real sockets: bookings run once, whatever breaks."""
+"""The chat front over real sockets: bookings run at most once, whichever connection breaks."""
 
 from tests.loopback import Node, take
 from tests.wire.clients.chat.helpers import (
--- a/tests/wire/clients/chat/test_departures.py
+++ b/tests/wire/clients/chat/test_departures.py
@@ -1,4 +1,4 @@
-"""When nobody follows a chat answer any more, as it is asked in the turn in which an attempt is written."""
+"""When all clients of a chat response count as disconnected, which is checked right before an attempt."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Follower:
-    """A connection that follows an answer."""
+    """A connection that follows a session."""
 
     def __init__(self, disconnected: bool) -> None:
         self.disconnected = disconnected
@@ -38,9 +38,9 @@
         (session(True, True), True),
         (session(True, False), False),
         (session(False), False),
-        (session(True, is_streaming=True), False),  # it runs on, and may be come back for
+        (session(True, is_streaming=True), False),  # it continues, and can be resumed
         (session(True, end=SessionEnd.SERVED), False),
-        (session(), False),  # its connection is about to follow it
+        (session(), False),  # the client's connection is not yet added
     ],
     ids="left both-left one-left stays begun ended nobody-yet".split(),
 )
@@ -54,7 +54,7 @@
     for _ in range(4):
         client = node.chat(CHAT_REQUEST)
         call = node.reader[0].next()
-        node.process.send_signal(signal.SIGSTOP)  # both are there when it goes on
+        node.process.send_signal(signal.SIGSTOP)  # so that it sees both events at once
         call.read()
         client.close()
         node.process.send_signal(signal.SIGCONT)
--- a/tests/wire/clients/chat/test_errors.py
+++ b/tests/wire/clients/chat/test_errors.py
@@ -1,4 +1,4 @@
-"""The chat front over real sockets: errors, refusals, and that every request ends once."""
+"""The chat front over real sockets: errors and rejections; every request ends exactly once."""
 
 import http.client
 import json
@@ -77,7 +77,7 @@
 
 
 def test_every_request_ends_exactly_once(node: Node) -> None:
-    """A mix of ends, all open at the same time: one answer, one line of the ledger for each."""
+    """Concurrent requests with different outcomes each get one response and one log line."""
     ends = ["served", "broken", "failed", "gone"] * 4
     calls: dict[str, Call] = {}
     clients = {}
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -35,7 +35,7 @@
 
         await second.serve(second.port.sent[0], "yes, ", "two slots")
         await second.queue.complete(name, 1, EntryOutcome.SERVED, results[0].answer)
-        for process in (first, second):  # each of them returns it for as long as it is retained
+        for process in (first, second):  # each returns the response for as long as it is retained
             response = await process.request("GET", location)
             assert response.status == 200
             assert response.body["choices"][0]["message"]["content"] == "yes, two slots"
@@ -145,7 +145,7 @@
         assert conflict.headers["location"] == first.headers["location"]
         assert not process.port.sent
 
-        process.queue.stop()  # an unreadable file may have the key: a booking does not run
+        process.queue.stop()  # an unreadable file may contain the key, so a booking does not run
         process.queue = Queue(QueueConfig(path="/dev/null/queue.db"))
         process.queue.start()
         assert process.chat._queued is not None
--- a/tests/wire/clients/chat/test_queue_process.py
+++ b/tests/wire/clients/chat/test_queue_process.py
@@ -1,4 +1,4 @@
-"""The real program during a partition: requests are queued over sockets, and replayed after a kill."""
+"""The whole program during a partition: requests are queued over sockets and replayed after a kill."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
 
 
 def publish_decode_server_status(node: Node, index: int, status: str) -> None:
-    """Send a watch event of discovery."""
+    """Send a discovery event with a new status of the decode server."""
     watch = node.watches.get(timeout=WAIT_S)
     watch.chunk(json.dumps(node.listing(index, w0=status)) + "\n")
     node.watches.put(watch)
 
 
 def described(node: Node, location: str, response: Answer) -> str:
-    """How a queued request stands, with all that the process has logged since it was last waited for."""
+    """The state of a queued request, and all log lines that no test step has consumed yet."""
     lines = list[dict[str, Any]]()
     while not node.lines.empty():
         lines.append(node.lines.get())
@@ -57,7 +57,7 @@
 
 
 def test_requests_queued_during_a_partition_are_replayed_by_the_restarted_process(node: Node) -> None:
-    publish_decode_server_status(node, 8, "draining")  # the only one
+    publish_decode_server_status(node, 8, "draining")  # the only decode server
     wait_for_site_state(node, "cut_off")
     requests = (ASK, ASK | {"model": "book"})
     accepted = [take(node.chat(request, Prefer="respond-async")) for request in requests]
--- a/tests/wire/clients/chat/test_resumed_streams.py
+++ b/tests/wire/clients/chat/test_resumed_streams.py
@@ -1,4 +1,4 @@
-"""The chat front over real sockets: streams that break and go on."""
+"""The chat front over real sockets: streams that break off and are resumed."""
 
 import json
 
@@ -17,7 +17,7 @@
     client = node.chat(STREAM_REQUEST | {"max_tokens": 50})
     wait_for_decode(node).begin().token("yes, ").token("two ").chunk('data: {"choi').drop()
     answer = client.getresponse()
-    last_event_id = read_first_event_id(answer)  # the client has the first event only when the rest breaks
+    last_event_id = read_first_event_id(answer)  # only the first event is read before the break
     resumed = node.chat(STREAM_REQUEST, Last_Event_ID=last_event_id)
     prefill = node.reader[0].next()
     server_request = json.loads(prefill.body)
@@ -28,7 +28,7 @@
     node.writer[0].next().serve("slots", " free")
     remainder = take(resumed).body
     assert text(remainder) == "two slots free" and remainder.endswith(b"data: [DONE]\n\n")
-    # Whoever comes back once more gets the same, and nothing runs for it.
+    # Resuming once more gives the same events, and no further request runs.
     assert text(resume(node, STREAM_REQUEST, last_event_id).body) == "two slots free"
     assert node.writer[0].attempts() == 2
 
@@ -39,7 +39,7 @@
     last_event_id = read_first_event_id(client.getresponse())
     node.logged("chat_ended")
     resumed = node.chat(STREAM_REQUEST, Last_Event_ID=last_event_id)
-    for _ in range(3):  # a kept connection's end is no failure; of others one server may have two
+    for _ in range(3):  # the end of a reused connection is no failure; after that, a server may fail twice
         node.reader[0].next().drop()
     answer = take(resumed)
     assert answer.status == 503 and "retry-after" in answer.headers
--- a/tests/wire/clients/test_closing.py
+++ b/tests/wire/clients/test_closing.py
@@ -1,4 +1,4 @@
-"""The close of a client's connection: no answer is lost by it, and what crosses it is never sent on."""
+"""Closing a client's connection loses no response, and a request sent meanwhile is never forwarded."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 LAST_GET = GET.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
-OVERSIZED_INPUT = b"x" * 100_000  # more than is read ahead
+OVERSIZED_INPUT = b"x" * 100_000  # more than is read ahead of a response
 
 
 class FrontHarness:
-    """A front in this process, and how many requests it was asked."""
+    """A front in this process that counts the requests it handles."""
 
     def __init__(self, body: bytes = b"served") -> None:
         self.request_count, self._body = 0, body
@@ -71,7 +71,7 @@
 
 
 def read_to_end(sock: socket.socket) -> bytes:
-    """All that comes to the clean end; a reset is an error."""
+    """Read until the peer closes the connection; a reset raises an error."""
     received = b""
     while data := sock.recv(65536):
         received += data
@@ -79,7 +79,7 @@
 
 
 def test_close_with_unread_input_loses_no_answer() -> None:
-    """The kernel resets such a connection, and drops what of the answer its client has not taken yet."""
+    """The kernel would reset such a connection and drop response data that the client has not yet read."""
 
     async def run() -> None:
         harness = FrontHarness(b"y" * 32_000)
@@ -100,7 +100,7 @@
 def test_request_between_close_decision_and_close_sees_clean_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its client sends it once more elsewhere; here it is never sent on."""
+    """The request is never forwarded, so its client can safely retry it on another connection."""
     original = open_connections.nothing_unread
 
     async def run() -> None:
@@ -194,7 +194,7 @@
 
 
 def test_small_writes_are_not_delayed_on_either_side() -> None:
-    """What the system held back would go with a reset, and late in any case."""
+    """Data that the kernel delays arrives late, and would be lost with a reset."""
 
     async def run() -> None:
         harness = FrontHarness()
--- a/tests/wire/clients/test_front_capacity.py
+++ b/tests/wire/clients/test_front_capacity.py
@@ -1,4 +1,4 @@
-"""A whole request that comes past the limit, in one turn with half ones."""
+"""A complete request past the connection limit that arrives together with incomplete ones."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ringledge.wire.http.messages import read_body, respond
 from ringledge.wire.http.sockets import listen
 
-LIMITS = [4, 16]  # one, two more are let in to be told no
+LIMITS = [4, 16]  # one and two more connections are accepted to be rejected
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -36,7 +36,7 @@
 def test_incomplete_requests_of_same_iteration_are_evicted_for_complete_one(
     partial_request: bytes, limit: int
 ) -> None:
-    """All lie in the backlog as the front begins: none of them could give way while its bytes were unread."""
+    """All are in the backlog when the front starts: none can be evicted while its bytes are unread."""
 
     async def run() -> bytes:
         listener = listen("127.0.0.1:0")
--- a/tests/wire/clients/test_idle_connection_epolls.py
+++ b/tests/wire/clients/test_idle_connection_epolls.py
@@ -1,4 +1,4 @@
-"""Connections at rest on two epolls: those that the loop watches, and the others."""
+"""Idle connections watched by the event loop itself, and others on an epoll nested in the loop's own."""
 
 from __future__ import annotations
 
@@ -17,16 +17,18 @@
 
 
 class NestedEpollIgnoringSelector(selectors.EpollSelector):
-    """A host that never tells of an epoll inside the loop's own."""
+    """Simulates a host that reports no events of an epoll nested in the loop's own."""
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         fd = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         is_nested = os.readlink(f"/proc/self/fd/{fd}") == "anon_inode:[eventpoll]"
-        return super().register(fileobj, selectors.EVENT_WRITE if is_nested else events, data)  # it never is
+        return super().register(
+            fileobj, selectors.EVENT_WRITE if is_nested else events, data
+        )  # an epoll is never writable
 
 
 async def _activate_all(count: int, by_sweep: bool) -> int:
-    """Let so many rest, have each say something; how many are woken without their time being over."""
+    """Send data on `count` idle connections; return how many are activated before their timeouts."""
     activated = list[IdleConnection]()
     done = asyncio.Event()
 
@@ -55,7 +57,7 @@
 def test_nested_epoll_without_events_misses_no_readable_connection(
     max_loop_watched: int, by_sweep: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Requests on connections that had rested were found only when their time was over, up to 1.8 s later."""
+    """Requests on idle connections were noticed only when the timeouts expired, up to 1.8 s later."""
     monkeypatch.setattr(idle_module, "MAX_LOOP_WATCHED", max_loop_watched)
     loop = asyncio.SelectorEventLoop(NestedEpollIgnoringSelector())
     try:
--- a/tests/wire/clients/test_idle_connections.py
+++ b/tests/wire/clients/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections at rest: woken, closed in time, never at the cost of a request."""
+"""Idle connections are activated by input and closed in time, without losing a request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def read_response(sock: socket.socket, end: bytes = b'"ready":true}') -> bytes:
-    """What comes until the answer is whole, or the connection ends."""
+    """Read until the response is complete or the connection ends."""
     received = b""
     while end not in received and (data := sock.recv(4096)):
         received += data
@@ -30,7 +30,7 @@
 
 
 def wait_for_close(sock: socket.socket) -> bool:
-    """Wait until the other side closes it."""
+    """Wait until the peer closes the connection; return whether it sent nothing before."""
     try:
         return not sock.recv(1)
     except ConnectionResetError:
@@ -39,14 +39,14 @@
 
 def test_idle_connection_is_activated_by_request_and_by_partial_head(node: Node) -> None:
     with node.connect() as sock:
-        for pause_s in (0.0, 0.8, 1.2):  # kept active, parked, parked again
+        for pause_s in (0.0, 0.8, 1.2):  # still active, idle, idle again
             time.sleep(pause_s)
             sock.sendall(READY[:20])
             sock.sendall(READY[20:])
             assert read_response(sock).startswith(b"HTTP/1.1 200")
         time.sleep(0.8)
         sock.sendall(READY[:9])
-        time.sleep(0.7)  # half a head is no rest
+        time.sleep(0.7)  # longer than a connection without a request stays active
         sock.sendall(READY[9:] + READY)
         assert read_response(sock).startswith(b"HTTP/1.1 200")
 
@@ -78,7 +78,7 @@
 
 
 def test_request_crossing_idle_close_is_answered_or_never_read(node: Node) -> None:
-    """Sent at every moment round the keep-alive's end: none is read and left without an answer."""
+    """Requests are sent at many times around the keep-alive timeout; none is read but left unanswered."""
     socks = [node.connect() for _ in range(120)]
     for sock in socks:
         sock.sendall(READY)
@@ -100,7 +100,7 @@
 
 
 def test_flood_is_evicted_before_connection_with_request(tmp_path: Path) -> None:
-    with Node(tmp_path, sockets=128) as node:  # 28 connections of clients, and three more
+    with Node(tmp_path, sockets=128) as node:  # 28 client connections, and three more to be rejected
         client = node.connect()
         client.sendall(READY)
         assert read_response(client)
@@ -185,7 +185,7 @@
         for sock in socks:
             sock.sendall(READY)
             assert read_response(sock)
-        time.sleep(1.0)  # all are parked
+        time.sleep(1.0)  # until all are idle
         for sock in socks:
             sock.sendall(READY)
         with node.connect() as other:
@@ -194,7 +194,7 @@
         assert all(read_response(sock).startswith(b"HTTP/1.1 200") for sock in socks)
         for sock in socks:
             sock.close()
-        with node.connect() as slow_sender:  # a byte now and then keeps nobody's place for long
+        with node.connect() as slow_sender:  # sending single bytes does not extend the time limit
             received = b""
             for byte in READY[:8]:
                 slow_sender.sendall(bytes([byte]))
--- a/tests/wire/clients/test_platform_request.py
+++ b/tests/wire/clients/test_platform_request.py
@@ -1,4 +1,4 @@
-"""The platform's headers as a request: the estimate of its work."""
+"""Parsing the platform's request headers: the client's estimate of the work."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     [(b"7250000", 7250.0), (b"1500.5", 1.5005), (b"0", 0.0), (None, None), (b"much", None), (b"", None)],
 )
 def test_work_estimate_is_passed_to_routing(header_value: bytes | None, hint_ms: float | None) -> None:
-    """On sockets it was never read: requests were decided as if clients supplied none."""
+    """The header was ignored, so that requests were routed as if clients supplied no estimate."""
     assert hint_of(header_value) == hint_ms
 
 
--- a/tests/wire/clients/test_response.py
+++ b/tests/wire/clients/test_response.py
@@ -1,4 +1,4 @@
-"""The client's side of a request: its departure is heard on the very event of its socket."""
+"""A client's disconnect is reported in the event handler of its socket."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def test_disconnect_is_reported_in_the_same_loop_iteration() -> None:
-    """What others did in between was still done for the client that had gone."""
+    """Otherwise other tasks still do work for the disconnected client in the meantime."""
     order = list[str]()
 
     async def answer() -> None:
