--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -196,9 +196,7 @@
         name, _, number = last_event.rpartition(":")
         session = self.sessions.get(name)
         if session is None or not number.isdecimal() or int(number) > len(session.events):
-            raise HttpError(
-                404, "this stream is unknown or no longer retained", "stream_not_found", "Last-Event-ID"
-            )
+            raise HttpError(404, "unknown or no longer retained stream", "stream_not_found", "Last-Event-ID")
         # A broken response, or a continuation that was rejected, failed or left, can be continued again.
         if session.end not in (None, SessionEnd.SERVED):
             if not self._is_idempotent(session.class_index):
