--- a/ringledge/wire/clients/loop_budget.py
+++ b/ringledge/wire/clients/loop_budget.py
@@ -1,4 +1,4 @@
-"""A CPU time budget for each iteration of the event loop, for work whose cost grows with its input's size."""
+"""A time budget for each iteration of the event loop, for work whose CPU cost grows with its input's size."""
 
 from __future__ import annotations
 
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -60,9 +60,8 @@
         self._gauge = metrics.client_sockets.labels(name)
         self.active: set[Connection] = set()
         self.between_requests: dict[Connection, float] = {}  # with the start time, longest first
-        self.reading: dict[
-            Connection, None
-        ] = {}  # connections with a request, complete or not, longest first
+        # Connections with a request, complete or not, longest first.
+        self.reading: dict[Connection, None] = {}
         self.closing = False  # each connection is closed after its next response
         self.draining = False  # idle connections are closed, and later requests are rejected
         for state, count in (("active", lambda: len(self.active)), ("parked", lambda: len(self.idle))):
--- a/ringledge/wire/clients/request_loop.py
+++ b/ringledge/wire/clients/request_loop.py
@@ -194,7 +194,7 @@
                     await conn.next_event()
         if conn.h11.their_state is not h11.DONE:
             conn.close()
-        # No pause, since the connection may carry bookings as well; but other connections run first.
+        # No pause, since the connection may carry bookings of others, too; but other connections run first.
         await anyio.lowlevel.checkpoint()
 
     async def _pause(self, conn: Connection) -> None:
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -137,9 +137,8 @@
         repeated = await process.post("book", Idempotency_Key="k", **ASYNC)
         assert repeated.status == 202 and repeated.body["id"] == first.body["id"]
 
-        process.site_state = (
-            SiteState.AVAILABLE
-        )  # the partition is over, and the client retries synchronously
+        # The partition is over, and the client retries without asking for an asynchronous response.
+        process.site_state = SiteState.AVAILABLE
         conflict = await process.post("book", Idempotency_Key="k")
         assert (conflict.status, conflict.body["error"]["code"]) == (409, "queued")
         assert conflict.headers["location"] == first.headers["location"]
--- a/tests/wire/clients/test_idle_connection_epolls.py
+++ b/tests/wire/clients/test_idle_connection_epolls.py
@@ -22,9 +22,8 @@
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         fd = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         is_nested = os.readlink(f"/proc/self/fd/{fd}") == "anon_inode:[eventpoll]"
-        return super().register(
-            fileobj, selectors.EVENT_WRITE if is_nested else events, data
-        )  # an epoll is never writable
+        # An epoll is never writable.
+        return super().register(fileobj, selectors.EVENT_WRITE if is_nested else events, data)
 
 
 async def _activate_all(count: int, by_sweep: bool) -> int:
