--- a/ringledge/wire/clients/chat/answer.py
+++ b/ringledge/wire/clients/chat/answer.py
@@ -58,7 +58,7 @@
             except (ValueError, TypeError, AttributeError) as error:
                 raise h11.RemoteProtocolError(f"an event can't be read: {error}") from error
         if session.size_bytes > MAX_SESSION_BYTES:
-            raise h11.RemoteProtocolError("the request and its response are too large for a session")
+            raise h11.RemoteProtocolError("the answer has no end")
         session.notify_followers()
 
     def _apply_event(self, event: dict[str, Any]) -> None:
--- a/ringledge/wire/clients/chat/front.py
+++ b/ringledge/wire/clients/chat/front.py
@@ -183,7 +183,7 @@
         ):
             return None
         if not self.sessions.make_room():
-            raise HttpError(429, "too many responses are in progress", "rate_limit_exceeded")
+            raise HttpError(429, "too many answers are under way", "rate_limit_exceeded")
         session = StreamSession(
             f"chatcmpl-{uuid4().hex}", chat_request, class_index, request.max_output_tokens, len(body)
         )
@@ -196,7 +196,7 @@
         name, _, number = last_event.rpartition(":")
         session = self.sessions.get(name)
         if session is None or not number.isdecimal() or int(number) > len(session.events):
-            raise HttpError(404, "unknown or no longer retained stream", "stream_not_found", "Last-Event-ID")
+            raise HttpError(404, "this stream is not known any more", "stream_not_found", "Last-Event-ID")
         # A broken response, or a continuation that was rejected, failed or left, can be continued again.
         if session.end not in (None, SessionEnd.SERVED):
             if not self._is_idempotent(session.class_index):
--- a/ringledge/wire/clients/chat/question.py
+++ b/ringledge/wire/clients/chat/question.py
@@ -25,9 +25,9 @@
     try:
         chat_request = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise HttpError(400, f"the body is not valid JSON: {error}", "invalid_json") from error
+        raise HttpError(400, f"the body is no JSON: {error}", "invalid_json") from error
     if not isinstance(chat_request, dict):
-        raise HttpError(400, "the body is not a JSON object", "invalid_json")
+        raise HttpError(400, "the body is no JSON object", "invalid_json")
     for name, kind in (("model", str), ("messages", list)):
         if not chat_request.get(name):
             raise HttpError(400, f"missing field: {name}", "missing_field", name)
@@ -39,23 +39,21 @@
             or not isinstance(message.get("role"), str)
             or "content" not in message
         ):
-            raise HttpError(
-                400, "a message must be an object with a role and content", "invalid_message", "messages"
-            )
+            raise HttpError(400, "a message needs a role and content", "invalid_message", "messages")
         if not isinstance(message["content"], str | list | None):
-            raise HttpError(400, "content must be text or a list of parts", "invalid_message", "messages")
+            raise HttpError(400, "content is text or a list of parts", "invalid_message", "messages")
     for name in ("max_tokens", "max_completion_tokens"):
         value = chat_request.get(name)
         if value is not None and (
             not isinstance(value, int) or isinstance(value, bool) or not 0 < value < 10**7
         ):
-            raise HttpError(400, f"{name} must be a whole number from 1 to 9999999", "invalid_value", name)
+            raise HttpError(400, f"{name} is a whole number over 0", "invalid_value", name)
     if not isinstance(chat_request.setdefault("stream", False), bool):
-        raise HttpError(400, "stream must be true or false", "invalid_type", "stream")
+        raise HttpError(400, "stream is true or false", "invalid_type", "stream")
     if not isinstance(chat_request.get("stream_options") or {}, dict):
-        raise HttpError(400, "stream_options must be an object", "invalid_type", "stream_options")
+        raise HttpError(400, "stream_options is an object", "invalid_type", "stream_options")
     if chat_request.get("n") not in (None, 1):
-        raise HttpError(400, "only one choice per request is supported", "unsupported_value", "n")
+        raise HttpError(400, "one choice a request", "unsupported_value", "n")
     return chat_request
 
 
@@ -70,9 +68,7 @@
     class_name, caller = header_text(head, b"x-call-class"), header_text(head, b"x-caller")
     budget = header_text(head, b"x-budget-ms")
     if budget and not (budget.isdecimal() and 0 < int(budget) < 10_000_000):
-        raise HttpError(
-            400, "must be a whole number of milliseconds from 1 to 9999999", "invalid_value", "X-Budget-Ms"
-        )
+        raise HttpError(400, "not a number of milliseconds", "invalid_value", "X-Budget-Ms")
     conversation = header_text(head, b"x-route-hash") or ""
     budget_ms = float(budget) if budget else None
     origin = ChatOrigin(caller or config.tenant, uuid4().hex, class_name, budget_ms, conversation)
--- a/ringledge/wire/clients/chat/queue_responses.py
+++ b/ringledge/wire/clients/chat/queue_responses.py
@@ -36,10 +36,10 @@
 
 # Status, code and message of the response for an entry that ended without being served.
 OUTCOME_RESPONSES = {
-    EntryOutcome.FAILED: (500, "failed", "the request failed"),
-    EntryOutcome.EXPIRED: (410, "expired", "the request expired before it was sent; it never ran"),
+    EntryOutcome.FAILED: (500, "failed", "it failed"),
+    EntryOutcome.EXPIRED: (410, "expired", "its time was up before it could be sent; it never ran"),
     EntryOutcome.UNKNOWN: (409, "may_have_run", "it may have run and is not run again"),
-    EntryOutcome.WITHDRAWN: (410, "withdrawn", "the request was withdrawn; it never ran"),
+    EntryOutcome.WITHDRAWN: (410, "withdrawn", "it was taken back; it never ran"),
 }
 
 STATUS_NAMES = {
@@ -56,9 +56,7 @@
     """
     status, code = REJECTION_RESPONSES[error.reason]
     if error.reason is QueueRejectionReason.IO_ERROR:
-        return HttpError(
-            status, "a disk error occurred; the request may have been queued", code, headers=location_headers
-        )
+        return HttpError(status, "the disk failed; it may have been queued", code, headers=location_headers)
     headers = [RETRY_AFTER] if status in (429, 503) else []
     message = f"not queued, nothing has run ({error.reason.value})"
     return HttpError(status, message, code, headers=headers)
--- a/ringledge/wire/clients/chat/queued.py
+++ b/ringledge/wire/clients/chat/queued.py
@@ -107,14 +107,14 @@
             if entry is None or entry.request.tenant != self._tenant(
                 head
             ):  # same as unknown, so that nothing is revealed
-                raise HttpError(404, "the entry does not exist or is no longer retained", "not_found")
+                raise HttpError(404, "no such entry, or its answer was kept for long enough", "not_found")
             if head.method == b"DELETE":
                 await self._queue.withdraw(name)
         except InvalidTransitionError as error:
-            raise HttpError(409, "the request has begun or ended; it cannot be withdrawn", "begun") from error
+            raise HttpError(409, "it has begun or ended, and can't be taken back", "begun") from error
         except QueueError as error:
             # Not 404: the entry may well exist.
-            message = f"the queue cannot be read ({error.reason.value})"
+            message = f"the queue can't be read ({error.reason.value})"
             raise HttpError(503, message, "queue_closed", headers=[RETRY_AFTER]) from error
         if head.method == b"DELETE":
             await self._respond_withdrawn(conn, name)
@@ -208,5 +208,5 @@
     elif prefers_async(head):
         await respond_accepted(conn, entry)
     else:
-        message = "this request is queued; poll it at its location"
+        message = "this request is queued: ask for it at its place"
         raise HttpError(409, message, "queued", headers=[location(entry.name)])
--- a/ringledge/wire/clients/chat/replies.py
+++ b/ringledge/wire/clients/chat/replies.py
@@ -48,9 +48,7 @@
         if session.end is SessionEnd.REJECTED:
             raise HttpError(503, "overloaded, nothing has run", "overloaded", headers=headers)
         if session.end is SessionEnd.BROKEN and self._is_idempotent(session.class_index):
-            raise HttpError(
-                503, "the stream broke again; it can be resumed", "stream_broken", headers=headers
-            )
+            raise HttpError(503, "the stream broke again: come back for it", "stream_broken", headers=headers)
         record = session.record
         if (
             session.end is SessionEnd.FAILED
@@ -72,7 +70,7 @@
             else:
                 await session.updated.wait()
         if session.end is not SessionEnd.SERVED:
-            raise HttpError(500, "the response broke off; it may have run", "stream_broken")
+            raise HttpError(500, "the answer broke off; it may have run", "stream_broken")
         await respond(conn, 200, completion_body(session))
 
     async def write_stream(self, conn: Connection, session: StreamSession, seen_count: int) -> None:
--- a/ringledge/wire/clients/operator.py
+++ b/ringledge/wire/clients/operator.py
@@ -71,7 +71,7 @@
             await self._overrides.set_excluded(server, out)
         except OSError as error:
             log.error("server_override_failed", server=server, out=out, error=str(error))
-            raise HttpError(503, "the override could not be stored", "unavailable") from error
+            raise HttpError(503, "it could not be written down", "unavailable") from error
 
 
 def format_statsd(metrics: Metrics, classes: tuple[str, ...]) -> str:
--- a/ringledge/wire/clients/platform_request.py
+++ b/ringledge/wire/clients/platform_request.py
@@ -22,19 +22,19 @@
     info = {key.strip(): value.strip() for key, value in info.items()}
     try:
         if not isinstance(orjson.loads(body), dict):
-            raise ValueError("the body is not a JSON object")
+            raise ValueError("the body is no JSON object")
         request_id = _text(headers, b"x-call-id")
         if not re.fullmatch(r"[A-Za-z0-9._-]{1,64}", request_id):  # it becomes part of a URL path
-            raise ValueError("X-Call-Id must be 1 to 64 letters, digits, dots, hyphens or underscores")
+            raise ValueError("X-Call-Id is no plain word")
         budget = _text(headers, b"x-budget-ms")
         if not re.fullmatch(r"[0-9]{1,7}", budget) or not int(budget):  # int() accepts '1_0' and '+1'
-            raise ValueError("X-Budget-Ms must be a whole number of milliseconds over 0, of at most 7 digits")
+            raise ValueError("X-Budget-Ms is no number of milliseconds")
         class_index = names.index(names.classes, _text(headers, b"x-call-class"))
         tenant = names.index(names.tenants, _text(headers, b"x-caller", ""))
         if class_index == len(names.classes):
-            raise ValueError("X-Call-Class names an unknown class")
+            raise ValueError("X-Call-Class names no class")
         if names.tenants and tenant == len(names.tenants):
-            raise ValueError("X-Caller names an unknown tenant")
+            raise ValueError("X-Caller names no tenant")
         repeat = _text(headers, b"x-again", "")
         return Request(
             request_id,
@@ -67,7 +67,7 @@
     """A valid number of tokens. float() accepts 'nan', which would make every sum it enters 'nan'."""
     value = float(text)
     if not 0 <= value < 1e9:
-        raise ValueError("X-Call-Info has an invalid number of tokens")
+        raise ValueError("X-Call-Info holds no count of tokens")
     return value
 
 
@@ -83,5 +83,5 @@
 def _parse_key(text: str) -> int | None:
     """The number of a session or a shared prefix from hex digits, bounded because it is stored."""
     if text and not re.fullmatch(r"[0-9a-fA-F]{1,64}", text):
-        raise ValueError("X-Route-Hash and the prefix in X-Call-Info must be at most 64 hex digits")
+        raise ValueError("a key is no hex digits")
     return int(text, 16) if text else None
