--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -63,7 +63,7 @@
         """`inherited` holds the predecessor's listening sockets by address; used ones are removed."""
         self._metrics, self._inherited = metrics, inherited
         # Servers and clients get half each; each front accepts an eighth more connections, to reject them.
-        reserved = RESERVED_SOCKETS + (operator.CONNECTIONS if config.operator else 0)
+        reserved = RESERVED_SOCKETS + (operator.MAX_CONNECTIONS if config.operator else 0)
         self.max_upstream_sockets = max(8, (max_descriptors(config.sockets) - reserved) // 2)
         self._body_memory = config.memory_bytes / BODY_MEMORY_DIVISOR
         self._budget = BodyMemory(self._body_memory)
@@ -105,9 +105,9 @@
         """Create the operators' front, whose limits are separate from those of clients."""
         # Each connection is read before the next is accepted, so that those with an incomplete request are
         # known and can be evicted first.
-        options = FrontOptions("operator", operator.CONNECTIONS, accepts_per_turn=1)
-        handling = RequestHandling(handler, error_body, request_timeout_s=operator.CALL_S)
-        front = Front(options, handling, BodyMemory(operator.MEMORY), self._metrics)
+        options = FrontOptions("operator", operator.MAX_CONNECTIONS, accepts_per_turn=1)
+        handling = RequestHandling(handler, error_body, request_timeout_s=operator.REQUEST_TIMEOUT_S)
+        front = Front(options, handling, BodyMemory(operator.MAX_BODY_MEMORY_BYTES), self._metrics)
         front.connections.end_with_answers(True)  # one request per connection
         self.operators.append(ListeningFront(front, self._listen(address)))
 
--- a/ringledge/wire/clients/chat/queue_responses.py
+++ b/ringledge/wire/clients/chat/queue_responses.py
@@ -1,4 +1,4 @@
-"""Responses of the chat front about queued requests: accepted, rejected, and an entry's state or outcome."""
+"""The chat front's responses about queued requests: accepted, rejected, and an entry's state or outcome."""
 
 from __future__ import annotations
 
@@ -50,7 +50,10 @@
 
 
 def rejection_response(error: QueueError, location_headers: Headers | None = None) -> HttpError:
-    """The response to a request that the queue rejected; the headers are for one that may be queued yet."""
+    """The response to a request that the queue rejected.
+
+    `location_headers` are added if the request may have been queued nevertheless.
+    """
     status, code = REJECTION_RESPONSES[error.reason]
     if error.reason is QueueRejectionReason.IO_ERROR:
         return HttpError(status, "the disk failed; it may have been queued", code, headers=location_headers)
@@ -71,7 +74,7 @@
 
 
 async def respond_entry(conn: Connection, entry: Entry) -> None:
-    """Respond with the entry's state, its response, or HttpError for another outcome."""
+    """Respond with the state of the entry or with its response; HttpError for any other outcome."""
     if entry.outcome is None:
         await respond(conn, 202, _status_body(entry), [POLL_AFTER])
     elif entry.outcome is EntryOutcome.SERVED:
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -1,4 +1,4 @@
-"""A restart whose configuration tells a stale list, beside a discovery that is slow or silent at first."""
+"""A restart with a stale endpoint list in its configuration, while discovery is slow or silent."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from tests.standins import play
 from tests.test_client_pace import request
 
-REQUESTS = 8
-BUSY_S = 2.0  # that a busy machine may add to a bound
-LOOK_S = 0.01  # how often a condition is looked at
+REQUEST_COUNT = 8
+SLACK_S = 2.0  # delay that a busy machine may add
+POLL_INTERVAL_S = 0.01
 
 
 @pytest.fixture
 def node(tmp_path: Path) -> Iterator[Node]:
-    """The program, killed; its file still tells the list of its start, and discovery is the test's."""
+    """The program after a kill; its configuration still has the endpoint list of its first start."""
     with Node(tmp_path, readers=2, writers=2) as node:
         node.configure(listen=node.listening["platform"])
         node.kill()
@@ -31,7 +31,7 @@
 
 
 class Restart:
-    """The program's new process while it starts."""
+    """A new process of the program while it starts."""
 
     def __init__(self, node: Node, discovery: StandIn) -> None:
         node.configure(discovery=discovery.address)
@@ -42,43 +42,45 @@
         self._thread.start()
 
     def wait_ready(self) -> list[str]:
-        """Wait until it is; the events that it has logged before."""
+        """Wait until the process is ready; return the events that it has logged until then."""
         self._thread.join(WAIT_S)
         assert not self._thread.is_alive()
         self.took_s = time.monotonic() - self._began
         return [line["event"] for line in self.process.passed]
 
-    def dial(self) -> socket.socket:
-        """A client that knows the address from before."""
-        until = time.monotonic() + WAIT_S
+    def open_client(self) -> socket.socket:
+        """Connect a client as soon as the process listens at its former address."""
+        deadline_s = time.monotonic() + WAIT_S
         while True:
             try:
                 return self.node.connect()
             except ConnectionRefusedError:
-                assert time.monotonic() < until
-                time.sleep(LOOK_S)
+                assert time.monotonic() < deadline_s
+                time.sleep(POLL_INTERVAL_S)
 
-    def ask(self) -> list[socket.socket]:
-        """Send requests of several sessions, each over its own connection."""
-        clients = [self.dial() for _ in range(REQUESTS)]
+    def send_requests(self) -> list[socket.socket]:
+        """Send requests of different sessions, each on its own connection."""
+        clients = [self.open_client() for _ in range(REQUEST_COUNT)]
         for number, client in enumerate(clients):
             session = f"{number:016x}".encode()
             client.sendall(request(f"a{number}").replace(b"7f3a9c21e0b4d655", session))
         return clients
 
 
-def first_word(node: Node, how: str) -> str:
-    """The list that discovery has: r1 and w0 are not to be used any more."""
+def first_listing(node: Node, how: str) -> str:
+    """Discovery's endpoint list, by which r1 and w0 may no longer be used."""
     status = "left" if how == "left" else "leaving"
-    told = node.listing(9, r1=status, w0=status)
+    endpoint_list = node.listing(9, r1=status, w0=status)
     if how == "absent":
-        told["endpoints"] = [each for each in told["endpoints"] if each["status"] == "active"]
-    told["snapshot"] = how != "left"
-    return json.dumps(told) + "\n"
+        endpoint_list["endpoints"] = [
+            each for each in endpoint_list["endpoints"] if each["status"] == "active"
+        ]
+    endpoint_list["snapshot"] = how != "left"
+    return json.dumps(endpoint_list) + "\n"
 
 
-def all_by_the_others(node: Node, clients: list[socket.socket]) -> bool:
-    """Whether all are served, and nothing was sent to a server that leaves."""
+def all_served_by_remaining_servers(node: Node, clients: list[socket.socket]) -> bool:
+    """Whether all requests are served, and none was sent to a server that may no longer be used."""
     play(node.reader[0], Call.read)
     play(node.writer[1], lambda call: call.serve("x"))
     for client in clients:
@@ -89,38 +91,40 @@
 
 
 @pytest.mark.parametrize("how", ["leaving", "absent", "left"])
-def test_clients_that_come_before_a_slow_first_word_go_by_it(node: Node, how: str) -> None:
+def test_early_requests_wait_for_a_slow_endpoint_list(node: Node, how: str) -> None:
     discovery = StandIn()
     restart = Restart(node, discovery)
-    clients = restart.ask()
+    clients = restart.send_requests()
     watch = discovery.next().begin()
-    watch.chunk(first_word(node, how)[:30])  # a piece of it is no word
-    watch.chunk(first_word(node, how)[30:])
-    assert all_by_the_others(node, clients)
+    watch.chunk(first_listing(node, how)[:30])  # an incomplete list has no effect
+    watch.chunk(first_listing(node, how)[30:])
+    assert all_served_by_remaining_servers(node, clients)
     assert "endpoint_list_late" not in restart.wait_ready()
-    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
+    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + SLACK_S
 
 
-def test_clients_that_come_while_the_first_call_is_answered_in_vain_go_by_the_second(node: Node) -> None:
+def test_early_requests_wait_for_the_second_discovery_call_if_the_first_is_silent(node: Node) -> None:
     discovery = StandIn()
     restart = Restart(node, discovery)
-    clients = restart.ask()
-    discovery.next()  # accepted, and no word
-    discovery.next().begin().chunk(first_word(node, "leaving"))
-    assert all_by_the_others(node, clients)
+    clients = restart.send_requests()
+    discovery.next()  # accepted but never answered
+    discovery.next().begin().chunk(first_listing(node, "leaving"))
+    assert all_served_by_remaining_servers(node, clients)
     assert "endpoint_list_late" not in restart.wait_ready()
-    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
+    assert restart.took_s < ENDPOINT_LIST_TIMEOUT_S + SLACK_S
 
 
-def test_beside_a_silent_discovery_it_is_ready_in_time_and_obeys_the_first_word(node: Node) -> None:
+def test_process_without_discovery_becomes_ready_in_time_and_applies_a_later_endpoint_list(
+    node: Node,
+) -> None:
     discovery = StandIn()
     restart = Restart(node, discovery)
     assert "endpoint_list_late" in restart.wait_ready()
-    assert ENDPOINT_LIST_TIMEOUT_S < restart.took_s < ENDPOINT_LIST_TIMEOUT_S + BUSY_S
-    while not discovery.calls.empty():  # several were asked in vain by then
+    assert ENDPOINT_LIST_TIMEOUT_S < restart.took_s < ENDPOINT_LIST_TIMEOUT_S + SLACK_S
+    while not discovery.calls.empty():  # calls that were not answered
         call = discovery.next()
     assert call.closed()
-    discovery.next().begin().chunk(first_word(node, "leaving"))
+    discovery.next().begin().chunk(first_listing(node, "leaving"))
     while restart.process.logged("endpoint_list_received")["index"] != 9:
         pass
-    assert all_by_the_others(node, restart.ask())
+    assert all_served_by_remaining_servers(node, restart.send_requests())
--- a/tests/test_start_crossings.py
+++ b/tests/test_start_crossings.py
@@ -31,7 +31,7 @@
 
 def test_a_shutdown_while_the_start_waits_for_the_list_answers_the_requests_received(killed: Node) -> None:
     restart = Restart(killed, StandIn())  # discovery does not respond
-    with restart.dial() as client:
+    with restart.open_client() as client:
         client.sendall(request("a1"))
         restart.process.process.send_signal(signal.SIGTERM)
         sent_s = time.monotonic()
@@ -43,7 +43,7 @@
 
 def test_a_request_with_a_short_budget_is_answered_while_the_start_waits_for_the_list(killed: Node) -> None:
     restart = Restart(killed, StandIn())  # discovery does not respond
-    with restart.dial() as client:
+    with restart.open_client() as client:
         client.sendall(request("a1").replace(b"X-Budget-Ms: 4800", b"X-Budget-Ms: 40"))
         sent_s = time.monotonic()
         assert client.recv(65536).startswith(b"HTTP/1.1 503")
--- a/tests/test_stop_crossings.py
+++ b/tests/test_stop_crossings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.loopback import WAIT_S, Node
-from tests.test_client_pace import END, request, serve, until
+from tests.test_client_pace import END, read_until, request, serve
 
 
 def send_sigterm(node: Node) -> None:
@@ -33,13 +33,13 @@
         if connection == "idle":
             client.sendall(request("a1"))
             serve(node, "a1")
-            until(client, END)
+            read_until(client, END)
         elif connection == "partly read":
             client.sendall(text[:40])
         send_sigterm(node)
         client.sendall(text[40:] if connection == "partly read" else text)
         serve(node, "a2")
-        assert until(client, END).startswith(b"HTTP/1.1 200")
+        assert read_until(client, END).startswith(b"HTTP/1.1 200")
     assert node.process.wait(WAIT_S) == 0
 
 
@@ -50,7 +50,7 @@
         send_sigterm(node)
         wait_for_drain(node)
         client.sendall(text[40:])
-        assert until(client, b"nothing has run").startswith(b"HTTP/1.1 503")
+        assert read_until(client, b"nothing has run").startswith(b"HTTP/1.1 503")
         assert client.recv(1) == b""
     assert node.process.wait(WAIT_S) == 0
     assert not node.reader[0].seen
@@ -62,12 +62,12 @@
         client.sendall(request("a1"))
         node.reader[0].next().read()
         call = node.writer[0].next().begin().token("x")
-        until(client, b"x")
+        read_until(client, b"x")
         client.sendall(request("a2"))
         send_sigterm(node)
         wait_for_drain(node)
         call.end()
-        received = until(client, b"nothing has run")
+        received = read_until(client, b"nothing has run")
         assert END in received and received.index(END) < received.index(b"HTTP/1.1 503")
     assert node.process.wait(WAIT_S) == 0
     assert [each.id for each in node.reader[0].seen] == ["a1"]
@@ -78,7 +78,7 @@
     with node.connect() as client:
         client.sendall(request("a1"))
         serve(node, "a1")
-        until(client, END)
+        read_until(client, END)
         send_sigterm(node)
         assert client.recv(1) == b""  # the process has shut down its sending side
         client.sendall(request("a2"))
--- a/tests/wire/clients/chat/helpers.py
+++ b/tests/wire/clients/chat/helpers.py
@@ -1,4 +1,4 @@
-"""Requests to the chat front, and what its streams say."""
+"""Requests to the chat front, and helpers to read its streams."""
 
 import json
 from typing import Any
@@ -12,19 +12,22 @@
 yard = "query"
 book = "booking"
 """
-HELLO: dict[str, Any] = {"model": "yard", "messages": [{"role": "user", "content": "is room 14 free?"}]}
-STREAM = HELLO | {"stream": True}
-BOOK = STREAM | {"model": "book"}
+CHAT_REQUEST: dict[str, Any] = {
+    "model": "yard",
+    "messages": [{"role": "user", "content": "is room 14 free?"}],
+}
+STREAM_REQUEST = CHAT_REQUEST | {"stream": True}
+BOOKING_REQUEST = STREAM_REQUEST | {"model": "book"}
 
 
-def writing(node: Node) -> Call:
-    """Let a request be read; give the call at the writer."""
+def wait_for_decode(node: Node) -> Call:
+    """Complete a request's prefill; return the call at the decode server."""
     node.reader[0].next().read()
     return node.writer[0].next()
 
 
 def text(body: bytes) -> str:
-    """What the events of a stream say, whole or broken."""
+    """The text in the events of a stream, whether complete or broken off."""
     return "".join(
         choice["delta"].get("content", "")
         for line in body.splitlines()
@@ -33,8 +36,8 @@
     )
 
 
-def first_id(answer: Any) -> str:
-    """Read a stream's first event; give its id."""
+def read_first_event_id(answer: Any) -> str:
+    """Read a stream's first event; return its id."""
     line: str = answer.readline().decode()
     assert line.startswith("id: ")
     for _ in range(2):
@@ -42,5 +45,5 @@
     return line[4:].strip()
 
 
-def resume(node: Node, question: Any, last: str) -> Answer:
-    return take(node.chat(question, Last_Event_ID=last))
+def resume(node: Node, chat_request: Any, last_event_id: str) -> Answer:
+    return take(node.chat(chat_request, Last_Event_ID=last_event_id))
--- a/tests/wire/clients/chat/test_queue.py
+++ b/tests/wire/clients/chat/test_queue.py
@@ -18,7 +18,7 @@
 from tests.wire.clients.chat.queued import ASYNC, SiteProcess, run_scenario
 
 
-def test_a_queued_request_is_polled_at_any_process_until_it_is_served(tmp_path: Path) -> None:
+def test_queued_request_can_be_polled_at_any_process_until_it_is_served(tmp_path: Path) -> None:
     async def scenario(first: SiteProcess) -> None:
         accepted = await first.post(Prefer="wait=1, Respond-Async; x=1")
         location = accepted.headers["location"]
@@ -35,7 +35,7 @@
 
         await second.serve(second.port.sent[0], "yes, ", "two slots")
         await second.queue.complete(name, 1, EntryOutcome.SERVED, results[0].answer)
-        for process in (first, second):  # each of them returns it for as long as it is retained
+        for process in (first, second):  # each returns the response for as long as it is retained
             response = await process.request("GET", location)
             assert response.status == 200
             assert response.body["choices"][0]["message"]["content"] == "yes, two slots"
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     ("prefer", "state"), [("", SiteState.PARTITIONED), ("respond-async", SiteState.AVAILABLE)]
 )
-def test_a_request_is_run_at_once_without_the_preference_or_while_the_site_is_open(
+def test_request_runs_immediately_without_the_preference_or_while_the_site_is_available(
     tmp_path: Path, prefer: str, state: SiteState
 ) -> None:
     async def scenario(process: SiteProcess) -> None:
@@ -68,7 +68,7 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_only_its_tenant_may_poll_an_entry_and_withdraw_it_while_it_waits(tmp_path: Path) -> None:
+def test_only_the_tenant_of_an_entry_can_poll_it_and_withdraw_it_while_it_waits(tmp_path: Path) -> None:
     async def scenario(process: SiteProcess) -> None:
         location = (await process.post(**ASYNC)).headers["location"]
         other_tenant = {"X-Caller": "yard"}
@@ -137,15 +137,14 @@
         repeated = await process.post("book", Idempotency_Key="k", **ASYNC)
         assert repeated.status == 202 and repeated.body["id"] == first.body["id"]
 
-        process.site_state = (
-            SiteState.AVAILABLE
-        )  # the partition is over, and the client retries synchronously
+        # The partition is over, and the client retries without asking for an asynchronous response.
+        process.site_state = SiteState.AVAILABLE
         conflict = await process.post("book", Idempotency_Key="k")
         assert (conflict.status, conflict.body["error"]["code"]) == (409, "queued")
         assert conflict.headers["location"] == first.headers["location"]
         assert not process.port.sent
 
-        process.queue.stop()  # an unreadable file may have the key: a booking does not run
+        process.queue.stop()  # an unreadable file may contain the key, so a booking does not run
         process.queue = Queue(QueueConfig(path="/dev/null/queue.db"))
         process.queue.start()
         assert process.chat._queued is not None
