--- a/ringledge/routing/affinity.py
+++ b/ringledge/routing/affinity.py
@@ -30,8 +30,8 @@
     def bind(self, request: Request, server: Server, now_ms: float) -> None:
         """Record that a server has cached the request's shared prefix and the prompt of its session.
 
-        Callers do so once the server has answered, not when the request is sent, so that an unresponsive
-        server does not keep the session.
+        Call it once the server has answered, not when the request is sent, so that an unresponsive server
+        does not keep the session.
         """
         if request.prefix:
             server.cached_prefixes[request.prefix] = now_ms
--- a/ringledge/routing/concurrency_limit.py
+++ b/ringledge/routing/concurrency_limit.py
@@ -17,9 +17,10 @@
 # Time for which a prefill without a wait shows that other servers are not congested: about the length of a
 # wait in congestion.
 UNCONGESTED_VALIDITY_MS = 1_000.0
-# Factor applied on congestion to the limit, or to the tokens in flight if they are fewer; usual for networks.
+# Factor applied on congestion to the limit, or to the tokens in flight if they are fewer. The value is usual
+# in the congestion control of networks.
 DECREASE_FACTOR = 0.7
-# Increase of the limit after each prefill without a wait: about a short prefill.
+# Increase of the limit after each prefill without a wait: about the tokens of a short prefill.
 INCREASE_TOKENS = 600.0
 # Time without congestion after which the limit is removed: a few times a wait in congestion.
 LIFT_AFTER_MS = 3_000.0
@@ -37,7 +38,7 @@
         self.uncongested_ms = -inf  # time of the last prefill without a wait
 
     def observe_wait(self, now_ms: float, wait_share: float, sent_ms: float) -> bool:
-        """Record how long a prefill that ended or was cancelled has waited; return whether to decrease.
+        """Record how long an ended or cancelled prefill has waited; return whether to call `decrease`.
 
         `wait_share` is its wait beyond its own work, as a share of the target time.
         """
@@ -53,14 +54,14 @@
         return False
 
     def decrease(self, now_ms: float, in_flight_tokens: float, floor_tokens: float) -> None:
-        """Lower the limit, but not below `floor_tokens`, which cause no congestion even from all routers."""
+        """Lower the limit, but not below `floor_tokens`, which all routers can use at once uncongested."""
         self.limit_tokens = max(floor_tokens, DECREASE_FACTOR * min(self.limit_tokens, in_flight_tokens))
         self.decreased_ms = now_ms
 
     def admits(self, in_flight_tokens: float, tokens: float, priority: float, draw: float) -> bool:
         """Whether a prefill of `tokens` tokens may be sent, given its priority of at most 1.
 
-        `draw` is uniform from 0 to 1. If all routers rejected their prefills at once, none would see the end
-        of the congestion.
+        `draw` is a uniform random number from 0 to 1, because of which the routers reject only part of their
+        prefills. If they rejected all, none of them would see the end of the congestion.
         """
         return in_flight_tokens + draw * tokens / (BASE_PRIORITY + priority) < self.limit_tokens
--- a/ringledge/routing/decode.py
+++ b/ringledge/routing/decode.py
@@ -11,7 +11,8 @@
 
 # Share of the target time that is added to each delay, so that small differences carry little weight.
 BASE_DELAY_SHARE = 0.1
-# Multiple of that base delay above which a server, and with it its cell, counts as congested.
+# Multiple of the base delay (`BASE_DELAY_SHARE` of the target time) above which a server, and with it its
+# cell, counts as congested.
 CONGESTED_DELAY_FACTOR = 2.0
 # Share of a server's memory above which it is passed over, because streams would be evicted.
 MAX_MEMORY_USE = 1.0
@@ -39,7 +40,7 @@
 
         A server in the KV cache entry's cell is taken unless it is congested, cold or short of memory. If it
         is, a server outside the cell, if possible in the same zone, is taken if it is clearly less loaded.
-        With the spill probability of a cell or zone short of decode servers, the preference is reversed.
+        If the cell or zone is short of decode servers, the preference is reversed with its spill probability.
         """
         eligible_servers = self._with_memory(
             state, self.eligibility.eligible(state, self.fleet.decode_servers)
--- a/ringledge/routing/eligibility.py
+++ b/ringledge/routing/eligibility.py
@@ -8,11 +8,13 @@
 from ringledge.routing.settings import DedupScope, Idempotency, Role
 from ringledge.routing.state import RequestState, Server
 
-# Share of the attempts that would overload a cold server, if a warm server's usual rate were its capacity.
+# A cold server gets attempts up to this fraction of the rate that is expected to overload it. That rate is
+# estimated by taking the usual rate of a warm server as the warm server's capacity.
 COLD_ATTEMPT_SHARE = 0.75
 # Attempts of a request that may fail on one server. One failure may be chance; a full server stays full.
 MAX_ATTEMPTS_PER_SERVER = 2
-# Share of the prefills that would overload a cold server. The rest is left for busy routers and for variance.
+# The lower bound of a cold server's rate permits this fraction of the prefills that would overload it. The
+# rest is left for busy routers and for variance.
 COLD_WORK_SHARE = 0.5
 # Overload windows for which an idle server saves up credit, since all saved attempts may be sent at once.
 MAX_CREDIT_WINDOWS = 2.0
@@ -73,7 +75,7 @@
         )
 
     def _has_start_credit(self, state: RequestState, server: Server) -> bool:
-        """Whether a server is warm, or has slow-start credit for an attempt."""
+        """Update a cold server's slow-start credit; return whether the server may get an attempt."""
         now_ms = self.clock.now_ms
         warmth = self.fleet.warmth(server, now_ms)
         if warmth == 1.0:
--- a/ringledge/routing/estimates.py
+++ b/ringledge/routing/estimates.py
@@ -148,7 +148,8 @@
         non_idempotent = state.request_class.idempotency == Idempotency.NON_IDEMPOTENT
         errors = server.failures.get(SERVER_ERROR, DecayingMean()).value(now_ms)
         if state.kv_server is not None and non_idempotent and errors > SAMPLE_WEIGHT / 2:
-            return 1.0  # it has only one attempt, and a healthy server answers hundreds of requests per error
+            # The request has only one attempt, and a healthy server answers hundreds of requests per error.
+            return 1.0
         return max(server.failures[ANY_REQUEST].value(now_ms), min(rates))
 
     def prefill_tokens_in_flight(self) -> float:
--- a/ringledge/routing/fleet.py
+++ b/ringledge/routing/fleet.py
@@ -38,8 +38,8 @@
     def __init__(self, settings: RouterSettings) -> None:
         self.settings = settings
         self.servers = dict[str, Server]()
-        self.prefill_servers = list[Server]()  # up and not excluded; so are the decode servers
-        self.decode_servers = list[Server]()
+        self.prefill_servers = list[Server]()  # available servers that get new prefills
+        self.decode_servers = list[Server]()  # available servers that get new decodes
         self.rankings: dict[str, list[Server]] = {}  # `prefill_servers` ranked by affinity key (a cache)
         self.excluded = set[str]()  # excluded by an operator
         self.readmitted = set[str]()  # readmitted by an operator and not used since
@@ -86,6 +86,9 @@
 
 
 def _shortages(places: dict[int, _WarmCapacity], ratio: float) -> dict[int, float]:
-    """Return the share of prefills beyond the decode capacity, for each cell or zone that prefills."""
-    needs = {place: ratio * capacity.prefill for place, capacity in places.items()}
-    return {place: 1 - places[place].decode / need for place, need in needs.items() if need}
+    """Return the share of prefills beyond the decode capacity, for each cell or zone that prefills.
+
+    `ratio` is the decode capacity that the whole fleet has per prefill capacity.
+    """
+    required = {place: ratio * capacity.prefill for place, capacity in places.items()}
+    return {place: 1 - places[place].decode / decode for place, decode in required.items() if decode}
--- a/ringledge/routing/observations.py
+++ b/ringledge/routing/observations.py
@@ -17,12 +17,13 @@
 
 # Number of first prefills whose fastest sets the prefill rate, since the very first may have queued.
 INITIAL_PREFILLS = 4
-# Maximum value of a prefill rate sample as a multiple of the current estimate, since it may have queued.
+# Maximum value of a prefill rate sample as a multiple of the current estimate. A prefill may have queued,
+# which increases its sample.
 MAX_SAMPLE_FACTOR = 4.0
 # Decay of earlier streams with each stream that ends: about the last ten count.
 STREAM_DECAY = 0.9
-# Share of a prefill's wait. If a prefill sent later to the same server took less than that, it is the better
-# sample of the current delay.
+# Fraction of an attempt's wait. If a prefill that was sent to the same server within this last part of the
+# wait has already completed, it is the better sample of the current delay.
 OVERTAKEN_SHARE = 0.5
 # Maximum number of samples in the mean work of requests, since a router's traffic mix changes over a day.
 MAX_WORK_SAMPLES = 64
--- a/ringledge/routing/prefill.py
+++ b/ringledge/routing/prefill.py
@@ -24,9 +24,11 @@
 RANK_TOLERANCE_SHARE = 0.03
 # Share of the target time. Above this wait other servers are tried and the lowest priority is shed.
 LATE_WAIT_SHARE = 0.5
-# Minimum share of a wait that counts for shedding. All requests that would wait twice the limit are shed.
+# Lower bound of the random factor (at most 1) by which the expected wait is multiplied before it is compared
+# with the limit. At 0.5 all requests that would wait more than twice the limit are shed.
 MIN_SHED_WAIT_SHARE = 0.5
-# Decrease of that share with priority. From a third of the highest priority on, the share is at its minimum.
+# Decrease of the factor's lower bound per unit of priority: from 1 at priority 0 to `MIN_SHED_WAIT_SHARE`,
+# which it reaches at a third of the highest priority.
 SHED_PRIORITY_SLOPE = 1.5
 # Share of a server's wait or load below which a server farther away or lower in rank is taken instead.
 MAX_ALTERNATIVE_RATIO = 0.6
@@ -112,7 +114,7 @@
         if state.attempt_count:
             return None
         if self.estimates.fleet_memory_use(state) > MEMORY_SHORT + (1 - MEMORY_SHORT) * state.priority:
-            return GiveUpReason.MEMORY_SHORT  # its KV cache entry would wait or evict another request's
+            return GiveUpReason.MEMORY_SHORT  # its KV cache entry would wait for memory or evict another one
         if self.concurrency_limit.limit_tokens < inf:
             tokens = self.estimates.uncached_tokens(state.request, server) + PREFILL_OVERHEAD_TOKENS
             in_flight = self.estimates.prefill_tokens_in_flight()
--- a/ringledge/routing/quotas.py
+++ b/ringledge/routing/quotas.py
@@ -8,9 +8,9 @@
 from ringledge.routing.context import RoutingContext
 from ringledge.routing.settings import RequestClass
 
-# Time over which arrivals are counted: a tenant's bucket also holds about one second of requests.
+# Time constant with which the count of arrivals decays. A tenant's bucket holds requests of about that time.
 ARRIVAL_DECAY_MS = 1_000.0
-# Minimum burst of a tenant in requests, since its part of the quota at one of many routers is below one.
+# Minimum burst of a tenant in requests, since its part of the quota at one of many routers may be less.
 MIN_BUCKET_CAPACITY = 4.0
 
 
