--- a/ringledge/core/action_executor.py
+++ b/ringledge/core/action_executor.py
@@ -1,4 +1,4 @@
-"""Executes the actions that the routing policy returns, each in its stage."""
+"""Executes the actions that the routing policy returns."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ActionExecutor:
-    """Dispatches each action by its type."""
+    """Passes each action, by its type, to a stage, the timers, the transport or the log."""
 
     def __init__(self, context: StageContext, timers: TimerQueue) -> None:
         self._context = context
--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -105,7 +105,7 @@
     # Called by discovery, by operators and by the role planner.
 
     def update_endpoints(self, update: EndpointUpdate, addresses: dict[str, str]) -> None:
-        """Apply a server list update before all queued events, so that no send overtakes a drain."""
+        """Apply a server list update before all queued events, so that none of them uses a draining server."""
         changed = self.context.servers.apply(update, addresses)
         if changed:
             log.info("endpoints_changed", version=update.version, **summarize_changes(changed))
@@ -161,14 +161,14 @@
     # Hand-over between the predecessor and the successor process.
 
     def dump_snapshot(self) -> Iterator[dict[str, Any]]:
-        """Yield the policy's learned state, one table at a time."""
+        """Yield the policy's estimates in parts, as `snapshot.dump` does."""
         return snapshot.dump(self.policy)
 
-    def load_snapshot(self, table: dict[str, Any]) -> None:
-        """Restore one table of the predecessor's snapshot; an unreadable one is logged and skipped."""
+    def load_snapshot(self, part: dict[str, Any]) -> None:
+        """Restore one part of the predecessor's snapshot; an unreadable one is logged and skipped."""
         try:
-            snapshot.load(self.policy, table)
-        except (ValueError, TypeError, KeyError) as error:  # written by another version; it is learned anew
+            snapshot.load(self.policy, part)
+        except (ValueError, TypeError, KeyError) as error:  # of another version; the estimates are relearned
             log.warning("snapshot_unreadable", error=repr(error))
 
     def shut_down(self) -> None:
@@ -210,7 +210,7 @@
         """The number of listed servers that the policy currently avoids."""
         return sum(view.avoided for view in server_views(self.policy, self.clock.now_ms()))
 
-    # Events go to the policy, its actions to the stages.
+    # Event handling.
 
     def _dispatch(self, event: RoutingEvent) -> None:
         self._events.append(event)
--- a/ringledge/core/invariants.py
+++ b/ringledge/core/invariants.py
@@ -37,7 +37,8 @@
     SENT_AFTER_END = "sent_after_end"  # an attempt was sent that had ended, or whose request was closed
     SENT_TO_UNAVAILABLE = "sent_to_closed"  # an attempt was sent to a draining or unlisted server
     TIMEOUT_BEYOND_DEADLINE = "told_too_much"  # a server's time limit ended after the client's deadline
-    CACHE_HELD_TOO_LONG = "held_too_long"  # a KV cache entry may be held with no delivered attempt in flight
+    # A KV cache entry may be held for longer than its limit with no delivered attempt in flight.
+    CACHE_HELD_TOO_LONG = "held_too_long"
     EVENT_HANDLING_FAILED = "handling_failed"  # the policy or one of its actions raised an exception
 
 
--- a/ringledge/core/records.py
+++ b/ringledge/core/records.py
@@ -35,8 +35,8 @@
     server_started_ms: float = 0.0  # start time of the server process that the policy chose
     written: bool = False  # whether its last byte was passed to the socket, after which it may run
     delivered: bool = False  # whether the server has begun to answer: the only proof that the request arrived
-    on_new_connection: bool = False  # a reused connection may be dead without an error; a new one rarely is
-    fetches_cache: bool = False  # whether a KV cache entry was held when it was sent; it may have fetched it
+    on_new_connection: bool = False  # else on a reused one, more often dead without an error
+    fetches_cache: bool = False  # whether a KV cache entry, which it may fetch, was held when it was sent
     streaming: bool = False  # whether the first token has arrived and the response is being relayed
     outcome: AttemptStatus | None = None
     duration_ms: float = 0.0
@@ -72,7 +72,7 @@
     streaming: bool = False  # whether the response of one of its attempts is being relayed
     first_token_ms: float | None = None  # from the request's arrival to the first token
     reason: str = ""  # why it was rejected or failed; empty for other results
-    violations: set[str] = field(default_factory=set)  # lasting invariant violations that have been counted
+    violations: set[str] = field(default_factory=set)  # violated invariants that are not counted again
 
     def attempt_summaries(self) -> list[list[object]]:
         """Server, outcome, duration in ms, `written` and `delivered` of each attempt, for log lines."""
--- a/ringledge/core/stages/record_outcome.py
+++ b/ringledge/core/stages/record_outcome.py
@@ -8,8 +8,8 @@
 from ringledge.routing.interface import AttemptOutcome, AttemptStatus, LoadReport
 
 ANSWERED_STATUSES = (AttemptStatus.OK, AttemptStatus.PREFILLED)
-# After these the server may hold a KV cache entry that was not reported: a 202 response, or a fetch of the
-# entry, may have been in progress.
+# Statuses after which the server may hold a KV cache entry that was not reported: a 202 response, or a fetch
+# of the entry, may have been in progress.
 UNOBSERVED_STATUSES = (
     AttemptStatus.CANCELLED,
     AttemptStatus.TIMEOUT,
--- a/ringledge/decide/servers/delivery.py
+++ b/ringledge/decide/servers/delivery.py
@@ -14,7 +14,9 @@
 
 from ringledge.decide.servers.reachability import Reachability
 
-CHECK_AFTER_MS = 250.0  # without contact; longer than most prefills, and half the hold limit of an entry
+# Time without contact after which a server is checked: longer than most prefills, and half the hold limit of
+# a KV cache entry.
+CHECK_AFTER_MS = 250.0
 # Time between two checks of a server: after a successful one the request is known to wait in the server's
 # queue, and each connection costs the server work.
 RECHECK_INTERVAL_MS = 1_500.0
--- a/ringledge/decide/servers/health_checks.py
+++ b/ringledge/decide/servers/health_checks.py
@@ -37,7 +37,7 @@
     probe_wanted: bool  # whether the member suspects the server
     # Outcome of the member's own latest probe; an int because newer versions may send further values.
     outcome: int = ProbeOutcome.NONE
-    duration_ms: int = 0  # of the member's latest probe that was answered
+    duration_ms: int = 0  # duration of the member's latest probe that was answered
     consecutive: int = 0  # consecutive probes with this outcome, capped at the healthy threshold
 
 
@@ -45,10 +45,10 @@
     """Settings of the health checks; times are in seconds."""
 
     interval_s: float = msgspec.field(name="every_s", default=0.5)  # from a probe's end to the next probe
-    timeout_s: float = msgspec.field(name="limit_s", default=1.0)  # of a probe
+    timeout_s: float = msgspec.field(name="limit_s", default=1.0)  # time limit of a probe
     # Consecutive answered probes after which a member drops its suspicion.
     healthy_threshold: int = msgspec.field(name="clears", default=3)
-    suspicion_ttl_s: float = msgspec.field(name="doubt_s", default=10.0)  # unless the suspicion is renewed
+    suspicion_ttl_s: float = msgspec.field(name="doubt_s", default=10.0)  # restarts with each suspicion
 
 
 @dataclass(frozen=True, slots=True)
--- a/ringledge/decide/servers/reachability.py
+++ b/ringledge/decide/servers/reachability.py
@@ -13,12 +13,12 @@
 
 FAILURE_TTL_MS = 3_000.0  # how long a time-out counts; network links recover within seconds
 INITIAL_REFUSAL_TTL_MS = 1_000.0  # doubled by each consecutive refusal; processes start within seconds
-MAX_REFUSAL_TTL_MS = 30_000.0  # for a server that is down for good and still in the endpoint list
+MAX_REFUSAL_TTL_MS = 30_000.0  # reached by servers that are down for good but still listed
 MAX_REFUSAL_DOUBLINGS = 8
 # The set of unreachable servers is cached for this time, because its computation visits all servers. An
 # expired failure may count this much longer.
 CACHE_TTL_MS = 20.0
-MIN_TIMED_OUT_SERVERS = 2  # in a partitioned zone; a single server may itself be down
+MIN_TIMED_OUT_SERVERS = 2  # fewer don't show that a zone is partitioned; one server may itself be down
 
 
 @dataclass(slots=True)
--- a/ringledge/decide/servers/releases.py
+++ b/ringledge/decide/servers/releases.py
@@ -26,11 +26,17 @@
 # A hedged call goes to another server after this fraction of the time remaining until the deadline, so that
 # five calls fit into it, and more as the deadline approaches.
 HEDGE_FRACTION = 0.2
-MIN_CALL_INTERVAL_MS = 30.0  # between two calls of a release: a few round trips and a handshake
-RETRY_INTERVAL_MS = 350.0  # between two rounds while a holder doesn't answer; an entry may be held for 500 ms
-RETRY_WINDOW_MS = 8_000.0  # after which rounds are not repeated; most network partitions are over by then
-ANSWER_SLACK_MS = 250.0  # for the answer, out of the 350 ms that an entry may be held beyond the hold limit
-RELEASE_TIMEOUT_MS = 20_000.0  # without any answer; by then a holder has released by itself, or is down
+# Minimum time between two calls of a release: a few round trips and a handshake.
+MIN_CALL_INTERVAL_MS = 30.0
+# Time between two rounds of calls while a holder doesn't answer; an entry may be held for 500 ms. In a round
+# each server is called at most once.
+RETRY_INTERVAL_MS = 350.0
+# Time after which rounds are not repeated; most network partitions are over by then.
+RETRY_WINDOW_MS = 8_000.0
+# Time allowed for the answer, out of the 350 ms that an entry may be held beyond the hold limit.
+ANSWER_SLACK_MS = 250.0
+# Time without any answer after which a release ends; by then a holder has released by itself, or is down.
+RELEASE_TIMEOUT_MS = 20_000.0
 
 
 class ReleaseScheduler:
--- a/ringledge/decide/servers/resumption.py
+++ b/ringledge/decide/servers/resumption.py
@@ -4,7 +4,8 @@
 
 from math import inf
 
-CHECK_INTERVAL_MS = 200.0  # between two calls to a server; a fraction of the time an entry may be held
+# Time between two calls to a server: a fraction of the time for which a KV cache entry may be held.
+CHECK_INTERVAL_MS = 200.0
 
 
 class ResumptionChecks:
