--- a/ringledge/core/conductor.py
+++ b/ringledge/core/conductor.py
@@ -105,7 +105,7 @@
     # Called by discovery, by operators and by the role planner.
 
     def update_endpoints(self, update: EndpointUpdate, addresses: dict[str, str]) -> None:
-        """Apply a server list update before all queued events, so that none of them uses a draining server."""
+        """Apply a server list update before all queued events, which then use no draining server."""
         changed = self.context.servers.apply(update, addresses)
         if changed:
             log.info("endpoints_changed", version=update.version, **summarize_changes(changed))
--- a/ringledge/decide/servers/connect_timeout.py
+++ b/ringledge/decide/servers/connect_timeout.py
@@ -12,7 +12,7 @@
 
 MAX_SAMPLES = 128  # a few seconds of connections on a busy router, a minute on a quiet one
 MIN_SAMPLES = 8  # below this number the configured timeout applies
-# The timeout as a multiple of the slowest recent connect time, since the accept queues of servers may fill up.
+# The timeout as a multiple of the slowest recent connect time: the accept queues of servers may fill up.
 SLOWEST_MULTIPLE = 10.0
 MIN_TIMEOUT_S = 0.08  # an iteration of this process's event loop may take as long on a shared core
 RELEASE_MARGIN_S = 0.1  # part of an entry's hold limit that is reserved for its release
--- a/ringledge/routing/fleet.py
+++ b/ringledge/routing/fleet.py
@@ -91,4 +91,4 @@
     `ratio` is the decode capacity that the whole fleet has per prefill capacity.
     """
     required = {place: ratio * capacity.prefill for place, capacity in places.items()}
-    return {place: 1 - places[place].decode / decode for place, decode in required.items() if decode}
+    return {place: 1 - places[place].decode / need for place, need in required.items() if need}
