--- a/ringledge/decide/connections/admission.py
+++ b/ringledge/decide/connections/admission.py
@@ -92,7 +92,7 @@
         return int(node.data["rule"]) if node is not None else len(self._rules) - 1
 
     def _rejection_reason(self, now_ms: float, address: str, rule_index: int) -> RejectionReason | None:
-        """Why a connection is rejected; None consumes a token of the rule's bucket and admits it."""
+        """Why a connection is rejected; None if it is admitted, and a token of the rate limit consumed."""
         rule = self._rules[rule_index]
         if rule.deny:
             return RejectionReason.DENIED
--- a/ringledge/decide/discovery/watch_timeout.py
+++ b/ringledge/decide/discovery/watch_timeout.py
@@ -43,7 +43,7 @@
         self._last_line_s = last_complete_s
         self._last_byte_s = last_complete_s
         self._line_incomplete = False
-        self._awaits_update = True  # whether an update that a watch begins with may be outstanding
+        self._awaits_update = True  # whether the update with which a watch may begin can still arrive
 
     @property
     def allowance_s(self) -> float:
@@ -59,7 +59,7 @@
         deadline_s = min(last_progress_s + self._idle_timeout_s, self._last_line_s + self.allowance_s)
         if not self._awaits_update:
             return deadline_s
-        # The response may begin long after its request, when others have been sent after it.
+        # The response may begin long after its request, so the first line has some time from then on, too.
         return min(deadline_s, max(self.first_line_deadline_s, self._started_s + MIN_FIRST_LINE_S))
 
     @property
@@ -95,7 +95,7 @@
         self._line_incomplete = line_incomplete
         if line_ended:
             self._last_line_s = now_s
-        # An outstanding update comes first on a watch, so one with empty lines for longer has none.
+        # A watch begins with an outstanding update, so after the idle timeout with empty lines there is none.
         idle_s = now_s - self._started_s
         if has_update or (line_ended and not line_incomplete and idle_s > self._idle_timeout_s):
             self._slow_watches = 0
--- a/ringledge/decide/leases/acceptor.py
+++ b/ringledge/decide/leases/acceptor.py
@@ -28,7 +28,7 @@
 from ringledge.decide.leases.recovery import AcceptorRecovery
 
 RESERVATION_S = 0.25  # lets the response and the following ProposeRequest arrive, even if one is resent
-MAX_TRACKED_DUTIES = 256  # with a lock of their own; of all others only the highest token is kept
+MAX_TRACKED_DUTIES = 256  # duties with their own `DutyLock`; all others share one highest token
 
 
 class LeaseAcceptor:
--- a/ringledge/decide/leases/acquisition.py
+++ b/ringledge/decide/leases/acquisition.py
@@ -16,11 +16,11 @@
     per_duty_s: float = 0.04  # for each duty that the member holds or is acquiring
     per_rank_s: float = 0.01  # for each candidate that precedes the member in the duty's order
     max_s: float = 0.08  # limit of the sum of the two, so that a released duty is taken over within 0.2 s
-    unreleased_factor: float = 8.0  # if the lease expired without a release: spreads the attempts further
+    unreleased_factor: float = 8.0  # factor if the lease expired without a release; spreads the attempts
     max_candidates: int = 5  # per duty; more would only cost datagrams
-    non_candidate_s: float = 30.0  # for non-candidates, in case no candidate is able to, though all are alive
-    overloaded_s: float = 10.0  # for overloaded members, which act only if no other member does
-    after_release_s: float = 3.0  # for the member that released the duty
+    non_candidate_s: float = 30.0  # added for non-candidates, which act only if live candidates fail to
+    overloaded_s: float = 10.0  # added for overloaded members, which act only if no other member does
+    after_release_s: float = 3.0  # how long the member that released the duty makes no attempt
 
 
 class CandidateRanking:
--- a/ringledge/decide/leases/messages.py
+++ b/ringledge/decide/leases/messages.py
@@ -101,7 +101,7 @@
 
     requester_start_number: int
     start_number: int  # of the responder
-    active: bool  # whether the responder knows a token not below any that it accepted, restarts included
+    active: bool  # whether the responder knows a token not below any that it or a predecessor accepted
     highest_token: int  # of all duties
     terms_digest: int
 
@@ -177,7 +177,7 @@
         return int.from_bytes(blake2s(text.encode(), digest_size=4).digest(), "big")
 
     def token_floor(self, start_number_sum: int) -> int:
-        """A token above all those that were begun before every acceptor restarted.
+        """A token above that of every lease that was acquired before all acceptors restarted.
 
         `start_number_sum` is the sum of the current start numbers of all acceptors.
         """
--- a/ringledge/decide/leases/proposer.py
+++ b/ringledge/decide/leases/proposer.py
@@ -29,11 +29,11 @@
 from ringledge.decide.leases.proposer_state import ProposerState
 from ringledge.decide.leases.requests import ProposerRequests, ReleaseRetransmission
 
-RESEND_DELAY_RANGE_S = (0.1, 0.2)  # for acceptors that do not answer; above a round trip (2 x 27 ms)
+RESEND_DELAY_RANGE_S = (0.1, 0.2)  # until a request without answer is resent; above a round trip (2 x 27 ms)
 PHASE_TIMEOUT_S = 0.6  # per phase: four sends, which reach nine of ten acceptors at 50% loss
-RENEWAL_FRACTION = 0.25  # of the lease, after which the holder renews it; whole rounds may be lost
-RELEASED_DELAY_RANGE_S = (0.05, 0.08)  # lets the nominated successor be first, and spreads the others
-MAX_REJECTED_JITTER_S = 0.2  # after a lock expires: spreads the proposers that wait for it
+RENEWAL_FRACTION = 0.25  # part of the lease after which it is renewed; leaves time if rounds are lost
+RELEASED_DELAY_RANGE_S = (0.05, 0.08)  # after a release; spreads members other than the nominated successor
+MAX_REJECTED_JITTER_S = 0.2  # delay after a lock expires; spreads the proposers that wait for it
 
 
 class LeaseProposer:
--- a/ringledge/decide/leases/recovery.py
+++ b/ringledge/decide/leases/recovery.py
@@ -1,8 +1,8 @@
 """Recovery of a restarted acceptor's state from the other acceptors, without a disk.
 
 First the acceptor is silent for the longest lease, so that every lock of its predecessor expires. Then it
-requests the state of the other acceptors, and becomes active once it knows a token that is not below any that
-was ever begun. That is so in two cases:
+requests the state of the other acceptors, and becomes active once it knows a token that is not below any
+under which a lease was ever acquired. That is so in two cases:
 
 - A majority of acceptors that are active have responded: one of them knows the highest token.
 - All other acceptors have responded, active or not: either one of the majority that accepted the highest
@@ -94,7 +94,7 @@
         self._activate_if_recovered()
 
     def _activate_if_recovered(self) -> None:
-        """Become active if the responses yield a token not below any that was begun."""
+        """Become active if the responses yield a token not below any under which a lease was acquired."""
         responses = self._responses.values()
         highest_token = max(response.highest_token for response in responses)
         if sum(response.active for response in responses) >= self._terms.majority:
--- a/ringledge/decide/membership/failure_detector.py
+++ b/ringledge/decide/membership/failure_detector.py
@@ -13,7 +13,7 @@
 
 BROADCAST = "*"  # seed name that stands for the broadcast address, at which all members receive
 SUSPECT_PINGS_PER_INTERVAL = 4  # each ping carries the suspicion, so that the suspect can refute it
-FINAL_PING_INTERVALS = 3.0  # before a suspicion times out, in which every member pings the suspect
+FINAL_PING_INTERVALS = 3.0  # last part of a suspicion, in which every member pings the suspect
 MAX_RELAYED_PROBES = 64  # probes on behalf of other members that await an Ack
 NONCE_RANGE = 1 << 32
 
--- a/ringledge/decide/membership/messages.py
+++ b/ringledge/decide/membership/messages.py
@@ -17,9 +17,9 @@
 from ringledge.decide.datagram import MAX_BODY_BYTES, MAX_NAME_BYTES, MemberName, StartNumber, Uint32, Uint53
 from ringledge.decide.paging import BUCKET_COUNT
 
-# Of a Ping without updates: array heads, two start numbers, a nonce and a digest at their maximum lengths.
+# Size of a Ping without updates: array heads, two start numbers, a nonce and a digest, all at maximum length.
 PING_OVERHEAD_BYTES = 32
-MAX_ADDRESS_BYTES = 64  # of host:port; an IPv6 address and port take 47
+MAX_ADDRESS_BYTES = 64  # limit of a host:port; an IPv6 address and port take 47
 MAX_UPDATES_BYTES = MAX_BODY_BYTES - PING_OVERHEAD_BYTES  # available for updates in one message
 
 
--- a/ringledge/decide/membership/periodic.py
+++ b/ringledge/decide/membership/periodic.py
@@ -11,7 +11,7 @@
 from ringledge.decide.membership.message_builder import MessageBuilder
 from ringledge.decide.membership.settings import ProbeConfig
 
-REJOIN_INTERVALS = 5  # between attempts to contact inactive members; 1 while no other member is active
+REJOIN_INTERVALS = 5  # from one attempt to contact inactive members to the next; 1 if no other is active
 MAX_TICK_DELAY_INTERVALS = 0.5  # a later tick means that the local process was stalled
 MAX_JOIN_ATTEMPTS = 3  # names contacted at once while no other member is active
 
--- a/ringledge/decide/membership/settings.py
+++ b/ringledge/decide/membership/settings.py
@@ -15,7 +15,7 @@
 class ProbeConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Times and counts of SWIM; suspicion timeout and transmissions grow with the log of the group size."""
 
-    interval_s: Seconds = 0.5  # between two probes of one member
+    interval_s: Seconds = 0.5  # time between two probes that a member sends
     # Without an Ack within this time the member requests indirect probes; a datagram takes 27 ms at most.
     ack_timeout_s: Seconds = msgspec.field(name="answer_s", default=0.15)
     indirect_probes: SmallCount = msgspec.field(name="indirect", default=3)  # helpers per indirect probe
--- a/ringledge/decide/membership/swim.py
+++ b/ringledge/decide/membership/swim.py
@@ -41,8 +41,8 @@
 
 __all__ = ["BROADCAST", "MESSAGES", "Membership"]
 
-MAX_SYNC_DATAGRAMS = 8  # of member lists that answer differing digests
-MAX_JOIN_DATAGRAMS = 100  # of member lists that answer a join or a query
+MAX_SYNC_DATAGRAMS = 8  # limit of datagrams with member lists that answer differing digests
+MAX_JOIN_DATAGRAMS = 100  # limit of datagrams with member lists that answer a join or a query
 ANNOUNCE_FAN_OUT = 8  # members notified directly when this one leaves or raises its start number
 # Suspicion timeouts after the first tick within which a higher start number is taken for a predecessor's.
 START_CONFLICT_GRACE_FACTOR = 2.0
@@ -131,7 +131,7 @@
         return self._periodic.tick(now_s)
 
     def receive(self, now_s: float, sender: str, message: Message) -> list[Action]:
-        """Handle a message. One under the local name is from a successor, or a late one of this member."""
+        """Handle a message; one under the local name is a late one, or from another process of this name."""
         if self.stopped:
             return []
         if isinstance(message, MemberListQuery):
@@ -206,7 +206,7 @@
             return self._resolve_start_conflict(now_s, update.start, has_ended)
         if same_start and update.status is not MemberStatus.ALIVE:
             builder.incarnation = max(builder.incarnation, update.incarnation + 1)
-            builder.enqueue(builder.local_update())  # again if refuted before: the sender has not seen it
+            builder.enqueue(builder.local_update())  # repeated: the sender has not seen an earlier one
         return []
 
     def _resolve_start_conflict(self, now_s: float, start: int, has_ended: bool) -> list[Action]:
--- a/ringledge/decide/overload/settings.py
+++ b/ringledge/decide/overload/settings.py
@@ -12,7 +12,7 @@
 
 
 class OverloadConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits of resource use from which the conductor rejects requests."""
+    """Limits of resource use from which the router rejects requests."""
 
     cpu_target: Fraction = msgspec.field(name="target", default=0.9)  # fraction of limits.cores
     # Largest delay of the event loop, and of the reading of a request.
--- a/ringledge/decide/ratio/demand_estimate.py
+++ b/ringledge/decide/ratio/demand_estimate.py
@@ -26,7 +26,7 @@
 
 OUTLIER_FACTOR = 8.0  # a member's demand is clipped to this multiple of the median of its site
 MIN_OUTLIER_REPORTS = 3  # fewer reports are not clipped
-# Reversal of the log ratio that ends a half-period: 50 % more of one role is about a tenth of the servers.
+# Reversal of the log ratio that ends a half-period: from 1 to 1.5, a tenth of the servers changes role.
 MIN_REVERSAL = log(1.5)
 OVERDUE_FACTOR = 1.25  # after this many median half-periods a reversal is no longer expected
 MAX_REPORTED_RATE_PER_S = 1e12  # requests or tokens: above any site's rate, and sums stay finite
@@ -53,7 +53,7 @@
 
     prefill_rate: float  # tokens per s to prefill that no server has cached
     decode_rate: float  # tokens per s to decode
-    # Standard deviation as a fraction of the rate, the larger of both, plus an allowance for missing members.
+    # Relative standard deviation, the larger of both roles, plus an allowance for missing members.
     relative_error: float
     mixes: tuple[TokenRates, ...]  # mixes to serve: one, or all of a fast oscillation
     expected_duration_s: float  # time until the present mix ends; inf: no end is expected
@@ -108,7 +108,7 @@
         """Process the reports by member and class; returns the demand of each site with a valid report.
 
         `member_sites` has the site of each live member, reporting or not. `cold_fractions` has the fraction
-        of each site's prefill capacity whose cache is cold after a recent role change, an effect of the plan.
+        of each site's prefill capacity whose cache is cold after a recent role change, as this adds prefill.
         """
         reports = self._valid_reports(now_s, demand, member_sites)
         cold_fractions = cold_fractions or {}
@@ -153,7 +153,7 @@
         weights = HorizonWeights(
             fast=1 - exp(-step_s / self.settings.fast_s), slow=1 - exp(-step_s / self.settings.slow_s)
         )
-        # Missing members are assumed to have the mean of the others: clients spread over all members.
+        # Missing members are assumed to have the mean demand of the others: clients spread over all members.
         reporting = len(reports.by_member)
         scale = (reporting + reports.missing_members) / reporting
         prefill, decode = 0.0, 0.0
--- a/ringledge/decide/ratio/measurements.py
+++ b/ringledge/decide/ratio/measurements.py
@@ -1,6 +1,6 @@
-"""Demand and service rates that one conductor measures on its own requests; free of I/O and clocks.
+"""Demand and service rates that one router measures on its own requests; free of I/O and clocks.
 
-The conductor reports to the role planner the demand of each request class and the service rate of each
+The router reports to the role planner the demand of each request class and the service rate of each
 server. Demand is the arrival rate times the mean number of tokens per request, so that rejected requests
 count too.
 """
@@ -12,7 +12,7 @@
 
 from ringledge.decide.interface import ClassDemand, ServerObservation
 
-ARRIVAL_TIME_CONSTANT_S = 5.0  # shorter than the sum of the planner's fast horizon and interval
+ARRIVAL_TIME_CONSTANT_S = 5.0  # not above the sum of the planner's fast horizon and interval
 SAMPLE_WEIGHT = 0.1  # weight of a new sample in a mean, which thus reflects about the last ten requests
 MIN_PREFILL_TOKENS = 64.0  # the duration of a prefill of fewer uncached tokens is mainly network latency
 MIN_DECODE_TOKENS = 8.0  # a stream of fewer answer tokens is too short to measure a rate
@@ -54,18 +54,18 @@
 
 @dataclass(slots=True)
 class ServerStatistics:
-    """Rates of one server, measured on this conductor's requests."""
+    """Rates of one server, measured on this router's requests."""
 
     prefill_rate: RunningMean = field(default_factory=RunningMean)  # uncached tokens per s in a prefill
     stream_rate: RunningMean = field(default_factory=RunningMean)  # answer tokens per s in one stream
     stream_tokens: RunningMean = field(default_factory=RunningMean)  # in memory: prompt and half the answer
-    concurrent_streams: float = 1.0  # decaying maximum number of this conductor's streams
+    concurrent_streams: float = 1.0  # decaying maximum number of this router's streams
 
     def decode_rate(self, memory_tokens: float | None, routers: int) -> float:
         """Answer tokens per s of all streams together; 0 if unknown.
 
         The number of streams is limited by the server's memory. If the memory size is unknown, the number is
-        estimated as this conductor's streams times the number of routers.
+        estimated as this router's streams times the number of routers.
         """
         if not self.stream_rate.known:
             return 0.0
@@ -77,7 +77,7 @@
 
 
 class LocalMeasurements:
-    """Demand by class and service rates by server, measured on this conductor's requests; times in s."""
+    """Demand by class and service rates by server, measured on this router's requests; times in s."""
 
     def __init__(self) -> None:
         self._classes: dict[int, ClassStatistics] = {}
@@ -116,7 +116,7 @@
             statistics.stream_tokens.add(prompt_tokens + answer_tokens / 2)
 
     def update_streams(self, server: str, count: int) -> None:
-        """Record the present number of this conductor's streams on a server."""
+        """Record the present number of this router's streams on a server."""
         if count or server in self._servers:
             statistics = self._server(server)
             decayed = (1 - SAMPLE_WEIGHT) * statistics.concurrent_streams
--- a/ringledge/decide/ratio/plan.py
+++ b/ringledge/decide/ratio/plan.py
@@ -1,8 +1,10 @@
 """Chooses which servers of a site change their role now; free of I/O and clocks.
 
 A role change costs the work that the server would have processed during it. Therefore servers change only if
-the gain is large enough for as long as the mix is expected to last, one server per rack at a time, and never
-so that the loss of a rack, a software release or cold servers would leave a role short that was not before.
+the gain is large enough for as long as the mix is expected to last, and one server per rack at a time. No
+server changes during a software release, when many servers are cold. None leaves a role that would lose its
+last warm server, or that would then cover, after the loss of a rack, neither its whole demand nor as large a
+fraction of it as the new role.
 """
 
 from __future__ import annotations
--- a/ringledge/decide/ratio/planner.py
+++ b/ringledge/decide/ratio/planner.py
@@ -58,7 +58,7 @@
     """Plans roles while this member holds the planner's lease."""
 
     def __init__(self, settings: RatioConfig, registry: RoleRegistry) -> None:
-        """`registry` belongs to this member's conductor, which also receives the assignments made here."""
+        """`registry` belongs to this member's `Conductor`, which also receives the assignments made here."""
         self.settings = settings
         self.registry = registry
         self.token = 0
@@ -79,7 +79,7 @@
         """Assignments in force that have to be published under the present token.
 
         There are none at the start of a term: the predecessor's last assignments may not have arrived yet,
-        and reissuing the ones before them would reverse a change that other conductors have begun.
+        and reissuing the ones before them would reverse a change that other routers have begun.
         """
         if now_s - self._started_s < REISSUE_DELAY_FACTOR * self.settings.propagation_s:
             return {}
--- a/ringledge/decide/ratio/role_records.py
+++ b/ringledge/decide/ratio/role_records.py
@@ -55,7 +55,7 @@
     """Whether an assignment replaces the current one of its server.
 
     Assignments are ordered by token, then by number. Two that are equal in both can't come from one planner;
-    they are ordered by role, so that all conductors agree regardless of the order in which they receive them.
+    they are ordered by role, so that all routers agree regardless of the order in which they receive them.
     """
     return current is None or precedence(assignment) > precedence(current)
 
--- a/ringledge/decide/ratio/role_registry.py
+++ b/ringledge/decide/ratio/role_registry.py
@@ -1,9 +1,9 @@
-"""The current role of each server, as one conductor sees it; free of I/O and clocks.
+"""The current role of each server, as one router sees it; free of I/O and clocks.
 
 Assignments of the planner may arrive late, out of order, twice or never. A server whose configured kind is
 prefill or decode always has that role. A mixed server follows its assignment, and does both kinds of work if
 it has none. A role change passes through the phases of `RolePhase`. It never cancels work in flight: a mixed
-server can still process what a conductor with an older assignment sends to it.
+server can still process what a router with an older assignment sends to it.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 class RolePhase(Enum):
     """Phases of a role change."""
 
-    REQUESTED = "asked"  # this conductor sends no new work of the old role
-    # Every conductor has the assignment by now; KV cache entries are fetched or released, and streams end.
+    REQUESTED = "asked"  # this router sends no new work of the old role
+    # Every router has the assignment by now; KV cache entries are fetched or released, and streams end.
     DRAINING = "draining"
     CHANGED = "changed"  # the server has started the new role
     WARMING = "warming"  # slow start in the new role
@@ -50,13 +50,13 @@
     phase: RolePhase = RolePhase.STABLE
     phase_since_s: float = -inf
     requested_s: float = -inf  # time when its role was last changed; -inf: never
-    active_prefills: int = 0  # sent by this conductor
-    active_streams: int = 0  # sent by this conductor
+    active_prefills: int = 0  # sent by this router
+    active_streams: int = 0  # sent by this router
     waiting_entries: int = 0  # KV cache entries of all members that wait to be fetched
     warmth: float = 1.0  # 0 to 1
 
     def accepted_work(self) -> frozenset[str]:
-        """The kinds of new work that this conductor may send to the server."""
+        """The kinds of new work that this router may send to the server."""
         if self.kind != ServerRole.MIXED:
             return WORK_OF_ROLE[self.kind]
         work = WORK_OF_ROLE[self.role]
@@ -161,7 +161,7 @@
                 entry.change_kind(now_s, kind, assignment)
 
     def update_in_flight(self, server: str, prefills: int, streams: int) -> None:
-        """Set the numbers of prefills and streams that this conductor has in flight at a server."""
+        """Set the numbers of prefills and streams that this router has in flight at a server."""
         if server in self.entries:
             entry = self.entries[server]
             entry.active_prefills = prefills
@@ -188,7 +188,7 @@
         return advanced
 
     def accepted_work(self) -> dict[str, frozenset[str]]:
-        """The kinds of new work that this conductor may send to each listed server.
+        """The kinds of new work that this router may send to each listed server.
 
         If no server would accept a role, every server that is able to do it accepts it. An incomplete plan
         may thus reduce performance, but never leaves requests without a server.
--- a/ringledge/decide/ratio/settings.py
+++ b/ringledge/decide/ratio/settings.py
@@ -35,7 +35,7 @@
     # Fraction of a site's servers that may be cold for reasons other than a role change. A higher
     # fraction indicates that a software release is being rolled out.
     max_cold_fraction: Fraction = field(name="release_part", default=0.2)
-    # Time after which every conductor has received an assignment.
+    # Time after which every router has received an assignment.
     propagation_s: Seconds = field(name="spread_s", default=1.0)
     # Longest wait for work of the old role to end before the new role starts. No work is cancelled.
     drain_timeout_s: Seconds = field(name="drain_s", default=5.0)
--- a/ringledge/decide/records/messages.py
+++ b/ringledge/decide/records/messages.py
@@ -15,7 +15,7 @@
 
 MAX_KEY_BYTES = 48
 MAX_VALUE_BYTES = 120
-MAX_PAYLOAD_BYTES = MAX_BODY_BYTES - 10  # versions or records in one message, without its array heads
+MAX_PAYLOAD_BYTES = MAX_BODY_BYTES - 10  # limit of the rows in one message, array heads excluded
 
 Key = Annotated[str, Meta(min_length=1, max_length=MAX_KEY_BYTES)]
 Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
@@ -24,8 +24,8 @@
 class Record(msgspec.Struct, array_like=True, frozen=True):
     """The value that a writer gave to a key in one version.
 
-    None of the writer's records that are not yet replaced lies between `previous_version` and `version`: a
-    member that holds all records up to the former holds all up to the latter once it has this one.
+    All records of the writer between `previous_version` and `version` have been replaced. So a member that
+    holds all records up to `previous_version` holds all up to `version` once it has this one.
     """
 
     writer: MemberName
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -34,7 +34,7 @@
 __all__ = ["MESSAGES", "ReplicatedRecords"]
 
 PUSH_DELAY_S = 0.02  # a change waits for so long, to be pushed together with others
-FAST_COMPARE_FACTOR = 4  # divisor of the interval after a comparison that found missing records
+FAST_COMPARE_DIVISOR = 4  # divisor of the interval after a comparison that found missing records
 COMPARE_JITTER_FACTORS = (0.9, 1.1)  # of the interval, so that members do not compare in step
 REQUEST_TIMEOUT_S = 0.2  # several round trips; after it another member may be asked
 MAX_VECTOR_DATAGRAMS = 2  # per answer to digests; other buckets follow later, as their order is shuffled
@@ -194,7 +194,7 @@
                 held = local.version if remote.start == local.start else 0
                 wanted.append(WriterVersion(remote.writer, remote.start, held))
         if wanted:  # more records may be missing, at this member or at others
-            soon_s = now_s + self._settings.interval_s / FAST_COMPARE_FACTOR
+            soon_s = now_s + self._settings.interval_s / FAST_COMPARE_DIVISOR
             self._next_compare_s = min(self._next_compare_s, soon_s)
         requests = [
             SendMessage(sender, RecordRequest(group)) for group in paginate(wanted, MAX_PAYLOAD_BYTES)
--- a/ringledge/decide/records/settings.py
+++ b/ringledge/decide/records/settings.py
@@ -13,9 +13,11 @@
 class RecordsConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Times and counts of the replication of records."""
 
-    interval_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0  # between two comparisons of one member
+    # Time between two comparisons that a member starts.
+    interval_s: Annotated[float, Meta(ge=0.05, le=60)] = 1.0
     # How long records are retained after their writer has died or left.
     retention_s: Annotated[float, Meta(ge=1, le=3600)] = msgspec.field(name="lifetime_s", default=30.0)
     # Members to which a change is pushed by its writer, and by each member to which it is new.
     fan_out: SmallCount = 3
-    max_answer_datagrams: SmallCount = msgspec.field(name="answer", default=6)  # of records per answer
+    # Limit of the datagrams with records that answer one message.
+    max_answer_datagrams: SmallCount = msgspec.field(name="answer", default=6)
--- a/ringledge/decide/replay/capacity_loans.py
+++ b/ringledge/decide/replay/capacity_loans.py
@@ -19,7 +19,7 @@
 
 from ringledge.decide.replay.fair_share import ShareRequest, max_min_fair_shares
 
-LOAN_DURATION_S = 6.0  # several exchanges of records, but short for an owner that needs its capacity
+LOAN_DURATION_S = 6.0  # lasts several exchanges of records, but is short if the owner needs it back
 REQUEST_INTERVAL_S = 2.0  # short enough to renew a loan before it ends
 REQUEST_PREFIX = "want/"  # key prefix of `LoanRequest`, followed by the site
 GRANT_PREFIX = "lend/"  # key prefix of `LoanGrant`, followed by lender and borrower
@@ -57,7 +57,7 @@
     """
 
     def __init__(self, site: str, weights: Mapping[str, float], token: int, now_s: float) -> None:
-        """`weights` of all sites that share the capacity, including this one; the same on every site."""
+        """`weights`: by site, for all sites that share the capacity, with this one; the same on every site."""
         self._site = site
         self._weights = dict(weights)
         self._token = token
@@ -89,7 +89,7 @@
     def receive(
         self, now_s: float, requests: Mapping[str, LoanRequest], grants: Mapping[str, LoanGrant]
     ) -> None:
-        """Process other sites' requests, and their grants to this site, both by the other site."""
+        """Process other sites' requests, and their grants to this site, by the other site's name."""
         self._receive_grants(grants)
         if now_s >= self._lending_from_s:
             self._grant_requests(now_s, requests)
--- a/ringledge/decide/replay/partition_detection.py
+++ b/ringledge/decide/replay/partition_detection.py
@@ -1,8 +1,8 @@
-"""Detects that a site is partitioned or saturated, as seen by its conductors.
+"""Detects that a site is partitioned or saturated, as seen by its routers.
 
-A site is partitioned if its conductors reach no prefill or no decode server, and saturated if they reach none
-that has capacity. Each conductor observes the servers and publishes its own state to the others of its site.
-The site is considered partitioned only if all conductors that have reported say so. The state is entered
+A site is partitioned if its routers reach no prefill or no decode server, and saturated if they reach none
+that has capacity. Each router observes the servers and publishes its own state to the others of its site.
+The site is considered partitioned only if all routers that have reported say so. The state is entered
 quickly, so that requests are queued. It is left only after a response from a server, since the expiry of a
 recorded failure does not prove that the server is reachable. Free of I/O and clocks; times in s.
 """
@@ -20,11 +20,11 @@
 SATURATED_AFTER_S = 2.0  # time without capacity; shorter congestion is handled by rejections
 SATURATED_REJECTIONS = 3  # consecutive; a single one may be due to the request's deadline or size
 AVAILABLE_AFTER_S = 2.0  # time with servers and capacity; a momentary recovery of the link has no effect
-PEER_STATE_TTL_S = 5.0  # time until another conductor's reported state expires
+PEER_STATE_TTL_S = 5.0  # time until another router's reported state expires
 
 
 class SiteReachability(msgspec.Struct, array_like=True, frozen=True):
-    """Record of a site's state as reported by one conductor (key reach/SITE)."""
+    """Record of a site's state as reported by one router (key reach/SITE)."""
 
     state: int  # a value of `SiteState`
 
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerReachability:
-    """One server as a conductor sees it now."""
+    """One server as a router sees it now."""
 
     does_prefill: bool
     does_decode: bool
@@ -72,7 +72,7 @@
 
 
 class PartitionDetector:
-    """Determines the state of a conductor's site."""
+    """Determines the state of a router's site."""
 
     def __init__(self) -> None:
         self.own_state = SiteState.AVAILABLE
@@ -94,7 +94,7 @@
         self._last_served_s = now_s
 
     def receive(self, now_s: float, reports: Iterable[tuple[str, SiteReachability]]) -> None:
-        """Replace the reports of the site's other conductors, by name; unknown states are ignored."""
+        """Replace the reports of the site's other routers, by name; unknown states are ignored."""
         self._peer_states = {
             name: (now_s, SiteState(report.state))
             for name, report in reports
@@ -124,14 +124,14 @@
         return self.state(now_s)
 
     def state(self, now_s: float) -> SiteState:
-        """The site's state: the best state that any of its conductors reports."""
+        """The site's state: the best state that any of its routers reports."""
         peer_states = [
             state for received_s, state in self._peer_states.values() if now_s - received_s < PEER_STATE_TTL_S
         ]
         return min([self.own_state, *peer_states], key=lambda state: state.value)
 
     def record(self) -> SiteReachability:
-        """The record to publish: this conductor's own state."""
+        """The record to publish: this router's own state."""
         return SiteReachability(self.own_state.value)
 
     def _change_state(self, now_s: float, state: SiteState) -> None:
--- a/ringledge/decide/replay/rate_control.py
+++ b/ringledge/decide/replay/rate_control.py
@@ -13,7 +13,7 @@
 
 from ringledge.structures.token_bucket import TokenBucket
 
-INITIAL_FRACTION = 1 / 16  # initial rate relative to the ceiling: small enough to be noise for live traffic
+INITIAL_FRACTION = 1 / 16  # initial rate relative to the ceiling: too small to disturb live traffic
 # Initial rate without a known ceiling, and its upper bound with one: about one short request per second.
 INITIAL_TOKENS_PER_S = 500.0
 RAMP_UP_S = 20.0  # time from 0 to the ceiling: idle or restarted servers take about 13 s to warm up
@@ -73,8 +73,8 @@
         self._decreased_s = -inf
         self._increased_s = -inf
         self._last_sent_s = -inf
-        # Time for which the rate was used by sent work and has not been increased for. A site with little to
-        # send must not reach a rate that it never used.
+        # Time at the present rate that sent work accounts for and no increase has used up yet. A site with
+        # little to send must not reach a rate that it never used.
         self._rate_used_s = 0.0
 
     def open(self, now_s: float) -> None:
--- a/ringledge/decide/replay/scheduler.py
+++ b/ringledge/decide/replay/scheduler.py
@@ -137,7 +137,7 @@
         self._fair_queue.remove_idle(head.tenant for head in waiting)
         if not waiting or not self._may_send(now_s, probing):
             return None
-        # Idempotent entries are preferred as probes: an interrupted booking has an unknown outcome.
+        # Idempotent entries are preferred as probes: if a probe is interrupted, its outcome is unknown.
         idempotent = [head for head in waiting if head.idempotent] if probing else []
         head = self._fair_queue.select(idempotent or waiting)
         assert head is not None
