--- a/ringledge/decide/overload/pressure.py
+++ b/ringledge/decide/overload/pressure.py
@@ -6,8 +6,8 @@
 
 from ringledge.decide.overload.messages import OverloadLimits, RejectionReason, ResourceSample
 
-HIGH_UTILIZATION = 0.9  # of the CPU target; from here on CPU time is short
-LOW_UTILIZATION = 0.6  # of the CPU target; below it CPU time can't be short
+HIGH_UTILIZATION = 0.9  # fraction of the CPU target from which on CPU time is short
+LOW_UTILIZATION = 0.6  # fraction of the CPU target below which CPU time can't be short
 # Time without rejections or signs of pressure after which all requests are admitted.
 QUIET_PERIOD_MS = 1_000.0
 # Time of low utilization after which pressure ends in spite of rejections: estimated costs were too high.
@@ -23,7 +23,7 @@
         self.transition_count = 0  # changes of `under_pressure`; stays low even if the load is near the limit
         self.has_settled = False  # True if a quiet period ended at the last sample
         self.reason = RejectionReason.CPU
-        self._exceeded_max_delay = False  # by the loop lag or the queue wait of the previous sample
+        self._exceeded_max_delay = False  # whether the lag or wait of the previous sample was too long
         self._rejected_at_ms = -math.inf
         self._pressure_at_ms = -math.inf
         self._busy_at_ms = -math.inf
--- a/ringledge/decide/overload/tenant_quotas.py
+++ b/ringledge/decide/overload/tenant_quotas.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from math import exp
 
-TIME_CONSTANT_MS = 2_000.0  # of the decaying counts: detects a burst of a second, but not a pair of requests
+TIME_CONSTANT_MS = 2_000.0  # decay of the counts; detects a burst of a second, but not a pair of requests
 # Factor on the fraction that a tenant may send: random variation alone exceeds the exact fraction.
 QUOTA_SLACK = 1.25
 MIN_BURST_REQUESTS = 8.0  # decaying count that every tenant may reach, however small its fraction
--- a/ringledge/decide/ratio/demand_estimate.py
+++ b/ringledge/decide/ratio/demand_estimate.py
@@ -26,7 +26,7 @@
 
 OUTLIER_FACTOR = 8.0  # a member's demand is clipped to this multiple of the median of its site
 MIN_OUTLIER_REPORTS = 3  # fewer reports are not clipped
-# Reversal of the log ratio that ends a half-period: from 1 to 1.5, a tenth of the servers changes role.
+# Reversal of the log ratio that ends a half-period; a ratio of 1.5 instead of 1 moves a tenth of the servers.
 MIN_REVERSAL = log(1.5)
 OVERDUE_FACTOR = 1.25  # after this many median half-periods a reversal is no longer expected
 MAX_REPORTED_RATE_PER_S = 1e12  # requests or tokens: above any site's rate, and sums stay finite
--- a/ringledge/decide/ratio/measurements.py
+++ b/ringledge/decide/ratio/measurements.py
@@ -58,7 +58,8 @@
 
     prefill_rate: RunningMean = field(default_factory=RunningMean)  # uncached tokens per s in a prefill
     stream_rate: RunningMean = field(default_factory=RunningMean)  # answer tokens per s in one stream
-    stream_tokens: RunningMean = field(default_factory=RunningMean)  # in memory: prompt and half the answer
+    # Tokens in memory per stream: the prompt and half the answer.
+    stream_tokens: RunningMean = field(default_factory=RunningMean)
     concurrent_streams: float = 1.0  # decaying maximum number of this router's streams
 
     def decode_rate(self, memory_tokens: float | None, routers: int) -> float:
--- a/ringledge/decide/records/replicated_records.py
+++ b/ringledge/decide/records/replicated_records.py
@@ -35,9 +35,9 @@
 
 PUSH_DELAY_S = 0.02  # a change waits for so long, to be pushed together with others
 FAST_COMPARE_DIVISOR = 4  # divisor of the interval after a comparison that found missing records
-COMPARE_JITTER_FACTORS = (0.9, 1.1)  # of the interval, so that members do not compare in step
+COMPARE_JITTER_FACTORS = (0.9, 1.1)  # random factors on the interval, so that members do not compare in step
 REQUEST_TIMEOUT_S = 0.2  # several round trips; after it another member may be asked
-MAX_VECTOR_DATAGRAMS = 2  # per answer to digests; other buckets follow later, as their order is shuffled
+MAX_VECTOR_DATAGRAMS = 2  # limit per answer to digests; buckets left out follow later, in shuffled order
 
 
 @dataclass(frozen=True, slots=True)
--- a/ringledge/decide/replay/capacity_loans.py
+++ b/ringledge/decide/replay/capacity_loans.py
@@ -57,7 +57,7 @@
     """
 
     def __init__(self, site: str, weights: Mapping[str, float], token: int, now_s: float) -> None:
-        """`weights`: by site, for all sites that share the capacity, with this one; the same on every site."""
+        """`weights`: by site, of all sites that share the capacity, with this one; equal on every site."""
         self._site = site
         self._weights = dict(weights)
         self._token = token
