--- a/tests/conformance/test_wire.py
+++ b/tests/conformance/test_wire.py
@@ -42,7 +42,9 @@
 
 @pytest.mark.parametrize("row", [row for row in ROWS if row.wire], ids=lambda row: row.id)
 def test_the_program_keeps_what_the_design_wants(row: Row, tmp_path: Path) -> None:
-    with Node(tmp_path, readers=4, writers=2, told=lambda node: json.dumps(node.listing(8))) as node:
+    with Node(
+        tmp_path, readers=4, writers=2, initial_listing=lambda node: json.dumps(node.listing(8))
+    ) as node:
         seen = on_the_wire(row, node)
         assert not failed_expectations(row, seen), row.description
         other = RowRun(row, 0).placements  # a router that has met none of it
--- a/tests/core/test_gate.py
+++ b/tests/core/test_gate.py
@@ -114,11 +114,11 @@
 
 
 def test_rejected_request_reaches_no_server_and_is_counted_as_deferred(node: Node) -> None:
-    before = int(node.figures()["relay.deferred.query"].split("|")[0])
+    before = int(node.stats()["relay.deferred.query"].split("|")[0])
     seen = len(node.reader[0].seen)
     for number in range(20):
         assert take(node.post(f"a{number}")).status == 503
-    statistics = node.figures()
+    statistics = node.stats()
     assert int(statistics["relay.deferred.query"].split("|")[0]) == before + 20
     assert statistics["relay.current"] == "0|g" and len(node.reader[0].seen) == seen
     assert node.logged("request_shed")["reason"] == "memory"
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -12,8 +12,8 @@
 from typing import Any, Self
 
 from tests.fleet.links import Links
-from tests.fleet.receiver import LONG_S, Receiver
-from tests.fleet.record import breaches
+from tests.fleet.receiver import WAIT_LIMIT_S, Receiver
+from tests.fleet.record import violations
 from tests.loopback import Node, Process, StandIn
 
 KEY = "5c" * 32
@@ -79,7 +79,7 @@
         self.start(*self.names)
         for name in self._voters:  # one that has not learned yet can't do without any other
             self.nodes[name].logged("lease_acceptor_activated")
-            self._passed += [(name, line) for line in self.nodes[name].passed]
+            self._passed += [(name, line) for line in self.nodes[name].skipped_lines]
         return self
 
     def start(self, *names: str) -> None:
@@ -110,10 +110,10 @@
             node.__enter__()
         else:
             node.start(node.folder)
-        self._passed += [(name, line) for line in node.passed]
-        told = [line for line in node.passed if line["event"] == "member_listening"]
+        self._passed += [(name, line) for line in node.skipped_lines]
+        told = [line for line in node.skipped_lines if line["event"] == "member_listening"]
         line = told[0] if told else node.logged("member_listening")
-        self.links.moved(name, line["address"])
+        self.links.set_address(name, line["address"])
 
     def __exit__(self, *_: object) -> None:
         for node in self.nodes.values():
@@ -154,11 +154,11 @@
         """Start a member again beside itself, as an upgrade does."""
         node, successor = self.nodes[name], Process()
         successor.module = node.module
-        node.later.append(successor)
+        node.extra_processes.append(successor)
         successor.start(node.folder)
-        told = [line for line in successor.passed if line["event"] == "member_listening"]
+        told = [line for line in successor.skipped_lines if line["event"] == "member_listening"]
         line = told[0] if told else successor.logged("member_listening")
-        self.links.moved(name, line["address"])
+        self.links.set_address(name, line["address"])
         return successor
 
     # What is seen.
@@ -170,7 +170,7 @@
             mine = line["event"] == "duty_lease_changed" and (line["duty"], line["what"]) == (duty, "begun")
             return line["token"] if mine and line["token"] > above else None
 
-        until_s = time.monotonic() + LONG_S
+        until_s = time.monotonic() + WAIT_LIMIT_S
         while time.monotonic() < until_s:
             while self._passed:  # it may have begun before it said that it votes
                 name, line = self._passed.pop(0)
@@ -188,7 +188,7 @@
 
     def check(self) -> None:
         """Whatever was done to it, this has to hold."""
-        assert breaches(self.records()) == []
+        assert violations(self.records()) == []
         assert self.links.count("too_long") == 0 and self.links.count("passed") > 0
         tokens = dict[str, int]()
         for effect in self.receiver.accepted:
--- a/tests/fleet/links.py
+++ b/tests/fleet/links.py
@@ -13,19 +13,19 @@
 from itertools import count
 from random import Random
 
-MOST = 256  # bytes of a datagram: longer ones are a fault of the program
+MAX_DATAGRAM_BYTES = 256  # bytes of a datagram: longer ones are a fault of the program
 
 
 @dataclass(slots=True)
-class Harm:
+class LinkFaults:
     """What becomes of datagrams of one link; parts from 0 to 1."""
 
     cut: bool = False
-    every_second: bool = False  # each second one is lost
+    alternate_loss: bool = False  # each second one is lost
     loss: float = 0.0
-    double: float = 0.0
-    late: float = 0.0  # of them that come late, and so behind younger ones
-    late_s: float = 0.05
+    duplication: float = 0.0
+    late_fraction: float = 0.0  # of them that come late, and so behind younger ones
+    max_late_s: float = 0.05
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
 
     sock: socket.socket
     to: tuple[str, int] | None = None  # where the other listens now; None: nowhere
-    harm: Harm = field(default_factory=Harm)
+    faults: LinkFaults = field(default_factory=LinkFaults)
     counts: Counter[str] = field(default_factory=Counter)
 
 
@@ -44,8 +44,8 @@
     def __init__(self, names: Iterable[str], seed: int = 1) -> None:
         self.names, self._random = tuple(names), Random(seed)
         self.links = dict[tuple[str, str], Link]()
-        self._selector, self._late = selectors.DefaultSelector(), list[tuple[float, int, Link, bytes]]()
-        self._numbers, self._lock, self._ended = count(), threading.Lock(), threading.Event()
+        self._selector, self._delayed = selectors.DefaultSelector(), list[tuple[float, int, Link, bytes]]()
+        self._order, self._lock, self._ended = count(), threading.Lock(), threading.Event()
         for one in self.names:
             for other in self.names:
                 if one != other:
@@ -65,18 +65,18 @@
             if one == name
         }
 
-    def moved(self, name: str, address: str) -> None:
+    def set_address(self, name: str, address: str) -> None:
         """A member listens there now."""
         host, _, port = address.rpartition(":")
         for (_, other), link in self.links.items():
             if other == name:
                 link.to = (host, int(port))
 
-    def harm(self, harm: Harm, links: Iterable[tuple[str, str]]) -> None:
+    def set_faults(self, faults: LinkFaults, links: Iterable[tuple[str, str]]) -> None:
         """Do that to these links, from one member to another, from now on."""
         with self._lock:
             for each in links:
-                self.links[each].harm = harm
+                self.links[each].faults = faults
 
     def between(self, *sides: Iterable[str]) -> list[tuple[str, str]]:
         """The links, both ways, between members of different sides."""
@@ -84,8 +84,8 @@
         return [(one, other) for one, other in self.links if side.get(one) != side.get(other)]
 
     def heal(self) -> None:
-        """Harm nothing any more."""
-        self.harm(Harm(), self.links)
+        """LinkFaults nothing any more."""
+        self.set_faults(LinkFaults(), self.links)
 
     def count(self, what: str, links: Iterable[tuple[str, str]] | None = None) -> int:
         """How many of these links' datagrams were passed, cut, lost, doubled or late."""
@@ -99,12 +99,12 @@
 
     def _run(self) -> None:
         while not self._ended.is_set():
-            wait_s = min(0.02, max(0.0, self._late[0][0] - time.monotonic())) if self._late else 0.02
+            wait_s = min(0.02, max(0.0, self._delayed[0][0] - time.monotonic())) if self._delayed else 0.02
             for key, _ in self._selector.select(wait_s):
                 self._read(key.data)
-            while self._late and self._late[0][0] <= time.monotonic():
-                _, _, link, datagram = heapq.heappop(self._late)
-                self._pass(link, datagram)
+            while self._delayed and self._delayed[0][0] <= time.monotonic():
+                _, _, link, datagram = heapq.heappop(self._delayed)
+                self._forward(link, datagram)
 
     def _read(self, link: Link) -> None:
         try:
@@ -112,28 +112,28 @@
         except (BlockingIOError, ConnectionError):
             return
         with self._lock:
-            harm, draw = link.harm, self._random.random
+            faults, draw = link.faults, self._random.random
             link.counts["heard"] += 1
-            link.counts["too_long"] += len(datagram) > MOST
-            if harm.cut:
+            link.counts["too_long"] += len(datagram) > MAX_DATAGRAM_BYTES
+            if faults.cut:
                 link.counts["cut"] += 1
-            elif draw() < harm.loss or (harm.every_second and link.counts["heard"] % 2):
+            elif draw() < faults.loss or (faults.alternate_loss and link.counts["heard"] % 2):
                 link.counts["lost"] += 1
             else:
-                if draw() < harm.double:
+                if draw() < faults.duplication:
                     link.counts["doubled"] += 1
-                    self._later(link, datagram, harm.late_s)
-                if draw() < harm.late:
+                    self._schedule(link, datagram, faults.max_late_s)
+                if draw() < faults.late_fraction:
                     link.counts["late"] += 1
-                    self._later(link, datagram, harm.late_s)
+                    self._schedule(link, datagram, faults.max_late_s)
                 else:
-                    self._pass(link, datagram)
+                    self._forward(link, datagram)
 
-    def _later(self, link: Link, datagram: bytes, most_s: float) -> None:
-        at_s = time.monotonic() + self._random.uniform(0.0, most_s)
-        heapq.heappush(self._late, (at_s, next(self._numbers), link, datagram))
+    def _schedule(self, link: Link, datagram: bytes, max_delay_s: float) -> None:
+        at_s = time.monotonic() + self._random.uniform(0.0, max_delay_s)
+        heapq.heappush(self._delayed, (at_s, next(self._order), link, datagram))
 
-    def _pass(self, link: Link, datagram: bytes) -> None:
+    def _forward(self, link: Link, datagram: bytes) -> None:
         if link.to is None:
             return
         try:
--- a/tests/fleet/receiver.py
+++ b/tests/fleet/receiver.py
@@ -11,7 +11,7 @@
 
 from ringledge.decide.leases.fencing import FencingTokenCheck
 
-LONG_S = 60.0  # a busy machine's bound; nothing here waits for it to pass
+WAIT_LIMIT_S = 60.0  # a busy machine's bound; nothing here waits for it to pass
 
 
 class Effect(NamedTuple):
@@ -47,21 +47,21 @@
                 (self.accepted if admitted else self.refused).append(effect)
                 self._news.notify_all()
 
-    def until(self, holds: Callable[[], bool], what: str = "") -> None:
+    def wait_until(self, holds: Callable[[], bool], what: str = "") -> None:
         """Wait until that holds, looked at with each effect and now and then."""
-        until_s = time.monotonic() + LONG_S
+        until_s = time.monotonic() + WAIT_LIMIT_S
         with self._news:
             while not holds():
-                assert time.monotonic() < until_s, f"{what or 'it'} did not come in {LONG_S} s"
+                assert time.monotonic() < until_s, f"{what or 'it'} did not come in {WAIT_LIMIT_S} s"
                 self._news.wait(0.05)
 
-    def next(self, duty: str, but: str = "", above: int = 0) -> Effect:
+    def next_effect(self, duty: str, but: str = "", above: int = 0) -> Effect:
         """The first effect of a duty by another member than that, or under a token above that."""
 
         def found() -> list[Effect]:
             return [e for e in self.accepted if e.duty == duty and e.member != but and e.token > above]
 
-        self.until(lambda: bool(found()), f"an effect of {duty}")
+        self.wait_until(lambda: bool(found()), f"an effect of {duty}")
         return found()[0]
 
     def close(self) -> None:
--- a/tests/fleet/record.py
+++ b/tests/fleet/record.py
@@ -39,7 +39,7 @@
     return {duty: [by[token] for token in sorted(by)] for duty, by in found.items()}
 
 
-def breaches(paths: Iterable[Path]) -> list[str]:
+def violations(paths: Iterable[Path]) -> list[str]:
     """What is wrong; empty where all holds."""
     wrong = list[str]()
     for duty, found in holdings(paths).items():
--- a/tests/fleet/shared_servers.py
+++ b/tests/fleet/shared_servers.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from tests.fleet.receiver import LONG_S
+from tests.fleet.receiver import WAIT_LIMIT_S
 from tests.loopback import Call, Node, StandIn, event, take
 
 PROMPT, ANSWER = 2000, 24  # tokens: enough of both that a conductor takes a pace from them
@@ -59,7 +59,7 @@
 
     def held(self, count: int) -> list[Call]:
         """The next reads that are held."""
-        return [self._held.get(timeout=LONG_S) for _ in range(count)]
+        return [self._held.get(timeout=WAIT_LIMIT_S) for _ in range(count)]
 
     def reads(self, requests: set[str]) -> set[str]:
         """Servers that got the reads of these requests."""
@@ -80,7 +80,7 @@
     """All that one member logs, from its start on."""
 
     def __init__(self, node: Node) -> None:
-        self._node, self._lines = node, list(node.passed)
+        self._node, self._lines = node, list(node.skipped_lines)
 
     def lines(self, name: str) -> list[dict[str, Any]]:
         """Those of an event, as far as they have come."""
@@ -130,8 +130,8 @@
 
     def until(self, holds: Callable[[], bool], what: str, *names: str) -> None:
         """Rounds until that holds."""
-        until_s = time.monotonic() + LONG_S
+        until_s = time.monotonic() + WAIT_LIMIT_S
         while not holds():
-            assert time.monotonic() < until_s, f"{what} did not come in {LONG_S} s"
+            assert time.monotonic() < until_s, f"{what} did not come in {WAIT_LIMIT_S} s"
             self.round(*names)
             time.sleep(0.02)  # between looks; nothing hangs on how long
--- a/tests/fleet/test_queue.py
+++ b/tests/fleet/test_queue.py
@@ -42,7 +42,7 @@
 def tell(node: Node, index: int, status: str) -> None:
     """On the watches that there are, given up by their process or not, and first of all on later ones."""
     line = json.dumps(node.listing(index, w0=status))
-    node.told = lambda _: line
+    node.initial_listing = lambda _: line
     watches = [node.watches.get(timeout=WAIT_S)]
     while not node.watches.empty():
         watches.append(node.watches.get())
--- a/tests/fleet/test_roles.py
+++ b/tests/fleet/test_roles.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from tests.fleet.fleet import Fleet
-from tests.fleet.links import Harm
+from tests.fleet.links import LinkFaults
 from tests.fleet.shared_servers import HELD, Servers, Story, Traffic
 from tests.loopback import take
 
@@ -119,20 +119,20 @@
 def test_who_is_cut_off_plans_nothing_and_keeps_the_roles_it_had(tmp_path: Path) -> None:
     with roles(tmp_path) as its:
         names = its.fleet.names
-        its.fleet.receiver.until(lambda: bool(its.holder()), "a holder")
+        its.fleet.receiver.wait_until(lambda: bool(its.holder()), "a holder")
         alone = its.holder()
         left = [name for name in names if name != alone]
         cut = its.fleet.links.between([alone], left)
-        its.fleet.links.harm(Harm(cut=True), cut)
+        its.fleet.links.set_faults(LinkFaults(cut=True), cut)
         its.traffic.until(lambda: its.holder() in left, "another holder")
         # It has demand, paces, and servers without a role: but for the lease it would plan.
         its.traffic.until(lambda: its.alike(*left), "a plan", *names)
         assert its.stories[alone].lines("role_plan_published") == [] and its.stories[alone].asked() == {}
         its.fleet.links.heal()
         asked = its.planned(*names)
-        its.fleet.links.harm(Harm(cut=True), cut)
+        its.fleet.links.set_faults(LinkFaults(cut=True), cut)
         seen = its.fleet.links.count("cut", cut)
-        its.fleet.receiver.until(lambda: its.fleet.links.count("cut", cut) >= seen + 60, "datagrams cut")
+        its.fleet.receiver.wait_until(lambda: its.fleet.links.count("cut", cut) >= seen + 60, "datagrams cut")
         later = its.traffic.round(alone, times=MANY)
         assert its.servers.reads(later) and not its.servers.reads(later) & its.writers(asked)
         assert its.stories[alone].lines("role_plan_published") == [] and its.servers.twice() == []
--- a/tests/fleet/test_voting.py
+++ b/tests/fleet/test_voting.py
@@ -22,10 +22,10 @@
         node, began_s = fleet.nodes["c3"], time.monotonic()
         node.__enter__()
         # It runs for longer than the silence: a silence from its start would be over.
-        fleet.receiver.until(lambda: time.monotonic() - began_s > 1.5 * terms.startup_silence_s)
+        fleet.receiver.wait_until(lambda: time.monotonic() - began_s > 1.5 * terms.startup_silence_s)
         predecessor.close()
         listens = node.logged("member_listening")
-        fleet.links.moved("c3", listens["address"])
+        fleet.links.set_address("c3", listens["address"])
         votes = node.logged("lease_acceptor_activated")
         assert votes["at"] - listens["at"] >= terms.startup_silence_s - 0.1
     finally:
--- a/tests/lifecycle/test_components.py
+++ b/tests/lifecycle/test_components.py
@@ -35,7 +35,7 @@
     files = {name: text.replace("{folder}", str(folder)) for name, text in files.items()}
     files["members.key"] = "5c" * 16
     with Node(folder, files=files, flags=("-X", "importtime")) as node:
-        texts = [line["text"] for line in node.passed if line["event"] == "text"]
+        texts = [line["text"] for line in node.skipped_lines if line["event"] == "text"]
     return {text.rsplit("|", 1)[1].strip() for text in texts if "|" in text}
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -19,8 +19,8 @@
 from tests.standins import REPORT as REPORT
 from tests.standins import WAIT_S as WAIT_S
 from tests.standins import Call as Call
-from tests.standins import Hung as Hung
 from tests.standins import StandIn as StandIn
+from tests.standins import UnreachableServer as UnreachableServer
 from tests.standins import event as event
 
 ROOT = Path(__file__).parent.parent
@@ -97,7 +97,7 @@
             except queue.Empty:
                 break
             if line["event"] == name:
-                self.passed = seen
+                self.skipped_lines = seen
                 return line
             seen.append(line)
         raise AssertionError(f"no {name} among {seen}")
@@ -120,7 +120,7 @@
         client.request(method, path)
         return take(client)
 
-    def figures(self) -> dict[str, str]:
+    def stats(self) -> dict[str, str]:
         """What /stats says."""
         lines = self.call("GET", "/stats").body.decode().splitlines()
         return dict(line.split(":") for line in lines)
@@ -133,14 +133,14 @@
     folder: Path
     readers: int = 1
     writers: int = 1
-    hung: int = 0  # further writers that no connection reaches
+    unreachable: int = 0  # further writers that no connection reaches
     mixed: tuple[StandIn, ...] = ()  # servers that do both, of whoever made them: each in a rack of its own
     sockets: int = 256
     descriptors: int = 0
     memory_mb: float = 192
     files: dict[str, str] = field(default_factory=dict)  # deploy files by name
     clients: list[http.client.HTTPConnection] = field(default_factory=list)  # whose answers a test waits for
-    told: Callable[[Node], str] = lambda _: ""  # what discovery says first of all
+    initial_listing: Callable[[Node], str] = lambda _: ""  # what discovery says first of all
     operator: bool = False  # it listens at a second address too
     flags: tuple[str, ...] = ()  # the interpreter's
     name: str = "n1"
@@ -158,7 +158,7 @@
             return call.method == "DELETE"
 
         def watch(call: Call) -> bool:
-            call.begin().chunk(self.told(self) + "\n")
+            call.begin().chunk(self.initial_listing(self) + "\n")
             self.watches.put(call)
             gone.wait()
             return True
@@ -166,7 +166,7 @@
         self.stop_watches = gone
         self.reader = [StandIn(release) for _ in range(self.readers)]
         self.writer = [StandIn(release) for _ in range(self.writers)]
-        self.away = [Hung() for _ in range(self.hung)]
+        self.unreachable_servers = [UnreachableServer() for _ in range(self.unreachable)]
         self.discovery = StandIn(watch)
         self.config = {
             "name": self.name, "listen": "127.0.0.1:0", "discovery": self.discovery.address,
@@ -179,25 +179,25 @@
         self.configure()
         for name, text in self.files.items():
             (self.folder / name).write_text(text)
-        self.later: list[Process] = []
+        self.extra_processes: list[Process] = []
         self.start(self.folder, *self.flags)
         return self
 
     def __exit__(self, *_: object) -> None:
-        for process in (self, *self.later):
+        for process in (self, *self.extra_processes):
             process.kill()
         self.stop_watches.set()
         for each in [*self.reader, *self.writer, self.discovery]:
             each.close()
-        for away in self.away:
+        for away in self.unreachable_servers:
             away.close()
 
     def successor(self) -> Process:
         """Start the program again beside this one, with another second address."""
-        self.configure(operator=f"127.0.0.{len(self.later) + 3}:0")
-        self.later.append(Process())
-        self.later[-1].start(self.folder)
-        return self.later[-1]
+        self.configure(operator=f"127.0.0.{len(self.extra_processes) + 3}:0")
+        self.extra_processes.append(Process())
+        self.extra_processes[-1].start(self.folder)
+        return self.extra_processes[-1]
 
     def configure(self, **changes: Any) -> None:
         """Write the configuration's file, with changes."""
@@ -206,10 +206,10 @@
 
     def listing(self, index: int, **status: str) -> dict[str, Any]:
         """The whole list; `status` gives servers by name another state."""
-        fleet: list[tuple[str, str, StandIn | Hung]]
+        fleet: list[tuple[str, str, StandIn | UnreachableServer]]
         fleet = [(f"r{n}", "prefill", each) for n, each in enumerate(self.reader)]
         fleet += [(f"w{n}", "decode", each) for n, each in enumerate(self.writer)]
-        fleet += [(f"h{n}", "decode", each) for n, each in enumerate(self.away)]
+        fleet += [(f"h{n}", "decode", each) for n, each in enumerate(self.unreachable_servers)]
         entries = [
             {"name": name, "address": each.address, "zone": "east", "type": kind, "group": 1,
              "status": status.get(name, "active"), "weight": 1.0, "since_ms": 0}
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -142,8 +142,8 @@
 
     def __init__(self, auto: Callable[[Call], bool] = lambda _: False) -> None:
         self.calls, self.seen = queue.Queue[Call](), list[Call]()
-        self.deaf = False  # releases are accepted and never answered
-        self.refuse_next = False  # the next call's connection breaks without an answer
+        self.ignores_releases = False  # releases are accepted and never answered
+        self.drop_next_call = False  # the next call's connection breaks without an answer
         outer = self
 
         class Handler(BaseHTTPRequestHandler):
@@ -151,11 +151,11 @@
 
             def take(self) -> None:
                 call = Call(self, self.rfile.read(int(self.headers.get("Content-Length", 0))))
-                if outer.refuse_next:
-                    outer.refuse_next, self.close_connection = False, True
+                if outer.drop_next_call:
+                    outer.drop_next_call, self.close_connection = False, True
                     return
                 outer.seen.append(call)
-                if (outer.deaf and call.method == "DELETE") or not auto(call):
+                if (outer.ignores_releases and call.method == "DELETE") or not auto(call):
                     outer.calls.put(call)
                     call.done.wait()
 
@@ -193,7 +193,7 @@
         self._http.server_close()
 
 
-class Hung:
+class UnreachableServer:
     """A server that no connection reaches, as if its machine were cut off: its queue is full."""
 
     def __init__(self) -> None:
@@ -211,7 +211,7 @@
             sock.close()
 
 
-def play(server: StandIn, answer: Callable[[Call], None]) -> None:
+def answer_in_background(server: StandIn, answer: Callable[[Call], None]) -> None:
     """Have a server answer all calls that come; one that was given up meanwhile takes no answer."""
 
     def run() -> None:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -63,7 +63,7 @@
 
 
 def test_no_attempt_is_sent_after_disconnect_during_connection_setup(tmp_path: Path) -> None:
-    with Node(tmp_path, writers=0, hung=1) as node:
+    with Node(tmp_path, writers=0, unreachable=1) as node:
         client = node.post("a1")
         node.reader[0].next().read()
         client.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -90,11 +90,11 @@
         new_discovery.next().begin().chunk(json.dumps(node.listing(9)) + "\n")
         events = list[str]()
         while node.logged("endpoint_list_received")["index"] != 9:
-            events += [line["event"] for line in node.passed]
-        events += [line["event"] for line in node.passed]
+            events += [line["event"] for line in node.skipped_lines]
+        events += [line["event"] for line in node.skipped_lines]
         assert is_request_served(node)
         node.logged("request_ended")
-        events += [line["event"] for line in node.passed]
+        events += [line["event"] for line in node.skipped_lines]
         assert not EXHAUSTION_EVENTS & set(events)
 
 
--- a/tests/test_flood_refusals.py
+++ b/tests/test_flood_refusals.py
@@ -31,7 +31,7 @@
     call.drop()
     sender.join()
     assert node.logged("request_ended")["how"] == "gone"
-    assert not [line for line in node.passed if line["event"] == "invariant_violated"]
+    assert not [line for line in node.skipped_lines if line["event"] == "invariant_violated"]
 
 
 def test_flood_behind_booking_in_prefill_is_rejected(node: Node) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -52,7 +52,7 @@
     new = start_successor(node)
     assert new.listening["platform"] == node.listening["platform"]
     assert serve_request(node, "b1") == 200
-    assert new.figures()["relay.answered.query"] == "1|c" and node.figures()["relay.current"] == "1|g"
+    assert new.stats()["relay.answered.query"] == "1|c" and node.stats()["relay.current"] == "1|g"
     node.process.send_signal(signal.SIGTERM)
     call.serve("x")
     answer = take(running)
@@ -82,7 +82,7 @@
         node.reader[0].next().read()
         node.writer[0].next().serve("x")
     assert [take(client).status for client in clients] == [200] * 3
-    assert new.figures()["relay.answered.query"] == "3|c"
+    assert new.stats()["relay.answered.query"] == "3|c"
 
 
 @pytest.mark.parametrize("at", ["old", "new"])
@@ -158,8 +158,9 @@
     """A successor accepts once the list is received or timed out; until then its predecessor does."""
     started_s = time.monotonic()
     new = node.successor()
-    assert new.figures()["relay.cluster_size"] == "2|g" and time.monotonic() - started_s < WAIT_S
-    node.told = lambda node: json.dumps(node.listing(8))  # sent to each watch that begins from now on
+    assert new.stats()["relay.cluster_size"] == "2|g" and time.monotonic() - started_s < WAIT_S
+    # sent to each watch that begins from now on
+    node.initial_listing = lambda node: json.dumps(node.listing(8))
     while not node.watches.empty():  # a watch without events may have been closed for the next one
         with contextlib.suppress(OSError):
             node.watches.get().chunk(json.dumps(node.listing(8)) + "\n")
@@ -171,5 +172,5 @@
     for _ in range(4):  # each request is attempted twice at the server
         node.reader[0].next().drop()
     assert [take(client).status for client in clients] == [503, 503]
-    assert node.figures()["relay.cluster_unhealthy"] == "1|g"
-    assert start_successor(node).figures()["relay.cluster_unhealthy"] == "1|g"
+    assert node.stats()["relay.cluster_unhealthy"] == "1|g"
+    assert start_successor(node).stats()["relay.cluster_unhealthy"] == "1|g"
--- a/tests/test_handover_clock.py
+++ b/tests/test_handover_clock.py
@@ -41,7 +41,7 @@
         node.configure(operator="127.0.0.3:0")
         successor = Process()
         successor.module = "benchmarks.soak.child"
-        node.later.append(successor)
+        node.extra_processes.append(successor)
         successor.start(node.folder)
         successor.logged("listeners_taken_over")
         node.kill()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -54,24 +54,24 @@
     expected |= {"relay.cluster_unhealthy": "0|g"}
     for how in ("answered", "deferred", "errored"):
         expected |= {f"relay.{how}.query": "0|c", f"relay.{how}.booking": "0|c"}
-    assert node.figures() == expected
+    assert node.stats() == expected
     client = node.post("a1")
     reader = node.reader[0].next()
-    assert node.figures() == expected | {"relay.sends": "1|c", "relay.current": "1|g"}
+    assert node.stats() == expected | {"relay.sends": "1|c", "relay.current": "1|g"}
     reader.read()
     node.writer[0].next().serve("x")
     take(client)
     after_one = expected | {"relay.sends": "2|c", "relay.answered.query": "1|c"}
-    assert node.figures() == after_one
+    assert node.stats() == after_one
     client = node.post("a2", X_Call_Class="booking")
     node.reader[0].next().read()
     node.writer[0].next().answer(500)
     assert take(client).status == 500
-    assert node.figures() == after_one | {"relay.sends": "4|c", "relay.errored.booking": "1|c"}
+    assert node.stats() == after_one | {"relay.sends": "4|c", "relay.errored.booking": "1|c"}
     client = node.post("a3", X_Budget_Ms="300")
     node.reader[0].next()
     assert take(client).status == 503
-    figures = node.figures()
+    figures = node.stats()
     assert figures["relay.deferred.query"] == "1|c" and figures["relay.current"] == "0|g"
 
 
@@ -83,7 +83,7 @@
             node.reader[0].next()
         answer = take(node.post("b1", X_Call_Class="booking"))
         assert answer.status == 503 and b"too many connections" in answer.body
-        assert node.figures()["relay.deferred.booking"] == "1|c"
+        assert node.stats()["relay.deferred.booking"] == "1|c"
 
 
 def test_clients_cannot_use_up_the_operators_connections(node: Node) -> None:
@@ -114,7 +114,7 @@
     with Node(tmp_path, operator=True, writers=2) as node:
         for _ in range(2):  # repeating the override changes nothing
             assert node.call("POST", "/instances/w0/maint").status == 200
-        assert node.figures()["relay.cluster_unhealthy"] == "1|g"
+        assert node.stats()["relay.cluster_unhealthy"] == "1|g"
         node.watches.get(timeout=WAIT_S).chunk(json.dumps(node.listing(8)) + "\n")
         node.logged("endpoint_list_received")
         for number in range(8):
@@ -123,7 +123,7 @@
             node.writer[1].next().serve("x")
             assert take(client).status == 200
         assert node.call("POST", "/instances/w0/ready").status == 200
-        assert node.figures()["relay.cluster_unhealthy"] == "0|g"
+        assert node.stats()["relay.cluster_unhealthy"] == "0|g"
         client = node.post("b1")
         node.reader[0].next().read()
         node.writer[0].next().serve("x")  # used at once after the override is removed
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -72,7 +72,7 @@
 
 
 def logged_before_ready(process: Process) -> list[str]:
-    return [json.dumps(line) for line in process.passed]
+    return [json.dumps(line) for line in process.skipped_lines]
 
 
 @pytest.mark.parametrize("first_is", ["killed", "running"])
@@ -85,7 +85,7 @@
     assert any("server_overrides_unreadable" in line and "other settings" in line for line in lines)
     assert process.listening["platform"] != address
     assert all_answers(node, process) == answers_in_own_folder(tmp_path / "alone")
-    assert process.figures()["relay.answered.letter"] == "1|c"
+    assert process.stats()["relay.answered.letter"] == "1|c"
 
 
 def test_first_deployment_keeps_its_overrides_beside_another(node: Node) -> None:
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -58,7 +58,7 @@
         send_drain(node, watch)
         assert not [
             line
-            for line in node.passed
+            for line in node.skipped_lines
             if line["event"] in ("endpoint_watch_timed_out", "endpoint_watch_failed")
         ]
         assert only_active_writer_serves(node)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -118,12 +118,12 @@
 def test_release_is_retried_until_it_arrives(node: Node) -> None:
     """Otherwise the prefill server keeps the entry; here the first connection for the release breaks."""
     client, call = read(node)
-    node.reader[0].refuse_next = True
+    node.reader[0].drop_next_call = True
     client.close()
     assert call.closed()
     call.drop()
     assert node.deleted.get(timeout=10).path == "/internal/reservations/a1"
-    assert not node.reader[0].refuse_next
+    assert not node.reader[0].drop_next_call
 
 
 def test_request_that_reaches_no_decode_server_is_rejected_not_failed(tmp_path: Path) -> None:
--- a/tests/test_platform_restart.py
+++ b/tests/test_platform_restart.py
@@ -13,7 +13,7 @@
 
 from ringledge.lifecycle.serve import ENDPOINT_LIST_TIMEOUT_S
 from tests.loopback import WAIT_S, Call, Node, Process, StandIn
-from tests.standins import play
+from tests.standins import answer_in_background
 from tests.test_client_pace import request
 
 REQUEST_COUNT = 8
@@ -36,7 +36,7 @@
     def __init__(self, node: Node, discovery: StandIn) -> None:
         node.configure(discovery=discovery.address)
         self.node, self.process = node, Process()
-        node.later.append(self.process)
+        node.extra_processes.append(self.process)
         self._began = time.monotonic()
         self._thread = threading.Thread(target=self.process.start, args=(node.folder,), daemon=True)
         self._thread.start()
@@ -46,7 +46,7 @@
         self._thread.join(WAIT_S)
         assert not self._thread.is_alive()
         self.took_s = time.monotonic() - self._began
-        return [line["event"] for line in self.process.passed]
+        return [line["event"] for line in self.process.skipped_lines]
 
     def open_client(self) -> socket.socket:
         """Connect a client as soon as the process listens at its former address."""
@@ -81,8 +81,8 @@
 
 def all_served_by_remaining_servers(node: Node, clients: list[socket.socket]) -> bool:
     """Whether all requests are served, and none was sent to a server that may no longer be used."""
-    play(node.reader[0], Call.read)
-    play(node.writer[1], lambda call: call.serve("x"))
+    answer_in_background(node.reader[0], Call.read)
+    answer_in_background(node.writer[1], lambda call: call.serve("x"))
     for client in clients:
         with client:
             if not client.recv(65536).startswith(b"HTTP/1.1 200"):
--- a/tests/test_platform_stop.py
+++ b/tests/test_platform_stop.py
@@ -13,7 +13,7 @@
 
 from ringledge.lifecycle.drain import KILL_GRACE_S, MAX_DEADLINE_S
 from tests.loopback import WAIT_S, Call, Node, StandIn, event, take
-from tests.standins import play
+from tests.standins import answer_in_background
 from tests.test_client_pace import request
 
 SLACK_S = 1.0  # delay that a busy machine may add
@@ -52,9 +52,9 @@
 
 def test_shutdown_answers_all_requests_while_half_of_the_servers_hang(tmp_path: Path) -> None:
     with Node(tmp_path, readers=2, writers=4) as node:
-        play(node.reader[0], Call.read)
+        answer_in_background(node.reader[0], Call.read)
         for server in node.writer[2:]:
-            play(server, lambda call: call.serve("x"))
+            answer_in_background(server, lambda call: call.serve("x"))
         hanging = [node.reader[1], *node.writer[:2]]
         clients = list[WaitingClient]()
         deadline_s = time.monotonic() + WAIT_S
--- a/tests/test_start_failures.py
+++ b/tests/test_start_failures.py
@@ -29,7 +29,7 @@
         monkeypatch.setenv("SOAK_CONDUCTOR", "n1")
         process = Process()
         process.module = "benchmarks.soak.child"
-        node.later.append(process)
+        node.extra_processes.append(process)
         process.start(node.folder)
         node.listening = process.listening
         client, call = read(node)
--- a/tests/test_unobserved_entries.py
+++ b/tests/test_unobserved_entries.py
@@ -120,7 +120,7 @@
 
 def test_release_reaches_a_third_server_in_time_though_two_do_not_answer(node: Node) -> None:
     for server in [*node.reader, *node.writer]:
-        server.deaf = True
+        server.ignores_releases = True
     node.clients = [node.post("a1")]
     next_call(node.reader)[1].read()
     prefilled_s = time.monotonic()
@@ -134,12 +134,12 @@
 def test_server_that_hung_gets_a_release_call_soon_after_it_resumes(node: Node) -> None:
     node.clients = [node.post("a1", X_Call_Class="booking")]
     server, call = next_call(node.reader)
-    server.deaf = True
+    server.ignores_releases = True
     assert call.closed()  # the policy has abandoned the attempt
     call.drop()
     others = [each for each in node.reader if each is not server]
     next_call(others)  # is not delivered either
-    server.deaf = False
+    server.ignores_releases = False
     resumed_s = time.monotonic()
     while time.monotonic() - resumed_s < MAX_HOLD_S:
         released = [each for each in server.seen if each.method == "DELETE" and each.done.is_set()]
--- a/tests/wire/servers/test_releases.py
+++ b/tests/wire/servers/test_releases.py
@@ -43,7 +43,7 @@
     index, call = first_prefill(node)
     call.read()
     decode_call = node.writer[0].next()
-    node.reader[index].deaf = True
+    node.reader[index].ignores_releases = True
     node.clients[0].close()
     assert decode_call.closed()
     decode_call.drop()
@@ -79,16 +79,16 @@
     call.read()
     decode_call = node.writer[0].next()
     for server in node.reader:
-        server.deaf = True
-    node.writer[0].deaf = True
+        server.ignores_releases = True
+    node.writer[0].ignores_releases = True
     node.clients[0].close()
     assert decode_call.closed()
     decode_call.drop()
     assert node.reader[index].next().path == PATH  # the release is in progress
     node.process.send_signal(signal.SIGTERM)
     for server in node.reader:
-        server.deaf = False
-    node.writer[0].deaf = False
+        server.ignores_releases = False
+    node.writer[0].ignores_releases = False
     assert node.logged("release_ended")["how"] == "done"
     assert node.process.wait(timeout=10) == 0
 
@@ -97,7 +97,7 @@
     tmp_path: Path,
 ) -> None:
     """Guards against holding the entry while connections to several unreachable servers time out in turn."""
-    with Node(tmp_path, readers=2, writers=0, hung=4) as node:
+    with Node(tmp_path, readers=2, writers=0, unreachable=4) as node:
         index, call = first_prefill(node)
         call.read()
         assert node.logged("cache_entry_released")["servers"] == [f"r{index}"]
@@ -108,9 +108,11 @@
 
 def test_outstanding_updates_are_applied_before_the_first_request_is_accepted(tmp_path: Path) -> None:
     """Clients that know the address connect as soon as a router restarts, while its list may be old."""
-    with Node(tmp_path, told=lambda node: json.dumps(node.listing(8, r0="leaving"))) as node:
+    with Node(tmp_path, initial_listing=lambda node: json.dumps(node.listing(8, r0="leaving"))) as node:
         lists = [
-            (line["form"], line["index"]) for line in node.passed if line["event"] == "endpoint_list_received"
+            (line["form"], line["index"])
+            for line in node.skipped_lines
+            if line["event"] == "endpoint_list_received"
         ]
         assert lists == [("kept", 7), ("full", 8)]
 
