--- a/tests/fleet/child.py
+++ b/tests/fleet/child.py
@@ -1,6 +1,7 @@
-"""The program with one part more: a duty whose effects the test receives, and a record of all it does.
+"""Runs the program with additional duties that send their effects to the test and record each step.
 
-rig.json in its folder says where effects go (`receiver`), the names of the `duties`, and maybe a `mutant`.
+rig.json in the program's folder holds the address of the `receiver`, the names of the `duties` and,
+optionally, a `mutant`.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 from ringledge.lifecycle.component import Component
 from ringledge.lifecycle.composition import ComponentSpec, Composition
 
-EACH_S = 0.03  # between effects
+EFFECT_INTERVAL_S = 0.03
 FOLDER = Path(os.environ.get("RINGLEDGE_DEPLOY", "."))
 
 
 class Effects:
-    """A duty: each step is one effect, a datagram with the token."""
+    """A duty that sends one effect per step: a datagram with its token."""
 
-    def __init__(self, name: str, told: dict[str, Any], member: str) -> None:
-        host, _, port = told["receiver"].rpartition(":")
+    def __init__(self, name: str, rig: dict[str, Any], member: str) -> None:
+        host, _, port = rig["receiver"].rpartition(":")
         self._name, self._member, self._to = name, member, (host, int(port))
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._record = (FOLDER / "record.jsonl").open("a", buffering=1)
@@ -43,38 +44,40 @@
         self._token = token
         self._write("begun", time.monotonic())
 
-    async def step(self, token: int, still: Callable[[], bool]) -> float:
-        looked_s = time.monotonic()  # before the look: what it allows holds from no later moment
-        if still():
-            stand_still = FOLDER / "stand_still"  # the test wants it stopped between its look and its effect
+    async def step(self, token: int, holds_lease: Callable[[], bool]) -> float:
+        # Read before the lease check: the check allows an effect only as of this time.
+        checked_s = time.monotonic()
+        if holds_lease():
+            # The test creates this file to stop the process between the lease check and the effect.
+            stand_still = FOLDER / "stand_still"
             if stand_still.exists():
                 stand_still.unlink()
                 os.kill(os.getpid(), signal.SIGSTOP)
-            self._write("effect", looked_s)
-            told = {"duty": self._name, "token": token, "member": self._member, "pid": os.getpid()}
-            self._socket.sendto(json.dumps(told).encode(), self._to)
-        return EACH_S
+            self._write("effect", checked_s)
+            effect = {"duty": self._name, "token": token, "member": self._member, "pid": os.getpid()}
+            self._socket.sendto(json.dumps(effect).encode(), self._to)
+        return EFFECT_INTERVAL_S
 
     def stop(self) -> None:
         self._write("ended", time.monotonic())
 
 
-def create(made: Composition) -> Component:
-    told = json.loads((FOLDER / "rig.json").read_text())
-    assert made.cluster_member is not None
-    for name in told["duties"]:
-        made.cluster_member.duties[name] = Effects(name, told, made.context.config.name)
-    mutant = told.get("mutant")
-    if mutant == "never_expires":  # a holder goes on by what it knew, whatever its clock says
-        seeker: Any = LeaseProposer
-        seeker.token_at = lambda self, now_s: self.token if self.state is ProposerState.HOLDING else None
-        seeker._expire = lambda self, now_s: []
+def create(composed: Composition) -> Component:
+    rig = json.loads((FOLDER / "rig.json").read_text())
+    assert composed.cluster_member is not None
+    for name in rig["duties"]:
+        composed.cluster_member.duties[name] = Effects(name, rig, composed.context.config.name)
+    mutant = rig.get("mutant")
+    if mutant == "never_expires":  # the holder ignores the expiry of its lease
+        proposer: Any = LeaseProposer
+        proposer.token_at = lambda self, now_s: self.token if self.state is ProposerState.HOLDING else None
+        proposer._expire = lambda self, now_s: []
     return Component()
 
 
 if __name__ == "__main__":
     specs = composition.COMPONENTS
     index = [spec.name for spec in specs].index("duties")
-    rig = ComponentSpec("rig", lambda config: True, create)
-    composition.COMPONENTS = (*specs[:index], rig, *specs[index:])
+    rig_spec = ComponentSpec("rig", lambda config: True, create)
+    composition.COMPONENTS = (*specs[:index], rig_spec, *specs[index:])
     main()
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""Several processes of the program that are members of one fleet, with relays between them."""
+"""Runs several processes of the program as members of one fleet, with UDP relays between them."""
 
 from __future__ import annotations
 
@@ -32,9 +32,10 @@
 
 
 class Fleet:
-    """Members c1, c2, ...; each is a real process with stand-in servers of its own.
+    """Members c1, c2, ..., each a process of the program with its own stand-in servers.
 
-    Where `mixed` are told all share these, and have no others. `files`: further ones of deploy/, by name.
+    If `mixed` is given, all members share these servers and have no others. `files` holds additional settings
+    files, by name.
     """
 
     def __init__(
@@ -45,20 +46,23 @@
         lease_s: float = 1.0,
         duties: tuple[str, ...] = ("watch",),
         files: Mapping[str, str] | None = None,
-        listen: dict[str, str] | None = None,  # by name; else a port that the system chooses
+        listen: dict[str, str]
+        | None = None,  # listen address by member; by default the system chooses the port
         mixed: tuple[StandIn, ...] = (),
         **rig: Any,
     ) -> None:
         self.names = [f"c{number + 1}" for number in range(members)]
         self.links, self.receiver = Links(self.names), Receiver()
         self._folder, self._stopped = folder, set[str]()
-        self._passed = list[tuple[str, dict[str, Any]]]()  # lines read while another was waited for
+        self._unprocessed = list[
+            tuple[str, dict[str, Any]]
+        ]()  # log lines by member, read while waiting for another line
         self._files = {"rig.json": json.dumps({"receiver": self.receiver.address, "duties": duties} | rig)}
         self._files |= {"members.key": KEY} | dict(files or {})
         self._mixed = mixed
         self._voters = self.names[:voters]
-        told = json.dumps(self._voters)
-        self._files["duties.toml"] = DUTIES.format(voters=told, lease_s=lease_s)
+        voter_names = json.dumps(self._voters)
+        self._files["duties.toml"] = DUTIES.format(voters=voter_names, lease_s=lease_s)
         self._listen = listen or {}
         self.nodes = {name: self._node(name) for name in self.names}
 
@@ -71,23 +75,23 @@
                 folder=folder, peers=peers, listen=self._listen.get(name, "127.0.0.1:0")
             )
         }
-        own = 0 if self._mixed else 1
-        its: dict[str, Any] = {"readers": own, "writers": own, "mixed": self._mixed}
-        return Node(folder, files=files, name=name, module="tests.fleet.child", **its)
+        server_count = 0 if self._mixed else 1
+        counts: dict[str, Any] = {"readers": server_count, "writers": server_count, "mixed": self._mixed}
+        return Node(folder, files=files, name=name, module="tests.fleet.child", **counts)
 
     def __enter__(self) -> Self:
         self.start(*self.names)
-        for name in self._voters:  # one that has not learned yet can't do without any other
+        for name in self._voters:  # until its acceptor is active, a voter needs every other voter
             self.nodes[name].logged("lease_acceptor_activated")
-            self._passed += [(name, line) for line in self.nodes[name].skipped_lines]
+            self._unprocessed += [(name, line) for line in self.nodes[name].skipped_lines]
         return self
 
     def start(self, *names: str) -> None:
-        """Start them for the first time."""
-        self._each(list(names), lambda name: self._started(name, True))
+        """Starts these members for the first time."""
+        self._run_for_all(list(names), lambda name: self._start(name, True))
 
-    def _each(self, names: list[str], do: Any) -> None:
-        """For all at the same time: a start takes a second or more."""
+    def _run_for_all(self, names: list[str], do: Any) -> None:
+        """Runs `do` for all members in parallel, since a start takes a second or more."""
         failed = list[BaseException]()
 
         def run(name: str) -> None:
@@ -104,90 +108,95 @@
         if failed:
             raise failed[0]
 
-    def _started(self, name: str, first: bool) -> None:
+    def _start(self, name: str, first: bool) -> None:
         node = self.nodes[name]
         if first:
             node.__enter__()
         else:
             node.start(node.folder)
-        self._passed += [(name, line) for line in node.skipped_lines]
-        told = [line for line in node.skipped_lines if line["event"] == "member_listening"]
-        line = told[0] if told else node.logged("member_listening")
+        self._unprocessed += [(name, line) for line in node.skipped_lines]
+        listening = [line for line in node.skipped_lines if line["event"] == "member_listening"]
+        line = listening[0] if listening else node.logged("member_listening")
         self.links.set_address(name, line["address"])
 
     def __exit__(self, *_: object) -> None:
         for node in self.nodes.values():
             if hasattr(node, "process"):
-                node.process.kill()  # a stopped one, too
+                node.process.kill()  # SIGKILL ends a suspended process as well
                 node.__exit__()
         self.links.close()
         self.receiver.close()
 
-    # Faults.
+    # Faults
 
     def kill(self, name: str) -> float:
-        """SIGKILL; when."""
+        """Kills the member with SIGKILL; returns the time."""
         at_s = time.monotonic()
         self.nodes[name].kill()
         return at_s
 
     def signal(self, name: str, number: signal.Signals) -> float:
-        """Send it; when."""
+        """Sends a signal to the member; returns the time."""
         at_s = time.monotonic()
         self.nodes[name].process.send_signal(number)
         return at_s
 
     def restart(self, *names: str, empty: bool = True) -> None:
-        """Start again those that were killed or have ended; what they kept is gone, the record stays here."""
+        """Restarts members that have ended; `empty` deletes their stored state, but not their records."""
 
-        def again(name: str) -> None:
+        def restart(name: str) -> None:
             node = self.nodes[name]
             if empty:
                 for path in node.folder.iterdir():
                     if path.name not in (*self._files, "members.toml", "config.json", "record.jsonl"):
                         shutil.rmtree(path) if path.is_dir() else path.unlink()
-            self._started(name, False)
+            self._start(name, False)
 
-        self._each(list(names), again)
+        self._run_for_all(list(names), restart)
 
     def succeed(self, name: str) -> Process:
-        """Start a member again beside itself, as an upgrade does."""
+        """Starts a successor process of a member beside it, as an upgrade does."""
         node, successor = self.nodes[name], Process()
         successor.module = node.module
         node.extra_processes.append(successor)
         successor.start(node.folder)
-        told = [line for line in successor.skipped_lines if line["event"] == "member_listening"]
-        line = told[0] if told else successor.logged("member_listening")
+        listening = [line for line in successor.skipped_lines if line["event"] == "member_listening"]
+        line = listening[0] if listening else successor.logged("member_listening")
         self.links.set_address(name, line["address"])
         return successor
 
-    # What is seen.
+    # Observations
 
-    def begun(self, duty: str, above: int = 0) -> tuple[str, int]:
-        """Wait until a member logs that it holds a duty under a token above that; who, and the token."""
+    def wait_for_holder(self, duty: str, above: int = 0) -> tuple[str, int]:
+        """Waits until a member logs that it holds a duty under a token above `above`.
+
+        Returns the member and the token.
+        """
 
         def token(line: dict[str, Any]) -> int | None:
-            mine = line["event"] == "duty_lease_changed" and (line["duty"], line["what"]) == (duty, "begun")
-            return line["token"] if mine and line["token"] > above else None
-
-        until_s = time.monotonic() + WAIT_LIMIT_S
-        while time.monotonic() < until_s:
-            while self._passed:  # it may have begun before it said that it votes
-                name, line = self._passed.pop(0)
-                if (its := token(line)) is not None:
-                    return name, its
+            begins = line["event"] == "duty_lease_changed" and (line["duty"], line["what"]) == (duty, "begun")
+            return line["token"] if begins and line["token"] > above else None
+
+        deadline_s = time.monotonic() + WAIT_LIMIT_S
+        while time.monotonic() < deadline_s:
+            while (
+                self._unprocessed
+            ):  # the duty may have begun before the voter logged that its acceptor is active
+                name, line = self._unprocessed.pop(0)
+                if (held := token(line)) is not None:
+                    return name, held
             for name, node in self.nodes.items():
                 while not node.lines.empty():
-                    if (its := token(node.lines.get_nowait())) is not None:
-                        return name, its
+                    if (held := token(node.lines.get_nowait())) is not None:
+                        return name, held
             time.sleep(0.01)
-        raise AssertionError(f"nobody holds {duty}")
+        raise AssertionError(f"no member acquired {duty} in {WAIT_LIMIT_S} s")
 
     def records(self) -> list[Path]:
         return [node.folder / "record.jsonl" for node in self.nodes.values()]
 
     def check(self) -> None:
-        """Whatever was done to it, this has to hold."""
+        """Asserts the invariants that hold whatever faults were injected."""
         assert violations(self.records()) == []
         assert self.links.count("too_long") == 0 and self.links.count("passed") > 0
         tokens = dict[str, int]()
--- a/tests/fleet/links.py
+++ b/tests/fleet/links.py
@@ -1,4 +1,4 @@
-"""Relays between members: each datagram passes a socket of the test, which may harm it."""
+"""UDP relays between members; the relays can drop, duplicate and delay datagrams."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 from itertools import count
 from random import Random
 
-MAX_DATAGRAM_BYTES = 256  # bytes of a datagram: longer ones are a fault of the program
+MAX_DATAGRAM_BYTES = 256  # a longer datagram is a fault of the program
 
 
 @dataclass(slots=True)
 class LinkFaults:
-    """What becomes of datagrams of one link; parts from 0 to 1."""
+    """Faults of one link; fractions are between 0 and 1."""
 
     cut: bool = False
-    alternate_loss: bool = False  # each second one is lost
+    alternate_loss: bool = False  # every second datagram is lost
     loss: float = 0.0
     duplication: float = 0.0
-    late_fraction: float = 0.0  # of them that come late, and so behind younger ones
+    late_fraction: float = 0.0  # fraction of datagrams that are delayed, and so reordered
     max_late_s: float = 0.05
 
 
 @dataclass(slots=True)
 class Link:
-    """From one member to another."""
+    """The relay from one member to another."""
 
     sock: socket.socket
-    to: tuple[str, int] | None = None  # where the other listens now; None: nowhere
+    to: tuple[str, int] | None = None  # address of the recipient; None before it listens
     faults: LinkFaults = field(default_factory=LinkFaults)
     counts: Counter[str] = field(default_factory=Counter)
 
 
 class Links:
-    """All links among members of these names, served by one thread."""
+    """The links between all pairs of members, served by one thread."""
 
     def __init__(self, names: Iterable[str], seed: int = 1) -> None:
         self.names, self._random = tuple(names), Random(seed)
@@ -58,7 +58,7 @@
         self._thread.start()
 
     def peers(self, name: str) -> dict[str, str]:
-        """Where this member reaches the others."""
+        """The relay addresses at which a member reaches its peers."""
         return {
             other: "{}:{}".format(*link.sock.getsockname())
             for (one, other), link in self.links.items()
@@ -66,29 +66,29 @@
         }
 
     def set_address(self, name: str, address: str) -> None:
-        """A member listens there now."""
+        """Sets the address that a member listens on."""
         host, _, port = address.rpartition(":")
         for (_, other), link in self.links.items():
             if other == name:
                 link.to = (host, int(port))
 
     def set_faults(self, faults: LinkFaults, links: Iterable[tuple[str, str]]) -> None:
-        """Do that to these links, from one member to another, from now on."""
+        """Applies faults to these links from now on; a link is a pair of sender and recipient."""
         with self._lock:
             for each in links:
                 self.links[each].faults = faults
 
     def between(self, *sides: Iterable[str]) -> list[tuple[str, str]]:
-        """The links, both ways, between members of different sides."""
+        """The links in both directions between members of different sides."""
         side = {name: number for number, names in enumerate(sides) for name in names}
         return [(one, other) for one, other in self.links if side.get(one) != side.get(other)]
 
     def heal(self) -> None:
-        """LinkFaults nothing any more."""
+        """Removes the faults of all links."""
         self.set_faults(LinkFaults(), self.links)
 
     def count(self, what: str, links: Iterable[tuple[str, str]] | None = None) -> int:
-        """How many of these links' datagrams were passed, cut, lost, doubled or late."""
+        """The sum of a counter (passed, cut, lost, doubled, late, ...) over these links, or over all."""
         return sum(self.links[each].counts[what] for each in links or self.links)
 
     def close(self) -> None:
@@ -139,5 +139,5 @@
         try:
             link.sock.sendto(datagram, link.to)
             link.counts["passed"] += 1
-        except OSError:  # whoever listened there was killed
+        except OSError:  # the recipient was killed
             link.counts["refused"] += 1
--- a/tests/fleet/record.py
+++ b/tests/fleet/record.py
@@ -1,4 +1,7 @@
-"""What has to hold over the records of all processes; their times are of one clock, for it is one machine."""
+"""Checks the lease invariants on the records of all processes.
+
+All processes run on one machine, so the times in their records are readings of the same clock.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +15,17 @@
 
 @dataclass(slots=True)
 class Holding:
-    """All that was recorded under one token of a duty."""
+    """The records of a duty under one token."""
 
     token: int
-    holders: set[tuple[str, int]]  # member and process
+    holders: set[tuple[str, int]]  # member name and process id
     first_s: float
-    last_s: float  # the last look at the lease that allowed an effect
+    last_s: float  # last lease check that allowed an effect
     effects: int = 0
 
 
 def holdings(paths: Iterable[Path]) -> dict[str, list[Holding]]:
-    """By duty, in the order of tokens. A line that a kill cut off counts for nothing."""
+    """The holdings of each duty, ordered by token. Ignores lines that a kill truncated."""
     found: dict[str, dict[int, Holding]] = defaultdict(dict)
     for path in paths:
         for text in path.read_text().splitlines() if path.exists() else ():
@@ -30,24 +33,26 @@
                 line = json.loads(text)
             except ValueError:
                 continue
-            who, at_s = (line["member"], line["pid"]), line["at_s"]
+            holder, at_s = (line["member"], line["pid"]), line["at_s"]
             each = found[line["duty"]].setdefault(line["token"], Holding(line["token"], set(), at_s, at_s))
-            each.holders.add(who)
+            each.holders.add(holder)
             each.first_s = min(each.first_s, at_s)
             if line["what"] == "effect":
                 each.last_s, each.effects = max(each.last_s, at_s), each.effects + 1
-    return {duty: [by[token] for token in sorted(by)] for duty, by in found.items()}
+    return {duty: [by_token[token] for token in sorted(by_token)] for duty, by_token in found.items()}
 
 
 def violations(paths: Iterable[Path]) -> list[str]:
-    """What is wrong; empty where all holds."""
-    wrong = list[str]()
+    """Descriptions of all violated invariants; empty if there are none."""
+    texts = list[str]()
     for duty, found in holdings(paths).items():
         for each in found:
             if len(each.holders) > 1:
-                wrong.append(f"{duty}: token {each.token} was held by {sorted(each.holders)}")
-        for one, other in pairwise(found):
-            if other.first_s < one.last_s:
-                by_s = one.last_s - other.first_s
-                wrong.append(f"{duty}: {other.token} began {by_s:.3f} s before the end of {one.token}")
-    return wrong
+                texts.append(f"{duty}: token {each.token} was held by {sorted(each.holders)}")
+        for previous, following in pairwise(found):
+            if following.first_s < previous.last_s:
+                overlap_s = previous.last_s - following.first_s
+                texts.append(
+                    f"{duty}: {following.token} began {overlap_s:.3f} s before the end of {previous.token}"
+                )
+    return texts
--- a/tests/fleet/test_handed_on.py
+++ b/tests/fleet/test_handed_on.py
@@ -1,4 +1,4 @@
-"""A duty of the program goes from process to process: one at a time, soon, and never back."""
+"""A duty moves from process to process: it has one holder at a time, and a former holder sends no effects."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 from tests.fleet.fleet import Fleet
 
 LEASE_S = 1.0
-COVERED_S = 30.0  # a busy machine's bound; figures are benchmarks/duties.py's
+TAKEOVER_LIMIT_S = 30.0  # upper bound for a busy machine; benchmarks/duties.py measures the actual time
 
 
-def test_a_holder_that_ends_in_good_order_hands_its_duty_on(tmp_path: Path) -> None:
+def test_holder_that_terminates_in_order_hands_its_duty_over(tmp_path: Path) -> None:
     with Fleet(tmp_path) as fleet:
         first = fleet.receiver.next_effect("watch")
         fleet.signal(first.member, signal.SIGTERM)
         second = fleet.receiver.next_effect("watch", but=first.member)
         assert second.token > first.token
-        fleet.nodes[first.member].process.wait(COVERED_S)
+        fleet.nodes[first.member].process.wait(TAKEOVER_LIMIT_S)
         fleet.restart(first.member)
         fleet.nodes[first.member].logged(
             "lease_acceptor_activated"
-        )  # of three one may be away at a time, and this is one
+        )  # of three acceptors only one may be inactive at a time
         fleet.signal(second.member, signal.SIGTERM)
         third = fleet.receiver.next_effect("watch", above=second.token)
         assert third.member != second.member
         fleet.check()
 
 
-def test_a_killed_holder_is_followed_and_takes_nothing_back(tmp_path: Path) -> None:
+def test_killed_holder_is_replaced_and_takes_nothing_back_after_its_restart(tmp_path: Path) -> None:
     with Fleet(tmp_path) as fleet:
         first = fleet.receiver.next_effect("watch")
         killed_s = fleet.kill(first.member)
         second = fleet.receiver.next_effect("watch", above=first.token)
-        assert second.member != first.member and second.at_s - killed_s < COVERED_S
+        assert second.member != first.member and second.at_s - killed_s < TAKEOVER_LIMIT_S
         fleet.restart(first.member)
         seen = len(fleet.receiver.accepted)
         fleet.receiver.wait_until(lambda: len(fleet.receiver.accepted) >= seen + 60)
@@ -42,7 +42,7 @@
         fleet.check()
 
 
-def test_a_holder_stopped_for_longer_than_its_lease_does_nothing_when_it_goes_on(tmp_path: Path) -> None:
+def test_holder_suspended_for_longer_than_its_lease_sends_no_effect_after_it_resumes(tmp_path: Path) -> None:
     with Fleet(tmp_path) as fleet:
         first = fleet.receiver.next_effect("watch")
         fleet.signal(first.member, signal.SIGSTOP)
@@ -56,7 +56,7 @@
         fleet.check()
 
 
-def test_an_effect_from_between_the_look_and_the_stop_is_refused(tmp_path: Path) -> None:
+def test_effect_of_a_holder_suspended_after_its_lease_check_is_refused(tmp_path: Path) -> None:
     with Fleet(tmp_path) as fleet:
         first = fleet.receiver.next_effect("watch")
         (tmp_path / first.member / "stand_still").touch()
@@ -68,7 +68,7 @@
         fleet.check()
 
 
-def test_all_voters_at_once_forget_everything_but_tokens_grow(tmp_path: Path) -> None:
+def test_tokens_grow_after_all_voters_restart_without_state(tmp_path: Path) -> None:
     with Fleet(tmp_path) as fleet:
         first = fleet.receiver.next_effect("watch")
         for name in fleet.names:
@@ -79,7 +79,7 @@
         fleet.check()
 
 
-def test_a_successor_takes_the_members_place_and_its_duty_is_handed_on(tmp_path: Path) -> None:
+def test_duty_is_handed_over_when_a_successor_replaces_its_member(tmp_path: Path) -> None:
     with Fleet(tmp_path) as fleet:
         first = fleet.receiver.next_effect("watch")
         successor = fleet.succeed(first.member)
@@ -87,7 +87,7 @@
         assert second.pid != first.pid
         successor.logged("lease_acceptor_activated")
         fleet.signal(first.member, signal.SIGTERM)
-        fleet.nodes[first.member].process.wait(COVERED_S)
+        fleet.nodes[first.member].process.wait(TAKEOVER_LIMIT_S)
         seen = len(fleet.receiver.accepted)
         fleet.receiver.wait_until(lambda: len(fleet.receiver.accepted) >= seen + 30)
         assert first.pid not in {each.pid for each in fleet.receiver.accepted[seen:]}
--- a/tests/fleet/test_replay.py
+++ b/tests/fleet/test_replay.py
@@ -1,4 +1,4 @@
-"""The replay of a site's queue as a duty of real processes that share its file."""
+"""The replay of a site's queue is a duty of several processes that share the queue file."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 """
 
 
-def test_the_replay_of_a_site_has_one_holder_and_its_file_takes_the_newer_token(tmp_path: Path) -> None:
+def test_replay_has_one_holder_and_the_queue_file_adopts_the_newer_token(tmp_path: Path) -> None:
     path = tmp_path / "queue.db"
     files = {"chat.toml": CHAT, "queue.toml": f'enabled = true\npath = "{path}"\nsite = "yard"\n'}
     with Fleet(tmp_path, files=files) as fleet:
-        holder, token = fleet.begun("replay/yard")
+        holder, token = fleet.wait_for_holder("replay/yard")
         fleet.kill(holder)
-        follower, higher = fleet.begun("replay/yard", above=token)
-        assert follower != holder and higher > token
-        fleet.nodes[follower].logged("replay_begun")
+        successor, higher = fleet.wait_for_holder("replay/yard", above=token)
+        assert successor != holder and higher > token
+        fleet.nodes[successor].logged("replay_begun")
         fleet.check()
     with sqlite3.connect(path) as db:
         assert db.execute("PRAGMA integrity_check").fetchone() == ("ok",)
--- a/tests/fleet/test_roles.py
+++ b/tests/fleet/test_roles.py
@@ -1,7 +1,7 @@
-"""The planner of roles in several processes: the real duty, from the demand of real requests at each.
+"""The role planner runs as a duty of several processes, which measure the demand of real requests.
 
-Nothing here tells rows but the program itself. Servers keep a role for long (`least_stay_s`), so whatever is
-asked once has to stay, over the planner's death and a cut too.
+The test publishes no records of its own: role changes come from the program alone. `least_stay_s` is long, so
+a requested role has to be kept, also when the planner is killed or cut off.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from tests.fleet.fleet import Fleet
 from tests.fleet.links import LinkFaults
-from tests.fleet.shared_servers import HELD, Servers, Story, Traffic
+from tests.fleet.shared_servers import HELD_PREFIX, MemberLog, Servers, Traffic
 from tests.loopback import take
 
 RATIO = """enabled = true
@@ -24,40 +24,42 @@
 warm_s = 0.2
 least_stay_s = 600.0
 """
-MANY = 12  # requests a member, each of another session: some would fall to any server that reads
+REQUESTS_PER_MEMBER = (
+    12  # requests per member, each of another session: every prefill server would receive some
+)
 
 
 class Roles:
-    """A fleet, its servers, and what its members say."""
+    """A fleet, its shared servers, and the logs of its members."""
 
     def __init__(self, fleet: Fleet, servers: Servers) -> None:
         self.fleet, self.servers, self.traffic = fleet, servers, Traffic(fleet.nodes)
-        self.stories = {name: Story(node) for name, node in fleet.nodes.items()}
-
-    def alike(self, *names: str) -> bool:
-        """Whether these members were asked the same, by one planner, and have come to it."""
-        first, *others = (self.stories[name] for name in names)
-        asked = first.asked()
-        same = len({token for token, _, _ in asked.values()}) == 1 and all(
-            each.asked() == asked for each in others
+        self.logs = {name: MemberLog(node) for name, node in fleet.nodes.items()}
+
+    def agree(self, *names: str) -> bool:
+        """Whether these members received the same role changes from one planner and completed them."""
+        first, *others = (self.logs[name] for name in names)
+        requested = first.requested_roles()
+        same = len({token for token, _, _ in requested.values()}) == 1 and all(
+            each.requested_roles() == requested for each in others
         )
-        done = all(self.stories[name].changed() >= asked.keys() for name in names)
-        return same and done and "write" in {role for _, _, role in asked.values()}
+        done = all(self.logs[name].changed_servers() >= requested.keys() for name in names)
+        return same and done and "write" in {role for _, _, role in requested.values()}
 
-    def planned(self, *names: str) -> dict[str, tuple[int, int, str]]:
-        """Traffic at these members until they agree on a plan with a writer; what they were asked."""
-        self.traffic.until(lambda: self.alike(*names), "a plan", *names)
-        return self.stories[names[0]].asked()
+    def wait_for_plan(self, *names: str) -> dict[str, tuple[int, int, str]]:
+        """Sends traffic until these members agree on a plan with a decode server; returns the roles."""
+        self.traffic.send_until(lambda: self.agree(*names), "a plan", *names)
+        return self.logs[names[0]].requested_roles()
 
-    def writers(self, asked: dict[str, tuple[int, int, str]]) -> set[str]:
-        return {server for server, (_, _, role) in asked.items() if role == "write"}
+    def writers(self, requested: dict[str, tuple[int, int, str]]) -> set[str]:
+        return {server for server, (_, _, role) in requested.items() if role == "write"}
 
     def holder(self) -> str:
-        """Who began to hold the duty last."""
+        """The member that acquired the planner duty last, or an empty string."""
         begun = [
             (line["token"], name)
-            for name, story in self.stories.items()
-            for line in story.lines("duty_lease_changed")
+            for name, log in self.logs.items()
+            for line in log.lines("duty_lease_changed")
             if line["duty"] == "planner" and line["what"] == "begun"
         ]
         return max(begun, default=(0, ""))[1]
@@ -67,72 +69,82 @@
 def roles(folder: Path) -> Iterator[Roles]:
     servers = Servers(4)
     try:
-        told = {"ratio.toml": RATIO}
-        with Fleet(folder, duties=(), mixed=servers.each, files=told) as fleet:
+        files = {"ratio.toml": RATIO}
+        with Fleet(folder, duties=(), mixed=servers.each, files=files) as fleet:
             yield Roles(fleet, servers)
     finally:
         servers.close()
 
 
-def kept(old: dict[str, tuple[int, int, str]], new: dict[str, tuple[int, int, str]]) -> bool:
-    """Whether each server that had a role has it still, by a token above."""
+def roles_kept(old: dict[str, tuple[int, int, str]], new: dict[str, tuple[int, int, str]]) -> bool:
+    """Whether each server with a role in `old` has the same role in `new`, under a higher token."""
     return old.keys() <= new.keys() and all(new[s][2] == old[s][2] and new[s][0] > old[s][0] for s in old)
 
 
-def test_all_are_asked_the_same_and_what_is_read_before_a_change_is_fetched(tmp_path: Path) -> None:
-    with roles(tmp_path) as its:
-        names = its.fleet.names
-        held = [its.traffic.post("c1", HELD) for _ in range(12)]
-        calls = its.servers.held(len(held))
-        its.traffic.until(lambda: bool(its.stories["c1"].asked()), "a plan", *names)
+def test_members_receive_the_same_roles_and_entries_from_before_a_change_are_decoded(tmp_path: Path) -> None:
+    with roles(tmp_path) as rig:
+        names = rig.fleet.names
+        held = [rig.traffic.post("c1", HELD_PREFIX) for _ in range(12)]
+        calls = rig.servers.held_prefills(len(held))
+        rig.traffic.send_until(lambda: bool(rig.logs["c1"].requested_roles()), "a plan", *names)
         for call in calls:
-            call.read()  # where its server changes, the state waits at one that reads no more
+            call.read()  # if the server changes its role, the entry stays at a server that prefills no more
         assert {take(client).status for _, client in held} == {200}
-        asked = its.planned(*names)
+        requested = rig.wait_for_plan(*names)
         early = {name for name, _ in held}
-        assert its.servers.reads(early) & its.writers(asked)  # there some of those states waited
-        assert sum(each.request in early for each in its.servers.came) == 2 * len(early)
-        later = its.traffic.round(*names, times=MANY)
-        assert its.servers.reads(later) and not its.servers.reads(later) & its.writers(asked)
-        assert its.servers.twice() == []
-        assert sum(len(story.lines("role_plan_published")) for story in its.stories.values()) > 0
-
-
-def test_a_killed_planner_is_followed_and_no_server_turns_back(tmp_path: Path) -> None:
-    with roles(tmp_path) as its:
-        asked, first = its.planned(*its.fleet.names), its.holder()
-        its.fleet.kill(first)
-        before = len(its.servers.came)
-        left = [name for name in its.fleet.names if name != first]
-        stories = [its.stories[name] for name in left]
-        its.traffic.until(lambda: all(kept(asked, each.asked()) for each in stories), "a planner", *left)
-        assert its.holder() in left
-        its.traffic.round(*left, times=MANY)
-        reads = {each.server for each in its.servers.came[before:] if each.read}
-        assert reads and not reads & its.writers(asked)  # while nobody planned, too
-        for story in stories:
-            told = {(line["server"], line["role"]) for line in story.lines("role_change_received")}
-            assert len(told) == len({server for server, _ in told})  # none was ever asked for another role
-        assert its.servers.twice() == []
-
-
-def test_who_is_cut_off_plans_nothing_and_keeps_the_roles_it_had(tmp_path: Path) -> None:
-    with roles(tmp_path) as its:
-        names = its.fleet.names
-        its.fleet.receiver.wait_until(lambda: bool(its.holder()), "a holder")
-        alone = its.holder()
+        assert rig.servers.prefill_servers(early) & rig.writers(
+            requested
+        )  # some of those entries were kept there
+        assert sum(each.request in early for each in rig.servers.posts) == 2 * len(early)
+        later = rig.traffic.send_round(*names, times=REQUESTS_PER_MEMBER)
+        assert rig.servers.prefill_servers(later) and not rig.servers.prefill_servers(later) & rig.writers(
+            requested
+        )
+        assert rig.servers.sent_too_often() == []
+        assert sum(len(log.lines("role_plan_published")) for log in rig.logs.values()) > 0
+
+
+def test_killed_planner_is_replaced_and_servers_keep_their_roles(tmp_path: Path) -> None:
+    with roles(tmp_path) as rig:
+        requested, first = rig.wait_for_plan(*rig.fleet.names), rig.holder()
+        rig.fleet.kill(first)
+        before = len(rig.servers.posts)
+        left = [name for name in rig.fleet.names if name != first]
+        logs = [rig.logs[name] for name in left]
+        rig.traffic.send_until(
+            lambda: all(roles_kept(requested, each.requested_roles()) for each in logs), "a planner", *left
+        )
+        assert rig.holder() in left
+        rig.traffic.send_round(*left, times=REQUESTS_PER_MEMBER)
+        reads = {each.server for each in rig.servers.posts[before:] if each.read}
+        assert reads and not reads & rig.writers(requested)  # also while there was no planner
+        for log in logs:
+            told = {(line["server"], line["role"]) for line in log.lines("role_change_received")}
+            assert len(told) == len(
+                {server for server, _ in told}
+            )  # no server was requested for a second role
+        assert rig.servers.sent_too_often() == []
+
+
+def test_member_that_is_cut_off_publishes_no_plan_and_keeps_its_roles(tmp_path: Path) -> None:
+    with roles(tmp_path) as rig:
+        names = rig.fleet.names
+        rig.fleet.receiver.wait_until(lambda: bool(rig.holder()), "a holder")
+        alone = rig.holder()
         left = [name for name in names if name != alone]
-        cut = its.fleet.links.between([alone], left)
-        its.fleet.links.set_faults(LinkFaults(cut=True), cut)
-        its.traffic.until(lambda: its.holder() in left, "another holder")
-        # It has demand, paces, and servers without a role: but for the lease it would plan.
-        its.traffic.until(lambda: its.alike(*left), "a plan", *names)
-        assert its.stories[alone].lines("role_plan_published") == [] and its.stories[alone].asked() == {}
-        its.fleet.links.heal()
-        asked = its.planned(*names)
-        its.fleet.links.set_faults(LinkFaults(cut=True), cut)
-        seen = its.fleet.links.count("cut", cut)
-        its.fleet.receiver.wait_until(lambda: its.fleet.links.count("cut", cut) >= seen + 60, "datagrams cut")
-        later = its.traffic.round(alone, times=MANY)
-        assert its.servers.reads(later) and not its.servers.reads(later) & its.writers(asked)
-        assert its.stories[alone].lines("role_plan_published") == [] and its.servers.twice() == []
+        cut = rig.fleet.links.between([alone], left)
+        rig.fleet.links.set_faults(LinkFaults(cut=True), cut)
+        rig.traffic.send_until(lambda: rig.holder() in left, "another holder")
+        # The member has demand, measured paces and servers without a role; only the lease is missing.
+        rig.traffic.send_until(lambda: rig.agree(*left), "a plan", *names)
+        assert rig.logs[alone].lines("role_plan_published") == [] and rig.logs[alone].requested_roles() == {}
+        rig.fleet.links.heal()
+        requested = rig.wait_for_plan(*names)
+        rig.fleet.links.set_faults(LinkFaults(cut=True), cut)
+        seen = rig.fleet.links.count("cut", cut)
+        rig.fleet.receiver.wait_until(lambda: rig.fleet.links.count("cut", cut) >= seen + 60, "datagrams cut")
+        later = rig.traffic.send_round(alone, times=REQUESTS_PER_MEMBER)
+        assert rig.servers.prefill_servers(later) and not rig.servers.prefill_servers(later) & rig.writers(
+            requested
+        )
+        assert rig.logs[alone].lines("role_plan_published") == [] and rig.servers.sent_too_often() == []
