--- a/tests/conformance/test_policy.py
+++ b/tests/conformance/test_policy.py
@@ -1,4 +1,4 @@
-"""Every row against the decisions, and against decisions that break one claim each."""
+"""Runs every conformance row against the routing policy, and against mutants that violate a requirement."""
 
 from collections.abc import Callable
 from typing import Any
@@ -27,7 +27,7 @@
 
 
 def bound_without_renewal(self: Any, request: Request, server: Server, now_ms: float) -> None:
-    """The age does not begin anew."""
+    """Binds a session without renewing its affinity."""
     before = self.get(request.session)
     bind(self, request, server, now_ms)
     if before is not None:
@@ -35,7 +35,7 @@
 
 
 def ranked_by(key: Callable[[Any, Request], Any]) -> Any:
-    """A ranking by another key."""
+    """Returns a ranking by the hash of another key."""
 
     def ranking(self: Any, request: Request) -> list[Server]:
         text = f"{key(self, request)}"
@@ -45,13 +45,13 @@
 
 
 def ranked_by_remainder(self: Any, request: Request) -> list[Server]:
-    """In place of the highest random weight."""
+    """Ranks servers by the remainder of the key instead of the highest random weight."""
     first = (request.prefix or request.session or 0) % len(self.fleet.prefill_servers)
     return [*self.fleet.prefill_servers[first:], *self.fleet.prefill_servers[:first]]
 
 
 def decode_selected_on_arrival(self: Any, request: Request) -> None:
-    """The writer is chosen when the request comes, and kept to."""
+    """Chooses the decode server when the request arrives."""
     arrive(self, request)
     state, selector = self.requests[request.request], self.decode_selector
     chosen = choose(selector, state, state.server or self.fleet.prefill_servers[0])
@@ -105,10 +105,10 @@
 )
 
 
-@pytest.mark.parametrize(("rows", "broken"), MUTANTS, ids=[rows for rows, _ in MUTANTS])
+@pytest.mark.parametrize(("rows", "patches"), MUTANTS, ids=[rows for rows, _ in MUTANTS])
 def test_mutant_fails_its_conformance_rows(
-    monkeypatch: pytest.MonkeyPatch, rows: str, broken: dict[tuple[type, str], Any]
+    monkeypatch: pytest.MonkeyPatch, rows: str, patches: dict[tuple[type, str], Any]
 ) -> None:
-    for (component, name), function in broken.items():
+    for (component, name), function in patches.items():
         monkeypatch.setattr(component, name, function)
     assert all(failed_over_seeds(BY_ID[row]) for row in rows.split())
--- a/tests/conformance/test_wire.py
+++ b/tests/conformance/test_wire.py
@@ -1,4 +1,4 @@
-"""The rows that show on the wire, against the real program with stand-in servers."""
+"""Runs the rows marked `wire` against the program with stand-in servers."""
 
 import json
 import queue
@@ -13,21 +13,21 @@
 
 
 def next_call(servers: list[StandIn]) -> tuple[int, Call]:
-    """The first call at any of these, and at which."""
+    """Waits for the next call at any of these servers; returns the index of the server and the call."""
     for turn in range(round(100 * WAIT_S)):
         with suppress(queue.Empty):
             number = turn % len(servers)
             return number, servers[number].calls.get(timeout=0.01)
-    raise AssertionError("no call came")
+    raise AssertionError(f"no call arrived in {WAIT_S} s")
 
 
-def on_the_wire(row: Row, node: Node) -> Placements:
+def run_on_the_wire(row: Row, node: Node) -> Placements:
     seen = Placements()
     for step in row.steps:
-        told = {what: key_for(what, key, row.fleet, seen.reads) for what, key in step.fields.items()}
-        prefix = f",prefix={told['prefix']:x}" if "prefix" in told else ""
+        fields = {field: key_for(field, key, row.fleet, seen.reads) for field, key in step.fields.items()}
+        prefix = f",prefix={fields['prefix']:x}" if "prefix" in fields else ""
         client = node.post(
-            step.name, X_Route_Hash=f"{told['session']:x}", X_Call_Info=f"prompt_len=900{prefix}"
+            step.name, X_Route_Hash=f"{fields['session']:x}", X_Call_Info=f"prompt_len=900{prefix}"
         )
         number, call = next_call(node.reader)
         seen.reads[step.name] = f"r{number}"
@@ -41,11 +41,11 @@
 
 
 @pytest.mark.parametrize("row", [row for row in ROWS if row.wire], ids=lambda row: row.id)
-def test_the_program_keeps_what_the_design_wants(row: Row, tmp_path: Path) -> None:
+def test_program_meets_conformance_row(row: Row, tmp_path: Path) -> None:
     with Node(
         tmp_path, readers=4, writers=2, initial_listing=lambda node: json.dumps(node.listing(8))
     ) as node:
-        seen = on_the_wire(row, node)
+        seen = run_on_the_wire(row, node)
         assert not failed_expectations(row, seen), row.description
-        other = RowRun(row, 0).placements  # a router that has met none of it
+        other = RowRun(row, 0).placements  # a router without this history
         assert all(seen.reads[name] == other.reads[name] for name in row.agree)
