--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -1,4 +1,4 @@
-"""One datagram of each kind, and the keys and values of records, with fixed contents."""
+"""A datagram of each message kind, and keys and values of records, with fixed contents."""
 
 from __future__ import annotations
 
@@ -49,34 +49,34 @@
 }
 
 
-def packed() -> list[bytes]:
-    """All messages as one sender packs them, in this order."""
+def encoded_messages() -> list[bytes]:
+    """All messages, encoded in this order by one sender."""
     codec = Codec("yards", KEY, "n1", TABLES)
     return [codec.encode(message, 77, 78) for message in MESSAGES]
 
 
-def _lending_rows() -> dict[str, LoanRequest | LoanGrant]:
-    """A site's rows: it asks for capacity, and lends some."""
+def _loan_records() -> dict[str, LoanRequest | LoanGrant]:
+    """The records of a site that requests capacity and of one that lends it."""
     weights = {"north": 1.0, "south": 1.0}
-    asking, lending = CapacityLoans("north", weights, 5, 0.0), CapacityLoans("south", weights, 6, 0.0)
-    asking.update_demand(0.0, 0.75)
-    rows = asking.records()
-    wants = {key.removeprefix("want/"): row for key, row in rows.items() if isinstance(row, LoanRequest)}
-    lending.receive(20.0, wants, {})
-    return rows | lending.records()
+    borrower, lender = CapacityLoans("north", weights, 5, 0.0), CapacityLoans("south", weights, 6, 0.0)
+    borrower.update_demand(0.0, 0.75)
+    rows = borrower.records()
+    requests = {key.removeprefix("want/"): row for key, row in rows.items() if isinstance(row, LoanRequest)}
+    lender.receive(20.0, requests, {})
+    return rows | lender.records()
 
 
 def record_rows() -> dict[str, bytes]:
-    """Keys and values of records."""
-    rows = {key: msgspec.msgpack.encode(row) for key, row in (RECORD_VALUES | _lending_rows()).items()}
+    """The records, as encoded values by key."""
+    rows = {key: msgspec.msgpack.encode(row) for key, row in (RECORD_VALUES | _loan_records()).items()}
     key, value = role_rows.encode_assignment("s1", RoleAssignment(9, 4, "read"))
     return rows | {key: value}
 
 
 def write_datagrams() -> dict[str, bytes]:
-    """The golden files by name."""
+    """The golden files, by name."""
     rows = (f"{key} {value.hex()}" for key, value in sorted(record_rows().items()))
     return {
-        "datagrams.hex": "\n".join(each.hex() for each in packed()).encode() + b"\n",
+        "datagrams.hex": "\n".join(each.hex() for each in encoded_messages()).encode() + b"\n",
         "records.hex": "\n".join(rows).encode() + b"\n",
     }
--- a/tests/compatibility/exchange_files.py
+++ b/tests/compatibility/exchange_files.py
@@ -1,4 +1,4 @@
-"""What two processes of a conductor say to each other, and the operators' file, by a real process."""
+"""Records the hand-over messages of two processes of a router, and the file of operator overrides."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def learned_messages() -> list[bytes]:
-    """What an older process hands over: the golden snapshot of a router that knew other servers."""
+    """The snapshot that an older process hands over: a golden file of a router with other servers."""
     return path("snapshot-0.jsonl").read_bytes().splitlines()
 
 
 def shape(value: Any) -> Any:
-    """The types of a JSON value, its keys kept; of a list of rows the first one's."""
+    """Replaces the values of a JSON value by their types; a list of lists keeps its first item only."""
     if isinstance(value, dict):
         return {key: shape(each) for key, each in sorted(value.items())}
     if isinstance(value, list):
@@ -35,15 +35,15 @@
 
 
 def serve_one(node: Node, name: str) -> int:
-    """One request, prefilled and decoded; its status."""
+    """Serves one request through prefill and decode; returns the status."""
     client = node.post(name)
     node.reader[0].next().read()
     node.writer[0].next().serve("x")
     return take(client).status
 
 
-def come_as_successor(node: Node, question: bytes) -> tuple[Peer, dict[str, Any], list[dict[str, Any]]]:
-    """Ask the node for its listeners: the channel, its answer, and what it has learned."""
+def connect_as_successor(node: Node, question: bytes) -> tuple[Peer, dict[str, Any], list[dict[str, Any]]]:
+    """Requests the node's listeners as a successor; returns the channel, the answer and the learned state."""
     peer = connect(node.folder)
     peer.send(question)
     data, descriptors = peer.receive()
@@ -63,19 +63,19 @@
 
 
 class ServedByPredecessor(Node):
-    """The program, started beside a process that the test plays."""
+    """The program, started as successor of a process that the test stands in for."""
 
     def start(self, folder: Path, *flags: str) -> None:
-        """Begin with a predecessor that has the platform's address."""
-        if hasattr(self, "old"):
+        """Starts with a stand-in predecessor that listens on the platform address."""
+        if hasattr(self, "predecessor"):
             super().start(folder, *flags)
             return
-        self.old = Predecessor(folder)
+        self.predecessor = Predecessor(folder)
         self.listener = socket.create_server(("127.0.0.1", 0))
         address = "{}:{}".format(*self.listener.getsockname())
         self.configure(listen=address)
         super().start_process(folder, *flags)
-        self.peer = self.old.accept()
+        self.peer = self.predecessor.accept()
         self.question, _ = self.peer.receive()
         answer = {
             "listeners": [address],
@@ -89,15 +89,15 @@
         self.serving = self.peer.message("serving")
 
     def close(self) -> None:
-        """The old process ends."""
+        """Ends the stand-in predecessor."""
         self.peer.close()
-        self.old.close()
+        self.predecessor.close()
         self.listener.close()
 
 
 @contextmanager
 def started_beside_predecessor(folder: Path) -> Iterator[ServedByPredecessor]:
-    """The program after it took the listeners over."""
+    """The program after it has taken over the listeners."""
     node = ServedByPredecessor(folder)
     with node:
         try:
@@ -113,19 +113,19 @@
         file = (folder / OPERATORS_FILE).read_bytes()
         digest = orjson.loads(file)["settings"]
         question = orjson.dumps({"want": "listeners", "settings": digest})
-        peer, answer, learned = come_as_successor(node, question)
+        peer, answer, learned = connect_as_successor(node, question)
         answer["listeners"] = len(answer["listeners"])
-        told = {
+        recorded = {
             "fingerprint": digest,
             "answer": shape(answer),
             "learned": [shape(each) for each in learned if "learned" in each],
             "operators_file": file.decode(),
         }
         client = node.post("b1")
-        told["opened"] = peer.message("open")
+        recorded["opened"] = peer.message("open")
         peer.close()
         client.close()
-        return told
+        return recorded
 
 
 def _as_successor(folder: Path) -> dict[str, Any]:
@@ -134,7 +134,9 @@
 
 
 def write_exchange() -> dict[str, bytes]:
-    """The golden file by name."""
+    """The golden file, by name."""
     with tempfile.TemporaryDirectory() as one, tempfile.TemporaryDirectory() as other:
-        told = _as_predecessor(Path(one)) | _as_successor(Path(other))
-    return {"exchange.json": orjson.dumps(told, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS) + b"\n"}
+        recorded = _as_predecessor(Path(one)) | _as_successor(Path(other))
+    return {
+        "exchange.json": orjson.dumps(recorded, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS) + b"\n"
+    }
--- a/tests/compatibility/gate_trace.py
+++ b/tests/compatibility/gate_trace.py
@@ -1,4 +1,4 @@
-"""Drives the gate in front of the registry with scripted requests and readings of the process."""
+"""Drives the admission gate with scripted requests and process readings from fixed seeds."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class _ScriptedProcessStatistics:
-    """What the gate asks of the process between two readings."""
+    """Scripted values of what the gate reads from the process between two readings."""
 
     def __init__(self) -> None:
         self.lag_ms = 0.0
@@ -56,7 +56,7 @@
 
 
 class _ScriptedCache:
-    """Retained responses of one size."""
+    """A cache with a scripted size."""
 
     def __init__(self) -> None:
         self.retained_bytes = 0
@@ -120,19 +120,23 @@
                 state = f"{gate.may_reject()} {buffered.total_bytes} {statistics.trims}"
                 yield f"reading {render(reading)} -> {state}"
             case 3:
-                told = (gate.rejects_all(), gate.has_max_priority("booking"), gate.has_max_priority("report"))
-                yield f"asked -> {render(told)}"
+                answers = (
+                    gate.rejects_all(),
+                    gate.has_max_priority("booking"),
+                    gate.has_max_priority("report"),
+                )
+                yield f"asked -> {render(answers)}"
             case 4:
                 rejection = gate.reject(rng.randrange(3), rng.choice(list(RejectionReason)))
                 yield f"turned away -> {render(rejection)}"
             case 5:
                 gate.set_process_count(rng.choice([1, 2]))
             case _:
-                asked = (rng.randrange(3), rng.randrange(3), rng.choice([300, 4000, 90_000]))
-                yield f"{clock.reading_ms!r} {asked} -> {render(gate.admit(*asked))}"
+                arguments = (rng.randrange(3), rng.randrange(3), rng.choice([300, 4000, 90_000]))
+                yield f"{clock.reading_ms!r} {arguments} -> {render(gate.admit(*arguments))}"
 
 
 def gate_steps() -> Iterator[str]:
-    """The whole trace."""
+    """The steps of the trace."""
     for seed in SEEDS:
         yield from _steps(seed)
--- a/tests/compatibility/golden.py
+++ b/tests/compatibility/golden.py
@@ -1,4 +1,4 @@
-"""The golden files, and traces: a digest for each step of a scripted run."""
+"""Reads golden files and compares traces, which hold a digest for each step of a scripted run."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from pathlib import Path
 
 FOLDER = Path(__file__).parent / "golden"
-DIGEST_BYTES = 4  # of one step: a difference in a step is missed once in four thousand million
+DIGEST_BYTES = 4  # per step; a difference in a step is missed with a probability of 1 in 2**32
 
 
 def path(name: str) -> Path:
-    """Where a golden file stands."""
+    """The path of a golden file."""
     return FOLDER / name
 
 
@@ -21,7 +21,7 @@
 
 
 def trace_text(steps: Iterable[str]) -> str:
-    """A trace as it stands in a golden file."""
+    """The contents of a golden file for a trace."""
     return "\n".join(digests(steps)) + "\n"
 
 
--- a/tests/compatibility/lease_trace.py
+++ b/tests/compatibility/lease_trace.py
@@ -15,7 +15,7 @@
 from tests.simulated.world import Process
 
 SEEDS = range(8)
-DAY_S = 25.0
+RUN_S = 25.0
 FAULTS = 10
 
 
@@ -44,7 +44,7 @@
 def _plan_fault(fleet: _RecordedFleet, rng: Random) -> None:
     """Plan one fault."""
     world, names = fleet.world, fleet.names
-    at_s, name = rng.uniform(0, DAY_S * 0.8), rng.choice(names)
+    at_s, name = rng.uniform(0, RUN_S * 0.8), rng.choice(names)
     match rng.randrange(5):
         case 0:
             world.call_at(at_s, partial(world.start, name))
@@ -63,14 +63,14 @@
 
 
 def lease_steps() -> Iterator[str]:
-    """The whole trace."""
+    """The steps of the trace."""
     for seed in SEEDS:
         fleet, rng = _RecordedFleet(seed), Random(seed + 1000)
         fleet.world.network.duplication = 0.1
         fleet.start_all()
         for _ in range(FAULTS):
             _plan_fault(fleet, rng)
-        fleet.world.run_for(DAY_S)
+        fleet.world.run_for(RUN_S)
         yield from fleet.steps
         for name, leases in sorted(fleet.leases.items()):
             yield f"{name}: {render(leases.holders())} {render(sorted(leases.event_counts.items()))}"
--- a/tests/compatibility/membership_trace.py
+++ b/tests/compatibility/membership_trace.py
@@ -60,7 +60,7 @@
 
 
 def membership_steps() -> Iterator[str]:
-    """The whole trace."""
+    """The steps of the trace."""
     for seed in SEEDS:
         world, rng = _RecordedWorld(seed), Random(seed + 500)
         names = [f"n{number}" for number in range(4 + seed)]
--- a/tests/compatibility/policy_settings.py
+++ b/tests/compatibility/policy_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a router, drawn at random for the scripted days of the policy's trace."""
+"""Random router settings for the scripted runs of the policy trace."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def draw_settings(rng: Random) -> RouterSettings:
-    """Settings as different as deployments may be."""
+    """Draws settings that cover the variety of deployments."""
     classes = tuple(
         RequestClass(
             target_ms=rng.choice([400.0, 1200.0, 2500.0]),
--- a/tests/compatibility/policy_trace.py
+++ b/tests/compatibility/policy_trace.py
@@ -1,7 +1,7 @@
 """Drives the routing policy with scripted random events from fixed seeds.
 
-Revision e65138a had no rule on overtaken prefills: the steps that it wrote are compared with that rule's
-constant at 0, at which it never applies. A trace of its own has the rule.
+Revision e65138a had no rule on overtaken prefills. Its trace is compared with the constant of this rule set
+to 0, so that the rule never applies; a separate trace includes the rule.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class PolicyScript:
-    """One router's day: events drawn from a seed and from what the policy has asked for."""
+    """A scripted run of one router: events are drawn from a seed and from the actions of the policy."""
 
     def __init__(self, seed: int, overtaken_share: float = 0.0) -> None:
         self.overtaken_share = overtaken_share
@@ -67,7 +67,7 @@
         self.count = 0
 
     def run(self) -> Iterator[str]:
-        """Each event with the actions that it brought, as text."""
+        """Yields each event with the resulting actions, as text."""
         yield render(self.settings)
         fleet = tuple(self._entry(number) for number in range(10))
         yield self._handle(EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, fleet))
@@ -105,16 +105,16 @@
         return f"{self.now_ms!r} {render(event)} -> {render(actions)}"
 
     def _draw(self) -> RoutingEvent:
-        """An event that may come now."""
+        """Draws an event that is possible in the current state."""
         chance = self.rng.random()
         if self.timers and self.timers[0][2].startswith("cancelled:"):
             _, _, token = heappop(self.timers)
             return self._cancelled(token)
         if self.in_flight and chance < 0.55:
-            return self._of_an_attempt()
+            return self._draw_attempt_event()
         if chance < 0.92:
             return self._request()
-        return self._of_the_fleet()
+        return self._draw_fleet_event()
 
     def _cancelled(self, token: str) -> RoutingEvent:
         _, request, attempt = token.split(":")
@@ -144,7 +144,7 @@
             rng.random() < 0.1,
         )
 
-    def _of_an_attempt(self) -> RoutingEvent:
+    def _draw_attempt_event(self) -> RoutingEvent:
         rng = self.rng
         request = rng.choice(sorted(self.in_flight))
         attempt, server = self.in_flight[request]
@@ -163,7 +163,7 @@
         over = request in self.streaming or status == AttemptStatus.OK
         return AttemptOutcome(request, attempt, server, status, latency_ms, over, rng.choice([0, 0, 1, 300]))
 
-    def _of_the_fleet(self) -> RoutingEvent:
+    def _draw_fleet_event(self) -> RoutingEvent:
         rng = self.rng
         names = sorted(self.listed)
         event: RoutingEvent
@@ -190,20 +190,20 @@
     def _change(self, name: str, state: Availability, restarted: bool = False) -> RoutingEvent:
         old = self.listed[name]
         started_ms = self.now_ms if restarted else old.started_ms
-        here_ms = started_ms + 20.0 if restarted and self.rng.random() < 0.5 else None
-        entry = ServerEntry(name, old.zone, old.kind, old.cell, state, 1.0, started_ms, here_ms)
+        listed_ms = started_ms + 20.0 if restarted and self.rng.random() < 0.5 else None
+        entry = ServerEntry(name, old.zone, old.kind, old.cell, state, 1.0, started_ms, listed_ms)
         if state != Availability.REMOVED:
             self.listed[name] = entry
         return EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,))
 
 
 def policy_steps() -> Iterator[str]:
-    """The whole trace, without the rule on overtaken prefills."""
+    """The steps of the trace without the rule on overtaken prefills."""
     for seed in SEEDS:
         yield from PolicyScript(seed).run()
 
 
 def overtaken_steps() -> Iterator[str]:
-    """The whole trace, with that rule."""
+    """The steps of the trace with the rule on overtaken prefills."""
     for seed in SEEDS:
         yield from PolicyScript(seed, observations.OVERTAKEN_SHARE).run()
--- a/tests/compatibility/queue_files.py
+++ b/tests/compatibility/queue_files.py
@@ -1,4 +1,4 @@
-"""The queue's file: one with an entry in each state, at version 2, and one of version 1."""
+"""Writes queue files: one of version 2 with an entry in each state, and one of version 1."""
 
 from __future__ import annotations
 
@@ -29,46 +29,48 @@
 )
 
 
-def _within(db: sqlite3.Connection, step: Callable[[sqlite3.Connection], object]) -> None:
+def _in_transaction(db: sqlite3.Connection, step: Callable[[sqlite3.Connection], object]) -> None:
     db.execute("BEGIN IMMEDIATE")
     step(db)
     db.execute("COMMIT")
 
 
 def fill(db: sqlite3.Connection) -> None:
-    """Bring each entry to the state that it is named for, by the program's own transitions."""
+    """Brings each entry to the state that it is named after, with the transitions of the program."""
     for request in ENTRIES:
-        _within(db, partial(transitions.enqueue, request=request, now_s=NOW_S, limits=LIMITS))
-    _within(db, lambda db: transitions.withdraw(db, "withdrawn", NOW_S + 1))
-    _within(db, lambda db: transitions.adopt(db, TOKEN, NOW_S + 2))
+        _in_transaction(db, partial(transitions.enqueue, request=request, now_s=NOW_S, limits=LIMITS))
+    _in_transaction(db, lambda db: transitions.withdraw(db, "withdrawn", NOW_S + 1))
+    _in_transaction(db, lambda db: transitions.adopt(db, TOKEN, NOW_S + 2))
     for name in ("begun", "served", "failed", "unknown", "again"):
-        _within(db, partial(transitions.begin_attempt, name=name, token=TOKEN, now_s=NOW_S + 3))
-    _within(
+        _in_transaction(db, partial(transitions.begin_attempt, name=name, token=TOKEN, now_s=NOW_S + 3))
+    _in_transaction(
         db, lambda db: transitions.complete(db, "served", TOKEN, EntryOutcome.SERVED, b"an answer", NOW_S + 4)
     )
-    _within(db, lambda db: transitions.record_failed_attempt(db, "failed", TOKEN, True, 1, NOW_S + 4))
-    _within(db, lambda db: transitions.record_failed_attempt(db, "unknown", TOKEN, True, 8, NOW_S + 4))
-    _within(db, lambda db: transitions.record_failed_attempt(db, "again", TOKEN, False, 8, NOW_S + 4))
-    _within(db, lambda db: transitions.expire(db, NOW_S + 6))
+    _in_transaction(db, lambda db: transitions.record_failed_attempt(db, "failed", TOKEN, True, 1, NOW_S + 4))
+    _in_transaction(
+        db, lambda db: transitions.record_failed_attempt(db, "unknown", TOKEN, True, 8, NOW_S + 4)
+    )
+    _in_transaction(db, lambda db: transitions.record_failed_attempt(db, "again", TOKEN, False, 8, NOW_S + 4))
+    _in_transaction(db, lambda db: transitions.expire(db, NOW_S + 6))
 
 
 def write_current(path: Path) -> None:
-    """A file as this program writes it."""
+    """Writes a queue file with the current program."""
     db = schema.connect(path, 1.0)
     fill(db)
-    db.execute("PRAGMA journal_mode = DELETE")  # all of it in one file
+    db.execute("PRAGMA journal_mode = DELETE")  # moves the write-ahead log into the file
     db.close()
 
 
 def write_version_1(path: Path) -> None:
-    """A file of version 1: no idempotency keys and no totals."""
+    """Writes a file of version 1, which has no idempotency keys and no totals."""
     db = sqlite3.connect(path, isolation_level=None)
     for statement in schema.MIGRATIONS[0]:
         db.execute(statement)
     db.execute("PRAGMA user_version = 1")
     db.execute(f"PRAGMA application_id = {schema.APPLICATION_ID}")
     columns = seal.COLUMNS.removesuffix(", key")
-    marks = ", ".join("?" * (len(columns.split(",")) + 1))
+    placeholders = ", ".join("?" * (len(columns.split(",")) + 1))
     for request in ENTRIES[:3]:
         begun = request.name == "begun"
         keyless = replace(request, idempotency_key=None)
@@ -76,13 +78,13 @@
             keyless, EntryState.BEGUN if begun else EntryState.WAITING, TOKEN if begun else 0, int(begun)
         )
         *row, _, sealed = seal.to_row(entry)
-        db.execute(f"INSERT INTO entries ({columns}, seal) VALUES ({marks})", (*row, sealed))
+        db.execute(f"INSERT INTO entries ({columns}, seal) VALUES ({placeholders})", (*row, sealed))
     db.execute("UPDATE meta SET value = ? WHERE name = 'token'", (TOKEN,))
     db.close()
 
 
 def dump(path: Path) -> str:
-    """All that a file holds, as SQL, with its version and its program."""
+    """The contents of a file as SQL, with its version and application id."""
     db = sqlite3.connect(f"{path.as_uri()}?mode=ro&immutable=1", uri=True)
     lines = [
         f"PRAGMA {name} = {db.execute(f'PRAGMA {name}').fetchone()[0]};"
@@ -94,7 +96,7 @@
 
 
 def write_queues() -> dict[str, bytes]:
-    """The golden files by name."""
+    """The golden files, by name."""
     with tempfile.TemporaryDirectory() as folder:
         current, old = Path(folder) / "queue.db", Path(folder) / "old.db"
         write_current(current)
--- a/tests/compatibility/ratio_trace.py
+++ b/tests/compatibility/ratio_trace.py
@@ -1,4 +1,4 @@
-"""Drives the planner and the registry of roles with scripted random reports from fixed seeds."""
+"""Drives the role planner and the role registry with scripted random reports from fixed seeds."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def _demand(rng: Random, mix: float) -> dict[tuple[str, str], ClassDemand]:
-    """What members see of two classes; some reports are implausible or missing."""
+    """The demand of two request classes as reported by members; some reports are implausible or missing."""
     demand = {}
     for member in MEMBERS:
         for name in ("query", "booking"):
@@ -80,7 +80,7 @@
         result = planner.run_round(now_s, observations, listed)
         rows = {**planner.reissued_assignments(now_s), **result.assignments}
         accepted_now = [registry.receive(now_s, server, row) for server, row in sorted(rows.items())]
-        if rng.random() < 0.1:  # a row of a replaced planner, or of none
+        if rng.random() < 0.1:  # an assignment of a replaced planner, or without a token
             late = RoleAssignment(
                 rng.choice([0, 1, token]), rng.randrange(4), rng.choice(["read", "write", "both"])
             )
@@ -93,6 +93,6 @@
 
 
 def ratio_steps() -> Iterator[str]:
-    """The whole trace."""
+    """The steps of the trace."""
     for seed in SEEDS:
         yield from _steps(seed)
--- a/tests/compatibility/rendering.py
+++ b/tests/compatibility/rendering.py
@@ -1,4 +1,4 @@
-"""Values as text that does not depend on the names of types and fields."""
+"""Renders values as text that does not change when types or fields are renamed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import msgspec
 
-# Types that have been renamed since the golden files were written: name now, name then.
+# Types renamed since the golden files were written: current name, name in the golden files.
 RENAMED_TYPES = {
     "WireNames": "Names",
     "QueueHead": "Head",
@@ -79,7 +79,7 @@
 
 
 def render(value: Any) -> str:
-    """The value as text: types by the names that they had in the golden files, fields by their order."""
+    """The value as text, with type names as in the golden files and fields in order, without names."""
     match value:
         case Enum():
             text = render(value.value)
--- a/tests/compatibility/replay_trace.py
+++ b/tests/compatibility/replay_trace.py
@@ -1,4 +1,4 @@
-"""Drives the replay of queued requests and the loans between sites with scripted random events."""
+"""Drives the replay scheduler and the capacity loans between sites with scripted random events."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def _loans(seed: int) -> Iterator[str]:
-    """Three sites whose records reach one another late, or not at all."""
+    """Yields the steps of three sites whose records reach each other late or not at all."""
     rng, now_s = Random(seed), 0.0
     sites = {name: CapacityLoans(name, SITES, 1, now_s) for name in SITES}
     published: dict[str, LoanRequest | LoanGrant] = {}
@@ -88,7 +88,7 @@
 
 
 def replay_steps() -> Iterator[str]:
-    """The whole trace."""
+    """The steps of the trace."""
     for seed in SEEDS:
         yield from _replay(seed)
         yield from _loans(seed)
--- a/tests/compatibility/settings_contents.py
+++ b/tests/compatibility/settings_contents.py
@@ -1,4 +1,4 @@
-"""The contents of every settings file, of RELAY_CONFIG and of the variables that override it."""
+"""Contents of all settings files, of RELAY_CONFIG and of the environment variables that override it."""
 
 from __future__ import annotations
 
--- a/tests/compatibility/settings_files.py
+++ b/tests/compatibility/settings_files.py
@@ -1,4 +1,4 @@
-"""Every key of every settings file, each with a value that is not its default."""
+"""Loads settings files in which every key has a value other than its default."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def load(folder: Path, overrides: Mapping[str, str]) -> config.Config:
-    """The configuration with every key given."""
+    """Loads the configuration with all keys set."""
     (folder / "config.json").write_text(json.dumps(CONFIG))
     for name, text in FILES.items():
         (folder / f"{name}.toml").write_text(text)
@@ -25,7 +25,7 @@
 
 
 def settings_texts(folder: Path) -> dict[str, str]:
-    """The golden files by name: what each file's keys, RELAY_CONFIG and the variables are read as."""
+    """The golden files, by name: the values read from the settings files, RELAY_CONFIG and the variables."""
     read = load(folder, {})
     overridden = load(folder, OVERRIDES)
     texts = {
@@ -51,6 +51,6 @@
 
 
 def write_settings() -> dict[str, bytes]:
-    """The golden files by name, as bytes."""
+    """The golden files as bytes, by name."""
     with tempfile.TemporaryDirectory() as folder:
         return {name: text.encode() for name, text in settings_texts(Path(folder)).items()}
--- a/tests/compatibility/snapshots.py
+++ b/tests/compatibility/snapshots.py
@@ -1,4 +1,4 @@
-"""The snapshot of what a policy has learned, as one process hands it to the next."""
+"""The snapshot of the learned state of a policy, as handed over to a successor process."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.compatibility.policy_trace import SEEDS, PolicyScript
 
 
-def learned(seed: int) -> PolicyScript:
-    """A router after its scripted day."""
+def scripted_router(seed: int) -> PolicyScript:
+    """A router after its scripted run."""
     script = PolicyScript(seed)
     for _ in script.run():
         pass
@@ -17,10 +17,10 @@
 
 
 def snapshot_text(seed: int) -> bytes:
-    """Its snapshot, a part a line, in the bytes of the hand-over channel."""
-    return b"\n".join(orjson.dumps({"learned": part}) for part in dump(learned(seed).policy)) + b"\n"
+    """The snapshot of a router in the encoding of the hand-over channel, one part per line."""
+    return b"\n".join(orjson.dumps({"learned": part}) for part in dump(scripted_router(seed).policy)) + b"\n"
 
 
 def write_snapshots() -> dict[str, bytes]:
-    """The golden files by name."""
+    """The golden files, by name."""
     return {f"snapshot-{seed}.jsonl": snapshot_text(seed) for seed in SEEDS}
--- a/tests/compatibility/test_exchange.py
+++ b/tests/compatibility/test_exchange.py
@@ -1,4 +1,4 @@
-"""Two processes of a conductor understand each other, whichever of them is the older one."""
+"""Hand-over works between processes of different versions, whichever of them is the older one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from tests.compatibility.exchange_files import (
     OPERATORS_FILE,
-    come_as_successor,
+    connect_as_successor,
     serve_one,
     shape,
     started_beside_predecessor,
@@ -20,8 +20,8 @@
 
 
 def golden() -> dict[str, Any]:
-    told: dict[str, Any] = orjson.loads(path("exchange.json").read_bytes())
-    return told
+    contents: dict[str, Any] = orjson.loads(path("exchange.json").read_bytes())
+    return contents
 
 
 @pytest.fixture
@@ -32,22 +32,22 @@
 
 def test_a_process_answers_an_older_successor(node: Node) -> None:
     assert serve_one(node, "a1") == 200
-    peer, answer, learned = come_as_successor(node, golden()["question"].encode())
+    peer, answer, learned = connect_as_successor(node, golden()["question"].encode())
     assert answer["settings"] == golden()["fingerprint"]
     assert shape({**answer, "listeners": 1}) == golden()["answer"]
     assert [shape(each) for each in learned if "learned" in each] == golden()["learned"]
     peer.send(orjson.dumps({"serving": answer["listeners"]}))
-    client = node.post("b1")  # the node has left the accepting to its successor, which never accepts
+    client = node.post("b1")  # the node no longer accepts, and the successor never does
     peer.send(b'{"open":["z1"],"ended":[]}')
     peer.send(b'{"open":[],"ended":["z1"]}')
-    peer.close()  # so it takes its listeners up again
+    peer.close()  # the node resumes accepting
     node.reader[0].next().read()
     node.writer[0].next().serve("x")
     assert client.getresponse().status == 200
 
 
 def test_an_older_process_hears_what_is_open(node: Node) -> None:
-    peer, _, _ = come_as_successor(node, golden()["question"].encode())
+    peer, _, _ = connect_as_successor(node, golden()["question"].encode())
     client = node.post("b1")
     assert peer.message("open") == golden()["opened"]
     peer.close()
--- a/tests/compatibility/test_formats.py
+++ b/tests/compatibility/test_formats.py
@@ -1,4 +1,4 @@
-"""What is stored or said to other versions is as revision e65138a wrote it, and its files are read."""
+"""Stored formats and messages are written as by revision e65138a, and the files of that revision are read."""
 
 from __future__ import annotations
 
@@ -23,14 +23,21 @@
 from ringledge.routing.policy import Policy
 from ringledge.store import queries, schema, seal
 from tests.compatibility.command_line import command_line_text
-from tests.compatibility.datagrams import KEY, MESSAGES, TABLES, packed, record_rows, write_datagrams
+from tests.compatibility.datagrams import (
+    KEY,
+    MESSAGES,
+    TABLES,
+    encoded_messages,
+    record_rows,
+    write_datagrams,
+)
 from tests.compatibility.golden import path
 from tests.compatibility.policy_trace import SEEDS
 from tests.compatibility.queue_files import ENTRIES, dump, write_current, write_version_1
 from tests.compatibility.rendering import render
 from tests.compatibility.settings_contents import FILES
 from tests.compatibility.settings_files import settings_texts
-from tests.compatibility.snapshots import learned, snapshot_text
+from tests.compatibility.snapshots import scripted_router, snapshot_text
 
 SETTINGS_GOLDEN = [*(f"settings-{name}.json" for name in FILES), "settings-platform.txt", "fingerprint.txt"]
 
@@ -55,15 +62,17 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_an_older_snapshot_is_read_in_full(seed: int) -> None:
-    """A new policy that lists the same servers knows after loading what the older one knew."""
-    script = learned(seed)
+    """A new policy with the same servers has, after loading, all that the older policy had learned."""
+    script = scripted_router(seed)
     fresh = Policy(script.settings, seed)
     entries = tuple(server.entry for server in script.policy.fleet.servers.values())
     fresh.handle(script.now_ms, EndpointUpdate(EndpointUpdateKind.PERSISTED, 1, entries))
     for part in golden_parts(seed):
         snapshot.load(fresh, part)
-    expected = [part for part in golden_parts(seed) if "peak" not in part]  # the larger count of both stays
-    for part in expected:  # an affinity to a server that is listed no more is forgotten
+    expected = [
+        part for part in golden_parts(seed) if "peak" not in part
+    ]  # the larger of both counts is kept
+    for part in expected:  # an affinity to a server that is no longer listed is dropped
         if "homes" in part:
             part["homes"] = [row for row in part["homes"] if row[1] in script.policy.fleet.servers]
     assert [part for part in snapshot.dump(fresh) if "peak" not in part] == [
@@ -74,7 +83,7 @@
 def test_a_renamed_snapshot_table_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     original = snapshot.dump
     renamed = [{name.replace("homes", "affinities"): rows for name, rows in part.items()}
-               for part in original(learned(0).policy)]  # fmt: skip
+               for part in original(scripted_router(0).policy)]  # fmt: skip
     monkeypatch.setattr("tests.compatibility.snapshots.dump", lambda _: iter(renamed))
     assert snapshot_text(0) != path("snapshot-0.jsonl").read_bytes()
 
@@ -103,14 +112,14 @@
 
 def test_every_kind_of_message_has_a_golden_datagram() -> None:
     assert {type(each) for each in MESSAGES} == {each for table in TABLES.values() for each in table}
-    assert len(packed()) == len(path("datagrams.hex").read_text().split())
+    assert len(encoded_messages()) == len(path("datagrams.hex").read_text().split())
 
 
 def test_older_datagrams_are_read() -> None:
     codec = Codec("yards", KEY, "n2", TABLES)
-    told = [codec.decode(bytes.fromhex(line)) for line in path("datagrams.hex").read_text().split()]
-    assert [render(each.message) for each in told] == [render(each) for each in MESSAGES]
-    assert [each.sequence for each in told] == list(range(1, len(MESSAGES) + 1))
+    datagrams = [codec.decode(bytes.fromhex(line)) for line in path("datagrams.hex").read_text().split()]
+    assert [render(each.message) for each in datagrams] == [render(each) for each in MESSAGES]
+    assert [each.sequence for each in datagrams] == list(range(1, len(MESSAGES) + 1))
 
 
 def test_a_moved_message_kind_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -140,7 +149,7 @@
 
 @pytest.fixture
 def queues(tmp_path: Path) -> Path:
-    """Copies of the files of the queue."""
+    """A folder with copies of the golden queue files."""
     for name in ("queue-1.db", "queue-2.db"):
         shutil.copy(path(name), tmp_path / name)
     return tmp_path
@@ -156,14 +165,14 @@
 def test_an_older_queue_file_is_read_row_by_row(queues: Path) -> None:
     db = schema.connect(queues / "queue-2.db", 1.0)
     entries = {
-        each.name: each for each in map(lambda asked: queries.get_entry(db, asked.name), ENTRIES) if each
+        each.name: each for each in map(lambda request: queries.get_entry(db, request.name), ENTRIES) if each
     }
     db.close()
-    told = {
+    states = {
         name: (each.state.value, each.outcome and each.outcome.value, each.response)
         for name, each in entries.items()
     }
-    assert told == {
+    assert states == {
         "waits": (0, None, None),
         "withdrawn": (2, "withdrawn", b""),
         "begun": (1, None, None),
@@ -197,7 +206,7 @@
     verified = CliRunner().invoke(main, ["queue", "--path", file, "verify"])
     listed = CliRunner().invoke(main, ["queue", "--path", file, "list"])
     shown = CliRunner().invoke(main, ["queue", "--path", file, "show", "waits", "--with-text"])
-    # A file of version 1 has no column for the key: only what needs none reads it unchanged.
+    # A file of version 1 has no column for the idempotency key, which `verify` and `show` read.
     if name == "queue-2.db":
         assert verified.exit_code == 0 and orjson.loads(verified.output)["wrong"] == []
         assert orjson.loads(shown.output)["question"] == "question 1"
--- a/tests/compatibility/test_traces.py
+++ b/tests/compatibility/test_traces.py
@@ -1,4 +1,4 @@
-"""Every decision is as revision e65138a took it, but for `policy-overtaken`; a changed one is found."""
+"""Decisions are as in revision e65138a, except in `policy-overtaken`; changed decisions are found."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert first_difference(f"trace-{name}.txt", list(TRACES[name]())) == ""
 
 
-# A constant of each subsystem with another value: module, name, value.
+# A changed constant for each trace: module, name, value.
 MUTANTS: dict[str, tuple[str, str, object]] = {
     "policy": ("ringledge.routing.termination", "RETRY_AFTER_SHARE", 0.26),
     "policy-overtaken": ("ringledge.routing.observations", "OVERTAKEN_SHARE", 0.6),
--- a/tests/compatibility/traces.py
+++ b/tests/compatibility/traces.py
@@ -1,4 +1,4 @@
-"""The traces by the names of their golden files."""
+"""The traces, by the name in their golden files."""
 
 from __future__ import annotations
 
--- a/tests/compatibility/write.py
+++ b/tests/compatibility/write.py
@@ -1,4 +1,4 @@
-"""Writes the golden files into a folder, to be compared with those that revision e65138a has written.
+"""Writes the golden files to a folder, for comparison with those written by revision e65138a.
 
 python -m tests.compatibility.write FOLDER
 """
@@ -19,14 +19,14 @@
 
 
 def files() -> dict[str, bytes]:
-    """All golden files by name."""
+    """All golden files, by name."""
     traces = {f"trace-{name}.txt": trace_text(steps()).encode() for name, steps in TRACES.items()}
     formats = write_settings() | write_datagrams() | write_snapshots() | write_queues()
     return traces | formats | write_command_line() | write_exchange()
 
 
 def main(folder: Path) -> None:
-    """Write them."""
+    """Writes all golden files to a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, content in files().items():
         (folder / name).write_bytes(content)
