--- a/benchmarks/duties_processes.py
+++ b/benchmarks/duties_processes.py
@@ -51,7 +51,7 @@
 def cut_off(fleet: Fleet, holder: Effect) -> float:
     """No datagram passes to or from it."""
     others = [each for each in fleet.names if each != holder.member]
-    fleet.links.set_faults(LinkFaults(cut=True), fleet.links.between([holder.member], others))
+    fleet.links.faults(LinkFaults(cut=True), fleet.links.between([holder.member], others))
     return fleet.receiver.accepted[-1].at_s
 
 
@@ -80,11 +80,11 @@
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder), lease_s=lease_s) as fleet:
         failover_s = list[float]()
         last_effect_s = list[float]()  # of the old holder, after the fault
-        fleet.receiver.next_effect(DUTY)
+        fleet.receiver.next(DUTY)
         for _ in range(count):
             holder = fleet.receiver.accepted[-1]
             at_s = FAULTS[name](fleet, holder)
-            first = fleet.receiver.next_effect(DUTY, above=holder.token)
+            first = fleet.receiver.next(DUTY, above=holder.token)
             failover_s.append(first.at_s - at_s)
             undo(fleet, name, holder.member)
             accepted = fleet.receiver.accepted
--- a/tests/conformance/test_wire.py
+++ b/tests/conformance/test_wire.py
@@ -18,7 +18,7 @@
         with suppress(queue.Empty):
             number = turn % len(servers)
             return number, servers[number].calls.get(timeout=0.01)
-    raise AssertionError(f"no call arrived in {WAIT_S} s")
+    raise AssertionError("no call arrived in time")
 
 
 def run_on_the_wire(row: Row, node: Node) -> Placements:
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -144,7 +144,7 @@
     def restart(self, *names: str, empty: bool = True) -> None:
         """Restarts members that have ended; `empty` deletes their stored state, but not their records."""
 
-        def restart(name: str) -> None:
+        def restart_one(name: str) -> None:
             node = self.nodes[name]
             if empty:
                 for path in node.folder.iterdir():
@@ -152,7 +152,7 @@
                         shutil.rmtree(path) if path.is_dir() else path.unlink()
             self._start(name, False)
 
-        self._run_for_all(list(names), restart)
+        self._run_for_all(list(names), restart_one)
 
     def succeed(self, name: str) -> Process:
         """Starts a successor process of a member beside it, as an upgrade does."""
@@ -190,7 +190,7 @@
                     if (held := token(node.lines.get_nowait())) is not None:
                         return name, held
             time.sleep(0.01)
-        raise AssertionError(f"no member acquired {duty} in {WAIT_LIMIT_S} s")
+        raise AssertionError(f"no member acquired {duty} in time")
 
     def records(self) -> list[Path]:
         return [node.folder / "record.jsonl" for node in self.nodes.values()]
--- a/tests/fleet/links.py
+++ b/tests/fleet/links.py
@@ -72,7 +72,7 @@
             if other == name:
                 link.to = (host, int(port))
 
-    def set_faults(self, faults: LinkFaults, links: Iterable[tuple[str, str]]) -> None:
+    def faults(self, faults: LinkFaults, links: Iterable[tuple[str, str]]) -> None:
         """Applies faults to these links from now on; a link is a pair of sender and recipient."""
         with self._lock:
             for each in links:
@@ -85,7 +85,7 @@
 
     def heal(self) -> None:
         """Removes the faults of all links."""
-        self.set_faults(LinkFaults(), self.links)
+        self.faults(LinkFaults(), self.links)
 
     def count(self, what: str, links: Iterable[tuple[str, str]] | None = None) -> int:
         """The sum of a counter (passed, cut, lost, doubled, late, ...) over these links, or over all."""
--- a/tests/fleet/receiver.py
+++ b/tests/fleet/receiver.py
@@ -59,7 +59,7 @@
                 ), f"{what or 'the condition'} was not met in {WAIT_LIMIT_S} s"
                 self._changed.wait(0.05)
 
-    def next_effect(self, duty: str, but: str = "", above: int = 0) -> Effect:
+    def next(self, duty: str, but: str = "", above: int = 0) -> Effect:
         """Waits for an admitted effect of a duty, of a member other than `but` and a token above `above`."""
 
         def matching() -> list[Effect]:
--- a/tests/fleet/shared_servers.py
+++ b/tests/fleet/shared_servers.py
@@ -136,7 +136,7 @@
             done.add(request)
         return done
 
-    def send_until(self, condition: Callable[[], bool], what: str, *names: str) -> None:
+    def wait_until(self, condition: Callable[[], bool], what: str, *names: str) -> None:
         """Sends rounds of requests until the condition holds."""
         deadline_s = time.monotonic() + WAIT_LIMIT_S
         while not condition():
--- a/tests/fleet/test_queue.py
+++ b/tests/fleet/test_queue.py
@@ -38,7 +38,7 @@
                     while name != but:
                         if node.lines.get(timeout=0.01)["event"] == "replay_begun":
                             return name
-        raise AssertionError(f"no member began to replay in {TAKEOVER_LIMIT_S} s")
+        raise AssertionError("no member began to replay in time")
 
 
 def send_listing(node: Node, index: int, status: str) -> None:
--- a/tests/fleet/test_roles.py
+++ b/tests/fleet/test_roles.py
@@ -24,9 +24,8 @@
 warm_s = 0.2
 least_stay_s = 600.0
 """
-REQUESTS_PER_MEMBER = (
-    12  # requests per member, each of another session: every prefill server would receive some
-)
+# The requests are of different sessions, so every prefill server receives some of them.
+REQUESTS_PER_MEMBER = 12
 
 
 class Roles:
@@ -39,20 +38,20 @@
     def agree(self, *names: str) -> bool:
         """Whether these members received the same role changes from one planner and completed them."""
         first, *others = (self.logs[name] for name in names)
-        requested = first.requested_roles()
-        same = len({token for token, _, _ in requested.values()}) == 1 and all(
-            each.requested_roles() == requested for each in others
+        requested_roles = first.requested_roles()
+        same = len({token for token, _, _ in requested_roles.values()}) == 1 and all(
+            each.requested_roles() == requested_roles for each in others
         )
-        done = all(self.logs[name].changed_servers() >= requested.keys() for name in names)
-        return same and done and "write" in {role for _, _, role in requested.values()}
+        done = all(self.logs[name].changed_servers() >= requested_roles.keys() for name in names)
+        return same and done and "write" in {role for _, _, role in requested_roles.values()}
 
     def wait_for_plan(self, *names: str) -> dict[str, tuple[int, int, str]]:
         """Sends traffic until these members agree on a plan with a decode server; returns the roles."""
-        self.traffic.send_until(lambda: self.agree(*names), "a plan", *names)
+        self.traffic.wait_until(lambda: self.agree(*names), "a plan", *names)
         return self.logs[names[0]].requested_roles()
 
-    def writers(self, requested: dict[str, tuple[int, int, str]]) -> set[str]:
-        return {server for server, (_, _, role) in requested.items() if role == "write"}
+    def writers(self, requested_roles: dict[str, tuple[int, int, str]]) -> set[str]:
+        return {server for server, (_, _, role) in requested_roles.items() if role == "write"}
 
     def holder(self) -> str:
         """The member that acquired the planner duty last, or an empty string."""
@@ -69,8 +68,8 @@
 def roles(folder: Path) -> Iterator[Roles]:
     servers = Servers(4)
     try:
-        files = {"ratio.toml": RATIO}
-        with Fleet(folder, duties=(), mixed=servers.each, files=files) as fleet:
+        settings_files = {"ratio.toml": RATIO}
+        with Fleet(folder, duties=(), mixed=servers.each, files=settings_files) as fleet:
             yield Roles(fleet, servers)
     finally:
         servers.close()
@@ -84,21 +83,20 @@
 def test_members_receive_the_same_roles_and_entries_from_before_a_change_are_decoded(tmp_path: Path) -> None:
     with roles(tmp_path) as rig:
         names = rig.fleet.names
-        held = [rig.traffic.post("c1", HELD_PREFIX) for _ in range(12)]
-        calls = rig.servers.held_prefills(len(held))
-        rig.traffic.send_until(lambda: bool(rig.logs["c1"].requested_roles()), "a plan", *names)
+        held_prefills = [rig.traffic.post("c1", HELD_PREFIX) for _ in range(12)]
+        calls = rig.servers.held_prefills(len(held_prefills))
+        rig.traffic.wait_until(lambda: bool(rig.logs["c1"].requested_roles()), "a plan", *names)
         for call in calls:
             call.read()  # if the server changes its role, the entry stays at a server that prefills no more
-        assert {take(client).status for _, client in held} == {200}
-        requested = rig.wait_for_plan(*names)
-        early = {name for name, _ in held}
-        assert rig.servers.prefill_servers(early) & rig.writers(
-            requested
-        )  # some of those entries were kept there
+        assert {take(client).status for _, client in held_prefills} == {200}
+        requested_roles = rig.wait_for_plan(*names)
+        early = {name for name, _ in held_prefills}
+        # Some of the entries were kept at servers that decode only.
+        assert rig.servers.prefill_servers(early) & rig.writers(requested_roles)
         assert sum(each.request in early for each in rig.servers.posts) == 2 * len(early)
         later = rig.traffic.send_round(*names, times=REQUESTS_PER_MEMBER)
         assert rig.servers.prefill_servers(later) and not rig.servers.prefill_servers(later) & rig.writers(
-            requested
+            requested_roles
         )
         assert rig.servers.sent_too_often() == []
         assert sum(len(log.lines("role_plan_published")) for log in rig.logs.values()) > 0
@@ -106,23 +104,25 @@
 
 def test_killed_planner_is_replaced_and_servers_keep_their_roles(tmp_path: Path) -> None:
     with roles(tmp_path) as rig:
-        requested, first = rig.wait_for_plan(*rig.fleet.names), rig.holder()
+        requested_roles, first = rig.wait_for_plan(*rig.fleet.names), rig.holder()
         rig.fleet.kill(first)
         before = len(rig.servers.posts)
         left = [name for name in rig.fleet.names if name != first]
         logs = [rig.logs[name] for name in left]
-        rig.traffic.send_until(
-            lambda: all(roles_kept(requested, each.requested_roles()) for each in logs), "a planner", *left
+        rig.traffic.wait_until(
+            lambda: all(roles_kept(requested_roles, each.requested_roles()) for each in logs),
+            "a planner",
+            *left,
         )
         assert rig.holder() in left
         rig.traffic.send_round(*left, times=REQUESTS_PER_MEMBER)
-        reads = {each.server for each in rig.servers.posts[before:] if each.read}
-        assert reads and not reads & rig.writers(requested)  # also while there was no planner
+        prefill_servers = {each.server for each in rig.servers.posts[before:] if each.read}
+        # Also while there was no planner.
+        assert prefill_servers and not prefill_servers & rig.writers(requested_roles)
         for log in logs:
-            told = {(line["server"], line["role"]) for line in log.lines("role_change_received")}
-            assert len(told) == len(
-                {server for server, _ in told}
-            )  # no server was requested for a second role
+            changes = {(line["server"], line["role"]) for line in log.lines("role_change_received")}
+            # No server was asked to take a second role.
+            assert len(changes) == len({server for server, _ in changes})
         assert rig.servers.sent_too_often() == []
 
 
@@ -133,18 +133,18 @@
         alone = rig.holder()
         left = [name for name in names if name != alone]
         cut = rig.fleet.links.between([alone], left)
-        rig.fleet.links.set_faults(LinkFaults(cut=True), cut)
-        rig.traffic.send_until(lambda: rig.holder() in left, "another holder")
+        rig.fleet.links.faults(LinkFaults(cut=True), cut)
+        rig.traffic.wait_until(lambda: rig.holder() in left, "another holder")
         # The member has demand, measured paces and servers without a role; only the lease is missing.
-        rig.traffic.send_until(lambda: rig.agree(*left), "a plan", *names)
+        rig.traffic.wait_until(lambda: rig.agree(*left), "a plan", *names)
         assert rig.logs[alone].lines("role_plan_published") == [] and rig.logs[alone].requested_roles() == {}
         rig.fleet.links.heal()
-        requested = rig.wait_for_plan(*names)
-        rig.fleet.links.set_faults(LinkFaults(cut=True), cut)
+        requested_roles = rig.wait_for_plan(*names)
+        rig.fleet.links.faults(LinkFaults(cut=True), cut)
         seen = rig.fleet.links.count("cut", cut)
         rig.fleet.receiver.wait_until(lambda: rig.fleet.links.count("cut", cut) >= seen + 60, "datagrams cut")
         later = rig.traffic.send_round(alone, times=REQUESTS_PER_MEMBER)
         assert rig.servers.prefill_servers(later) and not rig.servers.prefill_servers(later) & rig.writers(
-            requested
+            requested_roles
         )
         assert rig.logs[alone].lines("role_plan_published") == [] and rig.servers.sent_too_often() == []
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -100,7 +100,7 @@
                 self.skipped_lines = lines_read
                 return line
             lines_read.append(line)
-        raise AssertionError(f"event {name} was not logged in {WAIT_S} s; lines read: {lines_read}")
+        raise AssertionError(f"event {name} was not logged in time; lines read: {lines_read}")
 
     def client(self, front: str = "platform") -> http.client.HTTPConnection:
         return http.client.HTTPConnection(*self.address(front), timeout=WAIT_S)
@@ -166,7 +166,7 @@
         self.stop_watches = stopped
         self.reader = [StandIn(release) for _ in range(self.readers)]
         self.writer = [StandIn(release) for _ in range(self.writers)]
-        self.unreachable_servers = [UnreachableServer() for _ in range(self.unreachable)]
+        self.unreachable_server = [UnreachableServer() for _ in range(self.unreachable)]
         self.discovery = StandIn(watch)
         self.config = {
             "name": self.name, "listen": "127.0.0.1:0", "discovery": self.discovery.address,
@@ -189,8 +189,8 @@
         self.stop_watches.set()
         for each in [*self.reader, *self.writer, self.discovery]:
             each.close()
-        for server in self.unreachable_servers:
-            server.close()
+        for unreachable_server in self.unreachable_server:
+            unreachable_server.close()
 
     def successor(self) -> Process:
         """Starts a successor process beside this one, with a different operator address."""
@@ -209,7 +209,7 @@
         fleet: list[tuple[str, str, StandIn | UnreachableServer]]
         fleet = [(f"r{n}", "prefill", each) for n, each in enumerate(self.reader)]
         fleet += [(f"w{n}", "decode", each) for n, each in enumerate(self.writer)]
-        fleet += [(f"h{n}", "decode", each) for n, each in enumerate(self.unreachable_servers)]
+        fleet += [(f"h{n}", "decode", each) for n, each in enumerate(self.unreachable_server)]
         entries = [
             {"name": name, "address": each.address, "zone": "east", "type": kind, "group": 1,
              "status": status.get(name, "active"), "weight": 1.0, "since_ms": 0}
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -102,7 +102,7 @@
                     if not (data := sock.recv(65536)):
                         return received
                     received += data
-            raise TimeoutError(f"the peer did not close the connection in {2 * WAIT_S} s")
+            raise TimeoutError("the peer did not close the connection")
         except (ConnectionResetError, BrokenPipeError):
             return received
         finally:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -71,8 +71,8 @@
     client = node.post("a3", X_Budget_Ms="300")
     node.reader[0].next()
     assert take(client).status == 503
-    figures = node.stats()
-    assert figures["relay.deferred.query"] == "1|c" and figures["relay.current"] == "0|g"
+    stats = node.stats()
+    assert stats["relay.deferred.query"] == "1|c" and stats["relay.current"] == "0|g"
 
 
 def test_a_request_rejected_for_too_many_connections_counts_as_deferred(tmp_path: Path) -> None:
