--- a/tests/conformance/play.py
+++ b/tests/conformance/play.py
@@ -87,9 +87,8 @@
             case "rest":
                 harness.advance(step.fields["ms"])
             case _:
-                server = (
-                    self.placements.reads[name[1:]] if name.startswith("@") else name
-                )  # the server that prefilled that request
+                # "@a" is the server that prefilled request a.
+                server = self.placements.reads[name[1:]] if name.startswith("@") else name
                 entry = replace(self.entries[server], availability=AVAILABILITIES[step.what])
                 harness.deliver(EndpointUpdate(EndpointUpdateKind.CHANGES, 2, (entry,)))
 
--- a/tests/conformance/rows.py
+++ b/tests/conformance/rows.py
@@ -51,10 +51,8 @@
     fleet: tuple[ServerEntry, ...] = FLEET
     same: tuple[tuple[str, ...], ...] = ()  # requests prefilled at the same server
     differ: tuple[tuple[str, str], ...] = ()  # requests prefilled at different servers
-    unless: tuple[str, tuple[tuple[str, str], ...]] = (
-        "",
-        (),
-    )  # pairs prefilled at the same server, unless one of them is at the named server
+    # pairs prefilled at the same server, unless one of the two is at the named server
+    unless: tuple[str, tuple[tuple[str, str], ...]] = ("", ())
     few: tuple[str, ...] = ()  # prefilled at no more than half of the prefill servers
     reads: Mapping[str, set[str]] = field(default_factory=dict)  # servers that may prefill a request
     writes: Mapping[str, set[str]] = field(default_factory=dict)  # servers that may decode it
--- a/tests/conformance/test_wire.py
+++ b/tests/conformance/test_wire.py
@@ -24,10 +24,10 @@
 def run_on_the_wire(row: Row, node: Node) -> Placements:
     seen = Placements()
     for step in row.steps:
-        fields = {field: key_for(field, key, row.fleet, seen.reads) for field, key in step.fields.items()}
-        prefix = f",prefix={fields['prefix']:x}" if "prefix" in fields else ""
+        keys = {what: key_for(what, key, row.fleet, seen.reads) for what, key in step.fields.items()}
+        prefix = f",prefix={keys['prefix']:x}" if "prefix" in keys else ""
         client = node.post(
-            step.name, X_Route_Hash=f"{fields['session']:x}", X_Call_Info=f"prompt_len=900{prefix}"
+            step.name, X_Route_Hash=f"{keys['session']:x}", X_Call_Info=f"prompt_len=900{prefix}"
         )
         number, call = next_call(node.reader)
         seen.reads[step.name] = f"r{number}"
--- a/tests/fleet/child.py
+++ b/tests/fleet/child.py
@@ -45,7 +45,7 @@
         self._write("begun", time.monotonic())
 
     async def step(self, token: int, holds_lease: Callable[[], bool]) -> float:
-        # Read before the lease check: the check allows an effect only as of this time.
+        # Read before the lease check, which proves the lease for no later time.
         checked_s = time.monotonic()
         if holds_lease():
             # The test creates this file to stop the process between the lease check and the effect.
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -179,9 +179,8 @@
 
         deadline_s = time.monotonic() + WAIT_LIMIT_S
         while time.monotonic() < deadline_s:
-            while (
-                self._unprocessed
-            ):  # the duty may have begun before the voter logged that its acceptor is active
+            # The duty may have begun before the voter logged that its acceptor is active.
+            while self._unprocessed:
                 name, line = self._unprocessed.pop(0)
                 if (held := token(line)) is not None:
                     return name, held
@@ -190,7 +189,7 @@
                     if (held := token(node.lines.get_nowait())) is not None:
                         return name, held
             time.sleep(0.01)
-        raise AssertionError(f"no member acquired {duty} in time")
+        raise AssertionError(f"no member acquired {duty}")
 
     def records(self) -> list[Path]:
         return [node.folder / "record.jsonl" for node in self.nodes.values()]
--- a/tests/fleet/test_handed_on.py
+++ b/tests/fleet/test_handed_on.py
@@ -19,9 +19,8 @@
         assert second.token > first.token
         fleet.nodes[first.member].process.wait(TAKEOVER_LIMIT_S)
         fleet.restart(first.member)
-        fleet.nodes[first.member].logged(
-            "lease_acceptor_activated"
-        )  # of three acceptors only one may be inactive at a time
+        # Of three acceptors only one may be inactive at a time.
+        fleet.nodes[first.member].logged("lease_acceptor_activated")
         fleet.signal(second.member, signal.SIGTERM)
         third = fleet.receiver.next("watch", above=second.token)
         assert third.member != second.member
--- a/tests/fleet/test_queue.py
+++ b/tests/fleet/test_queue.py
@@ -27,9 +27,8 @@
         """Waits until a member other than `but` logs that it replays the queue; returns its name."""
         until = time.monotonic() + TAKEOVER_LIMIT_S
         while time.monotonic() < until:
-            while (
-                self._unprocessed
-            ):  # replay may have begun before the voter logged that its acceptor is active
+            # Replay may have begun before the voter logged that its acceptor is active.
+            while self._unprocessed:
                 name, line = self._unprocessed.pop(0)
                 if name != but and line["event"] == "replay_begun":
                     return name
@@ -72,9 +71,8 @@
             send_listing(node, 8, "draining")
         until, first = time.monotonic() + TAKEOVER_LIMIT_S, site.nodes[holder]
         response = enqueue(first, "book")
-        while (
-            response.status != 202 and time.monotonic() < until
-        ):  # requests are queued once the router knows of no available writer at any member
+        # Requests are queued once all three members report that the site is cut off.
+        while response.status != 202 and time.monotonic() < until:
             response = enqueue(first, "book")
         locations = [response.headers["location"], enqueue(first, "yard").headers["location"]]
         others = [node for name, node in site.nodes.items() if name != holder]
