--- a/tests/simulated/__init__.py
+++ b/tests/simulated/__init__.py
@@ -1,1 +1,1 @@
-"""Members in virtual time: the program's own deciders, a bad network, and true time to judge by."""
+"""Simulation of members in virtual time: the program's deciders on a faulty network, checked in true time."""
--- a/tests/simulated/cases.py
+++ b/tests/simulated/cases.py
@@ -1,6 +1,6 @@
-"""Situations that tests of the leases and of their mutants share.
+"""Cases shared by the tests of the leases and by those of their mutants.
 
-Each takes a seed and the terms, runs a fleet into the situation, and returns the fleet.
+Each case takes a seed and the terms, runs a fleet into a situation, and returns the fleet.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     names: Iterable[str] = "abcde",
     fence: Callable[[], FencingTokenCheck] = FencingTokenCheck,
 ) -> SimulatedFleet:
-    """One member holds the planner's duty, and has sent effects."""
+    """A fleet in which one member holds the planner duty and has sent effects."""
     fleet = SimulatedFleet(seed, names, terms, fence=fence)
     fleet.start_all()
     fleet.run_until_covered(9)
@@ -27,27 +27,27 @@
 
 
 def long_settled_fleet(seed: int, terms: LeaseTerms) -> SimulatedFleet:
-    """One member has held the duty for a while without faults."""
+    """A fleet in which one member has held the planner duty for 20 s without faults."""
     fleet = settled_fleet(seed, terms)
     fleet.world.run_for(20)
     return fleet
 
 
 def release_planner(fleet: SimulatedFleet, name: str) -> None:
-    """Have a member release the planner's duty in good order."""
+    """Makes a member release the planner duty in order."""
     process = fleet.world.processes[name]
     process.execute(fleet.leases[name].release(process.clock_s(), "planner"))
 
 
 def others_than(fleet: SimulatedFleet, name: str) -> list[str]:
-    """All members but one."""
+    """All members except one."""
     return [each for each in fleet.names if each != name]
 
 
 def suspended_between_check_and_effect(
     seed: int, terms: LeaseTerms, fence: Callable[[], FencingTokenCheck] = FencingTokenCheck
 ) -> SimulatedFleet:
-    """The holder checked its lease, was suspended, and sends its effect when another holds the duty."""
+    """The holder is suspended after its lease check and sends the effect when another holds the duty."""
     fleet = settled_fleet(seed, terms, fence=fence)
     process = fleet.world.processes[fleet.holder()]
     applied = fleet.receiver.applied
@@ -67,7 +67,7 @@
 def separate_holder(
     seed: int, terms: LeaseTerms, clock_rates: tuple[float, float] = (0.9, 1.1)
 ) -> SimulatedFleet:
-    """The holder is x or y, which are no acceptors; the acceptors hold nothing."""
+    """A fleet whose holder is x or y, which are not acceptors; the acceptors hold no duty."""
     fleet = SimulatedFleet(seed, [*terms.acceptors, "x", "y"], terms, clock_rates=clock_rates)
     _start_with_separate_holder(fleet)
     return fleet
@@ -82,7 +82,7 @@
 
 
 def cut_off_holder(fleet: SimulatedFleet) -> list[str]:
-    """Cut the holder off from all others, and return these."""
+    """Cuts the holder off from all other members; returns the others."""
     others = others_than(fleet, fleet.holder())
     fleet.world.network.cut([fleet.holder()], others)
     return others
--- a/tests/simulated/exhaustive.py
+++ b/tests/simulated/exhaustive.py
@@ -1,8 +1,8 @@
-"""Every order of events of a small lease: 3 acceptors, 2 proposers, the program's own objects.
+"""A model of every order of events for a lease with 3 acceptors and 2 proposers of the program.
 
-A state is all five processes, the set of all datagrams ever sent, and the time. Since any datagram sent may
-arrive next, or again, or never, all losses, duplicates, delays and orders are among the paths. Time goes in
-whole steps, in which no process need get its turn: a suspended process is among the paths too. The proposers'
+A state consists of the five processes, the set of all datagrams ever sent, and the time. Any datagram may
+arrive next, again, or never, so the paths include all losses, duplicates, delays and orders. Time advances in
+whole steps in which no process has to run, so the paths include suspended processes. The proposers'
 clocks run slow and the acceptors' fast, as far as the terms allow. A `PrepareRequest` or a
 `StateTransferRequest` and its response are one event: a response only raises the token that is proposed next.
 """
@@ -43,14 +43,14 @@
 
 
 class Tick(NamedTuple):
-    """A process gets its turn."""
+    """A process runs its periodic work."""
 
 
 Event = Receive | Tick
 
 
 class MinimumRandom:
-    """Stands for random numbers: always the lowest, so that an event has one outcome."""
+    """Random numbers that are always the lowest, so that an event has one outcome."""
 
     def uniform(self, low: float, high: float) -> float:
         """The lower bound."""
@@ -103,7 +103,7 @@
         return State(0, tuple(processes), frozenset(), 0, 0)
 
     def transitions(self, state: State) -> Iterator[tuple[str, State]]:
-        """Every event that may come next, described, with the state after it."""
+        """Yields each possible event, as text, with the state after it."""
         if state.step < self._max_steps:
             yield "wait", state._replace(step=state.step + 1)
         yield from self._deliveries(state)
@@ -112,13 +112,13 @@
             yield from self._restarts(state)
 
     def check_single_holder(self, state: State) -> None:
-        """Raises AssertionError where both proposers hold the duty."""
+        """Raises AssertionError if both proposers hold the duty."""
         tokens = [self.token(state, index) for index in range(len(ACCEPTORS), len(NAMES))]
         if None not in tokens:
             raise AssertionError(f"both hold, under {tokens}")
 
     def token(self, state: State, index: int) -> int | None:
-        """The token under which that proposer holds the duty in that state; else None."""
+        """The token under which a proposer holds the duty in a state, or None."""
         key = (state.processes[index], state.step)
         if key not in self._tokens:
             proposer = pickle.loads(self._processes[key[0]])
@@ -176,9 +176,9 @@
         return actions
 
     def _apply(self, state: State, index: int, actions: list[Action]) -> State:
-        """Send a process's messages, and record its acquisition.
+        """Sends the messages of a process and records its acquisition.
 
-        Raises AssertionError where the token of a holding is not above all before.
+        Raises AssertionError if the token of a holding is not above those of all earlier holdings.
         """
         for action in actions:
             if isinstance(action, SendMessage):
--- a/tests/simulated/faults.py
+++ b/tests/simulated/faults.py
@@ -1,4 +1,4 @@
-"""A day of faults from a seed: bursts, and a calm after each in which every duty must be covered again."""
+"""Runs of random faults from a seed: after each burst of faults, every duty has to be held again in time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Fault(StrEnum):
-    """Kinds of faults; a seed chooses by their order."""
+    """Kinds of faults. Their order determines which fault a seed chooses."""
 
     KILL = "kill"
     RESTART = "restart"
@@ -34,11 +34,11 @@
 
 @dataclass
 class SeedReport:
-    """What happened on one seed."""
+    """The results of one seed."""
 
     seed: int
     members: int
-    violation: str = ""  # of an invariant, with the moment
+    violation: str = ""  # of an invariant, with its time
     events: int = 0
     acquisitions: int = 0
     applied: int = 0  # effects
@@ -48,17 +48,17 @@
 
 
 class FaultPlanner:
-    """Plans bursts of faults; `end_burst` repairs whatever they leave."""
+    """Plans bursts of faults; `end_burst` repairs what they leave."""
 
     def __init__(self, fleet: SimulatedFleet, random: Random, faults: Counter[Fault]) -> None:
-        """`faults`: counts what was planned."""
+        """`faults` counts the planned faults."""
         self._fleet = fleet
         self._world = fleet.world
         self._random = random
         self._faults = faults
 
     def begin_burst(self) -> None:
-        """Plan the faults of the next `BURST_S`."""
+        """Plans the faults of the next `BURST_S`."""
         network = self._world.network
         network.loss = self._random.choice((0, 0, 0.1, 0.4))
         network.duplication = self._random.choice((0, 0.2))
@@ -67,7 +67,7 @@
             self._plan_fault()
 
     def end_burst(self) -> None:
-        """Heal the network, and let every member run."""
+        """Heals the network, resumes suspended members and restarts killed ones."""
         self._world.network.heal()
         for name in self._fleet.names:
             process = self._world.processes[name]
@@ -112,7 +112,7 @@
 
 
 def suspend_for(fleet: SimulatedFleet, name: str, duration_s: float) -> None:
-    """Suspend a member, or for "" the holder of the first duty, where it runs."""
+    """Suspends a member if it runs; an empty name stands for the holder of the first duty."""
     process = fleet.world.processes.get(name or fleet.holder(fleet.duties[0]))
     if process is not None and process.alive and not process.suspended:
         process.suspend()
@@ -120,7 +120,7 @@
 
 
 def release_first_duty(fleet: SimulatedFleet) -> None:
-    """Have the holder of the first duty release it in good order."""
+    """Makes the holder of the first duty release it in order."""
     duty = fleet.duties[0]
     process = fleet.world.processes.get(fleet.holder(duty))
     if process is not None and not process.suspended:
@@ -129,7 +129,7 @@
 
 
 def run_seed(seed: int, terms: LeaseTerms | None = None) -> SeedReport:
-    """Run one seed; a violation is in the report, with its moment."""
+    """Runs one seed. The report contains a violated invariant with its time."""
     random = Random(seed)
     fleet = _random_fleet(random, seed, terms)
     report = SeedReport(seed, len(fleet.names))
--- a/tests/simulated/fleet.py
+++ b/tests/simulated/fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet that holds duties; the invariants of leases are checked at each event."""
+"""A simulated fleet whose members hold duties; the lease invariants are checked at each event."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class InvariantError(AssertionError):
-    """An invariant did not hold; the message says which, where and when."""
+    """A violated invariant; the message tells which one, where and when."""
 
 
 class EffectReceiver:
@@ -28,7 +28,7 @@
         self.applied = 0
 
     def receive(self, duty: str, token: int) -> None:
-        """Apply an effect, where the fence admits it."""
+        """Applies an effect if the fence admits it."""
         if not self.fence.admit(duty, token):
             return
         if token < self.highest_tokens[duty]:
@@ -40,8 +40,8 @@
 class SimulatedFleet:
     """Members in one world that seek the same duties.
 
-    Invariants, checked at each event: at most one member holds a duty at a moment of true time, suspended
-    ones included; each holding's token is above those of all holdings begun before.
+    Invariants, checked at each event: at any true time at most one member holds a duty, suspended members
+    included; the token of each holding is above those of all earlier holdings.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
                 self.world.start(name)
 
     def holders(self, duty: str) -> list[str]:
-        """Who may act at this moment of true time, each by its own clock; suspended ones included."""
+        """The members that hold the duty now by their own clocks, suspended members included."""
         return [
             process.name
             for process in self.holdings[duty]
@@ -81,11 +81,11 @@
         ]
 
     def holder(self, duty: str = "planner") -> str:
-        """The member that holds the duty; "" for nobody."""
+        """The member that holds the duty, or an empty string."""
         return next(iter(self.holders(duty)), "")
 
     def run_until_covered(self, limit_s: float, among: Iterable[str] | None = None) -> float:
-        """Run until each duty is held, by one of `among`; true s that it took.
+        """Runs until each duty is held by one of `among`; returns the true time that it took, in s.
 
         Raises InvariantError after `limit_s`.
         """
@@ -98,7 +98,7 @@
         return self.world.true_s - began_s
 
     def check_and_act(self, process: Process, duty: str, token: int) -> None:
-        """Check the lease, and send an effect a moment later; the process may be suspended in between."""
+        """Checks the lease and sends an effect shortly after; the process may be suspended in between."""
         if self.leases[process.name].token(process.clock_s(), duty) == token and process.alive:
             delay_s = self.world.random.uniform(0, CHECK_TO_EFFECT_S)
             process.call_later(delay_s, lambda: self._send_effect(duty, token))
--- a/tests/simulated/mutants.py
+++ b/tests/simulated/mutants.py
@@ -1,4 +1,4 @@
-"""Faulty variants of the leases, each a change to one place, with the case that has to catch it."""
+"""Faulty variants of the leases, each with a single change and the case that has to detect it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """A fault, introduced by a patch or by terms, and the case that shows it."""
+    """A fault introduced by a patch or by lease terms, and the case that detects it."""
 
     name: str
     case: Callable[[int, LeaseTerms], Any]
@@ -31,37 +31,37 @@
 
 
 class NoStartupSilence(LeaseTerms):
-    """An acceptor is not silent after a start."""
+    """Terms without the silence of an acceptor after its start."""
 
     startup_silence_s = property(lambda self: 0.0)  # type: ignore[assignment]
 
 
 class NoDriftMargin(LeaseTerms):
-    """Holders and acceptors rely on clocks of equal rates."""
+    """Terms that assume clocks of equal rates."""
 
     holder_lease_s = property(lambda self: self.lease_s)  # type: ignore[assignment]
 
     def acceptor_lock_s(self, lease_ms: int) -> float:
-        """No longer than the lease."""
+        """The duration of the lease, without a margin."""
         return lease_ms / 1000
 
 
 class MinorityQuorum(LeaseTerms):
-    """One acceptor decides."""
+    """Terms under which one acceptor decides."""
 
     majority = property(lambda self: 1)  # type: ignore[assignment]
 
 
 class NoTokenFloor(LeaseTerms):
-    """Tokens begin anew where all acceptors restarted."""
+    """Terms under which tokens start over after a restart of all acceptors."""
 
     def token_floor(self, start_number_sum: int) -> int:
-        """As if no process had ever run before."""
+        """The floor of a first start."""
         return 0
 
 
 def skip_state_transfer(patch: Patch) -> None:
-    """A started acceptor is active without the state of the others."""
+    """Makes a started acceptor active without the state of the others."""
 
     def tick(self: AcceptorRecovery, now_s: float) -> list[Any]:
         self.active = self.active or now_s >= self._next_request_s
@@ -71,7 +71,7 @@
 
 
 def _lease_from_arrival(patch: Patch) -> None:
-    """The holder's lease runs from the arrival of the response."""
+    """Starts the holder's lease at the arrival of the response instead of the request's sending."""
     on_accepted = LeaseProposer._on_accepted
 
     def from_arrival(self: LeaseProposer, now_s: float, sender: str, message: Any) -> list[Any]:
@@ -82,7 +82,7 @@
 
 
 def _any_round(patch: Patch) -> None:
-    """An acceptance counts for the latest round, whichever it names."""
+    """Counts an acceptance for the latest round, whichever round it names."""
     on_accepted = LeaseProposer._on_accepted
 
     def for_latest(self: LeaseProposer, now_s: float, sender: str, message: Any) -> list[Any]:
@@ -94,7 +94,7 @@
 
 
 def _no_expiry_check(patch: Patch) -> None:
-    """A holder acts without a check of its clock."""
+    """Lets a holder act after its lease has expired."""
     patch.setattr(
         LeaseProposer,
         "token_at",
@@ -103,7 +103,7 @@
 
 
 def no_lock(patch: Patch) -> None:
-    """An acceptor accepts proposals for a duty that is locked for another."""
+    """Makes an acceptor accept proposals for a duty that is locked for another member."""
     patch.setattr(LeaseAcceptor, "_reject_unavailable", lambda *args: None)
 
 
@@ -111,7 +111,7 @@
     """A receiver that rejects nothing."""
 
     def admit(self, duty: str, token: int) -> bool:
-        """Any token is admitted."""
+        """Admits any token."""
         return True
 
 
--- a/tests/simulated/network.py
+++ b/tests/simulated/network.py
@@ -1,4 +1,4 @@
-"""What happens to datagrams between members."""
+"""The simulated network between members."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class Network:
-    """Loses, duplicates, delays (and so reorders) and cuts, one way or both; counts what it did."""
+    """Loses, duplicates, delays (and so reorders) and cuts off datagrams, and counts these events."""
 
     random: Random
     delay_s: tuple[float, float] = (0.0005, 0.02)
@@ -24,7 +24,7 @@
     counts: Counter[str] = field(default_factory=Counter)
 
     def cut(self, senders: Iterable[str], recipients: Iterable[str], one_way: bool = False) -> None:
-        """Lose all from `senders` to `recipients`, and back unless `one_way`."""
+        """Loses all datagrams from `senders` to `recipients`, and in the other direction unless `one_way`."""
         for sender in senders:
             for recipient in recipients:
                 self.cuts.add((sender, recipient))
@@ -32,7 +32,7 @@
                     self.cuts.add((recipient, sender))
 
     def partition(self, *groups: Iterable[str]) -> None:
-        """Lose all between members of different groups."""
+        """Loses all datagrams between members of different groups."""
         members = [*map(list, groups)]
         for group in members:
             for other in members:
@@ -40,7 +40,7 @@
                     self.cut(group, other)
 
     def heal(self) -> None:
-        """End all cuts, losses, late and duplicated datagrams."""
+        """Ends all cuts, losses, delays and duplications."""
         self.cuts.clear()
         self.member_loss.clear()
         self.loss = 0.0
@@ -48,7 +48,7 @@
         self.late_fraction = 0.0
 
     def delays(self, sender: str, recipient: str) -> list[float]:
-        """The delay of each copy of a datagram that arrives, in s."""
+        """The delays of the copies of a datagram that arrive, in s."""
         self.counts["sent"] += 1
         if (sender, recipient) in self.cuts:
             self.counts["cut"] += 1
--- a/tests/simulated/search.py
+++ b/tests/simulated/search.py
@@ -1,4 +1,4 @@
-"""Breadth-first search of the exhaustive model, and the states that searches begin from."""
+"""Breadth-first search of the exhaustive model, and the initial states of searches."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class SearchResult:
-    """What a search found."""
+    """The results of a search."""
 
     states: int = 0
     depth: int = 0  # in events
@@ -20,7 +20,7 @@
 
 
 class _Search:
-    """One search: the states seen, and the event that first led to each."""
+    """A search with the states seen so far and the event that first led to each."""
 
     def __init__(self, model: Model, initial: State, wanted: Callable[[str], bool]) -> None:
         self._model = model
@@ -31,7 +31,7 @@
         self._result = SearchResult()
 
     def run(self, depth: int) -> SearchResult:
-        """Search all states within `depth` events."""
+        """Searches all states within `depth` events."""
         try:
             while self._frontier and self._result.depth < depth:
                 self._frontier = [after for state in self._frontier for after in self._expand(state)]
@@ -43,7 +43,7 @@
         return self._result
 
     def _expand(self, state: State) -> list[State]:
-        """The states after a state that were not seen before."""
+        """The successors of a state that were not seen before."""
         following = []
         try:
             for event, after in self._model.transitions(state):
@@ -82,12 +82,12 @@
 def search(
     model: Model, initial: State, depth: int, wanted: Callable[[str], bool] = lambda event: True
 ) -> SearchResult:
-    """All states within `depth` events of the initial one, by events that are wanted."""
+    """Searches all states within `depth` events of the initial state; `wanted` selects events by text."""
     return _Search(model, initial, wanted).run(depth)
 
 
 def walk(model: Model, state: State, *events: str) -> State:
-    """Follow events, each given by its beginning: the first that matches and changes the state."""
+    """Follows events, each given by the start of its text; takes the first that changes the state."""
     for event in events:
         changes = (
             after
@@ -99,7 +99,7 @@
 
 
 def initial_states(model: Model) -> dict[str, State]:
-    """Where searches begin: a fleet at rest, and states too deep to be reached from there."""
+    """The initial states of searches: a fleet at rest, and states that are too deep to be reached from it."""
     rest = model.initial_state()
     prepared = walk(model, rest, "x ticks", "a hears PrepareRequest", "b hears PrepareRequest")
     proposed = walk(model, prepared, "a hears ProposeRequest", "b hears ProposeRequest")
--- a/tests/simulated/test_lease_cases.py
+++ b/tests/simulated/test_lease_cases.py
@@ -1,4 +1,4 @@
-"""Single faults of leased duties; `SimulatedFleet` checks the invariants at each event."""
+"""Cases of a single fault; `SimulatedFleet` checks the lease invariants at each event."""
 
 from __future__ import annotations
 
@@ -126,7 +126,7 @@
         fleet.world.processes[previous].resume()
     fleet.world.network.heal()
     successor = fleet.holder()
-    fleet.world.run_for(20)  # a member that is back does not displace the holder
+    fleet.world.run_for(20)  # a member that returns does not displace the holder
     assert fleet.holder() == successor
     assert fleet.acquisitions["planner"] == 2
 
--- a/tests/simulated/test_lease_exhaustive.py
+++ b/tests/simulated/test_lease_exhaustive.py
@@ -1,4 +1,7 @@
-"""All orders of events of a small lease, as deep as a few seconds allow; `benchmarks/` goes deeper."""
+"""Searches all orders of events of a small lease, to the depth that a few seconds allow.
+
+benchmarks/duties.py searches deeper.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 TERMS = LeaseTerms(ACCEPTORS)
 MAX_STEPS = 8
 MAX_RESTARTS = 2
-MIN_STATES = {  # events beyond each initial state, and how many states these lead to at least
+MIN_STATES = {  # by initial state: depth in events, and the minimum number of states within it
     "at rest": (6, 20_000),
     "prepared": (5, 12_000),
     "held": (5, 18_000),
--- a/tests/simulated/test_lease_mutants.py
+++ b/tests/simulated/test_lease_mutants.py
@@ -1,4 +1,4 @@
-"""Each mutant violates an invariant in its case, and the program does not."""
+"""Each mutant violates an invariant in its case, and the program violates none."""
 
 from __future__ import annotations
 
--- a/tests/simulated/test_lease_seeds.py
+++ b/tests/simulated/test_lease_seeds.py
@@ -1,4 +1,4 @@
-"""Days of faults from seeds; one that fails is repeated by `python -m benchmarks.fleet_seeds --only SEED`."""
+"""Runs of random faults from seeds; `python -m benchmarks.fleet_seeds --only SEED` repeats one of them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     reports = [run_seed(seed) for seed in seeds]
     assert [f"seed {each.seed}: {each.violation}" for each in reports if each.violation] == []
     assert max(each.max_coverage_s for each in reports) <= MAX_COVERAGE_S
-    # Effects, acquisitions and faults did occur: a day without them would pass everything.
+    # Effects, acquisitions and faults have to occur, since a run without them would pass all checks.
     assert sum(each.applied for each in reports) > 100
     assert sum(each.acquisitions for each in reports) > 2 * len(seeds)
     assert len({fault for each in reports for fault in each.faults}) >= 6
--- a/tests/simulated/world.py
+++ b/tests/simulated/world.py
@@ -1,4 +1,4 @@
-"""Processes with clocks of their own in one virtual time; the checks run after every event."""
+"""Processes with separate clocks in one virtual time; the checks run after every event."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Process:
-    """One process of a member: its deciders, its clock, and the events that wait while it is suspended."""
+    """A process of a member: its deciders, its clock, and the events pending while it is suspended."""
 
     def __init__(
         self, world: World, name: str, start_number: int, clock_rate: float, initial_reading_s: float
@@ -34,11 +34,11 @@
         self._next_tick_s = float("inf")  # true time of the next scheduled tick
 
     def clock_s(self) -> float:
-        """The reading of its own clock, which runs on while the process is suspended."""
+        """The reading of the process's clock, which also runs while the process is suspended."""
         return self._initial_reading_s + (self.world.true_s - self._started_s) * self.clock_rate
 
     def run(self, event: Callable[[], None]) -> None:
-        """Run an event now; after `resume`, where the process is suspended; never, where it is dead."""
+        """Runs an event now, or on `resume` if the process is suspended; drops it if the process is dead."""
         if not self.alive:
             return
         if self.suspended:
@@ -98,7 +98,7 @@
 
 
 class World:
-    """Events in true time, determined by a seed alone."""
+    """A simulation of events in true time, determined by a seed."""
 
     def __init__(self, seed: int, clock_rates: tuple[float, float] = (0.9, 1.1)) -> None:
         self.random = Random(seed)
@@ -120,7 +120,7 @@
         heappush(self._events, (true_s, next(self._order), event))
 
     def start(self, name: str) -> None:
-        """Start a member's process; kill the one that runs."""
+        """Starts a process of a member and kills the running one."""
         if name in self.processes:
             self.kill(name)
         previous_start = self.start_numbers.get(name, self.random.randrange(1000))
