--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The architecture page names every package, and imports keep to its table."""
+"""The architecture page lists every package, and imports comply with its table."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def allowed_imports(page: str) -> dict[str, set[str]]:
-    """What each package of the table may import."""
+    """The packages that each package may import according to the table."""
     return {name: set(re.findall(r"\w+", others)) for name, others in PACKAGE_ROW.findall(page)}
 
 
@@ -32,7 +32,7 @@
 
 
 def forbidden_imports(page: str) -> list[str]:
-    """Each import that the table does not allow, as text."""
+    """Descriptions of all imports that the table does not allow."""
     return [
         f"{path.relative_to(ROOT)} imports ringledge.{other}"
         for package, allowed in allowed_imports(page).items()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures names tests that exist, and excuses nothing but the failures that were seen."""
+"""The list of known failures names existing tests and covers only the failures that it describes."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 class Outcomes:
-    """How the tests of a run came out, by name."""
+    """The outcomes of the tests of a run, by name."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, str] = {}
@@ -78,8 +78,8 @@
 
 
 def run(folder: Path, source: str, seen: str) -> tuple[pytest.ExitCode | int, dict[str, str]]:
-    """The exit code and the outcomes of a file of tests, in which `test_b` is listed with what was seen."""
-    file = folder / f"{folder.name}.py"  # a name of its own, since modules are imported once
+    """Runs a test file in which `test_b` is a known failure; returns the exit code and the outcomes."""
+    file = folder / f"{folder.name}.py"  # a unique name, since modules are imported once
     file.write_text(source)
     outcomes = Outcomes()
     plugin = KnownFailurePlugin([known(f"{file.name}::test_b", seen)])
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""What holds for the files themselves."""
+"""Checks of the source files: imports, log events, metrics and alerts."""
 
 import ast
 import re
@@ -30,7 +30,9 @@
 def test_no_module_needs_itself() -> None:
     modules = {".".join(path.relative_to(ROOT).with_suffix("").parts): path for path in SOURCES}
     graph = {name: imports(path) & modules.keys() for name, path in modules.items()}
-    TopologicalSorter(graph).prepare()  # a circle is a CycleError that names it; imports for types count, too
+    TopologicalSorter(
+        graph
+    ).prepare()  # a cycle raises CycleError, which names it; imports for types count as well
 
 
 LOG_CALL = re.compile(r"(?:log\.(?:debug|info|rate_limited|warning|error|exception)|write_log)\(\s*\"(\w+)\"")
@@ -38,12 +40,12 @@
 
 
 def logged_events() -> set[str]:
-    """Every log event that the code writes."""
+    """All log events that the code writes."""
     return {event for path in SOURCES for event in LOG_CALL.findall(path.read_text())}
 
 
 def section(title: str, page: str = ON_CALL) -> str:
-    """The page's text under a heading; the page's beginning for an empty title."""
+    """The text of a page under a heading, or before the first heading for an empty title."""
     parts = re.split(r"^## (.+)$", page, flags=re.MULTILINE)
     sections: dict[str, str] = dict(zip(["", *parts[1::2]], parts[0::2], strict=True))
     return sections[title]
@@ -56,7 +58,7 @@
 
 
 def exported_metrics() -> set[str]:
-    """Every metric that the code registers, by the name that is scraped."""
+    """All metrics that the code registers, by their exported names."""
     call = re.compile(r"\b(_counter|_gauge|_histogram|Counter|Gauge|Histogram)\(\s*\"(\w+)\"")
     found = set()
     for path in SOURCES:
