--- a/benchmarks/collapse.py
+++ b/benchmarks/collapse.py
@@ -13,7 +13,7 @@
 import click
 import orjson
 
-from benchmarks.collapse_fleet import BURST_MS, TROUBLE_MS, Lab
+from benchmarks.collapse_fleet import BURST_MS, TROUBLE_MS, FleetSimulation
 from ringledge.routing.concurrency_limit import ConcurrencyLimit
 from ringledge.routing.interface import (
     RouterSettings,
@@ -34,7 +34,7 @@
     return Policy(settings, seed, Unlimited())
 
 
-def told(seconds: list[defaultdict[str, float]]) -> dict[str, Any]:
+def summarize(seconds: list[defaultdict[str, float]]) -> dict[str, Any]:
     """The share served in time after the trouble began, seconds until nine in ten are, and each second."""
 
     def share(some: list[defaultdict[str, float]]) -> float:
@@ -59,7 +59,7 @@
 def main(seeds: tuple[int, ...], without: bool, brief: bool) -> None:
     """Play days on which six in ten readers are replaced cold under a burst."""
     for seed in seeds:
-        result = {"seed": seed} | told(Lab(seed, without_limit if without else Policy).run())
+        result = {"seed": seed} | summarize(FleetSimulation(seed, without_limit if without else Policy).run())
         if brief:
             del result["seconds"]
         click.echo(orjson.dumps(result).decode())
--- a/benchmarks/collapse_fleet.py
+++ b/benchmarks/collapse_fleet.py
@@ -59,7 +59,7 @@
     ended: bool = False
 
 
-class Lab:
+class FleetSimulation:
     """The fleet in virtual time, from a seed."""
 
     def __init__(self, seed: int, make: Callable[[RouterSettings, int], Policy] = Policy) -> None:
--- a/benchmarks/site_variant.py
+++ b/benchmarks/site_variant.py
@@ -16,7 +16,7 @@
 import tomlkit
 from tomlkit.exceptions import ParseError
 
-BESIDE = ("real.json", "wire.json", "unlock.txt")  # what the bench looks for beside a site file
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")  # what the bench looks for beside a site file
 BUILT = Path("deploy/sites/built")
 
 
@@ -99,7 +99,7 @@
     place = folder / changes.name
     place.mkdir(parents=True, exist_ok=True)
     text = apply(changes, site.read_text())
-    for name in BESIDE:
+    for name in COMPANION_FILES:
         shutil.copyfile(site.parent / name, place / name)
     path = place / f"{changes.name}.toml"
     path.write_text(text)
--- a/tests/benchmarks/test_collapse.py
+++ b/tests/benchmarks/test_collapse.py
@@ -4,13 +4,16 @@
 
 import pytest
 
-from benchmarks.collapse import told, without_limit
-from benchmarks.collapse_fleet import Lab
+from benchmarks.collapse import summarize, without_limit
+from benchmarks.collapse_fleet import FleetSimulation
 
 
 @pytest.mark.parametrize("seed", [1, 3, 4])
 def test_fleet_collapses_without_the_limit_and_recovers_sooner_with_it(seed: int) -> None:
-    unlimited, limited = told(Lab(seed, without_limit).run()), told(Lab(seed).run())
+    unlimited, limited = (
+        summarize(FleetSimulation(seed, without_limit).run()),
+        summarize(FleetSimulation(seed).run()),
+    )
     assert unlimited["before"] > 0.98 and limited["before"] > 0.98
     later = unlimited["seconds"][25:29]  # after the burst, when discovery lists all readers
     # All readers together need nearly 2 s to read this many tokens.
--- a/tests/benchmarks/test_site_variant.py
+++ b/tests/benchmarks/test_site_variant.py
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 
-from benchmarks.site_variant import BESIDE, Append, ChangeError, Changes, apply, main, read_changes
+from benchmarks.site_variant import COMPANION_FILES, Append, ChangeError, Changes, apply, main, read_changes
 
 SITE = """\
 name = "mill"  # where it stands
@@ -90,14 +90,14 @@
 def test_command_writes_a_complete_site_folder(tmp_path: Path) -> None:
     (tmp_path / "site").mkdir()
     (tmp_path / "site" / "mill.toml").write_text(SITE)
-    for name in BESIDE:
+    for name in COMPANION_FILES:
         (tmp_path / "site" / name).write_text(name)
     (tmp_path / "changes.toml").write_text(CHANGES)
     args = [str(tmp_path / "changes.toml"), str(tmp_path / "site" / "mill.toml")]
     result = CliRunner().invoke(main, [*args, "--folder", str(tmp_path / "built")])
     path = Path(result.output.strip())
     assert result.exit_code == 0 and path == tmp_path / "built" / "bakery" / "bakery.toml"
-    assert {each.name for each in path.parent.iterdir()} == {*BESIDE, "bakery.toml"}
+    assert {each.name for each in path.parent.iterdir()} == {*COMPANION_FILES, "bakery.toml"}
     assert tomllib.loads(path.read_text())["class"][0]["name"] == "knead"
 
 
