--- a/benchmarks/collapse.py
+++ b/benchmarks/collapse.py
@@ -1,8 +1,10 @@
-"""A fleet of policies whose readers are replaced cold under a burst: does it get up again? Tells JSON.
+"""Simulates whether a fleet recovers when prefill servers are replaced by cold ones during a burst of load.
 
-Forty routers that share nothing, ten readers, six of which are replaced within 7 s, clients that come again
-up to three times. Told for each second: unread tokens that wait at the readers (`queued`), tokens read
-(`spent`), reads and those that are repeats, worth earned, requests answered in time, late, or never.
+Forty routers that share no state, ten prefill servers, six of which are replaced within 7 s, and clients that
+retry up to three times. The output is JSON. For each second it holds the uncached tokens that are queued at
+the prefill servers (`queued`), the tokens prefilled (`spent`), the prefills sent (`reads`) and those that
+repeat an earlier one (`repeats`), the priority weight earned (`worth`), and the numbers of requests answered
+in time, late, or never.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 import click
 import orjson
 
-from benchmarks.collapse_fleet import BURST_MS, TROUBLE_MS, FleetSimulation
+from benchmarks.collapse_fleet import BURST_DURATION_MS, BURST_START_MS, FleetSimulation
 from ringledge.routing.concurrency_limit import ConcurrencyLimit
 from ringledge.routing.interface import (
     RouterSettings,
@@ -22,42 +24,52 @@
 
 
 class Unlimited(ConcurrencyLimit):
-    """Never finds congestion: the policy without its limit on prefills."""
+    """A concurrency limit that never detects congestion and so never limits the prefills."""
 
     def observe_wait(self, now_ms: float, wait_share: float, sent_ms: float) -> bool:
-        """Whatever a prefill waits, no decrease."""
+        """Ignores the wait, so that the limit never decreases."""
         return False
 
 
 def without_limit(settings: RouterSettings, seed: int) -> Policy:
-    """A policy that sends prefills however long they wait."""
+    """Creates a policy that sends prefills however long they wait."""
     return Policy(settings, seed, Unlimited())
 
 
 def summarize(seconds: list[defaultdict[str, float]]) -> dict[str, Any]:
-    """The share served in time after the trouble began, seconds until nine in ten are, and each second."""
-
-    def share(some: list[defaultdict[str, float]]) -> float:
-        got = sum(s["in time"] for s in some)
-        return got / max(1.0, got + sum(s["late"] + s["unserved"] for s in some))
-
-    end = int((TROUBLE_MS + BURST_MS) / 1000)
-    back = next((n - end for n in range(end, len(seconds) - 3) if share(seconds[n : n + 3]) >= 0.9), None)
-    lines = [{name: round(value, 1) for name, value in s.items()} for s in seconds]
+    """The shares of requests served in time before and from the burst on, and the counts of each second.
+
+    The recovery time counts from the end of the burst until 90% are served in time for three seconds.
+    """
+
+    def in_time_share(window: list[defaultdict[str, float]]) -> float:
+        in_time = sum(s["in time"] for s in window)
+        return in_time / max(1.0, in_time + sum(s["late"] + s["unserved"] for s in window))
+
+    burst_end = int((BURST_START_MS + BURST_DURATION_MS) / 1000)
+    recovery_s = next(
+        (
+            n - burst_end
+            for n in range(burst_end, len(seconds) - 3)
+            if in_time_share(seconds[n : n + 3]) >= 0.9
+        ),
+        None,
+    )
+    counts = [{name: round(value, 1) for name, value in s.items()} for s in seconds]
     return {
-        "before": round(share(seconds[5:15]), 3),
-        "after": round(share(seconds[15:]), 3),
-        "seconds until 0.9 after the burst": back,
-        "seconds": lines,
+        "before": round(in_time_share(seconds[5:15]), 3),
+        "after": round(in_time_share(seconds[15:]), 3),
+        "seconds until 0.9 after the burst": recovery_s,
+        "seconds": counts,
     }
 
 
 @click.command()
-@click.option("--seed", "seeds", type=int, multiple=True, default=(1, 2), help="Seeds, one day each.")
-@click.option("--without", is_flag=True, help="Play without the limit on reads in a jam.")
-@click.option("--brief", is_flag=True, help="Leave the seconds out.")
+@click.option("--seed", "seeds", type=int, multiple=True, default=(1, 2), help="One simulation per seed.")
+@click.option("--without", is_flag=True, help="Simulate without the concurrency limit on prefills.")
+@click.option("--brief", is_flag=True, help="Omit the counts of each second.")
 def main(seeds: tuple[int, ...], without: bool, brief: bool) -> None:
-    """Play days on which six in ten readers are replaced cold under a burst."""
+    """Simulate the replacement of six in ten prefill servers by cold ones during a burst."""
     for seed in seeds:
         result = {"seed": seed} | summarize(FleetSimulation(seed, without_limit if without else Policy).run())
         if brief:
--- a/benchmarks/collapse_servers.py
+++ b/benchmarks/collapse_servers.py
@@ -1,6 +1,7 @@
-"""The deployment of the lab of the collapse: its classes, and readers with a queue, a climb and a memory.
+"""Settings and prefill servers of the simulation in `benchmarks/collapse_fleet.py`.
 
-Virtual time in ms. Readers are short there, writers are not.
+A simulated prefill server has a FIFO queue, a warm-up and a prefix cache. Times are virtual, in ms. Prefill
+capacity is scarce in this deployment, decode capacity is not.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
     ServerKind,
 )
 
-ROUTERS, READERS, WRITERS = 40, 10, 8
-READ_PER_MS = 15.0  # tokens that a warm reader reads
-STEP_TOKENS = 300.0  # tokens' worth of a read's fixed cost
-COLD_SHARE, WARM_MS = 0.35, 9_000.0  # of a warm one's pace at its start, and the time that it warms
-QUEUE = 35  # reads that may wait at a reader; more are turned away
-START_MS = (20.0, 60.0)  # until a writer has written its first token
+ROUTERS, PREFILL_SERVERS, DECODE_SERVERS = 40, 10, 8
+PREFILL_TOKENS_PER_MS = 15.0  # by a warm prefill server
+FIXED_COST_TOKENS = 300.0  # the fixed cost of a prefill, expressed in tokens
+COLD_RATE_SHARE, WARM_UP_MS = 0.35, 9_000.0  # a cold server's share of the warm rate; warm-up time
+MAX_QUEUED_PREFILLS = 35  # per server; further ones are rejected
+FIRST_TOKEN_DELAY_MS = (20.0, 60.0)  # range of the time that a decode server needs for its first token
 
 CLASSES = (
     RequestClass(
@@ -53,8 +54,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Read:
-    """One read at a reader, waiting or under way."""
+class Prefill:
+    """One prefill at a server, queued or in progress."""
 
     router: int
     request: str
@@ -63,60 +64,66 @@
     prefix: int
     prefix_tokens: float
     tokens: float
-    value: float  # worth that its answer could still earn when it was sent
+    value: float  # the priority weight of its request class
     sent_ms: float
-    repeat: bool  # its client, or its router, has sent the same before
-    unread: float = 0.0  # counted when its turn comes
-    gone: bool = False
+    is_repeat: bool  # whether the client or the router has sent the same request before
+    uncached: float = 0.0  # set when the prefill starts
+    is_cancelled: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Reader:
-    """First come, first read; what is cancelled leaves, the one under way too."""
+class PrefillServer:
+    """A prefill server with a FIFO queue; a cancelled prefill is skipped unless it has already started."""
 
     name: str
     started_ms: float = 0.0
-    waiting: deque[Read] = field(default_factory=deque)
-    at_work: Read | None = None
+    queue: deque[Prefill] = field(default_factory=deque)
+    current: Prefill | None = None
     prefixes: set[int] = field(default_factory=set)
     sessions: dict[int, float] = field(default_factory=dict)
-    spent: float = 0.0  # tokens read so far, those of reads given up included
-
-    def pace(self, now_ms: float) -> float:
-        """Tokens that it reads in a ms."""
-        warm = min(1.0, (now_ms - self.started_ms) / WARM_MS) if self.started_ms else 1.0
-        return READ_PER_MS * (COLD_SHARE + (1 - COLD_SHARE) * warm)
-
-    def missing(self, read: Read) -> float:
-        """Tokens of a read that are not kept here."""
-        kept = max(self.sessions.get(read.session, 0.0), read.prefix_tokens * (read.prefix in self.prefixes))
-        return max(1.0, read.tokens - kept)
-
-    def queued(self) -> float:
-        """Unread tokens that wait or are being read here."""
-        reads = [*self.waiting, *[self.at_work] * (self.at_work is not None)]
-        return sum(self.missing(read) + STEP_TOKENS for read in reads if read is not None and not read.gone)
-
-    def begin(self, now_ms: float) -> float | None:
-        """Take the next one up; when it will be read, or None where nothing waits."""
-        while self.waiting and self.waiting[0].gone:
-            self.waiting.popleft()
-        if self.at_work is not None or not self.waiting:
+    processed_tokens: float = 0.0  # including those of cancelled prefills
+
+    def tokens_per_ms(self, now_ms: float) -> float:
+        """The prefill rate, which rises linearly during the warm-up."""
+        warm_share = min(1.0, (now_ms - self.started_ms) / WARM_UP_MS) if self.started_ms else 1.0
+        return PREFILL_TOKENS_PER_MS * (COLD_RATE_SHARE + (1 - COLD_RATE_SHARE) * warm_share)
+
+    def count_uncached(self, prefill: Prefill) -> float:
+        """The tokens of a prefill that are not in this server's cache; at least 1."""
+        cached = max(
+            self.sessions.get(prefill.session, 0.0), prefill.prefix_tokens * (prefill.prefix in self.prefixes)
+        )
+        return max(1.0, prefill.tokens - cached)
+
+    def queued_tokens(self) -> float:
+        """The uncached tokens and fixed costs of all prefills queued or in progress."""
+        prefills = [*self.queue, *[self.current] * (self.current is not None)]
+        return sum(
+            self.count_uncached(prefill) + FIXED_COST_TOKENS
+            for prefill in prefills
+            if prefill is not None and not prefill.is_cancelled
+        )
+
+    def start_next(self, now_ms: float) -> float | None:
+        """Start the next queued prefill; returns the time of its end, None if busy or nothing is queued."""
+        while self.queue and self.queue[0].is_cancelled:
+            self.queue.popleft()
+        if self.current is not None or not self.queue:
             return None
-        self.at_work = self.waiting.popleft()
-        self.at_work.unread = self.missing(self.at_work)
-        return now_ms + (self.at_work.unread + STEP_TOKENS) / self.pace(now_ms)
-
-    def end(self) -> Read | None:
-        """The one under way is read, and kept."""
-        read, self.at_work = self.at_work, None
-        if read is not None:
-            self.prefixes.add(read.prefix)
-            self.sessions[read.session] = read.tokens
-            self.spent += read.unread + STEP_TOKENS
-        return read
-
-
-def first_token_ms(rng: random.Random) -> float:
-    """Until a writer has written a first token."""
-    return rng.uniform(*START_MS)
+        self.current = self.queue.popleft()
+        self.current.uncached = self.count_uncached(self.current)
+        return now_ms + (self.current.uncached + FIXED_COST_TOKENS) / self.tokens_per_ms(now_ms)
+
+    def finish_current(self) -> Prefill | None:
+        """End the prefill in progress and keep its prefix and session in the cache."""
+        prefill, self.current = self.current, None
+        if prefill is not None:
+            self.prefixes.add(prefill.prefix)
+            self.sessions[prefill.session] = prefill.tokens
+            self.processed_tokens += prefill.uncached + FIXED_COST_TOKENS
+        return prefill
+
+
+def draw_first_token_ms(rng: random.Random) -> float:
+    """Draws the time until a decode server has produced its first token."""
+    return rng.uniform(*FIRST_TOKEN_DELAY_MS)
