--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,7 +1,8 @@
-"""Leased duties in virtual time: how soon another member takes over, and what the leases cost.
+"""Measures leased duties in virtual time: the time to fail over, and the cost of the leases.
 
-`handing`: trials of each way that a holder fails or ends. `cost`: datagrams per member and second, and the
-CPU time of world and deciders, at 3, 40 and 200 members. `orders`: every order of events of a small lease.
+`handing`: trials of each way in which a holder fails or ends. `cost`: datagrams per member and second, and
+the CPU time of the simulation with its deciders, at 3, 40 and 200 members. `orders`: an exhaustive search of
+the orders of events of one lease.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 TERMS = LeaseTerms(("a", "b", "c"))
 NAMES = "abcdefg"
-COST_S = 60.0  # of virtual time over which the cost is counted
+PERIOD_S = 60.0  # of virtual time, over which the cost is counted
 DUTIES = ("planner", "replay/north", "replay/south")
 SUSPENSION_S = 8
 
-Fault = Callable[[SimulatedFleet, str], None]  # of the holder of that name
+Fault = Callable[[SimulatedFleet, str], None]  # injects a fault into the holder of that name
 
 
 def _release(fleet: SimulatedFleet, holder: str) -> None:
@@ -37,7 +38,7 @@
 
 
 def _suspend(fleet: SimulatedFleet, holder: str) -> None:
-    """Suspend it right after a check of its lease."""
+    """Suspend the holder right after it has checked its lease."""
     process = fleet.world.processes[holder]
     fleet.check_and_act(process, "planner", fleet.highest_tokens["planner"])
     process.suspend()
@@ -67,7 +68,7 @@
 
 
 def _failover(fault: Fault, seed: int) -> tuple[float, int]:
-    """One trial: s until another member holds the duty, and the number of stale effects rejected."""
+    """One trial: the time until another member holds the duty, and the number of stale effects rejected."""
     fleet = cases.settled_fleet(seed, TERMS, NAMES)
     holder = fleet.holder()
     fault(fleet, holder)
@@ -84,7 +85,7 @@
 @main.command()
 @click.option("--trials", default=30, show_default=True)
 def handing(trials: int) -> None:
-    """How soon another member holds the duty."""
+    """Measure the time until another member holds the duty."""
     for name, fault in FAULTS.items():
         results = [_failover(fault, seed) for seed in range(trials)]
         durations_s = sorted(failover_s for failover_s, _ in results)
@@ -97,7 +98,7 @@
 
 @main.command()
 def cost() -> None:
-    """Datagrams and CPU time."""
+    """Measure datagrams and CPU time."""
     for count in (3, 40, 200):
         names = [f"n{number}" for number in range(count)]
         fleet = SimulatedFleet(1, names, LeaseTerms(tuple(names[:3])), DUTIES)
@@ -105,22 +106,24 @@
         fleet.run_until_covered(9)
         fleet.world.run_for(10)
         sent_before = fleet.world.network.counts["sent"]
-        began = time.perf_counter()
-        fleet.world.run_for(COST_S)
-        cpu_s = time.perf_counter() - began
+        start_s = time.perf_counter()
+        fleet.world.run_for(PERIOD_S)
+        cpu_s = time.perf_counter() - start_s
         sent = fleet.world.network.counts["sent"] - sent_before
-        effects = COST_S * len(DUTIES) / EFFECT_INTERVAL_S  # over the same network, but no cost of the leases
+        effects = PERIOD_S * len(DUTIES) / EFFECT_INTERVAL_S  # share the network; no cost of the leases
         click.echo(
-            f"{count:4} members, {len(DUTIES)} duties: {(sent - effects) / COST_S:.0f} datagrams/s in all, "
-            f"{(sent - effects) / COST_S / count:.2f} a member; "
-            f"world and deciders {cpu_s / COST_S:.2%} of a core"
+            f"{count:4} members, {len(DUTIES)} duties: {(sent - effects) / PERIOD_S:.0f} datagrams/s in all, "
+            f"{(sent - effects) / PERIOD_S / count:.2f} a member; "
+            f"world and deciders {cpu_s / PERIOD_S:.2%} of a core"
         )
 
 
 @main.command()
-@click.option("--more", default=1, show_default=True, help="Events beyond the depths that the tests search.")
+@click.option(
+    "--more", default=1, show_default=True, help="Depth in events beyond the depths that the tests search."
+)
 def orders(more: int) -> None:
-    """States of the exhaustive model."""
+    """Count the states of an exhaustive search, and print any violation."""
     depths = {"at rest": 6, "prepared": 5, "held": 5, "held two thirds of a lease": 5}
     depths |= {"two acceptors restarted": 7, "two acceptors recovering": 5}
     total = 0
--- a/benchmarks/duties_processes.py
+++ b/benchmarks/duties_processes.py
@@ -1,8 +1,8 @@
-"""How soon another real process takes a duty over: s from each fault to the first effect elsewhere.
+"""Measures how soon another process takes over a duty: from the fault to the first effect of the new holder.
 
-Three processes of the program on loopback, with relays between them (tests/fleet), a fleet for each fault.
-JSON on standard output. In a trial the holder ends in good order, is killed, suspended, or cut off from all
-others.
+Each fault has its own fleet of three processes on loopback, with relays between them (tests/fleet). In a
+trial the holder ends in good order, is killed, is suspended, or is cut off from all others. JSON on standard
+output.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
 
 
 def good_order(fleet: Fleet, holder: Effect) -> float:
-    """SIGTERM."""
+    """End the holder in good order (SIGTERM)."""
     return fleet.signal(holder.member, signal.SIGTERM)
 
 
 def killed(fleet: Fleet, holder: Effect) -> float:
-    """SIGKILL."""
+    """Kill the holder (SIGKILL)."""
     return fleet.kill(holder.member)
 
 
 def stopped(fleet: Fleet, holder: Effect) -> float:
-    """SIGSTOP, at any point of its step."""
+    """Suspend the holder (SIGSTOP) at any point of its step."""
     return fleet.signal(holder.member, signal.SIGSTOP)
 
 
 def stopped_within(fleet: Fleet, holder: Effect) -> float:
-    """SIGSTOP between its check of the lease and the effect; the time is that of its last effect."""
+    """Suspend the holder between its lease check and the effect; returns the time of the last effect."""
     (fleet.nodes[holder.member].folder / "stand_still").touch()
     return holder.at_s
 
 
 def cut_off(fleet: Fleet, holder: Effect) -> float:
-    """No datagram passes to or from it."""
+    """Drop all datagrams to and from the holder; returns the time of the last accepted effect."""
     others = [each for each in fleet.names if each != holder.member]
     fleet.links.faults(LinkFaults(cut=True), fleet.links.between([holder.member], others))
     return fleet.receiver.accepted[-1].at_s
@@ -61,7 +61,7 @@
 
 
 def undo(fleet: Fleet, name: str, member: str) -> None:
-    """Repair the fault, and wait until all members vote again."""
+    """Repair the fault; wait until a restarted member votes again, or a resumed one has lost its lease."""
     node = fleet.nodes[member]
     if name in ("good_order", "killed"):
         node.process.wait()
@@ -76,10 +76,10 @@
 
 
 def trials(name: str, count: int, lease_s: float) -> dict[str, Any]:
-    """Run the trials of one fault, and summarise them."""
+    """Run the trials of one fault in one fleet, and summarise them."""
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder), lease_s=lease_s) as fleet:
         failover_s = list[float]()
-        last_effect_s = list[float]()  # of the old holder, after the fault
+        last_effect_s = list[float]()  # of the old holder, counted from the fault
         fleet.receiver.next(DUTY)
         for _ in range(count):
             holder = fleet.receiver.accepted[-1]
@@ -106,9 +106,11 @@
 @click.command(help=__doc__)
 @click.option("--trials", "count", default=30, show_default=True)
 @click.option("--lease-s", default=3.0, show_default=True)
-@click.option("--fault", "names", multiple=True, type=click.Choice(list(FAULTS)), help="Else all, at once.")
+@click.option(
+    "--fault", "names", multiple=True, type=click.Choice(list(FAULTS)), help="Default: all, concurrently."
+)
 def main(count: int, lease_s: float, names: tuple[str, ...]) -> None:
-    """Run the faults at once, each with a fleet of its own."""
+    """Run the faults concurrently, each with its own fleet."""
     results = dict[str, Any]()
 
     def run(name: str) -> None:
--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -1,7 +1,7 @@
-"""What the conductors of a fleet did together, counted from their log lines alone. JSON.
+"""Counts what the conductors of a fleet did together, from their logs alone. JSON on standard output.
 
-Reads every file of a folder, one conductor each; a line is one JSON object, behind a time or nothing.
-Requests are counted in windows by their arrival, on the conductors' own clock, from the first line of all.
+Reads every file of a folder, one per conductor. A log line is one JSON object, optionally preceded by a time.
+Requests are counted in windows by their arrival, on the conductors' clock, starting at the earliest log line.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 import click
 import orjson
 
-COLD_S = 13.0  # since its start, that a server counts as cold here
-CALLS = (
+COLD_DURATION_S = 13.0  # after its start, in which a server counts as cold
+DISCOVERY_EVENTS = (
     "endpoint_watch_failed",
     "endpoint_watch_timed_out",
     "endpoint_watch_ended",
@@ -26,33 +26,33 @@
 
 
 def lines(folder: Path) -> Iterator[dict[str, Any]]:
-    """Every event of every conductor; what is no JSON object (a traceback, half a line) is passed over."""
+    """The events of all conductors; lines without a JSON object (tracebacks, truncated lines) are skipped."""
     for path in sorted(folder.iterdir()):
         for line in path.read_bytes().splitlines():
             begin = line.find(b"{")
             try:
-                told = orjson.loads(line[begin:]) if begin >= 0 else None
+                event = orjson.loads(line[begin:]) if begin >= 0 else None
             except orjson.JSONDecodeError:
                 continue
-            if isinstance(told, dict) and "event" in told and "at" in told:
-                yield told
+            if isinstance(event, dict) and "event" in event and "at" in event:
+                yield event
 
 
 @dataclass(slots=True)
 class Window:
-    """What began in one stretch of time."""
+    """Counts of one interval of time."""
 
-    requests: Counter[str] = field(default_factory=Counter)  # by class and how they ended
+    requests: Counter[str] = field(default_factory=Counter)  # by class and outcome
     first_ms: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))  # by class
     attempts: Counter[str] = field(default_factory=Counter)  # by outcome
     sends: int = 0
-    repeats: int = 0  # sends of the same step behind the first
-    reads_not_taken: int = 0  # reads that ended well, and no writer began their answer
+    repeats: int = 0  # sends of a step after its first
+    unused_prefills: int = 0  # prefills that succeeded, but no decode server began their response
     cold_sends: Counter[str] = field(default_factory=Counter)  # by server
     events: Counter[str] = field(default_factory=Counter)
 
-    def told(self) -> dict[str, Any]:
-        """For JSON."""
+    def data(self) -> dict[str, Any]:
+        """The counts as an object for JSON."""
         total = sum(self.requests.values())
         return {
             "requests": dict(sorted(self.requests.items())),
@@ -60,7 +60,7 @@
             "attempts": dict(sorted(self.attempts.items())),
             "sends_a_request": round(self.sends / total, 3) if total else None,
             "repeats": self.repeats,
-            "reads_not_taken": self.reads_not_taken,
+            "reads_not_taken": self.unused_prefills,
             "cold_sends": sum(self.cold_sends.values()),
             "cold_sends_most_at_one": max(self.cold_sends.values(), default=0),
             "events": dict(sorted(self.events.items())),
@@ -74,35 +74,37 @@
 
 
 def count(events: Iterable[dict[str, Any]], window_s: float) -> dict[str, Any]:
-    """The table of one day: windows, the whole of it, and what each request cost beside its sends."""
-    told = sorted(events, key=lambda each: each["at"])
-    if not told:
-        return {"windows": {}, "whole": Window().told(), "conductors": 0}
-    began_s = told[0]["at"]
-    starts = {server: since / 1000 for each in told for server, since in each.get("fresh", {}).items()}
-    windows, whole = defaultdict[int, Window](Window), Window()
-    for each in told:
+    """The counts of one run: by window, in total, and some costs per request."""
+    data = sorted(events, key=lambda each: each["at"])
+    if not data:
+        return {"windows": {}, "whole": Window().data(), "conductors": 0}
+    began_s = data[0]["at"]
+    start_times_s = {
+        server: started_ms / 1000 for each in data for server, started_ms in each.get("fresh", {}).items()
+    }
+    windows, overall = defaultdict[int, Window](Window), Window()
+    for each in data:
         arrived_s = each["at"] - (each["ms"] / 1000 if each["event"] == "request_ended" else 0.0)
-        for window in (windows[int(max(0.0, arrived_s - began_s) // window_s)], whole):
+        for window in (windows[int(max(0.0, arrived_s - began_s) // window_s)], overall):
             if each["event"] == "request_ended":
-                _add(window, each, arrived_s, starts)
+                _add(window, each, arrived_s, start_times_s)
             else:
                 window.events[each["event"]] += 1
-    asked = sum(whole.events[name] for name in CALLS) + whole.events["ready"]
-    total = max(1, sum(whole.requests.values()))
+    discovery_calls = sum(overall.events[name] for name in DISCOVERY_EVENTS) + overall.events["ready"]
+    total = max(1, sum(overall.requests.values()))
     return {
-        "conductors": len({each.get("conductor") for each in told}),
-        "windows": {f"{number * window_s:g}": windows[number].told() for number in sorted(windows)},
-        "whole": whole.told(),
+        "conductors": len({each.get("conductor") for each in data}),
+        "windows": {f"{number * window_s:g}": windows[number].data() for number in sorted(windows)},
+        "whole": overall.data(),
         "a_request": {
-            "connects_failed": round(whole.attempts["connect failed"] / total, 4),
-            "list_calls": round(asked / total, 4),
-            "releases": round(whole.events["release_ended"] / total, 4),
+            "connects_failed": round(overall.attempts["connect failed"] / total, 4),
+            "list_calls": round(discovery_calls / total, 4),
+            "releases": round(overall.events["release_ended"] / total, 4),
         },
     }
 
 
-def _add(window: Window, ended: dict[str, Any], arrived_s: float, starts: dict[str, float]) -> None:
+def _add(window: Window, ended: dict[str, Any], arrived_s: float, start_times_s: dict[str, float]) -> None:
     name = f"class {ended['class']}"
     window.requests[f"{name} {ended['how']}"] += 1
     if ended.get("first_ms") is not None:
@@ -110,20 +112,20 @@
     outcomes, at_s = [str(outcome) for _, outcome, *_ in ended["attempts"]], arrived_s
     for server, outcome, took_ms, *_ in ended["attempts"]:
         window.attempts[str(outcome)] += 1
-        if server in starts and at_s - starts[server] < COLD_S:
+        if server in start_times_s and at_s - start_times_s[server] < COLD_DURATION_S:
             window.cold_sends[server] += 1
         at_s += took_ms / 1000
     window.sends += len(outcomes)
-    reads = outcomes.count("read")
-    window.repeats += max(0, len(outcomes) - 1 - min(1, reads))
-    window.reads_not_taken += reads - (reads > 0 and outcomes[-1] in ("ok", "reset", "None"))
+    prefills = outcomes.count("read")
+    window.repeats += max(0, len(outcomes) - 1 - min(1, prefills))
+    window.unused_prefills += prefills - (prefills > 0 and outcomes[-1] in ("ok", "reset", "None"))
 
 
 @click.command(help=__doc__)
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @click.option("--window-s", default=5.0, show_default=True, help="Length of a window, in s.")
 def main(folder: Path, window_s: float) -> None:
-    """Print the table."""
+    """Print the counts."""
     click.echo(orjson.dumps(count(lines(folder), window_s), option=orjson.OPT_INDENT_2))
 
 
--- a/benchmarks/fleet_plays.py
+++ b/benchmarks/fleet_plays.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """One call of the bench: a single day of a kind, or a whole panel of days."""
+    """One call of the bench: one simulated day of a kind, or a panel of days."""
 
     name: str
     is_panel: bool
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """What the bench reported of one day; ``faults`` is empty if the day passed."""
+    """What the bench reported for one day; ``faults`` is empty if the day passed."""
 
     name: str
     seed: int
@@ -48,14 +48,14 @@
     def row(self) -> str:
         """A row of the Markdown table."""
         verdict = "; ".join(self.faults) or "rules kept"
-        worth, score = _figure(self.worth), _figure(self.score)
+        worth, score = _format_figure(self.worth), _format_figure(self.score)
         cells = (self.name, self.seed, self.conductors, self.servers, worth, score, verdict)
         return f"| {' | '.join(map(str, cells))} |"
 
 
 @dataclass(frozen=True, slots=True)
 class Bench:
-    """How the bench is called."""
+    """The bench's path and the arguments that all plays have in common."""
 
     program: Path
     site: Path
@@ -63,7 +63,7 @@
     why: str
 
     def command(self, play: Play, report: Path) -> list[str]:
-        """The command line of one play that writes its report to a file."""
+        """The command line of a play that writes its report to a file."""
         site = str(self.site)
         day = ["score", site, "--panel", play.name] if play.is_panel else [site, "--rough", play.name]
         size = ["--nodes", str(self.nodes)] if self.nodes else []
@@ -72,7 +72,7 @@
 
 
 def read_days(report: dict[str, Any]) -> Iterator[Day]:
-    """The days of one report: of a score, or the one row of a single day."""
+    """The days of a report, which has a list of days, or one row for a single day."""
     for told in report["days"] if "days" in report else [report["row"]]:
         yield Day(
             told["name"],
@@ -86,7 +86,7 @@
 
 
 def _faults(told: dict[str, Any]) -> Iterator[str]:
-    """Everything that fails a version: a crash, a gate that is not met, a broken rule."""
+    """The reasons why a day fails: a crash, a gate that is not met, broken rules."""
     if told.get("fault"):
         yield f"fault: {told['fault']}"
     if told.get("gate"):
@@ -96,12 +96,12 @@
             yield f"{rule} broken {count} times"
 
 
-def _figure(value: float | None) -> str:
+def _format_figure(value: float | None) -> str:
     return "-" if value is None else f"{value:.3f}"
 
 
 def play_one(bench: Bench, play: Play) -> list[Day]:
-    """Run one play; a bench that ends without a report counts as a day with a fault."""
+    """Run one play; a bench that exits without a report counts as a day with a fault."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
         ended = run(bench.command(play, report), stdin=DEVNULL, stdout=DEVNULL, check=False)
@@ -112,19 +112,23 @@
 
 
 def play_all(bench: Bench, plays: list[Play], at_once: int) -> Iterator[list[Day]]:
-    """Run the plays, a few at a time, in order."""
+    """Run the plays, up to `at_once` concurrently; results come in the order of the plays."""
     with ThreadPoolExecutor(at_once) as pool:
         yield from pool.map(lambda play: play_one(bench, play), plays)
 
 
 @click.command(help=__doc__)
-@click.option("--bench", type=click.Path(exists=True, path_type=Path), required=True, help="The program.")
-@click.option("--site", type=click.Path(exists=True, path_type=Path), required=True, help="The site file.")
+@click.option(
+    "--bench", type=click.Path(exists=True, path_type=Path), required=True, help="Path of the bench."
+)
+@click.option(
+    "--site", type=click.Path(exists=True, path_type=Path), required=True, help="Path of the site file."
+)
 @click.option("--kind", "kinds", multiple=True, help="A kind of rough day; may be repeated.")
 @click.option("--panel", "panels", multiple=True, help="A panel of days; may be repeated.")
 @click.option("--seed", "seeds", type=int, multiple=True, default=(1,), show_default=True)
 @click.option("--nodes", type=int, help="Conductors of a rough day.")
-@click.option("--at-once", type=int, default=1, show_default=True, help="Plays at the same time.")
+@click.option("--at-once", type=int, default=1, show_default=True, help="Number of concurrent plays.")
 @click.option("--why", required=True, help="One sentence for the journal.")
 def main(
     bench: Path,
@@ -136,7 +140,7 @@
     at_once: int,
     why: str,
 ) -> None:
-    """Play all kinds and panels on all seeds."""
+    """Play each kind and panel with each seed."""
     plays = [Play(name, False, seed) for name in kinds for seed in seeds]
     plays += [Play(name, True, seed) for name in panels for seed in seeds]
     failed = False
--- a/benchmarks/fleet_seeds.py
+++ b/benchmarks/fleet_seeds.py
@@ -1,6 +1,6 @@
-"""Days of faults of leased duties by the thousand: violated invariants, and how long duties were uncovered.
+"""Simulates faults of leased duties on thousands of seeds; reports violated invariants and coverage times.
 
-A seed that violates an invariant is printed with the moment; `--only SEED` repeats it.
+A seed that violates an invariant is printed with the time of the violation; `--only SEED` repeats it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from tests.simulated.faults import Fault, SeedReport, run_seed
 
-SEEDS_PER_TASK = 50  # given to a process at a time
+SEEDS_PER_TASK = 50  # run by a worker process as one task
 QUANTILES = {"half": 0.5, "99 of 100": 0.99, "all": 1.0}
 
 
@@ -24,11 +24,13 @@
 
     counts: Counter[str] = field(default_factory=Counter)
     faults: Counter[Fault] = field(default_factory=Counter)
-    coverage_s: list[float] = field(default_factory=list)  # the longest of each seed
+    coverage_s: list[float] = field(
+        default_factory=list
+    )  # the longest time of each seed until all duties were covered
     violations: int = 0
 
     def add(self, report: SeedReport) -> None:
-        """Add one seed."""
+        """Add the report of one seed."""
         self.faults += report.faults
         self.counts += Counter(
             steps=report.events, begun=report.acquisitions, applied=report.applied, stale=report.rejected
@@ -37,7 +39,7 @@
         self.violations += bool(report.violation)
 
     def coverage_quantiles_s(self) -> dict[str, float]:
-        """Within how many seconds duties were covered after a burst, by part of the seeds."""
+        """Quantiles, over the seeds, of the time until all duties were covered after a burst of faults."""
         ordered = sorted(self.coverage_s)
         last = len(ordered) - 1
         return {name: ordered[min(last, int(part * len(ordered)))] for name, part in QUANTILES.items()}
@@ -55,9 +57,9 @@
 
 @click.command(help=__doc__)
 @click.option("--first", default=0, show_default=True, help="The first seed.")
-@click.option("--seeds", default=10_000, show_default=True, help="How many.")
+@click.option("--seeds", default=10_000, show_default=True, help="Number of seeds.")
 @click.option("--processes", default=2, show_default=True)
-@click.option("--only", type=int, help="Play this one and tell all of it.")
+@click.option("--only", type=int, help="Run only this seed and print its full report.")
 def main(first: int, seeds: int, processes: int, only: int | None) -> None:
     """Run the seeds and print the totals."""
     if only is not None:
