--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -1,4 +1,4 @@
-"""The cost of members and the time to detect failures, by group size and loss, in virtual time. JSON."""
+"""Measures the cost of membership and the time to detect failures, by group size and loss. JSON on stdout."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def run_until_converged(world: SimulatedGroup) -> float:
-    """Run until all agree on the group; the s it took."""
+    """Run until all members agree on the group; returns the duration in s."""
     start_s = world.now_s
     while not world.has_converged() and world.now_s - start_s < CONVERGENCE_LIMIT_S:
         world.run(CHECK_INTERVAL_S)
@@ -35,7 +35,7 @@
 
 
 def false_failures(world: SimulatedGroup, killed: set[tuple[str, int]]) -> int:
-    """How often a running member was declared failed, by any other."""
+    """How often any member declared a running member failed."""
     return sum(
         isinstance(change, MemberFailed)
         and change.reason is FailureReason.SILENT
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """What one group has cost, per member and s of its idle time, and how its failures were detected."""
+    """The cost of one group, per member and second of its idle time, and its detection of failures."""
 
     joined_s: float
     datagrams: float
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """`idle_s`: over which cost is counted; `deaths`: members killed; `changes`: records per member and s."""
+    """`idle_s`: over which cost is counted; `deaths`: members killed; `changes`: writes per member and s."""
 
     idle_s: float
     deaths: int
@@ -94,13 +94,13 @@
 def kill_one_by_one(
     world: SimulatedGroup, names: list[str], deaths: int
 ) -> tuple[set[tuple[str, int]], list[float]]:
-    """Kill and restart members; names and starts of the killed ones, and all detection times in s."""
+    """Kill and restart members; returns names and starts of the killed ones, and all detection times in s."""
     killed: set[tuple[str, int]] = set()
     times_s: list[float] = []
     for name in world.rng.sample(names, deaths):
         local_member = world.nodes[name].membership.local_member
         victim = (local_member.name, local_member.start)
-        world.run(world.rng.uniform(0, 1))  # anywhere in an interval
+        world.run(world.rng.uniform(0, 1))  # so that the kill falls at any point of a probe interval
         killed_s = world.now_s
         killed.add(victim)
         world.kill(name)
@@ -139,7 +139,7 @@
 
 
 def report_row(members: int, loss: float, runs: list[Measurement]) -> dict[str, Any]:
-    """The averages over some runs, as they are printed."""
+    """The averages over some runs, as a row of the output."""
     times_s = np.array([time_s for run in runs for time_s in run.detection_times_s])
     return {
         "members": members,
@@ -161,14 +161,18 @@
 
 @click.command()
 @click.option("--members", "sizes", default="3,40,200", show_default=True, help="Numbers of members.")
-@click.option("--loss", "losses", default="0,0.05,0.2", show_default=True, help="Parts of datagrams lost.")
-@click.option("--seed", default=1, show_default=True, help="Of the first fleet; each further one adds 1.")
-@click.option("--seeds", default=3, show_default=True, help="Fleets for each row.")
+@click.option(
+    "--loss", "losses", default="0,0.05,0.2", show_default=True, help="Fractions of datagrams lost."
+)
+@click.option(
+    "--seed", default=1, show_default=True, help="Seed of the first group; each further one adds 1."
+)
+@click.option("--seeds", default=3, show_default=True, help="Groups per row.")
 @click.option("--idle", "idle_s", default=60.0, show_default=True, help="Seconds over which cost is counted.")
-@click.option("--deaths", default=3, show_default=True, help="Members killed in each fleet, one by one.")
-@click.option("--changes", default=0.0, show_default=True, help="Facts that each member changes, per second.")
+@click.option("--deaths", default=3, show_default=True, help="Members killed in each group, one by one.")
+@click.option("--changes", default=0.0, show_default=True, help="Records that each member writes per second.")
 def main(sizes: str, losses: str, seed: int, seeds: int, idle_s: float, deaths: int, changes: float) -> None:
-    """Print one JSON object: for each number of members and loss what a member costs, and deaths."""
+    """Print one JSON object, with a row for each number of members and each loss."""
     rows = []
     for members in map(int, sizes.split(",")):
         workload = Workload(idle_s, min(deaths, members - 1), changes)
--- a/benchmarks/members_sockets.py
+++ b/benchmarks/members_sockets.py
@@ -1,4 +1,4 @@
-"""The cost of members on real loopback sockets: CPU, memory and datagrams per member and second. JSON."""
+"""Measures members on loopback sockets: CPU and datagrams per member and second, memory. JSON on stdout."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def counter_value(registry: CollectorRegistry, name: str, direction: str) -> float:
-    """A counter's value."""
+    """The value of a members counter for one direction."""
     return registry.get_sample_value(f"ringledge_members_{name}_total", {"way": direction}) or 0.0
 
 
 def total(registries: list[CollectorRegistry], name: str) -> float:
-    """What all members have sent, by a counter."""
+    """The sum of a counter over what all members have sent."""
     return sum(counter_value(registry, name, "sent") for registry in registries)
 
 
@@ -62,13 +62,13 @@
 
 
 async def measure(members: int, seconds: float, seed: int) -> dict[str, Any]:
-    """The average cost of one of so many members in one process."""
+    """The average cost of a member, with all members in this process."""
     log.configure("error", "benchmark")
     with tempfile.TemporaryDirectory() as folder:
         key = Path(folder) / "key"
         key.write_text(random.Random(seed).randbytes(32).hex())
         async with anyio.create_task_group() as tasks:
-            memory = psutil.Process().memory_info().rss
+            rss_before = psutil.Process().memory_info().rss
             start_s = time.monotonic()
             started, registries = await start_members(members, key, seed, tasks)
             with anyio.fail_after(CONVERGENCE_LIMIT_S):
@@ -83,7 +83,7 @@
             cpu_s = time.process_time() - cpu_start_s
             datagrams = total(registries, "datagrams") - datagrams_before
             size_bytes = total(registries, "bytes") - bytes_before
-            memory_growth = psutil.Process().memory_info().rss - memory
+            rss_growth = psutil.Process().memory_info().rss - rss_before
             tasks.cancel_scope.cancel()
     member_s = members * seconds
     return {
@@ -92,19 +92,19 @@
         "datagrams_per_member_s": round(datagrams / member_s, 2),
         "bytes_per_member_s": round(size_bytes / member_s),
         "cpu_ms_per_member_s": round(cpu_s * 1000 / member_s, 2),
-        "kb_per_member": round(memory_growth / 1024 / members),
+        "kb_per_member": round(rss_growth / 1024 / members),
     }
 
 
 @click.command()
 @click.option("--members", "sizes", default="3,40,200", show_default=True, help="Numbers of members.")
-@click.option("--seconds", default=10.0, show_default=True, help="Over which cost is counted.")
-@click.option("--seed", default=1, show_default=True, help="Of keys and draws.")
+@click.option("--seconds", default=10.0, show_default=True, help="Time over which cost is counted.")
+@click.option("--seed", default=1, show_default=True, help="Seed of keys and random draws.")
 def main(sizes: str, seconds: float, seed: int) -> None:
-    """Print one JSON object with a row for each number; metrics of each member are in its memory too."""
-    memory = psutil.Process().memory_info().rss
+    """Print one JSON object with a row for each number of members; their memory includes their metrics."""
+    rss_before = psutil.Process().memory_info().rss
     importlib.import_module("ringledge.members.component")
-    imported = psutil.Process().memory_info().rss - memory
+    imported = psutil.Process().memory_info().rss - rss_before
     rows = [anyio.run(measure, members, seconds, seed) for members in map(int, sizes.split(","))]
     click.echo(
         orjson.dumps(
--- a/benchmarks/members_world.py
+++ b/benchmarks/members_world.py
@@ -19,17 +19,17 @@
 from ringledge.decide.records.replicated_records import ReplicatedRecords
 from ringledge.decide.records.settings import RecordsConfig
 
-DELAY_S = (0.001, 0.027)  # of a datagram, from what the platform states
+DATAGRAM_DELAY_S = (0.001, 0.027)  # range, from the platform's specification
 
 
 @dataclass(slots=True)
 class SimulatedMember:
-    """One simulated process."""
+    """The membership and records of one simulated process, with the datagrams that it has sent."""
 
     membership: Membership
     records: ReplicatedRecords
     changes: list[tuple[float, MembershipChange]] = field(default_factory=list)
-    paused: bool = False  # as by SIGSTOP: datagrams wait in the inbox
+    paused: bool = False  # as after SIGSTOP: received datagrams wait in the inbox
     inbox: list[tuple[str, msgspec.Struct]] = field(default_factory=list)
     tick_s: float = float("inf")
     datagrams: int = 0
@@ -39,8 +39,7 @@
 class SimulatedGroup:
     """The members by name, and the network between them.
 
-    `loss`, `duplication`: shares of the datagrams, 0 to 1; `is_partitioned`: whether those from a
-    to b are lost.
+    `loss`, `duplication`: fractions of datagrams; `is_partitioned`: whether those from a to b are lost.
     """
 
     def __init__(
@@ -83,7 +82,7 @@
         del self.nodes[name]
 
     def pause(self, name: str) -> None:
-        """Pause a member."""
+        """Pause a member as SIGSTOP does."""
         self.nodes[name].paused = True
 
     def resume(self, name: str) -> None:
@@ -96,7 +95,7 @@
         self._schedule_tick(name, node)
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> float:
-        """Advance the time by so many s, or until a condition holds; the s that have passed."""
+        """Advance the time by some seconds, or until a condition holds; returns the elapsed time in s."""
         start_s = self.now_s
         end_s = start_s + seconds
         while self._events and self._events[0][0] <= end_s:
@@ -168,7 +167,7 @@
         if self.rng.random() < self.loss or self.is_partitioned(name, action.recipient):
             self.lost_datagrams += 1
             return
-        delay_s = self.rng.uniform(*DELAY_S)
+        delay_s = self.rng.uniform(*DATAGRAM_DELAY_S)
         self._schedule(self.now_s + delay_s, lambda: self._deliver(name, action))
 
     def _deliver(self, sender: str, action: SendMessage) -> None:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,4 +1,4 @@
-"""One core under 1 to 3 times what it can do: bookings in time, loop delay, goodput. JSON on standard output.
+"""Measures one core at 1 to 3 times its capacity: bookings in time, loop delay, goodput. JSON on stdout.
 
 The conductor runs on a core of its own; capacity is the highest rate at which 97 of 100 requests of each
 class are served in time, found with overload control off. Rates follow the speed of the core, measured right
@@ -23,52 +23,54 @@
 from ringledge.lab.load_plan import LoadPlan, parse_shares
 from ringledge.lab.stage import LabProcesses, start_lab
 
-PROMETHEUS = 'enabled = true\nlisten = "127.0.0.1:0"\n'
-OVERLOAD = "enabled = true\n"
-MIN_IN_TIME_SHARE = 0.97  # of the requests served in time, from which on the core keeps up
+PROMETHEUS_CONFIG = 'enabled = true\nlisten = "127.0.0.1:0"\n'
+OVERLOAD_CONFIG = "enabled = true\n"
+MIN_IN_TIME_SHARE = 0.97  # of requests served in time, at which the core counts as keeping up
 
 
-def plan(on: LabProcesses, rate: float, seconds: float, kb: float, seed: int) -> LoadPlan:
-    """The issue's load: 19% bookings, by the tenants' shares."""
-    to, watch = on.listening["platform"], on.listening["operator"]
-    return LoadPlan(to, rate, seconds, 0.19, kb, 0.0, parse_shares(""), (), 0, watch, seed)
+def load_plan(stage: LabProcesses, rate: float, seconds: float, kb: float, seed: int) -> LoadPlan:
+    """The load of all runs: 19% bookings, split by the tenants' shares."""
+    target, health_address = stage.listening["platform"], stage.listening["operator"]
+    return LoadPlan(target, rate, seconds, 0.19, kb, 0.0, parse_shares(""), (), 0, health_address, seed)
 
 
 @dataclass(slots=True, frozen=True)
 class RunOptions:
-    """What several runs have in common."""
+    """The options that several runs have in common."""
 
     seconds: float
     kb: float  # size of a prompt
     tree: Path | None  # another checkout to measure
-    core: int  # the conductor's
+    core: int  # on which the conductor runs
 
 
-def once(rate: float, seed: int, options: RunOptions, sheds: bool) -> dict[str, Any]:
-    """One run on a fresh conductor, with overload control if `sheds`."""
-    deploy = {"prometheus.toml": PROMETHEUS} | ({"overload.toml": OVERLOAD} if sheds else {})
+def measure_run(rate: float, seed: int, options: RunOptions, sheds: bool) -> dict[str, Any]:
+    """Measure one run at a newly started conductor, with overload control if `sheds`."""
+    deploy = {"prometheus.toml": PROMETHEUS_CONFIG} | ({"overload.toml": OVERLOAD_CONFIG} if sheds else {})
     servers = ("--sockets", "4096", "--readers", "4", "--writers", "4")
     with start_lab(servers, deploy, options.tree, options.core) as staged:
         process = psutil.Process(staged.pid)
         before = sum(process.cpu_times()[:2])
-        report: dict[str, Any] = orjson.loads(load.run(plan(staged, rate, options.seconds, options.kb, seed)))
+        report: dict[str, Any] = orjson.loads(
+            load.run(load_plan(staged, rate, options.seconds, options.kb, seed))
+        )
         cpu_s = sum(process.cpu_times()[:2]) - before
         served = sum(each["ends"].get("served", 0) for each in report["classes"].values())
-        figures = staged.metrics_text()
+        metrics = staged.metrics_text()
         report |= {
             "rate": rate,
             "cpu_s": round(cpu_s, 2),
             "cpu_ms_per_served": round(1000 * cpu_s / max(1, served), 2),
             "rss_mb": round(process.memory_info().rss / 1e6, 1),
             "audit": staged.audit(),
-            "loop_delay_ms": loop_delay(figures),
+            "loop_delay_ms": loop_delay(metrics),
         }
         return report
 
 
-def loop_delay(figures: str) -> dict[str, float]:
+def loop_delay(metrics: str) -> dict[str, float]:
     """Quantiles of the conductor's own histogram of loop delays: the upper bounds of their buckets, in ms."""
-    buckets = re.findall(r'ringledge_loop_delay_seconds_bucket\{le="([^"]+)"\} (\S+)', figures)
+    buckets = re.findall(r'ringledge_loop_delay_seconds_bucket\{le="([^"]+)"\} (\S+)', metrics)
     if not buckets or not float(buckets[-1][1]):
         return {}
     total = float(buckets[-1][1])
@@ -77,7 +79,7 @@
 
 
 def speed(core: int) -> float:
-    """What the core does now, in turns of a fixed loop: such machines drift by half within minutes."""
+    """Iterations of a fixed loop that the core does now: its speed can change by half within minutes."""
     code = (
         "import os,time\nos.sched_setaffinity(0,{%d})\nn,end=0,time.perf_counter()+0.4\n"
         "while time.perf_counter()<end: n+=sum(range(2000))>0\nprint(n)" % core
@@ -89,7 +91,7 @@
     """The highest rate that the core keeps up with, to within 5%."""
     while high / low > 1.05:
         rate = (low * high) ** 0.5
-        report = once(rate, seed, options, False)
+        report = measure_run(rate, seed, options, False)
         keeps_up = min(each["in_time_share"] for each in report["classes"].values()) >= MIN_IN_TIME_SHARE
         low, high = (rate, high) if keeps_up else (low, rate)
     return low
@@ -97,20 +99,20 @@
 
 @click.command()
 @click.option("--tree", type=click.Path(exists=True, path_type=Path), help="Another checkout to measure.")
-@click.option("--capacity", "known", type=float, help="Requests a second; found if not given.")
+@click.option("--capacity", "known", type=float, help="Requests per second; searched for if not given.")
 @click.option("--kb", default=2.0, show_default=True, help="Size of a prompt.")
 @click.option("--seconds", default=12.0, show_default=True, help="Length of a run.")
 @click.option("--times", default="1,1.5,2,3", show_default=True, help="Multiples of the capacity.")
-@click.option("--runs", default=1, show_default=True, help="Runs of each, with seeds from 1 on.")
+@click.option("--runs", default=1, show_default=True, help="Runs per multiple, with seeds from 1 on.")
 @click.option("--core", default=0, show_default=True, help="The conductor's core.")
-@click.option("--off", is_flag=True, help="Without overload.toml.")
+@click.option("--off", is_flag=True, help="Run without overload.toml.")
 @click.option(
     "--against",
     type=click.Path(exists=True, path_type=Path),
-    help="A checkout measured in turn with this one, with no gate; the capacity is its own.",
+    help="A checkout measured alternately with this one, without overload control; its capacity is used.",
 )
-@click.option("--low", default=20.0, show_default=True, help="Where the search for the capacity begins.")
-@click.option("--high", default=1500.0, show_default=True, help="Where it ends.")
+@click.option("--low", default=20.0, show_default=True, help="Lower bound of the search for the capacity.")
+@click.option("--high", default=1500.0, show_default=True, help="Upper bound of that search.")
 def main(
     tree: Path | None,
     known: float | None,
@@ -124,7 +126,7 @@
     low: float,
     high: float,
 ) -> None:
-    """Measure, and print one JSON object with a run a line."""
+    """Measure all runs; print each to standard error and one JSON object with all of them."""
     base_rate = known or capacity(RunOptions(5.0, kb, against or tree, core), 1, low, high)
     initial_speed = speed(core)
     rows = []
@@ -133,7 +135,7 @@
         for seed, (version, checkout, sheds) in product(range(1, runs + 1), versions):
             current_speed = speed(core)
             rate = base_rate * multiple * current_speed / initial_speed
-            report = once(rate, seed, RunOptions(seconds, kb, checkout, core), sheds)
+            report = measure_run(rate, seed, RunOptions(seconds, kb, checkout, core), sheds)
             labels = {"version": version, "times": multiple, "rate": round(report["rate"]), "seed": seed}
             row = labels | {"speed": round(current_speed / initial_speed, 2)} | summary(report)
             click.echo(orjson.dumps(row).decode(), err=True)
@@ -143,7 +145,7 @@
 
 
 def summary(report: dict[str, Any]) -> dict[str, Any]:
-    """The figures of one run's report."""
+    """The figures of one run's report, as a row of the output."""
     query, booking = report["classes"].values()
     return {
         "bookings_in_time": booking["in_time_share"],
--- a/benchmarks/overload_alternatives.py
+++ b/benchmarks/overload_alternatives.py
@@ -15,7 +15,7 @@
 
 @click.command()
 @click.option("--seconds", default=20.0, show_default=True, help="Length of each run.")
-@click.option("--seed", default=1, show_default=True, help="Of the arrivals.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the arrivals.")
 def main(seconds: float, seed: int) -> None:
     """Replay every run under every policy."""
     shares = parse_shares("")
--- a/benchmarks/overload_core.py
+++ b/benchmarks/overload_core.py
@@ -1,7 +1,7 @@
 """A model of one core under load: a FIFO queue in which a request costs CPU at each of its steps.
 
 A request costs CPU when it is read, when its prefill has ended and with each event of its stream; a rejection
-costs only its head. The costs are those measured of this program.
+costs only the parsing of its head. The costs were measured on this program.
 """
 
 from __future__ import annotations
@@ -17,13 +17,17 @@
 from benchmarks.overload_policies import PRIORITY_WEIGHTS, AdmitAll, CpuBudgetPolicy
 from ringledge.lab.load_plan import Arrival
 
-HEAD_MS, ADMIT_MS, PREFILL_MS, EVENT_MS, KB_MS = 0.3, 1.2, 0.8, 0.2, 0.02  # of CPU
-SERVER_PREFILL_MS, EVENTS, GAP_MS = 20.0, 6, 50.0  # of the servers
+HEAD_MS, ADMIT_MS, PREFILL_MS, EVENT_MS, KB_MS = 0.3, 1.2, 0.8, 0.2, 0.02  # CPU time of each step
+SERVER_PREFILL_MS, EVENTS, GAP_MS = (
+    20.0,
+    6,
+    50.0,
+)  # the servers' prefill time, events per stream and the time between them
 TARGETS_MS = (1200.0, 2500.0)
 CAPACITY = 1000 / (HEAD_MS + ADMIT_MS + PREFILL_MS + EVENTS * EVENT_MS)  # requests a second
-SLOWDOWN = 20.0  # times as long that the servers take to prefill in the second half of "slow servers"
+SLOWDOWN = 20.0  # factor of the prefill time in the second half of the run "slow servers"
 HEARTBEAT_INTERVAL_MS, SAMPLE_INTERVAL_MS = 20.0, 60.0
-DRAIN_MS = 3000.0  # that the core works on after the last arrival
+DRAIN_MS = 3000.0  # simulated after the last arrival
 
 
 @dataclass(slots=True)
@@ -33,19 +37,19 @@
     now_ms: float = 0.0
     queue: deque[tuple[float, float, Callable[[], None]]] = field(
         default_factory=deque
-    )  # since, cost, callback
+    )  # due time, cost, callback
     timers: list[tuple[float, int, float, Callable[[], None]]] = field(default_factory=list)
-    sequence: int = 0  # of the last timer: equal times keep their order
+    sequence: int = 0  # of the last timer; keeps timers of equal times in order
     cpu_ms: float = 0.0
     lags_ms: list[float] = field(default_factory=list)
 
     def schedule(self, at_ms: float, cost_ms: float, callback: Callable[[], None]) -> None:
-        """Schedule work for a time."""
+        """Schedule work that costs CPU."""
         self.sequence += 1
         heapq.heappush(self.timers, (at_ms, self.sequence, cost_ms, callback))
 
     def run(self, until_ms: float) -> None:
-        """Simulate until that time."""
+        """Simulate until that time, or until no work is left."""
         while self.now_ms < until_ms:
             while self.timers and self.timers[0][0] <= self.now_ms:
                 at_ms, _, cost_ms, callback = heapq.heappop(self.timers)
@@ -63,7 +67,7 @@
 
 @dataclass(slots=True)
 class ClassCounts:
-    """The requests of one class."""
+    """Counts of the requests of one class."""
 
     arrived: int = 0
     in_time: int = 0
@@ -100,7 +104,7 @@
         }
 
     def _cpu_rate(self, min_span_ms: float) -> float:
-        """CPU time per time since the last sample."""
+        """CPU time per elapsed time since the last sample."""
         span_ms = max(min_span_ms, self._core.now_ms - self._sampled_at_ms)
         return (self._core.cpu_ms - self._cpu_at_sample_ms) / span_ms
 
--- a/benchmarks/overload_policies.py
+++ b/benchmarks/overload_policies.py
@@ -15,21 +15,21 @@
 
 
 class AdmitAll:
-    """Admits every request; the other alternatives decide."""
+    """Admits every request; the base class of the other policies."""
 
     def admit(self, now_ms: float, arrival: Arrival, age_ms: float) -> bool:
-        """Whether a request that has waited so long unread is admitted."""
+        """Whether a request is admitted that has waited `age_ms` to be read."""
         return True
 
     def on_first_token(self, now_ms: float, latency_ms: float) -> None:
-        """A response has had its first token."""
+        """Called at the first token of a response."""
 
     def on_sample(self, now_ms: float, loop_lag_ms: float, cpu_rate: float) -> None:
-        """Update by the event loop's lag and the CPU time per time since the last sample."""
+        """Called with the event loop's lag, and the CPU time per elapsed time, since the last sample."""
 
 
 class CoDel(AdmitAll):
-    """Controlled delay (RFC 8289) on the age of what is read; bookings go at ten times the target."""
+    """Controlled delay (RFC 8289) by queueing time; bookings are shed at ten times the target."""
 
     target_ms, interval_ms = 20.0, 100.0
 
@@ -58,7 +58,7 @@
 
 
 class Aimd(AdmitAll):
-    """AIMD limit of requests in flight: up by one a round, down by a tenth past twice the minimal latency."""
+    """AIMD limit of requests in flight: plus 1 per round, minus 10% above twice the minimal latency."""
 
     def __init__(self) -> None:
         self.limit = 50.0
@@ -83,7 +83,7 @@
 
 
 class Dagor(AdmitAll):
-    """DAGOR: levels of priority and a random part, moved by the mean queueing time (Zhou et al., 2018)."""
+    """DAGOR (Zhou et al., 2018): a threshold over random priority levels, moved by the mean queueing time."""
 
     level_count, alpha, beta, target_ms = 64, 0.05, 0.01, 20.0
 
@@ -144,7 +144,7 @@
 
 
 class CpuBudgetPolicy(AdmitAll):
-    """What this program does (`ringledge/decide/overload/admission.py`)."""
+    """The admission control of this program (`ringledge/decide/overload/admission.py`)."""
 
     def __init__(self) -> None:
         self.controller = OverloadController(
--- a/benchmarks/wheel.py
+++ b/benchmarks/wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel against a heap, a sorted list and a handle of the event loop for each timer. JSON."""
+"""Compares the timer wheel with a heap, a sorted list and one asyncio handle per timer. JSON on stdout."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 from ringledge.structures.timer_wheel import TimerWheel
 
-SPAN = 1500  # ticks over which timers expire: 75 s of 50 ms
-MAX_EXPIRED_PER_TURN = 500  # where the structure can bound it
+SPAN_TICKS = 1500  # over which timers expire: 75 s in ticks of 50 ms
+MAX_EXPIRED_PER_TURN = 500  # where the structure supports a bound
 
 
 class WheelTimers:
-    """The timer wheel."""
+    """The timer wheel of the program."""
 
     def __init__(self) -> None:
         self.wheel = TimerWheel()
@@ -39,7 +39,7 @@
 
 
 class HeapTimers:
-    """heapq; cancelled entries are marked and stay in the heap."""
+    """A heap (heapq); cancelled entries are marked and stay in it until they are due."""
 
     def __init__(self) -> None:
         self.heap: list[list[int]] = []
@@ -53,14 +53,14 @@
         entry[1] = 0
 
     def expire(self, now: int) -> int:
-        given = 0
-        while self.heap and self.heap[0][0] <= now and given < MAX_EXPIRED_PER_TURN:
-            given += heapq.heappop(self.heap)[1]
-        return given
+        expired = 0
+        while self.heap and self.heap[0][0] <= now and expired < MAX_EXPIRED_PER_TURN:
+            expired += heapq.heappop(self.heap)[1]
+        return expired
 
 
 class SortedTimers:
-    """sortedcontainers' list of (due, number)."""
+    """A SortedList (sortedcontainers) of pairs of due tick and number."""
 
     def __init__(self) -> None:
         self.sorted: Any = SortedList()
@@ -75,15 +75,15 @@
         self.sorted.remove(entry)
 
     def expire(self, now: int) -> int:
-        given = 0
-        while self.sorted and self.sorted[0][0] <= now and given < MAX_EXPIRED_PER_TURN:
+        expired = 0
+        while self.sorted and self.sorted[0][0] <= now and expired < MAX_EXPIRED_PER_TURN:
             self.sorted.pop(0)
-            given += 1
-        return given
+            expired += 1
+        return expired
 
 
 class LoopTimers:
-    """asyncio's handles, one a timer; what expires together runs in one turn."""
+    """One asyncio handle per timer; all handles that are due run in the same turn of the loop."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -96,68 +96,68 @@
         handle.cancel()
 
     def expire(self, now: int) -> int:
-        scheduled: list[asyncio.TimerHandle] = self.loop._scheduled  # type: ignore[attr-defined]
-        given = 0
-        while scheduled and scheduled[0].when() <= self.base + now:
-            handle = heapq.heappop(scheduled)
+        schedule_s: list[asyncio.TimerHandle] = self.loop._scheduled  # type: ignore[attr-defined]
+        expired = 0
+        while schedule_s and schedule_s[0].when() <= self.base + now:
+            handle = heapq.heappop(schedule_s)
             if not handle.cancelled():
                 handle._run()
-                given += 1
-        return given
+                expired += 1
+        return expired
 
 
-KINDS: dict[str, Callable[[], Any]] = {
+STRUCTURES: dict[str, Callable[[], Any]] = {
     "wheel": WheelTimers, "heapq": HeapTimers, "sortedcontainers": SortedTimers, "asyncio": LoopTimers,
 }  # fmt: skip
 
 
-def measure(kind: Callable[[], Any], count: int, together: bool) -> dict[str, float]:
-    """Schedule, cancel a tenth, let time pass tick by tick: time an operation, memory, worst turn."""
+def measure(structure: Callable[[], Any], count: int, together: bool) -> dict[str, float]:
+    """Schedule timers, cancel a tenth and expire the rest tick by tick; returns the costs."""
     rng = random.Random(1)
-    dues = [SPAN if together else rng.randrange(1, SPAN) for _ in range(count)]
+    dues = [SPAN_TICKS if together else rng.randrange(1, SPAN_TICKS) for _ in range(count)]
     gc.collect()
     tracemalloc.start()
-    timers = kind()
+    timers = structure()
     before = tracemalloc.get_traced_memory()[0]
     handles = [timers.schedule(due) for due in dues]
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     del timers, handles
-    timers = kind()
-    began = time.perf_counter()
+    timers = structure()
+    began_s = time.perf_counter()
     handles = [timers.schedule(due) for due in dues]
-    scheduled = time.perf_counter() - began
-    gone = rng.sample(range(count), count // 10)
-    began = time.perf_counter()
-    for number in gone:
+    schedule_s = time.perf_counter() - began_s
+    to_cancel = rng.sample(range(count), count // 10)
+    began_s = time.perf_counter()
+    for number in to_cancel:
         timers.cancel(handles[number])
-    cancelled = time.perf_counter() - began
-    worst, total, given, now = 0.0, 0.0, 0, 0
-    while now < SPAN or given < count - len(gone):
+    cancelled = time.perf_counter() - began_s
+    worst_s, total_s, expired, now = 0.0, 0.0, 0, 0
+    while now < SPAN_TICKS or expired < count - len(to_cancel):
         now += 1
-        began = time.perf_counter()
-        some = timers.expire(now)
-        took = time.perf_counter() - began
-        worst, total, given = max(worst, took), total + took, given + some
-        if now > 20 * SPAN:
+        began_s = time.perf_counter()
+        newly_expired = timers.expire(now)
+        took_s = time.perf_counter() - began_s
+        worst_s, total_s, expired = max(worst_s, took_s), total_s + took_s, expired + newly_expired
+        if now > 20 * SPAN_TICKS:
             break
     return {
-        "schedule_us": round(1e6 * scheduled / count, 3),
-        "cancel_us": round(1e6 * cancelled / max(1, len(gone)), 3),
-        "expire_us": round(1e6 * total / count, 3),
-        "worst_turn_ms": round(1e3 * worst, 3),
+        "schedule_us": round(1e6 * schedule_s / count, 3),
+        "cancel_us": round(1e6 * cancelled / max(1, len(to_cancel)), 3),
+        "expire_us": round(1e6 * total_s / count, 3),
+        "worst_turn_ms": round(1e3 * worst_s, 3),
         "bytes_each": round(size / count),
     }
 
 
 @click.command()
-@click.option("--counts", default="1000,10000,100000,1000000", show_default=True, help="Timers.")
+@click.option("--counts", default="1000,10000,100000,1000000", show_default=True, help="Numbers of timers.")
 def main(counts: str) -> None:
-    """Measure each kind with timers spread over 75 s, and with all due together."""
+    """Measure each structure with timers spread over 75 s, and with all due at the same time."""
     rows = {}
     for count in map(int, counts.split(",")):
-        for name, kind in KINDS.items():
-            spread, together = measure(kind, count, False), measure(kind, count, True)
+        for name, structure in STRUCTURES.items():
+            spread, together = measure(structure, count, False), measure(structure, count, True)
             rows[f"{count} {name}"] = spread | {"worst_turn_together_ms": together["worst_turn_ms"]}
     click.echo(orjson.dumps(rows, option=orjson.OPT_INDENT_2).decode())
 
