--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, a script each; `python -m benchmarks.NAME --help` says how."""
+"""Benchmark scripts; `python -m benchmarks.NAME --help` lists the options of one."""
--- a/benchmarks/queue_child.py
+++ b/benchmarks/queue_child.py
@@ -28,7 +28,9 @@
 from ringledge.store.queue import Queue
 from ringledge.store.settings import QueueConfig
 
-LATE_RECORD_DELAY_S = 0.5  # of the mutant between an attempt and its record: as long as a slow disk takes
+LATE_RECORD_DELAY_S = (
+    0.5  # between an attempt and its record in the mutant: the duration of a slow disk write
+)
 ENQUEUE_INTERVAL_S = 0.002
 
 
@@ -38,7 +40,7 @@
 
 
 class RemoteServers:
-    """The servers, played by the process that started this one."""
+    """Stand-ins for the servers, whose answers come from the parent process over standard input."""
 
     def __init__(self) -> None:
         self._in_flight: dict[str, Callable[[SendResult], None]] = {}
@@ -53,22 +55,22 @@
 
     @property
     def finished(self) -> bool:
-        """Whether no more requests come."""
+        """Whether no more requests will be enqueued."""
         return self.stopping and self.all_enqueued
 
     def cancel(self) -> bool:
-        """The servers answer all the same."""
+        """Do not cancel: the parent process answers every attempt."""
         return False
 
     async def receive(self) -> None:
         """Read answers from standard input; exits when it is closed."""
-        rest = b""
+        partial_line = b""
         while True:
             await anyio.wait_readable(sys.stdin)
             data = os.read(0, 65_536)
             if not data:
                 os._exit(0)
-            *lines, rest = (rest + data).split(b"\n")
+            *lines, partial_line = (partial_line + data).split(b"\n")
             for line in lines:
                 word, _, name = line.decode().partition(" ")
                 if word == "stop":
@@ -92,12 +94,12 @@
 
 
 def scheduler(seed: int, now_s: float) -> ReplayScheduler:
-    """A replay that sends at a high rate from its start."""
-    pace = RateController(random.Random(seed), jitter_s=0.0)
-    pace.set_ceiling(now_s, 1e6)
-    pace.open(now_s)
-    pace.rate = 1e5
-    return ReplayScheduler(pace, 16)
+    """A replay scheduler that sends at a high rate from its start."""
+    rate_controller = RateController(random.Random(seed), jitter_s=0.0)
+    rate_controller.set_ceiling(now_s, 1e6)
+    rate_controller.open(now_s)
+    rate_controller.rate = 1e5
+    return ReplayScheduler(rate_controller, 16)
 
 
 def queued_request(number: int) -> QueuedRequest:
@@ -127,7 +129,7 @@
 
 
 async def replay_all(queue: Queue, replayer: Replayer, servers: RemoteServers) -> int:
-    """Replay until no entry is left and no more come; the token that was used."""
+    """Replay until no entry is left and no more will come; returns the token that was used."""
     token = await queue.highest_token() + 1
     replayer.begin(token)
     write_line("began", str(token))
--- a/benchmarks/queue_cost.py
+++ b/benchmarks/queue_cost.py
@@ -1,7 +1,7 @@
 """Benchmark of the durable queue: the rate of enqueues with full sync, and a start with 100,000 entries.
 
 The start is measured in a process of its own: open and check the file, adopt it, find the oldest entries; its
-memory is what that adds to the process. JSON on standard output.
+memory is the increase in that process. JSON on standard output.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 ROOT = Path(__file__).parent.parent
 CONCURRENT_CLIENTS = (1, 8, 64, 256)
-RATE_DURATION_S = 3.0  # of the measurement of each rate
+RATE_DURATION_S = 3.0  # of the measurement for each number of clients
 TENANTS = 20
 TOKEN = 10**6
 
@@ -112,7 +112,7 @@
 
 
 class Timer:
-    """Durations of consecutive steps, by the name of the output's key."""
+    """Durations of consecutive steps, by their keys in the output."""
 
     def __init__(self) -> None:
         self.durations_ms: dict[str, float] = {}
@@ -130,8 +130,8 @@
 
 @click.command()
 @click.option("--entries", default=100_000)
-@click.option("--size", default=1_000, help="Bytes of a question.")
-@click.option("--at", hidden=True, help="Start at that file and tell the figures.")
+@click.option("--size", default=1_000, help="Size of a request in bytes.")
+@click.option("--at", hidden=True, help="Only measure a start with that file.")
 def main(entries: int, size: int, at: str | None) -> None:
     """Measure the rate of enqueues and the start of a process."""
     if at:
--- a/benchmarks/queue_kills.py
+++ b/benchmarks/queue_kills.py
@@ -27,13 +27,13 @@
 from ringledge.store.schema import connect
 
 ROOT = Path(__file__).parent.parent
-REQUESTS_PER_PROCESS = 40  # each of which brings two lines of output at least
-MAX_KILL_DELAY_S = 0.004  # after a line of output: as long as some syncs
+REQUESTS_PER_PROCESS = 40  # each causes at least two lines of output
+MAX_KILL_DELAY_S = 0.004  # after a line of output; covers the duration of some disk syncs
 
 
 @dataclass
 class Observed:
-    """What was observed outside the killed processes."""
+    """Events observed outside the killed processes."""
 
     accepted: dict[str, str] = field(default_factory=dict)  # request classes by name of those answered 202
     sent: Counter[str] = field(default_factory=Counter)  # attempts by name
@@ -51,7 +51,7 @@
 
 
 class ChildProcess:
-    """One process with the queue's file, and the servers that answer it."""
+    """A `queue_child` process with the queue's file, whose attempts this process answers."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         )
 
     def run_until(self, stop: Callable[[str], bool]) -> bool:
-        """Answer attempts until a line of output for which `stop` holds; False: the process has ended."""
+        """Answer attempts until `stop` holds for a line of output; False if the process has ended before."""
         assert self.process.stdin and self.process.stdout
         for line in self.process.stdout:
             self.observed.note(line)
@@ -80,7 +80,7 @@
         return False
 
     def kill(self) -> None:
-        """Send SIGKILL; whole lines that were written before still count."""
+        """Send SIGKILL; complete lines that were written before it still count."""
         assert self.process.stdout
         self.process.kill()
         for line in self.process.stdout:
@@ -90,7 +90,7 @@
         self.observed.kills += 1
 
     def finish(self) -> None:
-        """Let it replay all entries, then end."""
+        """Let the process replay all entries and end."""
         assert self.process.stdin
         self.process.stdin.write("stop\n")
         self.run_until(lambda line: line.startswith("done"))
@@ -135,7 +135,7 @@
 
 
 class _CountDown:
-    """Holds for the last of a number of lines."""
+    """A stop condition that holds from a given number of lines on."""
 
     def __init__(self, lines: int) -> None:
         self._lines = lines
@@ -152,7 +152,7 @@
     for number in range(kills):
         process = ChildProcess(path, observed, seed + number)
         process.run_until(_CountDown(rng.randrange(1, 2 * REQUESTS_PER_PROCESS)))
-        time.sleep(rng.uniform(0.0, MAX_KILL_DELAY_S))  # the moment is random; nothing is waited for
+        time.sleep(rng.uniform(0.0, MAX_KILL_DELAY_S))  # kills at a random moment; waits for nothing
         process.kill()
     ChildProcess(path, observed, seed, entries=0).finish()
     entries = read_entries(path, list(observed.accepted))
--- a/benchmarks/ratio.py
+++ b/benchmarks/ratio.py
@@ -1,8 +1,8 @@
-"""The planner against the best fixed split and the optimal plan, in virtual time; JSON on stdout.
+"""Compares the planner with the best fixed split and the optimal plan, in virtual time; JSON on stdout.
 
 Mixes: `short` (short prompts, long answers), `long` (long prompts, short answers), `autumn` (from one to the
-other within 60 s and back), `swing` (there and back every 20 s). The load is the same fraction of what the
-best split of all servers could do for the mix of the moment. Settings are those of deploy/ratio.toml.
+other within 60 s and back), `swing` (there and back every 20 s). The load is a fixed fraction of the
+capacity of the best split of all servers for the current mix. Settings are those of deploy/ratio.toml.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from ringledge.observe.logging import log
 
 SHAPES = ((1_000.0, 300.0), (4_000.0, 120.0))  # prompt tokens, answer tokens
-LOAD = 0.75  # of what the best split can do
+LOAD = 0.75  # of the capacity of the best split
 SIZES = {10: (1, 2, 5, 4), 60: (2, 6, 5, 4), 100: (2, 10, 5, 4)}  # sites, racks, servers a rack, members
-MEASURE_FROM_S, END_S = 60.0, 360.0  # measured interval; before, the simulation settles
-SHIFT_AT_S, SHIFT_BACK_AT_S = 120.0, 260.0  # when the mix of autumn begins to shift
+MEASURE_FROM_S, END_S = 60.0, 360.0  # measured interval; the simulation settles before it
+SHIFT_AT_S, SHIFT_BACK_AT_S = 120.0, 260.0  # when the mixes autumn and step begin to shift
 SHIFT_DURATION_S, HALF_PERIOD_S = 60.0, 20.0
-BIN_S = 5.0  # in which the recovery time is measured
+BIN_S = 5.0  # resolution of the recovery time
 
 
 def long_fraction(mix: str, now_s: float) -> float:
@@ -43,7 +43,7 @@
 
 
 def demand(mix: str, servers: int, now_s: float) -> tuple[float, float]:
-    """Requests per s of all, and the fraction of the second shape; none once it is over."""
+    """Requests per s, and the fraction of the second shape; no requests after END_S."""
     second = long_fraction(mix, now_s)
     prompt, answer = ((1 - second) * a + second * b for a, b in zip(*SHAPES, strict=True))
     rate = LOAD * servers / (prompt / PREFILL_RATE + answer / DECODE_RATE)
@@ -51,7 +51,7 @@
 
 
 def token_demand(mix: str, servers: int, now_s: float) -> tuple[float, float]:
-    """Tokens per s to prefill and decode at a site of so many servers."""
+    """Tokens per s to prefill and to decode at a site with that many servers."""
     rate, second = demand(mix, servers, min(now_s, END_S - 1))
     prompt, answer = ((1 - second) * a + second * b for a, b in zip(*SHAPES, strict=True))
     return rate * prompt, rate * answer
@@ -77,7 +77,7 @@
 
 
 def recovery_time_s(simulation: Simulation, best: Simulation, from_s: float, to_s: float) -> float:
-    """Time from a shift's begin until it stays at 90% of the best, up to the next shift; 0: never below."""
+    """Time from `from_s` until the value stays at 90% of the best up to `to_s`; 0 if it was never below."""
     bins = [from_s + BIN_S * at for at in range(int((to_s - from_s) / BIN_S))]
     below = [
         at for at in bins if simulation.served_value(at, at + BIN_S) < 0.9 * best.served_value(at, at + BIN_S)
@@ -86,16 +86,20 @@
 
 
 def compare(mix: str, size: int, seed: int, blind: bool) -> dict[str, Any]:
-    """One mix at one size and seed, by all strategies."""
-    begun, settings = time.perf_counter(), RatioConfig()
+    """Run all strategies on one mix, size and seed, and compare them."""
+    began_s, settings = time.perf_counter(), RatioConfig()
     sites, racks, each, _ = SIZES[size]
     servers = racks * each
     need = partial(token_demand, mix, servers)
-    middle = best_fixed_split(need, servers, END_S)
-    few = max(1, servers // 20)
-    fixes = [readers for readers in (middle - few, middle, middle + few) if 0 < readers < servers]
+    best_split = best_fixed_split(need, servers, END_S)
+    split_margin = max(1, servers // 20)
+    fixed_splits = [
+        readers
+        for readers in (best_split - split_margin, best_split, best_split + split_margin)
+        if 0 < readers < servers
+    ]
     fixed_runs = [
-        run(mix, size, seed, partial(ScriptedPlan, plan=partial(constant_plan, n)))[0] for n in fixes
+        run(mix, size, seed, partial(ScriptedPlan, plan=partial(constant_plan, n)))[0] for n in fixed_splits
     ]
     best_fixed = max(fixed_runs, key=lambda simulation: simulation.served_value(MEASURE_FROM_S, END_S))
     plans = [optimal_plan(need, servers, racks, settings, END_S, start_s) for start_s in (0.0, -4.0, 4.0)]
@@ -136,11 +140,11 @@
         else [],
         "changes": planned.changes,
         "foresight_changes": scripted.changes,
-        "fixed_readers": middle,
+        "fixed_readers": best_split,
         "twice": sum(job.decode_sends > 1 for job in simulation.requests),
         "no_end": sum(not job.outcome for job in simulation.requests),
         "states_left": sum(server.cache_entries for server in simulation.servers.values()),
-        "took_s": round(time.perf_counter() - begun, 1),
+        "took_s": round(time.perf_counter() - began_s, 1),
     }
 
 
@@ -154,15 +158,15 @@
 def main(mixes: tuple[str, ...], servers: tuple[str, ...], seeds: tuple[int, ...], blind: bool) -> None:
     """Compare the planner with a fixed split and with foresight."""
     log.configure("error", "lab")
-    found = [compare(mix, int(size), seed, blind) for mix in mixes for size in servers for seed in seeds]
-    kinds = sorted({(r["mix"], r["servers"]) for r in found})
+    results = [compare(mix, int(size), seed, blind) for mix in mixes for size in servers for seed in seeds]
+    mixes_and_sizes = sorted({(r["mix"], r["servers"]) for r in results})
     means = {
         f"{mix} {size}": round(
-            mean(r["of_foresight"] for r in found if (r["mix"], r["servers"]) == (mix, size)), 3
+            mean(r["of_foresight"] for r in results if (r["mix"], r["servers"]) == (mix, size)), 3
         )
-        for mix, size in kinds
+        for mix, size in mixes_and_sizes
     }
-    click.echo(orjson.dumps({"runs": found, "mean_of_foresight": means}, option=orjson.OPT_INDENT_2))
+    click.echo(orjson.dumps({"runs": results, "mean_of_foresight": means}, option=orjson.OPT_INDENT_2))
 
 
 if __name__ == "__main__":
--- a/benchmarks/ratio_records.py
+++ b/benchmarks/ratio_records.py
@@ -7,11 +7,11 @@
 
 StoredRecords = dict[
     str, dict[tuple[str, str], deque[tuple[float, bytes]]]
-]  # by prefix; member and key; when seen
+]  # by prefix, then by member and key: when they become visible, and the values
 
 
 class DelayedRecordStore:
-    """Records, each visible some time after it was written; each member has a delay of its own besides."""
+    """Records that become visible some time after they were written, with a further delay per member."""
 
     def __init__(self, records: StoredRecords, rng: Random, member: str) -> None:
         self._records = records
--- a/benchmarks/ratio_servers.py
+++ b/benchmarks/ratio_servers.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedRequest:
-    """One request."""
+    """One request, its lengths in tokens, and its outcome."""
 
     arrived_s: float
     prompt: float
@@ -21,13 +21,13 @@
     booking: bool
     conductor: SimulatedConductor
     prefill_server: SimulatedServer | None = None
-    decode_sends: int = 0  # number of times
+    decode_sends: int = 0  # how often it was sent to a decode server
     outcome: str = ""  # in time, late, refused, gone
 
 
 @dataclass(slots=True, eq=False)
 class SimulatedServer:
-    """One server; it does whatever work it is sent."""
+    """One server, which can do both prefill and decode."""
 
     name: str
     site: str
@@ -35,9 +35,11 @@
     prefill_rate: float
     decode_rate: float
     prefill_queue: deque[SimulatedRequest] = field(default_factory=deque)
-    decode_queue: deque[SimulatedRequest] = field(default_factory=deque)  # until a stream is free
+    decode_queue: deque[SimulatedRequest] = field(
+        default_factory=deque
+    )  # requests that wait for a free stream
     prefilling: bool = False
     queued_prefill_tokens: float = 0.0
     streams: int = 0
-    cache_entries: int = 0  # that wait to be fetched
-    cold_since_s: float = -1e9  # when it changed to prefill
+    cache_entries: int = 0  # waiting to be fetched or released
+    cold_since_s: float = -1e9  # when it last changed to prefill
--- a/benchmarks/ratio_simulation.py
+++ b/benchmarks/ratio_simulation.py
@@ -1,4 +1,4 @@
-"""Servers and conductors in virtual time, for `benchmarks/ratio.py`: roles by the program's own modules.
+"""Servers and conductors in virtual time with the program's own role modules, for `benchmarks/ratio.py`.
 
 Each conductor has its own registry of roles and receives assignments late. Servers prefill first come first
 served, decode a limited number of streams, and do either more slowly while they do both. The cache of a
@@ -34,7 +34,7 @@
 RATE_NOISE = 0.15  # of a member's measurement of a server's rate
 TICK_S = 0.5  # between two updates of a conductor
 REPORT_INTERVAL_S = 1.0  # between two reports of a conductor
-ANSWER_SAMPLE_WEIGHT = 0.1  # weight of a new answer in the mean answer of its class
+ANSWER_SAMPLE_WEIGHT = 0.1  # weight of a new answer in the moving average of its class
 BOOKING_FRACTION = 0.1  # of all requests: never sent to a decode server twice
 
 
@@ -111,7 +111,7 @@
 
 
 class Simulation:
-    """One run; `mix(now_s)` gives requests per s and the part of them that is of the second class_name."""
+    """One run; `mix(now_s)` gives requests per s and the fraction of them that has the second shape."""
 
     def __init__(
         self,
@@ -138,8 +138,8 @@
         sites, racks, each, members = sizes
         for number in range(sites * racks * each):
             name, rack = f"b{number:03}", number // each
-            read, write = (rate * self.rng.uniform(0.85, 1.15) for rate in (PREFILL_RATE, DECODE_RATE))
-            self.servers[name] = SimulatedServer(name, f"s{rack // racks}", f"r{rack}", read, write)
+            prefill, decode = (rate * self.rng.uniform(0.85, 1.15) for rate in (PREFILL_RATE, DECODE_RATE))
+            self.servers[name] = SimulatedServer(name, f"s{rack // racks}", f"r{rack}", prefill, decode)
         self.listed = [ListedServer(s.name, s.site, s.rack, "both") for s in self.servers.values()]
         self.conductors = [
             SimulatedConductor(self, f"c{site}{at}", f"s{site}")
@@ -153,7 +153,7 @@
         self.after(2 * TICK_S, self._arrive)  # conductors have their assignments by then
 
     def after(self, wait_s: float, call: Callable[..., None], *args: Any) -> None:
-        """Call something in virtual time."""
+        """Schedule a call in virtual time."""
         heapq.heappush(self._events, (self.now_s + wait_s, next(self._numbers), call, args))
 
     def run_until(self, until_s: float) -> None:
@@ -166,13 +166,13 @@
     def _arrive(self) -> None:
         rate, second_fraction = self.mix(self.now_s)
         if rate <= 0:
-            return  # the end: work in flight still completes
+            return  # no more arrivals; requests in flight still complete
         shape = int(self.rng.random() < second_fraction)
         prompt, answer = self.shapes[shape]
-        conductor, vary = self.rng.choice(self.conductors), self.rng.expovariate
+        conductor, draw_length = self.rng.choice(self.conductors), self.rng.expovariate
         booking = self.rng.random() < BOOKING_FRACTION
         class_name = "booking" if booking else "any" if self.single_class else f"query{shape}"
-        lengths = 50 + vary(1 / (prompt - 50)), 10 + vary(1 / (answer - 10))
+        lengths = 50 + draw_length(1 / (prompt - 50)), 10 + draw_length(1 / (answer - 10))
         request = SimulatedRequest(self.now_s, *lengths, class_name, booking, conductor)
         self.requests.append(request)
         if conductor.prefill_servers:
@@ -256,7 +256,7 @@
             )
 
     def _release_cache(self, request: SimulatedRequest, outcome: str) -> None:
-        """The cache entry is fetched or released; nothing waits at its prefill server any more."""
+        """Record the outcome, and remove the KV cache entry from its prefill server."""
         assert request.prefill_server is not None and not request.outcome
         request.outcome = outcome
         request.prefill_server.cache_entries -= 1
@@ -271,7 +271,7 @@
         self._start_decode(server)
 
     def served_value(self, from_s: float, to_s: float) -> float:
-        """The mean value of the requests that arrived in a time."""
+        """The mean value of the requests that arrived in an interval."""
         value_of_outcome = {"in time": 1.0, "late": LATE_VALUE}
         values = [
             value_of_outcome.get(request.outcome, 0.0)
--- a/benchmarks/ratio_strategies.py
+++ b/benchmarks/ratio_strategies.py
@@ -17,17 +17,17 @@
 from ringledge.members.planner import RolePlannerService
 
 MAX_UTILIZATION = 0.9  # of the capacity that keeps requests in time
-SPARE_CAPACITY_VALUE = 0.05  # of capacity beyond the demand
-MEAN_DRAIN_S = 5.0  # that an optimal change is assumed to drain in the mean: about a long answer
+SPARE_CAPACITY_VALUE = 0.05  # weight of the ratio of capacity to demand
+MEAN_DRAIN_S = 5.0  # assumed mean drain of a role change: about the duration of a long answer
 
 
 Counts = numpy.typing.NDArray[numpy.float64]
 
 
 def served_value(demand: tuple[float, float], prefill_servers: Counts, decode_servers: Counts) -> Counts:
-    """The value of what so many servers of a site serve of its demand (tokens per s to prefill and decode).
+    """The value that these numbers of servers serve of a site's demand (tokens per s to prefill and decode).
 
-    Nearly full servers make requests late by their queues; where all is served more capacity is better.
+    Requests become late in the queues of nearly full servers; spare capacity has some value of its own.
     """
     capacity_ratio = numpy.minimum(
         prefill_servers * PREFILL_RATE / demand[0], decode_servers * DECODE_RATE / demand[1]
@@ -38,7 +38,7 @@
 
 
 class ScriptedPlan:
-    """Publishes assignments that were computed beforehand: a fixed split, or one for each moment."""
+    """Publishes assignments that were computed beforehand: a fixed split, or one that changes over time."""
 
     def __init__(self, simulation: Simulation, plan: Callable[[float], int]) -> None:
         """`plan`: how many servers of a site should do prefill at a time."""
@@ -62,7 +62,7 @@
         )
 
     def _step(self) -> None:
-        """One change at a time in a rack, as for the planner; a server may change again at once."""
+        """Change one server at a time per rack, as the planner does, but without a minimum dwell time."""
         registry = self.simulation.conductors[0].registry
         busy = {each.rack for each in self.simulation.listed if each.name in registry.changing_servers()}
         sites = defaultdict[str, list[ListedServer]](list)
@@ -90,7 +90,7 @@
 
 
 def spread_over_racks(listed: Sequence[ListedServer]) -> list[ListedServer]:
-    """By site, and within it so that neighbours are in different racks."""
+    """Sort by site, and within a site so that neighbours are in different racks."""
     racks, at = defaultdict[str, int](int), dict[str, int]()
     for each in listed:
         at[each.name], racks[each.rack] = racks[each.rack], racks[each.rack] + 1
@@ -98,7 +98,7 @@
 
 
 def best_fixed_split(demand: Callable[[float], tuple[float, float]], servers: int, until_s: float) -> int:
-    """The number of prefill servers of a site that serves most with one split for all the time."""
+    """The number of prefill servers per site that serves most if the split never changes."""
     prefill_servers = numpy.arange(1.0, servers)
     served = sum(
         served_value(demand(at), prefill_servers, servers - prefill_servers)
@@ -117,27 +117,27 @@
 ) -> Callable[[float], int]:
     """The optimal split for each moment with knowledge of all future demand (dynamic programming).
 
-    What changes serves neither role for the time of a change. `start_s`: of its grid.
+    A server that changes its role serves neither during a step. `start_s`: begin of the grid of steps.
     """
     step_s = settings.propagation_s + MEAN_DRAIN_S + settings.warm_up_s / 2
     steps = ceil((until_s - start_s) / step_s) + 1
     counts = numpy.arange(1.0, servers)
-    value, follow = numpy.zeros(len(counts)), list[numpy.typing.NDArray[numpy.int64]]()
+    value, best_next = numpy.zeros(len(counts)), list[numpy.typing.NDArray[numpy.int64]]()
     after, before = numpy.meshgrid(counts, counts)
-    can = numpy.abs(after - before) <= racks
-    fewer, more = numpy.minimum(after, before), servers - numpy.maximum(after, before)
+    reachable = numpy.abs(after - before) <= racks
+    prefill_counts, decode_counts = numpy.minimum(after, before), servers - numpy.maximum(after, before)
     for step in reversed(range(steps)):
-        gained = numpy.zeros(can.shape)
+        step_value = numpy.zeros(reachable.shape)
         for at in numpy.arange(start_s + step * step_s, start_s + (step + 1) * step_s, 1.0):
-            gained += served_value(demand(float(at)), fewer, more)
-        total = numpy.where(can, gained + value[None, :] - 1e-3 * numpy.abs(after - before), -1.0)
-        follow.append(numpy.argmax(total, axis=1))
+            step_value += served_value(demand(float(at)), prefill_counts, decode_counts)
+        total = numpy.where(reachable, step_value + value[None, :] - 1e-3 * numpy.abs(after - before), -1.0)
+        best_next.append(numpy.argmax(total, axis=1))
         value = total.max(axis=1)
-    follow.reverse()
+    best_next.reverse()
     at, path = int(numpy.argmax(value)), list[int]()
     for step in range(steps):
         path.append(int(counts[at]))
-        at = int(follow[step][at])
+        at = int(best_next[step][at])
     path.append(int(counts[at]))
 
     def plan(now_s: float) -> int:
@@ -148,7 +148,7 @@
 
 
 class SimulatedPlanner:
-    """The program's planner, held by one member; `start` prefill servers of a site before it begins."""
+    """The program's planner, run by one member; each site starts with `start` prefill servers."""
 
     def __init__(self, simulation: Simulation, start: int) -> None:
         self.simulation = simulation
@@ -180,7 +180,7 @@
         self._step(self.service, self.token)
 
     def fail_over(self) -> None:
-        """The holder fails; another begins."""
+        """Let the holder fail, and begin a term at another member."""
         self.holder = (self.holder + 1) % len(self.simulation.conductors)
         self.service.stop()
         changes, self.service = self.service.changes, self._new_service()
@@ -192,11 +192,13 @@
             return
         step = service.step(token, lambda: service is self.service)
         try:
-            step.send(None)  # nothing in it waits
+            step.send(None)  # runs the step to its end, since nothing in it waits
         except StopIteration as ended:
             self.simulation.after(ended.value, self._step, service, token)
         else:
-            raise RuntimeError("the planner's step waits for something")
+            raise RuntimeError(
+                "the planner's step awaited something; the simulation runs each step without an event loop"
+            )
 
     @property
     def changes(self) -> int:
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -1,8 +1,8 @@
-"""Replay of five sites with backlogs of 100 to 1: fairness, live traffic's first tokens, and flapping links.
+"""Measures replay by five sites whose backlogs differ by up to 100 to 1: fairness, live latency, link flaps.
 
-Each seed is played without replay, with it, with all sent at once, and with links that are up for 3 s at
-a time. Fairness is Jain's index of the sites' work by weight while all of them have something queued. JSON
-on standard output; ends with 1 where a bound that the design asks for is missed.
+Each seed is simulated without replay, with replay, with all entries sent at once, and with links that are up
+for 3 s at a time. Fairness is Jain's index of the sites' served work, divided by their weights, while all of
+them have queued entries. JSON on standard output; the exit code is 1 if a required bound is missed.
 
     python -m benchmarks.replay --seeds 5
 """
@@ -28,11 +28,11 @@
     240.0,
     0.5,
     0.75,
-)  # s; live traffic as fractions of the prefill capacity
+)  # duration in s; live traffic as fractions of the prefill capacity
 UNLIMITED_IN_FLIGHT, UNLIMITED_DURATION_S = (
     300,
     15.0,
-)  # entries of a site under way where all are sent at once, and s of that play
+)  # entries in flight per site, and duration in s, of the simulation that sends all at once
 MIN_JAIN_INDEX, MAX_P99_RATIO = 0.95, 1.1
 FLAP_PERIOD_S, FLAP_UP_S = 10.0, 3.0
 
@@ -40,12 +40,12 @@
 def live_only(
     seed: int, burst_at_s: float = 0.0, live: float = LIVE_LOAD, duration_s: float = DURATION_S
 ) -> World:
-    """Live traffic alone."""
+    """A simulation of live traffic alone."""
     return World(seed, live, duration_s, burst_at_s)
 
 
 def with_queues(simulated: World, seed: int, flapping: bool = False) -> World:
-    """With all sites' queues; `flapping`: their links are there for a moment at a time, all together."""
+    """Add all sites with their queues; `flapping`: all links go up and down together, periodically."""
     rng = random.Random(seed + 2)
     for name, entries in BACKLOGS.items():
         if flapping:
@@ -58,7 +58,7 @@
 
 
 def without_limits(simulated: World, seed: int) -> World:
-    """A site without rate control: it sends everything as soon as its link is up."""
+    """Add all sites without rate control: they send everything as soon as their links are up."""
     with_queues(simulated, seed)
     for site in simulated.sites.values():
         site.scheduler._max_in_flight = UNLIMITED_IN_FLIGHT
@@ -85,9 +85,9 @@
 
 
 def run_seed(seed: int) -> dict[str, Any]:
-    """One seed."""
-    alone, replayed = live_only(seed), with_queues(live_only(seed), seed)
-    before, herd = (
+    """Run all simulations of one seed, and summarise them."""
+    live_alone, replayed = live_only(seed), with_queues(live_only(seed), seed)
+    before, unlimited = (
         live_only(seed, duration_s=UNLIMITED_DURATION_S),
         without_limits(live_only(seed, duration_s=UNLIMITED_DURATION_S), seed),
     )
@@ -97,36 +97,47 @@
         live_only(seed, live=HIGH_LIVE_LOAD),
         with_queues(live_only(seed, live=HIGH_LIVE_LOAD), seed),
     )
-    unlent = with_queues(live_only(seed), seed)
-    unlent.records_delivered = False
-    for each in (alone, replayed, before, herd, burst, bursting, flapping, unlent, busy, busier):
+    without_loans = with_queues(live_only(seed), seed)
+    without_loans.records_delivered = False
+    for each in (
+        live_alone,
+        replayed,
+        before,
+        unlimited,
+        burst,
+        bursting,
+        flapping,
+        without_loans,
+        busy,
+        busier,
+    ):
         each.run()
     sites, tenants = jain_indices(replayed)
     windows = Counter(int(at_s // FLAP_PERIOD_S) for at_s, _ in flapping.sends)
-    most = max(windows.values(), default=0)
-    work, without = (
+    most_sends = max(windows.values(), default=0)
+    work, work_without_loans = (
         sum(work for site in each.sites.values() for _, work, _ in site.served_log)
-        for each in (replayed, unlent)
+        for each in (replayed, without_loans)
     )
     return {
         "seed": seed,
         "jain_sites": round(sites, 4),
         "jain_tenants": round(tenants, 4),
-        "p99_alone_s": round(p99_first_token_s(alone), 4),
-        "p99_ratio": round(p99_first_token_s(replayed) / p99_first_token_s(alone), 4),
-        "p99_ratio_all_at_once": round(p99_first_token_s(herd) / p99_first_token_s(before), 4),
+        "p99_alone_s": round(p99_first_token_s(live_alone), 4),
+        "p99_ratio": round(p99_first_token_s(replayed) / p99_first_token_s(live_alone), 4),
+        "p99_ratio_all_at_once": round(p99_first_token_s(unlimited) / p99_first_token_s(before), 4),
         "p99_ratio_live_doubles": round(p99_first_token_s(bursting) / p99_first_token_s(burst), 4),
         "p99_ratio_live_075": round(p99_first_token_s(busier) / p99_first_token_s(busy), 4),
-        "p99_ratio_flapping": round(p99_first_token_s(flapping) / p99_first_token_s(alone), 4),
-        "live_refused": [alone.live_rejected, replayed.live_rejected, herd.live_rejected],
+        "p99_ratio_flapping": round(p99_first_token_s(flapping) / p99_first_token_s(live_alone), 4),
+        "live_refused": [live_alone.live_rejected, replayed.live_rejected, unlimited.live_rejected],
         "replayed_tokens_per_s": round(work / DURATION_S),
-        "replayed_tokens_per_s_without_loans": round(without / DURATION_S),
+        "replayed_tokens_per_s_without_loans": round(work_without_loans / DURATION_S),
         "drained_s": {name: round(site.ended_s, 1) for name, site in replayed.sites.items()},
         "entries_left": sum(site.waiting_entries() for site in replayed.sites.values()),
         "refused": sum(site.rejected for site in replayed.sites.values()),
-        "most_sends_in_a_flap": most,
+        "most_sends_in_a_flap": most_sends,
         "sends_in_first_second": sum(at_s <= 1.0 for at_s, _ in replayed.sends),
-        "sends_in_first_second_all_at_once": sum(at_s <= 1.0 for at_s, _ in herd.sends),
+        "sends_in_first_second_all_at_once": sum(at_s <= 1.0 for at_s, _ in unlimited.sends),
     }
 
 
@@ -134,18 +145,18 @@
 @click.option("--seeds", default=5)
 @click.option("--first", default=1, help="The first seed.")
 def main(seeds: int, first: int) -> None:
-    """Measure."""
-    plays = [run_seed(seed) for seed in range(first, first + seeds)]
+    """Run the seeds, and print the results and the missed bounds."""
+    results = [run_seed(seed) for seed in range(first, first + seeds)]
     worst = {
-        "jain_sites": min(each["jain_sites"] for each in plays),
-        "jain_tenants": min(each["jain_tenants"] for each in plays),
-        "p99_ratio": max(each["p99_ratio"] for each in plays),
-        "p99_ratio_mean": round(mean(each["p99_ratio"] for each in plays), 4),
+        "jain_sites": min(each["jain_sites"] for each in results),
+        "jain_tenants": min(each["jain_tenants"] for each in results),
+        "p99_ratio": max(each["p99_ratio"] for each in results),
+        "p99_ratio_mean": round(mean(each["p99_ratio"] for each in results), 4),
     }
     missed = [name for name in ("jain_sites", "jain_tenants") if worst[name] < MIN_JAIN_INDEX]
     missed += ["p99_ratio"] if worst["p99_ratio"] > MAX_P99_RATIO else []
-    told = {"worst": worst, "missed": missed, "plays": plays}
-    print(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
+    report = {"worst": worst, "missed": missed, "plays": results}
+    print(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
     sys.exit(bool(missed))
 
 
--- a/benchmarks/replay_simulation.py
+++ b/benchmarks/replay_simulation.py
@@ -1,9 +1,9 @@
-"""Five sites that replay into one fleet beside live traffic, in virtual time with the program's own modules.
+"""Simulates sites that replay into one fleet beside live traffic, using the program's own modules.
 
-Prefill servers serve first come first served at a fixed rate, the one with the least work is chosen; a decode
+Prefill servers work first come first served at a fixed rate, the one with the least work is chosen; a decode
 server has a limited number of streams, each at a fixed rate. A queued request is rejected where a live one
 would be: no prefill server would finish it in time, or no stream is free. Records between sites arrive late
-and some are lost. All is random from a seed.
+and some are lost. A seed reproduces a run.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 PREFILL_SERVERS, PREFILL_RATE = 24, 8_000.0  # servers; tokens per s of each
 DECODE_SERVERS, STREAMS_PER_SERVER, S_PER_TOKEN = 24, 16, 0.02  # servers; streams of each; s a token
-RESERVE, REPLAY_FRACTION = 0.2, 0.5  # of deploy/queue.toml
+RESERVE, REPLAY_FRACTION = 0.2, 0.5  # the values of deploy/queue.toml
 MAX_PREFILL_WAIT_S = 2.0  # a request that would wait longer is rejected
 TICK_S, RECORDS_INTERVAL_S = 0.1, 1.0
-MAX_IN_FLIGHT = 32  # entries of a site
+MAX_IN_FLIGHT = 32  # entries per site
 DEMAND_WINDOW_S = 5.0  # over which live demand is averaged
 
 
@@ -45,7 +45,7 @@
     served_log: list[tuple[float, float, str]] = field(default_factory=list)  # time, work, tenant
 
     def waiting_entries(self) -> int:
-        """Entries that wait."""
+        """The number of waiting entries."""
         return sum(len(each) for each in self.queue.values())
 
 
@@ -62,7 +62,7 @@
         )
         self.records_rng = random.Random(
             seed + 1
-        )  # of its own: live traffic is the same with and without replay
+        )  # separate, so that live traffic is the same with and without replay
         self.now_s, self.prefill_free_at_s = 0.0, [0.0] * PREFILL_SERVERS
         self.active_streams, self.first_token_times_s = 0, list[float]()
         self.live_rejected = 0
@@ -88,14 +88,14 @@
         )
 
     def schedule(self, at_s: float, call: Callable[[], None]) -> None:
-        """Schedule a call."""
+        """Schedule a call in virtual time."""
         heapq.heappush(self.events, (at_s, next(self._numbers), call))
 
     def run(self) -> None:
-        """Simulate to the end."""
+        """Run the simulation for its duration."""
         self.schedule(0.0, self._arrive)
         self.schedule(0.0, self._tick)
-        self.schedule(0.0, self._tell)
+        self.schedule(0.0, self._send_records)
         while self.events and self.events[0][0] < self.duration_s:
             self.now_s, _, call = heapq.heappop(self.events)
             call()
@@ -103,53 +103,53 @@
     # Live traffic.
 
     def _arrive(self) -> None:
-        prompt, out = min(12_000.0, self.rng.lognormvariate(7.0, 0.8)), self.rng.uniform(20, 300)
+        prompt, answer_tokens = min(12_000.0, self.rng.lognormvariate(7.0, 0.8)), self.rng.uniform(20, 300)
         load = self.live * (
             2 if self.burst_at_s and self.burst_at_s <= self.now_s < self.burst_at_s + 10 else 1
         )
         per_s = PREFILL_SERVERS * PREFILL_RATE * load / 1510.0  # the mean of those prompts is 1,510
         self.schedule(self.now_s + self.rng.expovariate(per_s), self._arrive)
-        self.demand.append((self.now_s, prompt, out))
-        came_s = self.now_s
+        self.demand.append((self.now_s, prompt, answer_tokens))
+        arrived_s = self.now_s
 
-        def first(at_s: float) -> None:
-            self.first_token_times_s.append(at_s - came_s)
+        def on_first_token(at_s: float) -> None:
+            self.first_token_times_s.append(at_s - arrived_s)
 
-        if not self._serve(prompt, out, first):
+        if not self._serve(prompt, answer_tokens, on_first_token):
             self.live_rejected += 1
 
-    def _serve(self, prompt: float, out: float, first: Callable[[float], None]) -> bool:
-        """Prefill and decode a request; False where it is rejected. `first` is called at its first token."""
-        reader = min(range(PREFILL_SERVERS), key=self.prefill_free_at_s.__getitem__)
-        begins_s = max(self.now_s, self.prefill_free_at_s[reader])
+    def _serve(self, prompt: float, answer_tokens: float, on_first_token: Callable[[float], None]) -> bool:
+        """Prefill and decode a request; False if it is rejected. The callback runs at its first token."""
+        prefill_server = min(range(PREFILL_SERVERS), key=self.prefill_free_at_s.__getitem__)
+        begins_s = max(self.now_s, self.prefill_free_at_s[prefill_server])
         if (
             begins_s - self.now_s > MAX_PREFILL_WAIT_S
             or self.active_streams >= DECODE_SERVERS * STREAMS_PER_SERVER
         ):
             return False
-        self.prefill_free_at_s[reader] = read_s = begins_s + prompt / PREFILL_RATE
+        self.prefill_free_at_s[prefill_server] = prefilled_s = begins_s + prompt / PREFILL_RATE
         self.active_streams += 1
 
-        def written() -> None:
+        def on_decoded() -> None:
             self.active_streams -= 1
 
-        self.schedule(read_s, lambda: first(self.now_s))
-        self.schedule(read_s + out * S_PER_TOKEN, written)
+        self.schedule(prefilled_s, lambda: on_first_token(self.now_s))
+        self.schedule(prefilled_s + answer_tokens * S_PER_TOKEN, on_decoded)
         return True
 
     # Replay.
 
     def capacity(self) -> Capacity:
-        """The capacity, and the demand of live traffic over the last seconds."""
+        """The capacity of the fleet, and the mean live demand over DEMAND_WINDOW_S."""
         since_s = max(0.1, min(DEMAND_WINDOW_S, self.now_s))
         self.demand = [each for each in self.demand if self.now_s - each[0] <= DEMAND_WINDOW_S]
-        reading = sum(prompt for _, prompt, _ in self.demand) / since_s
-        writing = sum(out for _, _, out in self.demand) / since_s
+        prefill_demand = sum(prompt for _, prompt, _ in self.demand) / since_s
+        decode_demand = sum(answer_tokens for _, _, answer_tokens in self.demand) / since_s
         return Capacity(
             PREFILL_SERVERS * PREFILL_RATE,
             DECODE_SERVERS * STREAMS_PER_SERVER / S_PER_TOKEN,
-            reading,
-            writing,
+            prefill_demand,
+            decode_demand,
         )
 
     def _tick(self) -> None:
@@ -161,7 +161,7 @@
             if not site.is_reachable(self.now_s):
                 controller.close()
                 continue
-            site.loans.update_demand(self.now_s, self._wish(site, spare))
+            site.loans.update_demand(self.now_s, self._wanted_fraction(site, spare))
             controller.set_ceiling(
                 self.now_s,
                 None
@@ -179,7 +179,7 @@
                 heads.remove(head)
         self.schedule(self.now_s + TICK_S, self._tick)
 
-    def _wish(self, site: Site, spare: float | None) -> float:
+    def _wanted_fraction(self, site: Site, spare: float | None) -> float:
         if not site.waiting_entries():
             return 0.0
         return (
@@ -197,31 +197,31 @@
     def _send(self, site: Site, head: QueueHead) -> None:
         self.sends.append((self.now_s, site.name))
         site.first_sent_s = self.now_s if site.first_sent_s < 0 else site.first_sent_s
-        out = head.work / 10
+        answer_tokens = head.work / 10
 
-        def first(at_s: float) -> None:
-            self.schedule(at_s + out * S_PER_TOKEN, served)
+        def on_first_token(at_s: float) -> None:
+            self.schedule(at_s + answer_tokens * S_PER_TOKEN, on_served)
 
-        def served() -> None:
+        def on_served() -> None:
             site.queue[head.tenant].remove(head)
-            site.scheduler.record_outcome(self.now_s, head.name, SendOutcome.SERVED, head.work, out)
+            site.scheduler.record_outcome(self.now_s, head.name, SendOutcome.SERVED, head.work, answer_tokens)
             site.served_log.append((self.now_s, head.work, head.tenant))
             if not site.waiting_entries():
                 site.ended_s = self.now_s
 
-        if not self._serve(head.work - out, out, first):
+        if not self._serve(head.work - answer_tokens, answer_tokens, on_first_token):
             site.rejected += 1
             site.scheduler.record_outcome(self.now_s, head.name, SendOutcome.REJECTED)
 
-    def _tell(self) -> None:
-        """Deliver records: up to two seconds late, one in twenty is lost."""
+    def _send_records(self) -> None:
+        """Send the sites' records to each other: up to 2 s late, and 5% are lost."""
         for site in self.sites.values():
             for key, row in site.loans.records().items():
                 for other in self.sites.values():
                     if self.records_delivered and other is not site and self.records_rng.random() > 0.05:
                         late_s = self.records_rng.uniform(0.01, 2.0)
                         self.schedule(self.now_s + late_s, partial(self._receive, other, key, row))
-        self.schedule(self.now_s + RECORDS_INTERVAL_S, self._tell)
+        self.schedule(self.now_s + RECORDS_INTERVAL_S, self._send_records)
 
     def _receive(self, site: Site, key: str, row: LoanRequest | LoanGrant) -> None:
         if isinstance(row, LoanRequest):
@@ -231,7 +231,7 @@
 
 
 def make_queue(rng: random.Random, site: str, entries: int, tenants: int = 3) -> dict[str, list[QueueHead]]:
-    """So many entries; the work of each differs a hundredfold."""
+    """A queue of that many entries by tenant; their work differs by a factor of up to 120."""
     queue = defaultdict[str, list[QueueHead]](list)
     for number in range(entries):
         tenant, work = f"t{number % tenants}", min(12_000.0, max(100.0, rng.lognormvariate(7.0, 1.0)))
--- a/benchmarks/site_variant.py
+++ b/benchmarks/site_variant.py
@@ -1,7 +1,7 @@
-"""Apply a list of changes to a site file of the operators' bench, and write a folder that it can play.
+"""Apply a list of changes to a site file of the operators' bench, and write a folder that the bench can run.
 
-The bench, its site files and what stands beside them are outside this repository; the list of changes is all
-that is kept here (``deploy/sites/NAME.toml``). What is written goes to a folder that git ignores.
+The bench, its site files and their companion files are outside this repository; only the lists of changes are
+kept here (``deploy/sites/NAME.toml``). The output goes to a folder that git ignores.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 import tomlkit
 from tomlkit.exceptions import ParseError
 
-COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")  # what the bench looks for beside a site file
-BUILT = Path("deploy/sites/built")
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")  # in the site file's folder
+DEFAULT_OUTPUT = Path("deploy/sites/built")
 
 
 class ChangeError(Exception):
@@ -25,7 +25,7 @@
 
 
 class Append(msgspec.Struct, forbid_unknown_fields=True):
-    """A further table of a list, copied from one that is there, with values of its own."""
+    """A table to append to a list: a copy of an existing one, with some values replaced."""
 
     to: str
     from_: int = msgspec.field(name="from")
@@ -33,7 +33,7 @@
 
 
 class Changes(msgspec.Struct, forbid_unknown_fields=True):
-    """What makes a variant of a site: removed first, then set, then appended."""
+    """The changes that make a variant of a site; keys are removed first, then set, then appended."""
 
     name: str
     remove: list[str] = []
@@ -42,7 +42,7 @@
 
 
 def read_changes(path: Path) -> Changes:
-    """The changes of a file; ChangeError names the file and what is wrong."""
+    """Read a file of changes; ChangeError names the file and the problem."""
     try:
         return msgspec.toml.decode(path.read_bytes(), type=Changes)
     except msgspec.DecodeError as error:
@@ -50,7 +50,7 @@
 
 
 def apply(changes: Changes, text: str) -> str:
-    """The site's text with the changes, all else as it was; ChangeError for a key that it doesn't have."""
+    """Apply the changes to the text of a site file and keep the rest; ChangeError for a key that it lacks."""
     try:
         site = tomlkit.parse(text)
     except ParseError as error:
@@ -79,7 +79,7 @@
 
 
 def _parent(site: Any, key: str) -> tuple[Any, Any]:
-    """The container of a key such as ``class.0.name`` and its last part; the key has to be there."""
+    """The container of a key such as ``class.0.name``, and its last part; ChangeError if it is missing."""
     container, parts = site, [int(part) if part.isdigit() else part for part in key.split(".")]
     for part in parts[:-1]:
         container = _inner(container, part, key)
@@ -95,7 +95,7 @@
 
 
 def write(changes: Changes, site: Path, folder: Path) -> Path:
-    """Write the variant and what belongs beside it into a folder of its own; the new site file."""
+    """Write the variant and its companion files into its own folder; returns the path of the site file."""
     place = folder / changes.name
     place.mkdir(parents=True, exist_ok=True)
     text = apply(changes, site.read_text())
@@ -109,7 +109,7 @@
 @click.command()
 @click.argument("changes", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.argument("site", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--folder", type=click.Path(path_type=Path), default=BUILT, show_default=True)
+@click.option("--folder", type=click.Path(path_type=Path), default=DEFAULT_OUTPUT, show_default=True)
 def main(changes: Path, site: Path, folder: Path) -> None:
     """Write the variant of SITE that the file CHANGES describes, and print its path."""
     try:
