--- a/benchmarks/fleet_plays.py
+++ b/benchmarks/fleet_plays.py
@@ -73,25 +73,25 @@
 
 def read_days(report: dict[str, Any]) -> Iterator[Day]:
     """The days of a report, which has a list of days, or one row for a single day."""
-    for told in report["days"] if "days" in report else [report["row"]]:
+    for day_report in report["days"] if "days" in report else [report["row"]]:
         yield Day(
-            told["name"],
-            told["seed"],
-            told["balancers"],
-            told["servers"],
-            told["G"],
-            told["score"],
-            tuple(_faults(told)),
+            day_report["name"],
+            day_report["seed"],
+            day_report["balancers"],
+            day_report["servers"],
+            day_report["G"],
+            day_report["score"],
+            tuple(_faults(day_report)),
         )
 
 
-def _faults(told: dict[str, Any]) -> Iterator[str]:
+def _faults(day_report: dict[str, Any]) -> Iterator[str]:
     """The reasons why a day fails: a crash, a gate that is not met, broken rules."""
-    if told.get("fault"):
-        yield f"fault: {told['fault']}"
-    if told.get("gate"):
-        yield f"gate: {told['gate']}"
-    for rule, count in sorted((told.get("rules") or {}).items()):
+    if day_report.get("fault"):
+        yield f"fault: {day_report['fault']}"
+    if day_report.get("gate"):
+        yield f"gate: {day_report['gate']}"
+    for rule, count in sorted((day_report.get("rules") or {}).items()):
         if count:
             yield f"{rule} broken {count} times"
 
--- a/benchmarks/fleet_seeds.py
+++ b/benchmarks/fleet_seeds.py
@@ -24,9 +24,8 @@
 
     counts: Counter[str] = field(default_factory=Counter)
     faults: Counter[Fault] = field(default_factory=Counter)
-    coverage_s: list[float] = field(
-        default_factory=list
-    )  # the longest time of each seed until all duties were covered
+    # The longest time of each seed until all duties were covered.
+    coverage_s: list[float] = field(default_factory=list)
     violations: int = 0
 
     def add(self, report: SeedReport) -> None:
--- a/benchmarks/overload_core.py
+++ b/benchmarks/overload_core.py
@@ -18,11 +18,8 @@
 from ringledge.lab.load_plan import Arrival
 
 HEAD_MS, ADMIT_MS, PREFILL_MS, EVENT_MS, KB_MS = 0.3, 1.2, 0.8, 0.2, 0.02  # CPU time of each step
-SERVER_PREFILL_MS, EVENTS, GAP_MS = (
-    20.0,
-    6,
-    50.0,
-)  # the servers' prefill time, events per stream and the time between them
+# The servers' prefill time, events per stream and the time between them.
+SERVER_PREFILL_MS, EVENTS, GAP_MS = 20.0, 6, 50.0
 TARGETS_MS = (1200.0, 2500.0)
 CAPACITY = 1000 / (HEAD_MS + ADMIT_MS + PREFILL_MS + EVENTS * EVENT_MS)  # requests a second
 SLOWDOWN = 20.0  # factor of the prefill time in the second half of the run "slow servers"
@@ -35,9 +32,8 @@
     """One core with a FIFO queue; times in ms."""
 
     now_ms: float = 0.0
-    queue: deque[tuple[float, float, Callable[[], None]]] = field(
-        default_factory=deque
-    )  # due time, cost, callback
+    # Due time, cost, callback.
+    queue: deque[tuple[float, float, Callable[[], None]]] = field(default_factory=deque)
     timers: list[tuple[float, int, float, Callable[[], None]]] = field(default_factory=list)
     sequence: int = 0  # of the last timer; keeps timers of equal times in order
     cpu_ms: float = 0.0
--- a/benchmarks/ratio.py
+++ b/benchmarks/ratio.py
@@ -71,9 +71,9 @@
     return simulation, plan
 
 
-def constant_plan(readers: int, _: float) -> int:
+def constant_plan(prefill_servers: int, _: float) -> int:
     """A plan that never changes."""
-    return readers
+    return prefill_servers
 
 
 def recovery_time_s(simulation: Simulation, best: Simulation, from_s: float, to_s: float) -> float:
@@ -94,9 +94,9 @@
     best_split = best_fixed_split(need, servers, END_S)
     split_margin = max(1, servers // 20)
     fixed_splits = [
-        readers
-        for readers in (best_split - split_margin, best_split, best_split + split_margin)
-        if 0 < readers < servers
+        prefill_servers
+        for prefill_servers in (best_split - split_margin, best_split, best_split + split_margin)
+        if 0 < prefill_servers < servers
     ]
     fixed_runs = [
         run(mix, size, seed, partial(ScriptedPlan, plan=partial(constant_plan, n)))[0] for n in fixed_splits
--- a/benchmarks/ratio_records.py
+++ b/benchmarks/ratio_records.py
@@ -5,9 +5,8 @@
 from collections import deque
 from random import Random
 
-StoredRecords = dict[
-    str, dict[tuple[str, str], deque[tuple[float, bytes]]]
-]  # by prefix, then by member and key: when they become visible, and the values
+# By prefix, then by member and key: when they become visible, and the values.
+StoredRecords = dict[str, dict[tuple[str, str], deque[tuple[float, bytes]]]]
 
 
 class DelayedRecordStore:
--- a/benchmarks/ratio_servers.py
+++ b/benchmarks/ratio_servers.py
@@ -35,9 +35,8 @@
     prefill_rate: float
     decode_rate: float
     prefill_queue: deque[SimulatedRequest] = field(default_factory=deque)
-    decode_queue: deque[SimulatedRequest] = field(
-        default_factory=deque
-    )  # requests that wait for a free stream
+    # Requests that wait for a free stream.
+    decode_queue: deque[SimulatedRequest] = field(default_factory=deque)
     prefilling: bool = False
     queued_prefill_tokens: float = 0.0
     streams: int = 0
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -24,15 +24,10 @@
 
 BACKLOGS = {"s1": 10_000, "s2": 100, "s3": 100, "s4": 500, "s5": 1_000}
 WEIGHTS = {"s1": 1.0, "s2": 1.0, "s3": 1.0, "s4": 2.0, "s5": 1.0}
-DURATION_S, LIVE_LOAD, HIGH_LIVE_LOAD = (
-    240.0,
-    0.5,
-    0.75,
-)  # duration in s; live traffic as fractions of the prefill capacity
-UNLIMITED_IN_FLIGHT, UNLIMITED_DURATION_S = (
-    300,
-    15.0,
-)  # entries in flight per site, and duration in s, of the simulation that sends all at once
+# Duration in s; live traffic as fractions of the prefill capacity.
+DURATION_S, LIVE_LOAD, HIGH_LIVE_LOAD = 240.0, 0.5, 0.75
+# Entries in flight per site, and duration in s, of the simulation that sends all at once.
+UNLIMITED_IN_FLIGHT, UNLIMITED_DURATION_S = 300, 15.0
 MIN_JAIN_INDEX, MAX_P99_RATIO = 0.95, 1.1
 FLAP_PERIOD_S, FLAP_UP_S = 10.0, 3.0
 
--- a/benchmarks/replay_simulation.py
+++ b/benchmarks/replay_simulation.py
@@ -60,9 +60,8 @@
             live,
             burst_at_s,
         )
-        self.records_rng = random.Random(
-            seed + 1
-        )  # separate, so that live traffic is the same with and without replay
+        # Separate, so that live traffic is the same with and without replay.
+        self.records_rng = random.Random(seed + 1)
         self.now_s, self.prefill_free_at_s = 0.0, [0.0] * PREFILL_SERVERS
         self.active_streams, self.first_token_times_s = 0, list[float]()
         self.live_rejected = 0
