--- a/ringledge/wire/clients/front.py
+++ b/ringledge/wire/clients/front.py
@@ -33,9 +33,9 @@
 EVICTION_BATCH_SIZE = 16  # idle connections that are closed at a time when descriptors run out
 SEND_BUFFER_BYTES = 64 * 1024  # response data that the kernel may buffer, where memory is limited
 MAX_BACKLOG_ACCEPTS = 1024  # maximum number of connections that are accepted from the backlog at shutdown
-BACKLOG_TIMEOUT_S = 1.0  # time limit for that while accepting fails, e.g. for lack of descriptors
-MIN_READ_TIMEOUT_S = 1.0  # left for reading a request, however long it waited in the backlog
-ACCEPT_RETRY_S = 0.05  # after a failure that closing connections could not resolve
+BACKLOG_TIMEOUT_S = 1.0  # time limit for the backlog while accepting fails, e.g. for lack of descriptors
+MIN_READ_TIMEOUT_S = 1.0  # minimum time for reading a request, however long it waited in the backlog
+ACCEPT_RETRY_S = 0.05  # delay after a failure that closing connections could not resolve
 ACCEPTS_PER_TURN = 16  # connections accepted before the event loop serves other tasks
 
 
--- a/ringledge/wire/clients/open_connections.py
+++ b/ringledge/wire/clients/open_connections.py
@@ -35,7 +35,7 @@
     EVICTED = "room"  # its descriptor was needed
     DRAIN = "drain"  # the process shuts down
     REJECTED = "rejected"  # its request was rejected
-    ENDED = "ended"  # after its last answer, by its client, or because it broke
+    ENDED = "ended"  # closed after its last response or by its client, or broken
 
 
 class OpenConnections:
@@ -59,7 +59,7 @@
         self._violations = metrics.violations.labels(Invariant.CLOSED_UNANSWERED.value)
         self._gauge = metrics.client_sockets.labels(name)
         self.active: set[Connection] = set()
-        self.between_requests: dict[Connection, float] = {}  # with the start time, longest first
+        self.between_requests: dict[Connection, float] = {}  # start of the wait for a request; longest first
         # Connections with a request, complete or not, longest first.
         self.reading: dict[Connection, None] = {}
         self.closing = False  # each connection is closed after its next response
--- a/ringledge/wire/clients/operator.py
+++ b/ringledge/wire/clients/operator.py
@@ -64,7 +64,7 @@
             raise HttpError(404, "no such call", "not_found")
 
     async def _set_excluded(self, server: str, out: bool) -> None:
-        """Exclude a server or include it again; HttpError for an unknown one."""
+        """Exclude a server if `out` is true, else include it again; HttpError for an unknown one."""
         if server not in self._servers.entries and server not in self._overrides.excluded:
             raise HttpError(404, "no such instance", "not_found")
         try:
--- a/ringledge/wire/clients/platform.py
+++ b/ringledge/wire/clients/platform.py
@@ -105,7 +105,7 @@
     def exempt_from_limit(self, head: h11.Request) -> bool:
         """Whether a request past the limit is served: it is if of the highest priority.
 
-        It holds a descriptor already, as a rejection would.
+        Serving it takes no further descriptor: a rejection would use its connection as well.
         """
         name = (header(head, b"x-call-class") or b"").decode("latin1")
         return self._gate is not None and self._gate.has_max_priority(name)
--- a/ringledge/wire/clients/request_loop.py
+++ b/ringledge/wire/clients/request_loop.py
@@ -18,7 +18,7 @@
 from ringledge.wire.http.headers import header
 from ringledge.wire.http.messages import MAX_BODY_BYTES, read_body, respond
 
-# From a request's first byte to its last one; on a new connection, from when it was opened.
+# Limit for the time from a request's first byte, or the opening of a new connection, to its last byte.
 REQUEST_TIMEOUT_S = 2.5
 BODY_SKIP_TIMEOUT_S = 1.0  # for receiving the rest of a body whose request was shed
 # Wait before the next read from a client whose request was rejected: it may send requests continuously.
@@ -194,7 +194,7 @@
                     await conn.next_event()
         if conn.h11.their_state is not h11.DONE:
             conn.close()
-        # No pause, since the connection may carry bookings of others, too; but other connections run first.
+        # No pause, since the connection may also carry other callers' requests; other connections run first.
         await anyio.lowlevel.checkpoint()
 
     async def _pause(self, conn: Connection) -> None:
--- a/ringledge/wire/discovery/json_stream.py
+++ b/ringledge/wire/discovery/json_stream.py
@@ -34,7 +34,7 @@
         """Yield each object that this piece completes; raises ListError if the stream is malformed."""
         self.line_ended = self.is_between_objects and b"\n" in data.partition(b"{")[0]
         self._buffer += data
-        start = 0  # of the current object in the buffer
+        start = 0  # position of the current object in the buffer
         while mark := STRUCTURAL.search(self._buffer, self._scanned_bytes):
             position = mark.start()
             if mark[0] == b"\\":
--- a/ringledge/wire/discovery/watcher.py
+++ b/ringledge/wire/discovery/watcher.py
@@ -32,7 +32,7 @@
 from ringledge.wire.servers.upstream import Upstream
 
 AVAILABILITY = {"active": Availability.UP, "leaving": Availability.DRAINING, "left": Availability.REMOVED}
-IDLE_TIMEOUT_S = 3.0  # of a watch without a complete line; discovery sends an empty line every 2 s
+IDLE_TIMEOUT_S = 3.0  # for a fetch, and for each line of a watch; discovery sends an empty line every 2 s
 MAX_LIST_BYTES = 4 * 1024 * 1024  # limit of one JSON object, which holds a list or changes
 # Bounds of the backoff after a failed watch, per router: one discovery service of fixed capacity serves all
 # routers. While overloaded it takes seconds for a request, and also serves those whose clients have given up.
@@ -69,7 +69,7 @@
         self.last_received_s = time.monotonic()
         self.synchronized = anyio.Event()  # set once a watch has delivered all outstanding updates
         self._watch_scope = anyio.CancelScope()  # cancels the watch or the delay before the next one
-        self._requests = HedgedRequests(PUSH_MAX_PENDING_REQUESTS if self._is_push else 1)  # of watches
+        self._requests = HedgedRequests(PUSH_MAX_PENDING_REQUESTS if self._is_push else 1)  # pending watches
         self._start_times = StartTimes()
         # When the list was last known to be complete, on the conductor's clock.
         self._complete_ms: float | None = None
--- a/ringledge/wire/http/connection.py
+++ b/ringledge/wire/http/connection.py
@@ -28,7 +28,7 @@
     def __init__(self, sock: socket.socket, our_role: type[h11.CLIENT] | type[h11.SERVER]) -> None:
         super().__init__(sock)
         self.h11 = h11.Connection(our_role, max_incomplete_event_size=MAX_HEAD_BYTES)
-        self.read_deadline_s = math.inf  # by which the message that the peer is sending must be complete
+        self.read_deadline_s = math.inf  # when the message that the peer is sending must be complete
 
         # Set by the connection pool, for connections to servers.
         self.idle_since_s = 0.0  # monotonic seconds
@@ -44,7 +44,7 @@
         self.paused = False  # reading is paused after a rejected request
         self.body_memory: BodyMemory | None = None  # None: unlimited
 
-        self._reserved_bytes = 0  # of `body_memory`, by the current request
+        self._reserved_bytes = 0  # bytes of `body_memory` that the current request has reserved
         self._write_blocked = False  # a task waits until the socket is writable
 
     async def next_event(self) -> h11.Event | type[h11.PAUSED]:
--- a/ringledge/wire/http/sockets.py
+++ b/ringledge/wire/http/sockets.py
@@ -12,7 +12,7 @@
 from ringledge.structures.transient_errors import NO_LOCAL_PATH, RESOURCE_EXHAUSTED, retry_while_transient
 from ringledge.wire.http.connection import Connection
 
-LOCAL_RETRY_INTERVAL_S = 0.01  # after a connection failed for lack of a local resource
+LOCAL_RETRY_INTERVAL_S = 0.01  # delay after a connect failed for lack of a local resource
 KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S = 60, 10  # idle time before the first probe; between probes
 USER_TIMEOUT_MS = 30_000  # how long sent data, including keep-alive probes, may stay unacknowledged
 
--- a/ringledge/wire/servers/context.py
+++ b/ringledge/wire/servers/context.py
@@ -11,7 +11,7 @@
 from ringledge.memory.server_list import ServerList
 from ringledge.observe.metrics import Metrics
 
-DEFAULT_HOLD_LIMIT_MS = 500.0  # for KV cache entries, if the limit is not configured
+DEFAULT_HOLD_LIMIT_MS = 500.0  # limit for holding a KV cache entry, unless configured
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     names: WireNames
     max_connections: int
     configured_hold_limit_ms: float  # 0 if not configured
-    zone: int  # of this process
+    zone: int  # zone of this process
     clock: Clock
     metrics: Metrics
 
--- a/ringledge/wire/servers/event_buffer.py
+++ b/ringledge/wire/servers/event_buffer.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._buffered = bytearray()
         self._oldest_s = 0.0  # when the oldest buffered byte arrived
-        self._searched_bytes = 0  # at the start of the buffer, known to contain no terminator
+        self._searched_bytes = 0  # leading bytes of the buffer, known to contain no terminator
 
     def __len__(self) -> int:
         """How many bytes are buffered."""
--- a/ringledge/wire/servers/exchange.py
+++ b/ringledge/wire/servers/exchange.py
@@ -180,7 +180,7 @@
         return hold_remaining_s(now_ms, record.cache.idle_since_ms, self.context.hold_limit_ms)
 
     async def _await_release(self, record: RequestRecord) -> ExchangeResult:
-        """The entry has been released_early: request a new prefill once no release call is in flight."""
+        """The entry was released early: request a new prefill once no release call is in flight."""
         await self.release_sender.wait_until_finished(record.request_id)
         record.cache.released_early = False
         return ExchangeResult(AttemptStatus.FULL, 1)
--- a/ringledge/wire/servers/releases.py
+++ b/ringledge/wire/servers/releases.py
@@ -17,8 +17,8 @@
 from ringledge.wire.http.errors import PEER_ERRORS
 from ringledge.wire.servers.context import UpstreamContext
 
-CALL_TIMEOUT_S = 0.3  # for one call; hedged calls to other servers start before that
-FINISH_TIMEOUT_S = 0.7  # while a request waits for its release: the hold limit plus one more call
+CALL_TIMEOUT_S = 0.3  # timeout of one call; hedged calls to other servers start earlier
+FINISH_TIMEOUT_S = 0.7  # limit for a request's wait for its release: the hold limit plus one more call
 
 
 class ServerCaller(Protocol):
--- a/ringledge/wire/servers/unresponsive_peers.py
+++ b/ringledge/wire/servers/unresponsive_peers.py
@@ -18,11 +18,11 @@
 from ringledge.wire.servers.in_flight import InFlightAttempt
 from ringledge.wire.servers.resumption import ResumedServers
 
-# Extra time for a request to wait in a queue at the server, taken from the 300 ms that an entry may be held
-# beyond the configured limit.
+# Extra time before the entries of a request on a new connection are released, since it may wait in a queue at
+# the server. Part of the 300 ms that an entry may be held beyond the configured limit.
 NEW_CONNECTION_SLACK_MS = 50.0
 CHECK_INTERVAL_S = HEARTBEAT_INTERVAL_S
-MIN_CHECK_INTERVAL_S = 0.005  # when the release of an entry is due soon
+MIN_CHECK_INTERVAL_S = 0.005  # interval when the release of an entry is due soon
 
 
 class UnresponsivePeerDetector:
@@ -52,7 +52,7 @@
         stall_detector.record_heartbeat()
         while True:
             await anyio.sleep(self._next_check_s())
-            stall_detector.record_heartbeat()  # here, to save the wake-ups of a second loop
+            stall_detector.record_heartbeat()  # in this loop, to save the wake-ups of a second one
             if self._in_flight:
                 self._check_attempts()
 
--- a/ringledge/wire/servers/upstream.py
+++ b/ringledge/wire/servers/upstream.py
@@ -88,11 +88,11 @@
         self._context.tasks.start_soon(self._run_attempt, attempt, state)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Close the attempt's connection at once, so that the next attempt is not a hedged request."""
+        """Cancel the attempt and close its connection at once, so that it does not overlap the next one."""
         state = self._in_flight.pop(attempt, None)
         if state is not None:
             state.update_delivered(attempt)
-            state.scope.cancel()  # before closing, which wakes the task and would look like a reset
+            state.scope.cancel()  # before the close, which wakes the task: it would report a reset
             if state.conn is not None:
                 state.conn.close()
 
