--- a/ringledge/members/duty_runner.py
+++ b/ringledge/members/duty_runner.py
@@ -28,9 +28,9 @@
 Clock = Callable[[], float]
 Sleep = Callable[[float], Awaitable[None]]
 
-STEP_RETRY_INTERVAL_S = 1.0  # after a step that raised; avoids a busy loop without neglecting the duty
-LEASE_POLL_INTERVAL_S = 0.02  # while the lease has expired by the clock but `LeaseEnded` has not arrived
-MAX_FAILED_STEPS = 5  # consecutive ones, after which the duty is released so that another member can try
+STEP_RETRY_INTERVAL_S = 1.0  # wait after a failed step; avoids a busy loop, but resumes the duty soon
+LEASE_POLL_INTERVAL_S = 0.02  # between checks while the lease has expired but `LeaseEnded` has not arrived
+MAX_FAILED_STEPS = 5  # consecutive failures before the duty is released, so that another member can try
 
 
 class DutyEvent(StrEnum):
@@ -73,7 +73,7 @@
         self._release = release
         self._clock = clock
         self._sleep = sleep
-        self._holdings: dict[str, _Holding] = {}  # current ones by duty
+        self._holdings: dict[str, _Holding] = {}  # current holdings by duty
         # Invariant: a holding of a duty begins only after the previous one has set this event.
         self._last_stopped: dict[str, anyio.Event] = {}  # event of the latest holding, by duty
         self.counts: Counter[DutyEvent] = Counter()
--- a/ringledge/members/record_writer.py
+++ b/ringledge/members/record_writer.py
@@ -8,7 +8,7 @@
 
 
 class RecordWriter:
-    """Implements RecordStore; calls `on_write` after each change, since the next tick is due earlier."""
+    """Implements RecordStore; calls `on_write` after each change, which makes the next tick due earlier."""
 
     def __init__(self, records: ReplicatedRecords, on_write: Callable[[], None]) -> None:
         self._records = records
--- a/ringledge/members/replay_sender.py
+++ b/ringledge/members/replay_sender.py
@@ -25,9 +25,9 @@
     """Handle of a queue entry in flight."""
 
     def cancel(self) -> bool:
-        """Cancel the attempt; returns False if the entry must not run twice.
+        """Cancel the attempt and return True, or return False if the entry must not run twice.
 
-        Such an attempt continues, and its result may still be accepted.
+        After False the attempt continues, and its result may still be accepted.
         """
         ...
 
--- a/ringledge/members/replay_window.py
+++ b/ringledge/members/replay_window.py
@@ -36,7 +36,7 @@
 
 def _accept(window: _SenderWindow, sequence: int) -> bool:
     behind = window.highest - sequence
-    if behind >= WINDOW_SIZE:  # left the window
+    if behind >= WINDOW_SIZE:  # too old to be in the window
         return False
     if behind < 0:
         ahead = -behind
--- a/ringledge/members/replayer.py
+++ b/ringledge/members/replayer.py
@@ -24,7 +24,7 @@
 
 HEADS_PER_TENANT = 4  # oldest entries read per tenant, in addition to the number of entries in flight
 BUSY_INTERVAL_S = 0.05  # between steps while entries wait or are in flight
-IDLE_INTERVAL_S = 0.5  # between steps otherwise
+IDLE_INTERVAL_S = 0.5  # between steps while no entry waits or is in flight
 MAX_SENDS_PER_STEP = 8  # bounds the duration of a step
 
 
@@ -68,7 +68,7 @@
 
     @property
     def in_flight_count(self) -> int:
-        """Number of entries in flight, and of those whose result could not be written yet."""
+        """Number of entries in flight, plus entries whose result could not be written yet."""
         return len(self._handles) + len(self._unsettled_results)
 
     @property
@@ -93,8 +93,8 @@
     async def step(self, token: int, is_held: LeaseCheck) -> float:
         """Write unsettled results, then send the entries that are due; returns s until the next step.
 
-        Shielded from cancellation: between the write of a start and the send it would end an entry that is
-        not idempotent as unknown, although never sent. It lasts a few disk syncs; `is_held` is rechecked.
+        Shielded, as a cancellation between the write of a start and the send would end a non-idempotent
+        entry as unknown, although never sent. A step lasts a few disk syncs; each send rechecks `is_held`.
         """
         with anyio.CancelScope(shield=True):
             await self._step(token, is_held)
--- a/ringledge/members/role_keeper.py
+++ b/ringledge/members/role_keeper.py
@@ -40,7 +40,7 @@
     Role.DECODE: ServerRole.DECODE,
     Role.MIXED: ServerRole.MIXED,
 }
-MIN_RELATIVE_CHANGE = 0.1  # of a rate or the warmth; smaller changes are not sent to all members
+MIN_RELATIVE_CHANGE = 0.1  # smaller changes of a rate or of the warmth are not published
 
 
 @dataclass(slots=True)
@@ -49,11 +49,11 @@
 
     prefills: Counter[str] = field(default_factory=Counter)
     streams: Counter[str] = field(default_factory=Counter)
-    cache_entries: Counter[str] = field(default_factory=Counter)  # not fetched yet
+    cache_entries: Counter[str] = field(default_factory=Counter)  # KV cache entries not fetched yet
 
 
 class RoleFollower:
-    """Implements the Observer of the core and the FleetView of the planner."""
+    """Publishes measurements and follows role assignments; implements RequestObserver and FleetView."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self._logged: dict[str, RoleAssignment] = {}
         self._role_plan = RolePlan()
 
-    # Implementation of Observer
+    # Implementation of RequestObserver
 
     def on_request_accepted(self, record: RequestRecord) -> None:
         """Record the demand of an admitted request."""
