--- a/ringledge/store/capacity_sharing.py
+++ b/ringledge/store/capacity_sharing.py
@@ -30,7 +30,7 @@
 from ringledge.decide.replay.scheduler import ReplayScheduler
 from ringledge.store.settings import QueueConfig
 
-BORROWED_RATE_FACTOR = 2  # multiple of the current rate to request, so that loans precede its growth
+BORROWED_RATE_FACTOR = 2  # requested multiple of the current rate, so that loans arrive before it grows
 
 
 class CapacitySharing:
--- a/ringledge/store/component.py
+++ b/ringledge/store/component.py
@@ -38,7 +38,7 @@
 from ringledge.store.site_monitor import SiteMonitor, SiteObservations
 
 BUSY_INTERVAL_S = 0.1  # maximum time between two steps while entries wait
-IDLE_INTERVAL_S = 0.5  # maximum time between two steps otherwise
+IDLE_INTERVAL_S = 0.5  # maximum time between two steps while no entry waits
 MAINTENANCE_INTERVAL_S = 1.0  # between runs of expiry, metrics update and exchange with other sites
 DRAIN_TIMEOUT_S = 2.5  # for entries in flight at shutdown; SIGKILL comes 3.7 s after SIGTERM
 
--- a/ringledge/store/schema.py
+++ b/ringledge/store/schema.py
@@ -86,7 +86,7 @@
 
 
 def queue_error(error: sqlite3.Error, path: Path) -> QueueError:
-    """Convert an SQLite error to a QueueError, whose reason depends on the possible remedy."""
+    """Convert an SQLite error to a QueueError, whose reason follows from the primary error code."""
     primary_code = getattr(error, "sqlite_errorcode", 0) & 0xFF
     match primary_code:
         case sqlite3.SQLITE_BUSY | sqlite3.SQLITE_LOCKED:
--- a/ringledge/store/settings.py
+++ b/ringledge/store/settings.py
@@ -35,7 +35,7 @@
     expiry_s: Seconds = msgspec.field(name="expire_s", default=3_600.0)  # after arrival, unless sent before
     retention_s: Seconds = msgspec.field(name="keep_s", default=86_400.0)  # of an ended entry, for its client
     max_attempts: Count = msgspec.field(name="attempts", default=8)  # of an idempotent request
-    # Wait for the lock of the file while another process holds it.
+    # Maximum wait for the lock of the file while another process holds it.
     lock_timeout_s: Annotated[float, Meta(gt=0, le=60)] = msgspec.field(name="busy_s", default=2.0)
 
     # Replay
