--- a/ringledge/lifecycle/components/chat.py
+++ b/ringledge/lifecycle/components/chat.py
@@ -14,7 +14,7 @@
     from ringledge.lifecycle.components.overload import OverloadControl
     from ringledge.wire.clients.chat.queued import QueuedChat
 
-RETAINED_RESPONSES_DIVISOR = 8  # of the memory limit, for retained responses
+RETAINED_RESPONSES_DIVISOR = 8  # retained responses may use the memory limit divided by this
 
 
 def create(
--- a/ringledge/lifecycle/components/connection_admission.py
+++ b/ringledge/lifecycle/components/connection_admission.py
@@ -14,7 +14,7 @@
 from ringledge.observe.logging import log
 
 SILENT_NETWORKS_INTERVAL_S = 60.0  # between two reports of networks that send no requests
-MAX_SILENT_NETWORKS = 5  # in one report
+MAX_SILENT_NETWORKS = 5  # maximum number of networks in one report
 
 
 def create_admission(config: Config) -> ConnectionAdmission:
--- a/ringledge/lifecycle/config.py
+++ b/ringledge/lifecycle/config.py
@@ -20,7 +20,7 @@
 from ringledge.routing.interface import RouterSettings
 from ringledge.routing.simulator_decoder import router_settings
 
-DEFAULT_DEPLOY_FOLDER = "deploy"  # of the settings files; RINGLEDGE_DEPLOY overrides it
+DEFAULT_DEPLOY_FOLDER = "deploy"  # folder of the settings files; RINGLEDGE_DEPLOY overrides it
 MAX_PORT = 65535
 
 S = TypeVar("S", bound=msgspec.Struct)
--- a/ringledge/lifecycle/drain.py
+++ b/ringledge/lifecycle/drain.py
@@ -41,7 +41,7 @@
 
 
 def _max_deadline_s(context: ProgramContext) -> float:
-    """The longest deadline of any request class, as far as it delays SIGKILL."""
+    """The longest deadline of any request class, but at most MAX_DEADLINE_S."""
     classes = context.config.settings.classes
     longest_s = max((each.deadline_ms / 1000 for each in classes), default=MAX_DEADLINE_S)
     return min(MAX_DEADLINE_S, longest_s)
--- a/ringledge/lifecycle/fronts.py
+++ b/ringledge/lifecycle/fronts.py
@@ -23,7 +23,8 @@
 if TYPE_CHECKING:
     from ringledge.decide.connections.admission import ConnectionAdmission
 
-# Of the memory limit: a body takes about twice its size, and the rest is needed by the program.
+# Bodies may take up the memory limit divided by this: a body needs about twice its size in memory, and the
+# program needs the rest.
 BODY_MEMORY_DIVISOR = 5
 RESERVED_SOCKETS = 64  # descriptors for discovery, listeners, logs and the interpreter
 PROGRAM_FRONT_MAX_CONNECTIONS = RESERVED_SOCKETS // 4  # for a front with few known clients
@@ -74,7 +75,8 @@
         self._public_fronts: list[Front] = []
         # Both apply only to fronts that are opened afterwards.
         self.connection_admission: ConnectionAdmission | None = None  # admits or denies new connections
-        self.on_unread_time: Callable[[float], None] | None = None  # called with each request's unread time
+        # Called for each request with the ms that it waited in its socket before it was read.
+        self.on_unread_time: Callable[[float], None] | None = None
 
     def open(self, service: Service) -> None:
         """Create a front for clients; it accepts connections once `serve` is called."""
--- a/ringledge/lifecycle/handover.py
+++ b/ringledge/lifecycle/handover.py
@@ -45,7 +45,7 @@
     def __init__(
         self, path: Path, fingerprint: str, fronts: Fronts, conductor: Conductor, observer: HandoverObserver
     ) -> None:
-        """`fingerprint` identifies this process's settings; a process with others receives nothing."""
+        """`fingerprint` identifies this process's settings; one with other settings receives nothing."""
         self.successor_serves = False
         self._path = path
         self._fingerprint = fingerprint
--- a/ringledge/lifecycle/handover_channel.py
+++ b/ringledge/lifecycle/handover_channel.py
@@ -30,7 +30,7 @@
 RESPONSE_TIMEOUT_S = 1.0  # a slower predecessor is treated as hung, and its addresses are bound again
 MAX_MESSAGE_BYTES = 64 * 1024
 MAX_LISTENERS = 8
-BACKLOG = 4  # of successors that wait to be accepted
+BACKLOG = 4  # maximum number of successors that wait to be accepted
 CHANNEL_ERRORS = (OSError, ValueError, anyio.ClosedResourceError)  # possible at the end of a channel
 
 
@@ -115,7 +115,7 @@
 async def request_listeners(path: Path, fingerprint: str) -> Predecessor:
     """Connect to the predecessor that listens at the path, and receive its listening sockets.
 
-    `fingerprint` identifies this process's settings; a process with others is not a predecessor.
+    `fingerprint` identifies this process's settings; one with other settings is not a predecessor.
     """
     if not path.exists():
         return Predecessor()
--- a/ringledge/lifecycle/peer_process.py
+++ b/ringledge/lifecycle/peer_process.py
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, sock: socket.socket, registry: RequestRegistry) -> None:
-        self.open_request_ids: set[str] = set()  # in the other process
+        self.open_request_ids: set[str] = set()  # requests that are open in the other process
         self._sock = sock
         self._registry = registry
         # Changes to be sent, in order: by request id, whether the request is open.
--- a/ringledge/lifecycle/reload.py
+++ b/ringledge/lifecycle/reload.py
@@ -13,7 +13,7 @@
 from ringledge.wire.discovery.watcher import DiscoveryClient
 
 RETRY_INTERVAL_S = 0.05  # between two attempts to read an unusable file
-RETRY_TIMEOUT_S = 3.0  # in total: discovery's new list must be in use 4 s after SIGHUP
+RETRY_TIMEOUT_S = 3.0  # for all attempts: discovery's new list must be in use 4 s after SIGHUP
 # Fields that need no restart: discovery's address applies at once, the others matter only at a start.
 RELOADABLE_FIELDS = ("discovery", "configured_discovery", "seed", "known_endpoints")
 
--- a/ringledge/memory/connection_pool.py
+++ b/ringledge/memory/connection_pool.py
@@ -107,7 +107,7 @@
     def close_idle(self, min_idle_s: float | None = None, max_count: int | None = None) -> None:
         """Close connections that have been idle for `min_idle_s` (None: `max_idle_s`), longest idle first.
 
-        `max_count`: at most so many; None: no limit.
+        At most `max_count` connections are closed; None means no limit.
         """
         if min_idle_s is None:
             min_idle_s = self.max_idle_s
--- a/ringledge/memory/operator_overrides.py
+++ b/ringledge/memory/operator_overrides.py
@@ -33,7 +33,7 @@
     ) -> None:
         """Set the path of the file, which is named after the conductor; nothing is read yet.
 
-        `settings_fingerprint`: of the current settings; a file written under other settings is ignored.
+        `settings_fingerprint` identifies the settings; a file written under other settings is ignored.
         `on_change` is called with each server that is now excluded (True) or included again (False).
         """
         self.excluded: frozenset[str] = frozenset()
