--- a/ringledge/lifecycle/handover.py
+++ b/ringledge/lifecycle/handover.py
@@ -133,7 +133,7 @@
         if received is None:
             raise OSError("the successor closed the channel")
         if settings_fingerprint(received.message) != self._fingerprint:
-            raise OSError("the successor has other settings")
+            raise OSError("it serves under other settings")
         response = ListenersResponse(
             list(self._listeners), self._fingerprint, self._conductor.clock.offset_ms
         )
--- a/ringledge/lifecycle/handover_channel.py
+++ b/ringledge/lifecycle/handover_channel.py
@@ -141,7 +141,7 @@
     if settings_fingerprint(received.message) != fingerprint:
         for listener in listeners:
             listener.close()
-        raise OSError("the predecessor has other settings")
+        raise OSError("it serves under other settings")
     for listener in listeners:
         listener.setblocking(False)
     response = ListenersResponse.decode(received.message)
--- a/ringledge/memory/operator_overrides.py
+++ b/ringledge/memory/operator_overrides.py
@@ -73,7 +73,7 @@
         if isinstance(content, list):
             return content
         if content["settings"] != self._settings_fingerprint:
-            raise ValueError("file was written under other settings")
+            raise ValueError("it was written under other settings")
         names: list[Any] = content["out"]
         return names
 
