--- a/ringledge/routing/simulator_adapter.py
+++ b/ringledge/routing/simulator_adapter.py
@@ -54,9 +54,7 @@
         if self.now_ms is None:
             raise MalformedError(f"{name} outside a batch")
         if (name == "M") != (self.missing_entries > 0):
-            raise MalformedError(
-                f"{name} received while {self.missing_entries} M lines of the server list are outstanding"
-            )
+            raise MalformedError(f"{name} where the server list holds {self.missing_entries} more entries")
         if name == "EOB":
             self.now_ms = None
             return [*self._reply_lines(), "NEXT"]
@@ -99,7 +97,7 @@
     def _current_instance(self) -> int:
         """Return the instance that the last AT line named."""
         if self.instance is None:
-            raise MalformedError("no AT line before a message to an instance")
+            raise MalformedError("no AT line names the instance")
         return self.instance
 
     def _deliver_complete_list(self) -> None:
--- a/ringledge/routing/simulator_decoder.py
+++ b/ringledge/routing/simulator_decoder.py
@@ -75,7 +75,7 @@
     """Parse a boolean, written as a word in settings and as a digit in messages."""
     values = {"1": True, "true": True, "0": False, "false": False}
     if text not in values:
-        raise ValueError(f"expected a boolean (1, 0, true or false), got '{text}'")
+        raise ValueError(f"'{text}' is no bool")
     return values[text]
 
 
