--- a/ringledge/cli/serve.py
+++ b/ringledge/cli/serve.py
@@ -48,7 +48,7 @@
     click.echo(f"{config.name}: listens at {config.listen}, discovery at {config.discovery}")
     click.echo(f"operators' front: {config.operator or 'none'}")
     click.echo(f"classes {', '.join(config.names.classes)}; {known} servers known")
-    click.echo(f"enabled settings files: {', '.join(config.deploy_settings) or 'none'}")
+    click.echo(f"enabled settings files: {', '.join(config.deploy_settings) or 'nothing'}")
 
 
 @main.command()
