--- a/ringledge/decide/discovery/start_times.py
+++ b/ringledge/decide/discovery/start_times.py
@@ -14,7 +14,8 @@
 from dataclasses import dataclass
 
 MAX_UNLISTED_SERVERS = 1_000  # retained although no longer listed; about 200 bytes each
-MAX_NOTICE_DELAY_MS = 5_000.0  # longest time after a start until discovery reports it
+# Longest delay with which discovery reports a start, counted from the last complete list on.
+MAX_NOTICE_DELAY_MS = 5_000.0
 
 
 @dataclass(slots=True, frozen=True)
--- a/ringledge/decide/discovery/watch_timeout.py
+++ b/ringledge/decide/discovery/watch_timeout.py
@@ -59,7 +59,8 @@
         deadline_s = min(last_progress_s + self._idle_timeout_s, self._last_line_s + self.allowance_s)
         if not self._awaits_update:
             return deadline_s
-        # The response may begin long after its request, so the first line has some time from then on, too.
+        # The response may begin long after its request, after which further requests for a watch were sent.
+        # So the first line has some time from then on, too.
         return min(deadline_s, max(self.first_line_deadline_s, self._started_s + MIN_FIRST_LINE_S))
 
     @property
--- a/ringledge/decide/leases/proposer.py
+++ b/ringledge/decide/leases/proposer.py
@@ -32,7 +32,7 @@
 RESEND_DELAY_RANGE_S = (0.1, 0.2)  # until a request without answer is resent; above a round trip (2 x 27 ms)
 PHASE_TIMEOUT_S = 0.6  # per phase: four sends, which reach nine of ten acceptors at 50% loss
 RENEWAL_FRACTION = 0.25  # part of the lease after which it is renewed; leaves time if rounds are lost
-RELEASED_DELAY_RANGE_S = (0.05, 0.08)  # after a release; spreads members other than the nominated successor
+RELEASED_DELAY_RANGE_S = (0.05, 0.08)  # after a release: behind the nominated successor, spread
 MAX_REJECTED_JITTER_S = 0.2  # delay after a lock expires; spreads the proposers that wait for it
 
 
--- a/ringledge/members/duty_runner.py
+++ b/ringledge/members/duty_runner.py
@@ -29,7 +29,7 @@
 Sleep = Callable[[float], Awaitable[None]]
 
 STEP_RETRY_INTERVAL_S = 1.0  # wait after a failed step; avoids a busy loop, but resumes the duty soon
-LEASE_POLL_INTERVAL_S = 0.02  # between checks while the lease has expired but `LeaseEnded` has not arrived
+LEASE_POLL_INTERVAL_S = 0.02  # while the lease expired by the clock but `LeaseEnded` has not arrived
 MAX_FAILED_STEPS = 5  # consecutive failures before the duty is released, so that another member can try
 
 
