--- a/tests/fleet/test_cut_off.py
+++ b/tests/fleet/test_cut_off.py
@@ -11,7 +11,7 @@
 
 
 def until_ended(fleet: Fleet, member: str, token: int) -> None:
-    """Waits until the member logs that lossy_links holding under this token ended."""
+    """Waits until the member logs that its holding under this token ended."""
     line = fleet.nodes[member].logged("duty_lease_changed")
     while line["token"] != token or line["what"] == "begun":
         line = fleet.nodes[member].logged("duty_lease_changed")
